--- a/crates/latchtrack-core/tests/simulation/balance.rs
+++ b/crates/latchtrack-core/tests/simulation/balance.rs
@@ -1,22 +1,10 @@
 //! Moves of running tasks in all troubles. Two leaders of three balance the load, so that versions with and
 //! without it lead in turn, and each takes over moves that the other knows nothing of.
 
-use super::world::{Broken, Planned, Size, World, FLEET, SMALL};
-use super::{ends_well, BUSY};
+use super::ends_well;
+use super::world::{Broken, Planned, Size, World, BUSY, FLEET, MOVING};
 use Planned::*;
 
-/// Machines enough that nobody waits for long, and tasks that save: there is something to move.
-const MOVING: Size = Size {
-    capacity: 6,
-    submits: 0.02,
-    task_cpus: 2,
-    saving: 0.9,
-    gangs: 0.15,
-    limit: 40.0,
-    balance: true,
-    ..SMALL
-};
-
 const BUSY_MOVING: Size = Size { capacity: 6, task_cpus: 2, saving: 0.9, balance: true, ..BUSY };
 
 /// Moves that end on their target, and that are abandoned, in a set of runs.
--- a/crates/latchtrack-core/tests/simulation/fault_interactions.rs
+++ b/crates/latchtrack-core/tests/simulation/fault_interactions.rs
@@ -1,8 +1,8 @@
 //! Two troubles at once: a test for each meeting that has broken rules, or might. The table in
 //! docs/fault-interactions.md names them; what users are answered is tested over real sockets.
 
-use super::world::{Broken, Planned, Size, World, FLEET};
-use super::{meets, BUSY};
+use super::meets;
+use super::world::{Broken, Planned, Size, World, BUSY, FLEET};
 use Planned::*;
 
 /// More of everything that runs long, so that troubles find tasks at work.
--- a/crates/latchtrack-core/tests/simulation/main.rs
+++ b/crates/latchtrack-core/tests/simulation/main.rs
@@ -10,7 +10,7 @@
 mod quota;
 mod world;
 
-use world::{Broken, Planned, Size, World, FLEET, HUGE, HUGEST, LARGE, SMALL};
+use world::{Broken, Planned, Size, World, BUSY, FLEET, HUGE, HUGEST, LARGE, SMALL};
 
 const SEEDS: std::ops::Range<u64> = 0..60;
 
@@ -273,10 +273,6 @@
     terms
 }
 
-/// Jobs enough to keep the machines of a small world busy while the troubles last.
-const BUSY: Size =
-    Size { first: 10, submits: 0.02, troubles: 0.0, limit: 30.0, end: 900_000, ..SMALL };
-
 #[test]
 fn a_node_that_stands_still_beyond_its_lease_leading_or_following_does_no_harm() {
     use Planned::*;
--- a/crates/latchtrack-core/tests/simulation/quota.rs
+++ b/crates/latchtrack-core/tests/simulation/quota.rs
@@ -4,10 +4,8 @@
 use std::ops::Range;
 
 use super::world::federation::{Federation, Ignored};
-use super::world::{Planned, Size, LARGE, SMALL};
+use super::world::{Planned, Size, CELL, LARGE, SMALL};
 
-/// A cell with two controllers; three of them share 40 CPUs of the limited team.
-const CELL: Size = Size { nodes: 2, submits: 0.005, limit: 40.0, end: 600_000, ..SMALL };
 /// The same with a limit that is less than one large gang in each cell, and more work than it allows.
 const TIGHT: Size = Size { limit: 14.0, submits: 0.006, end: 420_000, ..CELL };
 /// No troubles by chance, and no jobs.
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -5,6 +5,7 @@
 mod gangs;
 mod nodes;
 mod store;
+pub mod trace;
 mod users;
 mod workers;
 
@@ -21,6 +22,7 @@
 use latchtrack_quota::{LedgerWrite, WriteOutcome};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use trace::DecisionTrace;
 
 const LEASE: u64 = 15_000;
 const TTL: u64 = 3_000;
@@ -90,6 +92,25 @@
     balance: false,
 };
 
+/// Jobs enough to keep the machines of a small world busy while the troubles last.
+pub const BUSY: Size =
+    Size { first: 10, submits: 0.02, troubles: 0.0, limit: 30.0, end: 900_000, ..SMALL };
+
+/// Machines enough that nobody waits for long, and tasks that save: there is something to move.
+pub const MOVING: Size = Size {
+    capacity: 6,
+    submits: 0.02,
+    task_cpus: 2,
+    saving: 0.9,
+    gangs: 0.15,
+    limit: 40.0,
+    balance: true,
+    ..SMALL
+};
+
+/// A cell with two controllers; three of them share 40 CPUs of the limited team.
+pub const CELL: Size = Size { nodes: 2, submits: 0.005, limit: 40.0, end: 600_000, ..SMALL };
+
 /// Over a thousand machines and the puts of one leader among five.
 pub const FLEET: Size = Size {
     step: 200,
@@ -456,6 +477,8 @@
     taken_elsewhere: f64,
     /// Token of the last leader.
     last_token: u64,
+    /// What the leaders decide, if that is to be compared with another version.
+    pub trace: Option<DecisionTrace>,
 }
 
 fn types() -> Vec<MachineType> {
@@ -555,6 +578,7 @@
             used_elsewhere: 0.0,
             taken_elsewhere: 0.0,
             last_token: 0,
+            trace: None,
         }
     }
 
--- a/crates/latchtrack-core/tests/simulation/world/nodes.rs
+++ b/crates/latchtrack-core/tests/simulation/world/nodes.rs
@@ -228,6 +228,9 @@
         let moves = counts(cluster);
         let ticks = matches!(event, Event::Tick);
         let effects = cluster.handle(now, event);
+        if let Some(trace) = &mut self.trace {
+            trace.record_effects(self.now, n, &effects);
+        }
         self.rounds += cluster.rounds() - rounds;
         let now_counted = counts(cluster);
         self.moves.begun += now_counted.begun - moves.begun;
@@ -337,6 +340,9 @@
         let gap = self.size.write_gap;
         let Some(c) = node.cluster.as_mut() else { return };
         let writes = c.next_writes(now, self.kept_to.1);
+        if let Some(trace) = &mut self.trace {
+            trace.record_writes(self.now, n, &writes);
+        }
         if writes.is_empty() {
             return;
         }
--- /dev/null
+++ b/crates/latchtrack-core/tests/simulation/world/trace.rs
@@ -0,0 +1,121 @@
+//! A digest of all that the leaders of a run decide, to compare two versions of the sources.
+//!
+//! Every value goes in as plain text, so that renaming a type or a field leaves the digest alone. The
+//! texts of log lines and the reasons of resignations are left out: they may be worded anew.
+
+use std::fmt::Write as _;
+
+use latchtrack_core::leader::{Effect, Write};
+use latchtrack_core::machine::Command;
+
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+
+/// The decisions of a run so far.
+#[derive(Clone, Debug)]
+pub struct DecisionTrace {
+    pub effects: u64,
+    pub writes: u64,
+    digest: u64,
+}
+
+impl Default for DecisionTrace {
+    fn default() -> Self {
+        DecisionTrace { effects: 0, writes: 0, digest: FNV_OFFSET }
+    }
+}
+
+impl DecisionTrace {
+    /// FNV-1a over everything recorded, in its order.
+    pub fn digest(&self) -> u64 {
+        self.digest
+    }
+
+    /// What a node's leader wants done at a time.
+    pub fn record_effects(&mut self, now: u64, node: usize, effects: &[Effect]) {
+        for effect in effects {
+            self.effects += 1;
+            self.add(&format!("{now} {node} {}\n", describe_effect(effect)));
+        }
+    }
+
+    /// What a node's leader writes at a time.
+    pub fn record_writes(&mut self, now: u64, node: usize, writes: &[Write]) {
+        for write in writes {
+            self.writes += 1;
+            self.add(&format!("{now} {node} {}\n", describe_write(write)));
+        }
+    }
+
+    fn add(&mut self, line: &str) {
+        for byte in line.bytes() {
+            self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+        }
+    }
+}
+
+fn describe_commands(commands: &[Command]) -> String {
+    let mut out = String::new();
+    for command in commands {
+        let _ = match command {
+            Command::Launch { task, attempt } => write!(out, " launch {task} {attempt}"),
+            Command::Stop { task, attempt, grace_s } => {
+                write!(out, " stop {task} {attempt} {grace_s}")
+            }
+            Command::Forget { task, attempt } => write!(out, " forget {task} {attempt}"),
+        };
+    }
+    out
+}
+
+fn describe_effect(effect: &Effect) -> String {
+    match effect {
+        Effect::Answer(commands) => format!("answer{}", describe_commands(commands)),
+        Effect::Call { machine, addr, session, call, commands } => {
+            format!("call {machine} {addr} {session} {call}{}", describe_commands(commands))
+        }
+        Effect::Hire { hire, offer, number } => {
+            format!("rent {hire} {} {} {} {number}", offer.kind, offer.zone, offer.spot)
+        }
+        Effect::Return(names) => format!("return {}", names.join(" ")),
+        Effect::List => "list".into(),
+        Effect::Save => "save".into(),
+        Effect::Resign(_) => "resign".into(),
+        Effect::Note(_) => "note".into(),
+        Effect::WriteQuota(write) => {
+            let dead: Vec<String> = write
+                .dead
+                .iter()
+                .map(|cell| format!("{}@{}", cell.cell, cell.term_revision))
+                .collect();
+            let ledger = serde_json::to_string(&write.ledger).expect("a ledger is plain JSON");
+            format!("quota {} {} {ledger} {}", write.team, write.expect, dead.join(" "))
+        }
+    }
+}
+
+fn describe_write(write: &Write) -> String {
+    match write {
+        Write::Fleet { pack, machines } => {
+            let mut out = format!("machines {} {:?}", pack.name, pack.expect);
+            for entry in &pack.entries {
+                let _ = write!(out, " {entry}");
+            }
+            for m in machines {
+                let _ = write!(out, " {} {} {} {} {}", m.name, m.kind, m.zone, m.spot, m.addr);
+            }
+            out
+        }
+        Write::Results { pack, chunks } => {
+            let mut out = format!("results {} {:?}", pack.name, pack.expect);
+            for (job, chunk) in &pack.entries {
+                let _ = write!(out, " {job} {chunk}");
+            }
+            for (job, chunk, bytes) in chunks {
+                let _ = write!(out, " {job} {chunk} {bytes:?}");
+            }
+            out
+        }
+        Write::Done { job, stamp, tasks } => format!("done {job} {stamp} {tasks}"),
+    }
+}
