--- a/crates/latchtrack-core/src/bitmap.rs
+++ b/crates/latchtrack-core/src/bitmap.rs
@@ -4,35 +4,35 @@
 
 /// The stored chunk that holds a task of a job with so many tasks.
 pub fn chunk_of(index: u32, tasks: u32) -> u32 {
-    if tasks <= SMALL_CHUNK_TASKS {
+    if tasks <= CHUNK_TASKS {
         return 0;
     }
-    SMALL_CHUNKS_FROM + index / SMALL_CHUNK_TASKS
+    FIRST_CHUNK_INDEX + index / CHUNK_TASKS
 }
 
 /// Every chunk in which results of a job may be stored, by this version or an earlier one.
 pub fn all_chunks() -> impl Iterator<Item = u32> {
-    let small = SMALL_CHUNKS_FROM..SMALL_CHUNKS_FROM + TASKS_MOST.div_ceil(SMALL_CHUNK_TASKS);
-    (0..TASKS_MOST.div_ceil(CHUNK_TASKS)).chain(small)
+    let small = FIRST_CHUNK_INDEX..FIRST_CHUNK_INDEX + MAX_TASKS.div_ceil(CHUNK_TASKS);
+    (0..MAX_TASKS.div_ceil(LEGACY_CHUNK_TASKS)).chain(small)
 }
 
 /// Whether a stored chunk is larger than what is written now.
 pub fn is_large_chunk(bytes: &[u8]) -> bool {
-    bytes.len() > (SMALL_CHUNK_TASKS / 8) as usize
+    bytes.len() > (CHUNK_TASKS / 8) as usize
 }
 
 /// The small chunks that hold the same bits as a stored large one, each with its length in bytes.
 pub fn small_chunks(chunk: u32, bytes: &[u8]) -> impl Iterator<Item = (u32, usize)> + '_ {
-    let first = SMALL_CHUNKS_FROM + chunk.saturating_mul(CHUNK_TASKS / SMALL_CHUNK_TASKS);
-    let parts = bytes.chunks((SMALL_CHUNK_TASKS / 8) as usize);
+    let first = FIRST_CHUNK_INDEX + chunk.saturating_mul(LEGACY_CHUNK_TASKS / CHUNK_TASKS);
+    let parts = bytes.chunks((CHUNK_TASKS / 8) as usize);
     (first..).zip(parts.map(<[u8]>::len))
 }
 
 /// The first task of a stored chunk, and how many it covers; None past every job.
 fn chunk_span(chunk: u32) -> Option<(u32, u32)> {
-    let (number, tasks) = match chunk.checked_sub(SMALL_CHUNKS_FROM) {
-        Some(number) => (number, SMALL_CHUNK_TASKS),
-        None => (chunk, CHUNK_TASKS),
+    let (number, tasks) = match chunk.checked_sub(FIRST_CHUNK_INDEX) {
+        Some(number) => (number, CHUNK_TASKS),
+        None => (chunk, LEGACY_CHUNK_TASKS),
     };
     Some((number.checked_mul(tasks)?, tasks))
 }
@@ -77,7 +77,7 @@
     }
 
     /// Puts every task in.
-    pub fn fill(&mut self) {
+    pub fn backfill(&mut self) {
         for i in 0..self.len {
             self.set(i);
         }
--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -113,14 +113,14 @@
 
 impl JobSpec {
     /// Whether where its tasks are has a say in where others may start.
-    pub fn zoned(&self) -> bool {
+    pub fn is_zone_constrained(&self) -> bool {
         self.one_zone || self.spread
     }
 }
 
 /// Where a task is.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Place {
+pub struct Assignment {
     pub machine: Arc<str>,
     pub attempt: u64,
 }
@@ -132,33 +132,33 @@
     /// When it was submitted, on the local steady clock.
     pub submitted_at: Millis,
     /// Version of its open record.
-    pub stamp: u64,
+    pub revision: u64,
     /// First accepted under an earlier leader, which may have launched its tasks.
     pub inherited: bool,
     /// Tasks known to be done, and those whose result is stored.
     pub done: Bitmap,
-    pub stored: Bitmap,
+    pub persisted: Bitmap,
     /// The record as done has been refused: somebody else closed the job.
-    pub conflict: bool,
-    pub placed: BTreeMap<u32, Place>,
+    pub closed_elsewhere: bool,
+    pub placed: BTreeMap<u32, Assignment>,
     /// Tasks that came back, to be placed before those never tried.
     pub again: BTreeSet<u32>,
     /// Tasks neither done nor on a machine.
     left: u32,
     /// What it is alike with others in; see [`crate::leader`].
-    pub shape: usize,
+    pub equivalence_class: usize,
     cursor: u32,
     /// Nothing of it is placed before this time.
-    pub pause_until: Millis,
+    pub backoff_until: Millis,
     /// Machines it failed on, and when last; for how long a failed task had run at most.
     pub failed_on: BTreeMap<String, Millis>,
     pub failed_after: Millis,
     /// Shows nothing but failures: one task at a time is tried.
-    pub is_suspect: bool,
+    pub is_quarantined: bool,
     /// Tries that failed since then.
-    pub tries: u32,
+    pub failed_trials: u32,
     /// Since when it has found no room.
-    pub passed_since: Option<Millis>,
+    pub unschedulable_since: Option<Millis>,
     /// Run times of its done tasks: their sum in ms and their count.
     pub ran: (Millis, u32),
     /// Since when the tasks of a gang's last attempt are being ended; None: no task has left it.
@@ -170,29 +170,29 @@
     pub fn new(
         spec: Arc<JobSpec>,
         submitted_at: Millis,
-        stamp: u64,
+        revision: u64,
         inherited: bool,
         done: Bitmap,
     ) -> Self {
         Job {
             left: spec.tasks - done.ones(),
-            shape: 0,
+            equivalence_class: 0,
             spec,
             submitted_at,
-            stamp,
+            revision,
             inherited,
-            stored: done.clone(),
+            persisted: done.clone(),
             done,
-            conflict: false,
+            closed_elsewhere: false,
             placed: BTreeMap::new(),
             again: BTreeSet::new(),
             cursor: 0,
-            pause_until: 0,
+            backoff_until: 0,
             failed_on: BTreeMap::new(),
             failed_after: 0,
-            is_suspect: false,
-            tries: 0,
-            passed_since: None,
+            is_quarantined: false,
+            failed_trials: 0,
+            unschedulable_since: None,
             ran: (0, 0),
             attempt_ended_at: None,
         }
@@ -204,12 +204,12 @@
     }
 
     /// Whether nothing of it has ever been placed in this term, and nothing is done.
-    pub fn untouched(&self) -> bool {
+    pub fn never_started(&self) -> bool {
         self.left == self.spec.tasks && self.again.is_empty()
     }
 
     /// A task has a place now.
-    pub fn place(&mut self, index: u32, place: Place) {
+    pub fn place(&mut self, index: u32, place: Assignment) {
         if self.placed.insert(index, place).is_none() && !self.done.get(index) {
             self.left -= 1;
         }
@@ -256,7 +256,7 @@
     }
 
     /// A task is off its machine without a result.
-    pub fn give_back(&mut self, index: u32) {
+    pub fn requeue(&mut self, index: u32) {
         if self.placed.remove(&index).is_some() && !self.done.get(index) {
             self.left += 1;
             if index < self.cursor {
@@ -266,17 +266,17 @@
     }
 
     /// Takes in the run time of a done task; true if it was slow among its like.
-    pub fn was_slow(&mut self, ran: Millis) -> bool {
+    pub fn record_run_time(&mut self, ran: Millis) -> bool {
         let (sum, n) = self.ran;
         self.ran = (sum + ran, n + 1);
-        n >= SLOW_LIKE && ran as f64 * f64::from(n) > SLOW_FACTOR * sum as f64
+        n >= SLOW_MIN_SAMPLES && ran as f64 * f64::from(n) > SLOW_FACTOR * sum as f64
     }
 
     /// How many of its tasks may be placed now: of a gang all of them, once no task of its last attempt is
     /// on a machine; of a suspect job one at a time.
-    pub fn wanted(&self) -> u32 {
+    pub fn schedulable_tasks(&self) -> u32 {
         let none_placed = self.placed.is_empty();
-        match (self.spec.gang, self.is_suspect) {
+        match (self.spec.gang, self.is_quarantined) {
             (true, _) if none_placed => self.left,
             (false, true) if none_placed => self.left.min(1),
             (false, false) => self.left,
@@ -285,7 +285,7 @@
     }
 
     /// Whether every task has its place in one and the same attempt, as a gang's must.
-    pub fn is_whole(&self) -> bool {
+    pub fn has_complete_attempt(&self) -> bool {
         let mut attempts = self.placed.values().map(|place| place.attempt);
         let first = attempts.next();
         self.placed.len() == self.spec.tasks as usize && attempts.all(|a| Some(a) == first)
--- a/crates/latchtrack-core/src/lib.rs
+++ b/crates/latchtrack-core/src/lib.rs
@@ -6,11 +6,11 @@
 pub mod bitmap;
 pub mod constants;
 pub mod job;
-pub mod leader;
 pub mod machine;
-pub mod packs;
 pub mod placement;
+pub mod record_shards;
 pub mod rules;
+pub mod scheduler;
 
 /// Milliseconds on the local steady clock, or on the wall clock where a name says so.
 pub type Millis = u64;
--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -45,56 +45,56 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Cause {
+pub enum ExitCause {
     Done,
     Stopped,
-    Error,
-    NoRoom,
-    Busy,
-    Unknown,
+    Failed,
+    InsufficientResources,
+    DuplicateTask,
+    UnknownTask,
     /// Another task of its gang was gone.
-    Peers,
+    GangPeerLost,
     /// Its gang was not complete in time.
-    Alone,
+    GangIncomplete,
     /// A cause that this version does not know: the run is over, without a result.
     Unrecognised,
 }
 
 /// What a machine says of a run, or `Assigned` while it has said nothing.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Phase {
+pub enum TaskPhase {
     Assigned,
     Fetching,
     /// Of a gang: it waits for the other tasks of its attempt.
     Waiting,
     Running,
-    Saving,
+    Checkpointing,
     /// A state that this version does not know: the run is on the machine, and takes its room.
     Unrecognised,
-    Ended(Cause),
+    Ended(ExitCause),
 }
 
 /// One line of a report.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct TaskReport {
+pub struct TaskStatus {
     pub task: TaskId,
     pub attempt: u64,
-    pub phase: Phase,
+    pub phase: TaskPhase,
 }
 
 /// What a worker says of its machine.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Report {
+pub struct Heartbeat {
     pub machine: String,
     pub addr: String,
     pub kind: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
-    pub seq: u64,
+    pub agent_epoch: u64,
+    pub sequence: u64,
     pub token: u64,
     pub notice_s: Option<f64>,
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
@@ -107,7 +107,7 @@
 
 /// That a run is to stop.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Stop {
+pub struct StopRequest {
     pub grace_s: f64,
     /// When it was last sent.
     pub sent_at: Option<Millis>,
@@ -115,35 +115,35 @@
 
 /// One attempt at a task on a machine.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct TaskRun {
     pub task: TaskId,
     pub attempt: u64,
     /// None for a job that is closed or unknown: such a run is stopped.
     pub spec: Option<Arc<JobSpec>>,
-    pub phase: Phase,
-    pub stop: Option<Stop>,
+    pub phase: TaskPhase,
+    pub stop: Option<StopRequest>,
     /// How often its launch has left for the machine, and when first.
-    pub sends: u32,
-    pub first_sent: Millis,
+    pub launch_sends: u32,
+    pub first_launch_at: Millis,
     /// A direct command with its launch was never answered: it may still execute while the
     /// session and our token stand, so the attempt must never be forgotten in this session.
-    pub lost_call: bool,
+    pub launch_outcome_unknown: bool,
     /// When it was seen to run.
     pub running_since: Option<Millis>,
 }
 
-impl Run {
+impl TaskRun {
     /// Its launch leaves for the machine.
     pub fn sent(&mut self, now: Millis) {
-        if self.sends == 0 {
-            self.first_sent = now;
+        if self.launch_sends == 0 {
+            self.first_launch_at = now;
         }
-        self.sends = self.sends.saturating_add(1);
+        self.launch_sends = self.launch_sends.saturating_add(1);
     }
 
     /// Still takes room.
-    pub fn live(&self) -> bool {
-        !matches!(self.phase, Phase::Ended(_))
+    pub fn is_live(&self) -> bool {
+        !matches!(self.phase, TaskPhase::Ended(_))
     }
 }
 
@@ -189,82 +189,84 @@
     pub addr: Option<String>,
     pub rented_at: Millis,
     /// The list has it as up.
-    pub booted: bool,
+    pub listed_as_running: bool,
     /// In the stored set; nothing is launched before.
-    pub stored: bool,
+    pub persisted: bool,
     /// In the stored set when this term began: until it is seen to hold our token, an earlier
     /// leader's commands may still arrive, so tasks may be on it that we do not know of.
     pub inherited: bool,
     /// Session and number of the newest message.
-    pub newest: (u64, u64),
+    pub latest_message: (u64, u64),
     /// When it was last heard holding our token; None: not yet. What it says with an older one
     /// proves nothing: that may be a late copy from before this term, even of a machine long gone.
-    pub heard: Option<Millis>,
+    pub last_heartbeat_at: Option<Millis>,
     /// Since when it should be answering us: its first sign in this term, or the take-over.
-    pub expected_since: Option<Millis>,
+    pub heartbeat_expected_since: Option<Millis>,
     /// Direct calls in a row that it did not answer since it was last heard.
-    pub unanswered: u32,
+    pub unanswered_calls: u32,
     /// When the cloud takes it, by its own notice.
-    pub notice_at: Option<Millis>,
-    pub runs: BTreeMap<(TaskId, u64), Run>,
+    pub preempt_at: Option<Millis>,
+    pub runs: BTreeMap<(TaskId, u64), TaskRun>,
     /// The open direct call.
-    pub call: Option<u64>,
+    pub open_call: Option<u64>,
     /// No direct call before this time.
-    pub call_after: Millis,
+    pub next_call_at: Millis,
     /// Slow tasks in a row; too many, and it gets no more and goes back once it is empty.
-    pub slow: u32,
+    pub slow_votes: u32,
     /// Is to be deleted; no launches any more.
-    pub leaving: bool,
+    pub to_terminate: bool,
     /// A delete is under way.
-    pub deleting: bool,
-    pub empty_since: Option<Millis>,
+    pub termination_sent: bool,
+    pub idle_since: Option<Millis>,
     /// Jobs that failed here.
     pub failed_jobs: BTreeSet<JobId>,
-    pub probation_until: Millis,
+    pub quarantined_until: Millis,
     /// A task was done here, and none has failed since.
-    pub proved: bool,
+    pub proven: bool,
     /// Images that it has fetched, as far as this term has seen.
     pub images: Arc<Images>,
 }
 
 impl Machine {
     /// Whether its worker has been heard in this term.
-    pub fn up(&self) -> bool {
-        self.heard.is_some()
+    pub fn is_up(&self) -> bool {
+        self.last_heartbeat_at.is_some()
     }
 
     /// Whether tasks may be on it that this term knows nothing of.
-    pub fn unsettled(&self) -> bool {
-        self.inherited && self.heard.is_none()
+    pub fn is_unreconciled(&self) -> bool {
+        self.inherited && self.last_heartbeat_at.is_none()
     }
 
     /// For how long it has been silent, if it should speak.
-    pub fn silence(&self, now: Millis) -> Option<Millis> {
-        self.heard.or(self.expected_since).map(|since| now.saturating_sub(since))
+    pub fn heartbeat_age(&self, now: Millis) -> Option<Millis> {
+        self.last_heartbeat_at
+            .or(self.heartbeat_expected_since)
+            .map(|since| now.saturating_sub(since))
     }
 
     /// Whether it was up and has not been heard for so many ms.
-    pub fn silent_for(&self, now: Millis, ms: Millis) -> bool {
-        self.heard.is_some_and(|heard| now >= heard + ms)
+    pub fn heartbeat_older_than(&self, now: Millis, ms: Millis) -> bool {
+        self.last_heartbeat_at.is_some_and(|last_heartbeat_at| now >= last_heartbeat_at + ms)
     }
 
     /// Whether it should have spoken by now, so that a list without it says that it is gone.
-    pub fn seems_gone(&self, now: Millis, ms: Millis) -> bool {
-        match self.unsettled() {
-            true => self.unanswered > 0,
-            false => self.silent_for(now, ms),
+    pub fn presumed_lost(&self, now: Millis, ms: Millis) -> bool {
+        match self.is_unreconciled() {
+            true => self.unanswered_calls > 0,
+            false => self.heartbeat_older_than(now, ms),
         }
     }
 
     /// Whether its tasks run much longer than their like.
     pub fn is_slow(&self) -> bool {
-        self.slow >= SLOW_VOTES
+        self.slow_votes >= SLOW_VOTES
     }
 
     /// Room taken by live runs; None when a run of unknown size is on it.
-    pub fn used(&self) -> Option<Demand> {
+    pub fn allocated(&self) -> Option<Demand> {
         let mut d = Demand::default();
-        for run in self.runs.values().filter(|r| r.live()) {
+        for run in self.runs.values().filter(|r| r.is_live()) {
             let spec = run.spec.as_ref()?;
             d.cpus += spec.demand.cpus;
             d.gpus += spec.demand.gpus;
--- a/crates/latchtrack-core/src/packs.rs
+++ b/crates/latchtrack-core/src/record_shards.rs
@@ -11,7 +11,7 @@
 
 /// One value to write.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PackWrite<K> {
+pub struct ShardWrite<K> {
     pub name: String,
     /// The stamp that it must have, 0 for none; None: drop it whatever it is.
     pub expect: Option<u64>,
@@ -21,18 +21,18 @@
 
 /// How a write ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrote {
+pub enum ShardOutcome {
     /// With the stamp that the value has now.
-    Yes(u64),
+    Committed(u64),
     /// Surely not, and never will be.
-    No,
+    NotExecuted,
     Unknown,
 }
 
 #[derive(Clone, Debug)]
-struct Pack<K> {
+struct Shard<K> {
     /// None: in doubt, to be dropped.
-    stamp: Option<u64>,
+    revision: Option<u64>,
     /// Entries that must be in another stored value before this one is dropped.
     moving: BTreeSet<K>,
     /// Entries with their sizes.
@@ -42,10 +42,10 @@
     writing: bool,
 }
 
-impl<K: Ord> Pack<K> {
-    fn new(stamp: Option<u64>) -> Self {
-        Pack {
-            stamp,
+impl<K: Ord> Shard<K> {
+    fn new(revision: Option<u64>) -> Self {
+        Shard {
+            revision,
             moving: BTreeSet::new(),
             entries: BTreeMap::new(),
             bytes: 0,
@@ -57,7 +57,7 @@
 
 /// The values under one prefix.
 #[derive(Clone, Debug)]
-pub struct Packs<K> {
+pub struct RecordShards<K> {
     token: u64,
     next: u64,
     /// Bytes of entries in one value.
@@ -65,15 +65,15 @@
     /// ms between two writes of a value that nobody waits for.
     gap: Millis,
     of: BTreeMap<K, String>,
-    packs: BTreeMap<String, Pack<K>>,
+    packs: BTreeMap<String, Shard<K>>,
     /// To be written, at once (true) or after the gap.
     dirty: BTreeMap<String, bool>,
 }
 
-impl<K: Ord + Clone> Packs<K> {
+impl<K: Ord + Clone> RecordShards<K> {
     /// `token` makes the names of new values; no other leader has them.
     pub fn new(token: u64, most: usize, gap: Millis) -> Self {
-        Packs {
+        RecordShards {
             token,
             next: 0,
             most,
@@ -86,8 +86,13 @@
 
     /// Takes in a stored value. One without entries of use, or with an entry that another has too,
     /// is written anew.
-    pub fn load(&mut self, name: &str, stamp: u64, entries: impl IntoIterator<Item = (K, usize)>) {
-        let mut pack = Pack::new(Some(stamp));
+    pub fn load(
+        &mut self,
+        name: &str,
+        revision: u64,
+        entries: impl IntoIterator<Item = (K, usize)>,
+    ) {
+        let mut pack = Shard::new(Some(revision));
         let mut clean = true;
         for (k, size) in entries {
             if self.of.contains_key(&k) {
@@ -107,7 +112,7 @@
     /// Takes in a stored value that is to go: its entries move to new values, and it is dropped when they
     /// are stored there.
     pub fn load_to_replace(&mut self, name: &str, entries: impl IntoIterator<Item = (K, usize)>) {
-        let mut pack = Pack::new(None);
+        let mut pack = Shard::new(None);
         for (k, size) in entries {
             // Another value has it already.
             if self.of.contains_key(&k) {
@@ -131,13 +136,13 @@
     }
 
     fn place(&mut self, k: K, size: usize) -> String {
-        let fits = |p: &Pack<K>| p.stamp.is_some() && p.bytes + size <= self.most;
+        let fits = |p: &Shard<K>| p.revision.is_some() && p.bytes + size <= self.most;
         let name = match self.packs.iter().find(|(_, p)| fits(p)) {
             Some((name, _)) => name.clone(),
             None => {
                 self.next += 1;
                 let name = format!("{}-{}", self.token, self.next);
-                self.packs.insert(name.clone(), Pack::new(Some(0)));
+                self.packs.insert(name.clone(), Shard::new(Some(0)));
                 name
             }
         };
@@ -180,7 +185,7 @@
     }
 
     /// The next value to write, if there is one that is due. Its outcome must be told.
-    pub fn next(&mut self, now: Millis) -> Option<PackWrite<K>> {
+    pub fn next(&mut self, now: Millis) -> Option<ShardWrite<K>> {
         loop {
             let name = self
                 .dirty
@@ -190,13 +195,13 @@
                 .map(|(name, _)| name.clone())?;
             self.dirty.remove(&name);
             // Written under a higher limit than today's.
-            let is_too_large = |p: &Pack<K>| p.bytes > self.most && p.entries.len() > 1;
+            let is_too_large = |p: &Shard<K>| p.bytes > self.most && p.entries.len() > 1;
             if self.packs.get(&name).is_some_and(is_too_large) {
                 self.retire(&name);
                 continue;
             }
             let p = self.packs.get_mut(&name)?;
-            if p.entries.is_empty() && p.stamp == Some(0) {
+            if p.entries.is_empty() && p.revision == Some(0) {
                 // Was never written.
                 self.packs.remove(&name);
                 continue;
@@ -204,42 +209,42 @@
             p.writing = true;
             p.written_at = Some(now);
             let entries = p.entries.keys().cloned().collect();
-            return Some(PackWrite { name, expect: p.stamp, entries });
+            return Some(ShardWrite { name, expect: p.revision, entries });
         }
     }
 
     /// How the write of a value ended.
-    pub fn wrote(&mut self, write: &PackWrite<K>, outcome: Wrote) {
+    pub fn wrote(&mut self, write: &ShardWrite<K>, outcome: ShardOutcome) {
         let name = write.name.as_str();
-        if let Wrote::Yes(_) = outcome {
+        if let ShardOutcome::Committed(_) = outcome {
             self.forget_moving(&write.entries);
         }
         let Some(p) = self.packs.get_mut(name) else { return };
         p.writing = false;
         match outcome {
-            Wrote::Yes(stamp) => {
+            ShardOutcome::Committed(revision) => {
                 if write.entries.is_empty() && !p.entries.is_empty() {
                     // Dropped while something new was put in.
-                    p.stamp = Some(0);
+                    p.revision = Some(0);
                 } else if write.entries.is_empty() {
                     self.packs.remove(name);
                     self.dirty.remove(name);
                 } else {
-                    p.stamp = Some(stamp);
+                    p.revision = Some(revision);
                 }
             }
-            Wrote::No => {
+            ShardOutcome::NotExecuted => {
                 p.written_at = None;
                 self.dirty.insert(name.to_string(), true);
             }
-            Wrote::Unknown => self.retire(name),
+            ShardOutcome::Unknown => self.retire(name),
         }
     }
 
     /// A value was refused for its size: its entries are stored in smaller ones from now on. True if it has
     /// one alone, which can't be stored: it is given up, so that it blocks no other.
-    pub fn refused(&mut self, write: &PackWrite<K>) -> bool {
-        self.wrote(write, Wrote::No);
+    pub fn refused(&mut self, write: &ShardWrite<K>) -> bool {
+        self.wrote(write, ShardOutcome::NotExecuted);
         match write.entries.as_slice() {
             [] => false,
             [entry] => {
@@ -258,7 +263,7 @@
     /// Moves a value's entries to others; it is dropped when they are stored there.
     fn retire(&mut self, name: &str) {
         let Some(p) = self.packs.get_mut(name) else { return };
-        p.stamp = None;
+        p.revision = None;
         p.bytes = 0;
         let entries = std::mem::take(&mut p.entries);
         p.moving.extend(entries.keys().cloned());
--- a/crates/latchtrack-core/src/rules.rs
+++ b/crates/latchtrack-core/src/rules.rs
@@ -29,7 +29,7 @@
     if !allowed(spec, kind, zone, spot) {
         return false;
     }
-    if !spec.zoned() {
+    if !spec.is_zone_constrained() {
         return true;
     }
     let (mut here, mut elsewhere) = (0u32, 0u32);
--- a/crates/latchtrack-core/src/leader/boots.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::fleet::type_named;
+use super::machine_lifecycle::type_named;
 use super::messages::Effect;
-use super::Cluster;
+use super::Scheduler;
 use crate::constants::*;
 use crate::machine::{Machine, MachineType};
 use crate::placement::Offer;
@@ -21,7 +21,7 @@
 
 /// What is known of the boots of each class.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Boots {
+pub(super) struct BootTracker {
     /// How long those took that came up in this term, the last by name, with when they were up.
     came: BTreeMap<Class, BTreeMap<Arc<str>, (Millis, Millis)>>,
     /// ms that most boots take, by these.
@@ -37,9 +37,9 @@
     given_back: Millis,
 }
 
-impl Boots {
+impl BootTracker {
     /// A machine is up, so long after its rental.
-    pub fn up(&mut self, now: Millis, m: &Machine) {
+    pub fn record_boot(&mut self, now: Millis, m: &Machine) {
         let took = now.saturating_sub(m.rented_at);
         // One met by its report was rented at a time that we do not know.
         if m.inherited || took == 0 {
@@ -47,7 +47,7 @@
         }
         let came = self.came.entry(class_of(m)).or_default();
         came.insert(m.name.clone(), (now, took));
-        if came.len() > BOOTS_KEPT {
+        if came.len() > BOOT_SAMPLES {
             came.pop_first();
         }
     }
@@ -63,105 +63,109 @@
 
 /// Rented, and neither heard nor given up.
 fn is_awaited(m: &Machine) -> bool {
-    !m.up() && !m.inherited && !m.leaving
+    !m.is_up() && !m.inherited && !m.to_terminate
 }
 
 /// The same, and not up as far as the list tells: one that is up and not heard is cut off, which says
 /// nothing of boots.
 fn is_booting(m: &Machine) -> bool {
-    is_awaited(m) && !m.booted
+    is_awaited(m) && !m.listed_as_running
 }
 
-impl Cluster {
+impl Scheduler {
     /// Looks once a second at what has come up and what has not.
-    pub(super) fn watch_boots(&mut self, now: Millis) {
-        if self.boots.looked_at.is_some_and(|at| now < at.saturating_add(ROUND_IDLE_MS)) {
+    pub(super) fn track_boots(&mut self, now: Millis) {
+        if self.boots.looked_at.is_some_and(|at| now < at.saturating_add(MAX_CYCLE_INTERVAL_MS)) {
             return;
         }
         self.boots.looked_at = Some(now);
         self.boots.usual.clear();
         for (class, came) in &mut self.boots.came {
-            came.retain(|_, (at, _)| now < at.saturating_add(BOOT_MEMORY_MS));
+            came.retain(|_, (at, _)| now < at.saturating_add(BOOT_SAMPLE_TTL_MS));
             let mut took: Vec<Millis> = came.values().map(|(_, took)| *took).collect();
             took.sort_unstable();
-            if took.len() >= BOOTS_LEAST {
+            if took.len() >= MIN_BOOT_SAMPLES {
                 self.boots.usual.insert(class.clone(), took[took.len() / 2]);
             }
         }
-        self.judge_boots(now);
-        self.give_back_unborn(now);
+        self.judge_late_boots(now);
+        self.terminate_never_joined(now);
     }
 
     /// Judges each class by its last rentals of which something can be told: those that are up, and those
     /// that should be. The last by their names, which is the order of creation: a few stragglers of long
     /// ago, which are all that a new leader sees boot, say nothing when others came after them.
-    fn judge_boots(&mut self, now: Millis) {
+    fn judge_late_boots(&mut self, now: Millis) {
         let mut told: BTreeMap<Class, (usize, usize, usize)> = BTreeMap::new();
-        for m in
-            self.machines.values().rev().filter(|m| !m.leaving && !self.quiet.contains(&m.zone))
+        for m in self
+            .machines
+            .values()
+            .rev()
+            .filter(|m| !m.to_terminate && !self.unreachable_zones.contains(&m.zone))
         {
-            let due = boot_limit(&self.types, &m.kind, BOOT_LATE);
+            let due = boot_limit(&self.types, &m.kind, BOOT_LATE_FACTOR);
             let missing = is_booting(m) && now.saturating_sub(m.rented_at) > due;
             if !missing && is_awaited(m) {
                 continue;
             }
             let (of, absent, all_absent) = told.entry(class_of(m)).or_default();
             *all_absent += usize::from(missing);
-            if *of < BOOTS_KEPT {
+            if *of < BOOT_SAMPLES {
                 *of += 1;
                 *absent += usize::from(missing);
             }
         }
         let before = std::mem::take(&mut self.boots.late);
-        let least = BOOTS_LEAST.max((self.machines.len() as f64 * BOOTS_MISSING) as usize);
+        let least = MIN_BOOT_SAMPLES.max((self.machines.len() as f64 * MIN_MISSING_SHARE) as usize);
         for (class, (of, missing, all_missing)) in told {
             if all_missing < least || missing * 4 < of * 3 {
                 continue;
             }
             if !before.contains_key(&class) {
                 let (kind, zone) = &class;
-                self.out.push(Effect::Note(format!("boots of {kind} in {zone} are late")));
+                self.out.push(Effect::Log(format!("boots of {kind} in {zone} are late")));
             }
             let trials = before.get(&class).copied().unwrap_or_default();
             self.boots.late.insert(class, trials);
         }
         for (kind, zone) in before.keys().filter(|class| !self.boots.late.contains_key(class)) {
-            self.out.push(Effect::Note(format!("boots of {kind} in {zone} are not late any more")));
+            self.out.push(Effect::Log(format!("boots of {kind} in {zone} are not late any more")));
         }
     }
 
     /// Machines that seem never to come up go back; of a class that is late a few at a time, until none
     /// can be hoped for.
-    fn give_back_unborn(&mut self, now: Millis) {
-        let mut unborn: Vec<(Millis, String)> = Vec::new();
+    fn terminate_never_joined(&mut self, now: Millis) {
+        let mut never_joined: Vec<(Millis, String)> = Vec::new();
         for m in self.machines.values().filter(|m| is_awaited(m)) {
             let age = now.saturating_sub(m.rented_at);
-            if age > self.waited_for_ms(m) {
-                unborn.push((m.rented_at, m.name.to_string()));
+            if age > self.boot_failed_after_ms(m) {
+                never_joined.push((m.rented_at, m.name.to_string()));
             }
         }
-        unborn.sort();
+        never_joined.sort();
         let mut few: BTreeMap<Class, usize> = BTreeMap::new();
-        for (rented, name) in unborn {
+        for (rented, name) in never_joined {
             let Some(m) = self.machines.get_mut(&name) else { continue };
             let class = class_of(m);
-            let ever = boot_limit(&self.types, &m.kind, BOOT_EVER);
+            let ever = boot_limit(&self.types, &m.kind, BOOT_FAILED_FACTOR_WHILE_LATE);
             if let Some(trials) = self.boots.late.get_mut(&class) {
                 let few = few.entry(class).or_default();
-                let due = *few > 0 || now >= trials.given_back.saturating_add(BOOT_TRIAL_MS);
-                if now.saturating_sub(rented) <= ever && (!due || *few >= BOOTS_TRIED) {
+                let due =
+                    *few > 0 || now >= trials.given_back.saturating_add(BOOT_TRIAL_INTERVAL_MS);
+                if now.saturating_sub(rented) <= ever && (!due || *few >= BOOT_TRIAL_MACHINES) {
                     continue;
                 }
                 *few += 1;
                 trials.given_back = now;
             }
-            m.leaving = true;
-            self.out.push(Effect::Note(format!("machine {name} never came up")));
+            m.to_terminate = true;
+            self.out.push(Effect::Log(format!("machine {name} never came up")));
         }
     }
 
     /// Types and zones of which most boots are late.
-    pub fn late_classes(&self) -> Vec<String> {
+    pub fn late_boot_pools(&self) -> Vec<String> {
         self.boots.late.keys().map(|(kind, zone)| format!("{kind} in {zone}")).collect()
     }
 
@@ -173,11 +177,11 @@
 
     /// How many machines of an offer may be rented: of a class that is late a few now and then, as more
     /// of them would not help sooner.
-    pub(super) fn may_rent(&self, now: Millis, offer: &Offer) -> u32 {
+    pub(super) fn max_provisionable(&self, now: Millis, offer: &Offer) -> u32 {
         match self.boots.late.get(&class_of_offer(offer)) {
-            Some(trials) if now < trials.rented.saturating_add(BOOT_TRIAL_MS) => 0,
-            Some(_) => BOOTS_TRIED as u32,
-            None => HIRE_MOST,
+            Some(trials) if now < trials.rented.saturating_add(BOOT_TRIAL_INTERVAL_MS) => 0,
+            Some(_) => BOOT_TRIAL_MACHINES as u32,
+            None => MAX_MACHINES_PER_PROVISION,
         }
     }
 
@@ -188,25 +192,26 @@
     }
 
     /// ms that boots of the machine's class have lately taken, 0 if too few were seen.
-    fn usual_boot(&self, m: &Machine) -> f64 {
+    fn typical_boot_ms(&self, m: &Machine) -> f64 {
         self.boots.usual.get(&class_of(m)).copied().unwrap_or(0) as f64
     }
 
     /// Whether a machine that is not up is too old to be counted on.
     pub(super) fn is_late(&self, now: Millis, m: &Machine) -> bool {
-        let limit = boot_limit(&self.types, &m.kind, BOOT_LATE);
-        now.saturating_sub(m.rented_at) > limit.max((self.usual_boot(m) * BOOT_LATE) as Millis)
+        let limit = boot_limit(&self.types, &m.kind, BOOT_LATE_FACTOR);
+        now.saturating_sub(m.rented_at)
+            > limit.max((self.typical_boot_ms(m) * BOOT_LATE_FACTOR) as Millis)
     }
 
     /// Age from which a machine that is not up may be given back.
-    fn waited_for_ms(&self, m: &Machine) -> Millis {
-        let limit = boot_limit(&self.types, &m.kind, BOOT_NEVER);
-        limit.max((self.usual_boot(m) * BOOT_LATE) as Millis)
+    fn boot_failed_after_ms(&self, m: &Machine) -> Millis {
+        let limit = boot_limit(&self.types, &m.kind, BOOT_FAILED_FACTOR);
+        limit.max((self.typical_boot_ms(m) * BOOT_LATE_FACTOR) as Millis)
     }
 }
 
 /// So many times what the cloud says a boot of this type takes.
 fn boot_limit(types: &[MachineType], kind: &str, times: f64) -> Millis {
-    let nominal = type_named(types, kind).map_or(BOOT_UNKNOWN_S, |t| t.boot_s.max(0.0));
+    let nominal = type_named(types, kind).map_or(DEFAULT_BOOT_S, |t| t.boot_s.max(0.0));
     ((nominal * times * 1000.0) as Millis).saturating_add(BOOT_GRACE_MS)
 }
--- a/crates/latchtrack-core/src/leader/quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -8,10 +8,10 @@
     WriteOutcome,
 };
 
-use super::limits::TeamUsage;
 use super::messages::Effect;
 use super::policy::{Policy, Team};
-use super::Cluster;
+use super::team_limits::TeamUsage;
+use super::Scheduler;
 use crate::job::{Job, JobSpec};
 use crate::Millis;
 
@@ -39,43 +39,43 @@
     demand_of(&job.spec, tasks)
 }
 
-impl Cluster {
-    pub(super) fn on_quota(&mut self, now: Millis, view: View) {
-        let Some(keeper) = self.quota.as_mut() else { return };
+impl Scheduler {
+    pub(super) fn on_quota_observed(&mut self, now: Millis, view: View) {
+        let Some(keeper) = self.cell_quota.as_mut() else { return };
         keeper.observe(now, view);
         // At once, before others have changed what was seen.
-        self.watch_quota(now);
+        self.step_cell_quota(now);
     }
 
-    pub(super) fn on_quota_written(
+    pub(super) fn on_ledger_write_finished(
         &mut self,
         now: Millis,
         write: &LedgerWrite,
         outcome: WriteOutcome,
     ) {
-        let Some(keeper) = self.quota.as_mut() else { return };
+        let Some(keeper) = self.cell_quota.as_mut() else { return };
         keeper.written(now, write, outcome);
         self.after_quota();
     }
 
     /// Asks, takes and gives back by what the teams use now. Placing comes after it, within the limits that
     /// it leaves.
-    pub(super) fn watch_quota(&mut self, now: Millis) {
-        let Some(mut keeper) = self.quota.take() else { return };
+    pub(super) fn step_cell_quota(&mut self, now: Millis) {
+        let Some(mut keeper) = self.cell_quota.take() else { return };
         let writes = keeper.step(now, &self.team_uses(now));
-        self.quota = Some(keeper);
-        self.out.extend(writes.into_iter().map(Effect::WriteQuota));
+        self.cell_quota = Some(keeper);
+        self.out.extend(writes.into_iter().map(Effect::WriteLedger));
         self.after_quota();
     }
 
     /// The teams that cells share, for an operator.
     pub fn quota_summary(&self) -> Option<Vec<TeamSummary>> {
-        self.quota.as_ref().map(Keeper::summary)
+        self.cell_quota.as_ref().map(Keeper::summary)
     }
 
     /// A team's guarantee here: the cell's part of it where teams are shared.
     pub(super) fn guarantee_of(&self, team: &Team) -> TeamUsage {
-        let shared = self.quota.as_ref().and_then(|keeper| keeper.guarantee(&team.name));
+        let shared = self.cell_quota.as_ref().and_then(|keeper| keeper.guarantee(&team.name));
         match shared {
             Some(part) => {
                 let (cpus, gpus) = part.decimal();
@@ -86,16 +86,16 @@
     }
 
     fn after_quota(&mut self) {
-        let Some(keeper) = self.quota.as_mut() else { return };
+        let Some(keeper) = self.cell_quota.as_mut() else { return };
         let notices = keeper.take_notices();
-        self.replan |= !notices.is_empty();
-        self.out.extend(notices.into_iter().map(|notice| Effect::Note(notice.to_string())));
+        self.cycle_requested |= !notices.is_empty();
+        self.out.extend(notices.into_iter().map(|notice| Effect::Log(notice.to_string())));
     }
 
     /// What each team uses and waits for in this cell.
     fn team_uses(&self, now: Millis) -> BTreeMap<String, TeamUse> {
-        let used = self.used_by_all();
-        let is_settled = self.all_settled() && !used.unknown_runs;
+        let used = self.usage_of_all_teams();
+        let is_settled = self.all_reconciled() && !used.unknown_runs;
         let team_use = |team: &Team| {
             let usage = used.of(&team.name);
             let used = Amounts::covering(usage.cpus, usage.gpus);
@@ -105,12 +105,12 @@
         let mut uses: BTreeMap<String, TeamUse> = self.policy.teams.iter().map(team_use).collect();
         let mut oldest: BTreeMap<&str, &Job> = BTreeMap::new();
         // What pauses asks for nothing: a suspect job is tried now and then.
-        let is_waiting = |job: &&Job| job.wanted() > 0 && job.pause_until <= now;
+        let is_waiting = |job: &&Job| job.schedulable_tasks() > 0 && job.backoff_until <= now;
         for job in self.jobs.values().filter(is_waiting) {
             let team = job.spec.team.as_str();
             let Some(team_use) = uses.get_mut(team) else { continue };
-            team_use.waiting = team_use.waiting.plus(demand_of(&job.spec, job.wanted()));
-            if job.is_suspect {
+            team_use.waiting = team_use.waiting.plus(demand_of(&job.spec, job.schedulable_tasks()));
+            if job.is_quarantined {
                 // It may use what there is, but nothing is gathered for it.
                 continue;
             }
@@ -120,7 +120,7 @@
             }
         }
         for (team, job) in oldest {
-            let noted = self.next_of_teams.get(team).copied();
+            let noted = self.next_of_team.get(team).copied();
             if let Some(team_use) = uses.get_mut(team) {
                 team_use.next = noted.unwrap_or_else(|| next_of(job));
             }
@@ -129,17 +129,17 @@
     }
 
     /// Notes that tasks of a job are launched.
-    pub(super) fn note_started(&mut self, spec: &JobSpec, tasks: u32) {
-        if self.quota.is_some() {
+    pub(super) fn note_launched(&mut self, spec: &JobSpec, tasks: u32) {
+        if self.cell_quota.is_some() {
             let started = self.started.entry(spec.team.clone()).or_default();
             *started = started.plus(demand_of(spec, tasks));
         }
     }
 
     /// Notes a job that is to begin before all others: the first of each team is the next to start.
-    pub(super) fn note_next(&mut self, spec: &JobSpec, tasks: u32) {
-        if self.quota.is_some() {
-            self.next_of_teams.entry(spec.team.clone()).or_insert(demand_of(spec, tasks));
+    pub(super) fn note_next_to_start(&mut self, spec: &JobSpec, tasks: u32) {
+        if self.cell_quota.is_some() {
+            self.next_of_team.entry(spec.team.clone()).or_insert(demand_of(spec, tasks));
         }
     }
 }
--- a/crates/latchtrack-core/src/leader/shapes.rs
+++ b/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
@@ -6,7 +6,7 @@
 
 /// What makes two jobs alike for placing: decided once, as a class, in each round.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Shape {
+struct EquivalenceClass {
     demand: [u64; 3],
     types: Option<Vec<String>>,
     zone: Option<String>,
@@ -16,13 +16,13 @@
 
 /// The shapes that this term has seen, by number.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Shapes(HashMap<Shape, usize>);
+pub(super) struct EquivalenceClasses(HashMap<EquivalenceClass, usize>);
 
-impl Shapes {
+impl EquivalenceClasses {
     /// The number of a job's shape.
     pub fn of(&mut self, spec: &JobSpec) -> usize {
         let d = &spec.demand;
-        let shape = Shape {
+        let equivalence_class = EquivalenceClass {
             demand: [d.cpus.to_bits(), d.gpus.to_bits(), d.memory_gb.to_bits()],
             types: spec.types.clone(),
             zone: spec.zone.clone(),
@@ -30,12 +30,12 @@
             gang: spec.gang,
         };
         let next = self.0.len();
-        *self.0.entry(shape).or_insert(next)
+        *self.0.entry(equivalence_class).or_insert(next)
     }
 
     /// What a round begins with: nothing has been found of any shape.
-    pub fn nothing_found(&self) -> Vec<Found> {
-        vec![Found::default(); self.0.len()]
+    pub fn new_searches(&self) -> Vec<ClassSearch> {
+        vec![ClassSearch::default(); self.0.len()]
     }
 }
 
@@ -44,14 +44,14 @@
 
 /// What one round found of a shape.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Found {
+pub(super) struct ClassSearch {
     /// No ready room, no promised room, nothing to rent; room is held for it.
     pub no_ready: bool,
-    pub no_promise: bool,
+    pub no_pending: bool,
     pub no_offer: bool,
     pub held: bool,
     /// No room is left that is kept for others either.
-    pub no_held: bool,
+    pub no_reserved: bool,
     /// Waiting tasks of the jobs not yet looked at.
     pub to_come: u32,
 }
--- a/crates/latchtrack-core/src/leader/suspects.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -8,57 +8,57 @@
 //! its failures speak against the machines after all.
 
 use super::messages::Effect;
-use super::Cluster;
+use super::Scheduler;
 use crate::constants::*;
 use crate::job::{Job, JobId, TaskId};
-use crate::machine::Phase;
+use crate::machine::TaskPhase;
 use crate::Millis;
 
-impl Cluster {
+impl Scheduler {
     /// A task failed on this machine after it had been seen to run for so long.
-    pub(super) fn on_failed(&mut self, now: Millis, machine: &str, id: JobId, ran: Millis) {
+    pub(super) fn on_run_failed(&mut self, now: Millis, machine: &str, id: JobId, ran: Millis) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.failed_on.insert(machine.to_string(), now);
         job.failed_after = job.failed_after.max(ran);
-        let is_suspect = job.is_suspect;
-        let looks_broken = job.done.ones() == 0 && job.failed_on.len() >= JOB_SUSPECT;
-        if is_suspect || (looks_broken && !self.does_well(now, id)) {
-            if !is_suspect {
-                self.suspect(id);
+        let is_quarantined = job.is_quarantined;
+        let looks_broken = job.done.ones() == 0 && job.failed_on.len() >= JOB_QUARANTINE_MACHINES;
+        if is_quarantined || (looks_broken && !self.has_healthy_run(now, id)) {
+            if !is_quarantined {
+                self.quarantine_job(id);
             }
             let Some(job) = self.jobs.get_mut(&id) else { return };
             // What was launched together fails together, which says no more than one failure does.
-            if now >= job.pause_until {
-                job.pause_until =
-                    now + (FAIL_PAUSE_MS << job.tries.min(16)).min(FAIL_PAUSE_MOST_MS);
-                job.tries += 1;
+            if now >= job.backoff_until {
+                job.backoff_until = now
+                    + (FAILURE_BACKOFF_MS << job.failed_trials.min(16)).min(MAX_FAILURE_BACKOFF_MS);
+                job.failed_trials += 1;
             }
         } else {
-            self.blame(now, machine, id);
+            self.blame_machine(now, machine, id);
         }
     }
 
     /// Whether a task of the job has run for longer than the failed ones did: looked for in the first
     /// few, which were launched first.
-    fn does_well(&self, now: Millis, id: JobId) -> bool {
+    fn has_healthy_run(&self, now: Millis, id: JobId) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
-        let least = job.failed_after.saturating_mul(2).saturating_add(DOES_WELL_MS);
-        let runs = job.placed.iter().take(SUSPECT_LOOK).filter_map(|(index, place)| {
+        let least = job.failed_after.saturating_mul(2).saturating_add(HEALTHY_RUN_MARGIN_MS);
+        let runs = job.placed.iter().take(HEALTHY_RUN_SCAN_LIMIT).filter_map(|(index, place)| {
             let task = TaskId { job: id, index: *index };
             self.machines.get(&*place.machine)?.runs.get(&(task, place.attempt))
         });
         job.done.ones() > 0
             || runs
-                .filter(|run| run.phase == Phase::Running && run.stop.is_none())
+                .filter(|run| run.phase == TaskPhase::Running && run.stop.is_none())
                 .any(|run| run.running_since.is_some_and(|at| now >= at.saturating_add(least)))
     }
 
-    fn suspect(&mut self, id: JobId) {
+    fn quarantine_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.is_suspect = true;
-        job.passed_since = None;
+        job.is_quarantined = true;
+        job.unschedulable_since = None;
         let n = job.failed_on.len();
-        self.out.push(Effect::Note(format!(
+        self.out.push(Effect::Log(format!(
             "job {id} fails everywhere ({n} machines): one task at a time from now on"
         )));
         // It was no fault of theirs.
@@ -66,58 +66,61 @@
             let Some(m) = self.machines.get_mut(name) else { continue };
             m.failed_jobs.remove(&id);
             if m.failed_jobs.is_empty() {
-                m.probation_until = 0;
+                m.quarantined_until = 0;
             }
         }
-        self.replan = true;
+        self.cycle_requested = true;
     }
 
     /// It can be done: what failed was its machines' fault.
-    pub(super) fn restore(&mut self, now: Millis, id: JobId) {
+    pub(super) fn restore_job(&mut self, now: Millis, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.pause_until = 0;
-        job.tries = 0;
-        if !std::mem::take(&mut job.is_suspect) {
+        job.backoff_until = 0;
+        job.failed_trials = 0;
+        if !std::mem::take(&mut job.is_quarantined) {
             return;
         }
-        self.out.push(Effect::Note(format!("job {id} does not fail everywhere")));
+        self.out.push(Effect::Log(format!("job {id} does not fail everywhere")));
         let names: Vec<String> = job.failed_on.keys().cloned().collect();
         for name in names {
-            self.blame(now, &name, id);
+            self.blame_machine(now, &name, id);
         }
-        self.replan = true;
+        self.cycle_requested = true;
     }
 
     /// Holds a job's failure against the machine. One that fails different jobs goes back.
-    fn blame(&mut self, now: Millis, machine: &str, id: JobId) {
+    fn blame_machine(&mut self, now: Millis, machine: &str, id: JobId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.failed_jobs.insert(id);
-        m.proved = false;
-        m.probation_until = now + PROBATION_MS;
-        if m.failed_jobs.len() >= MACHINE_SUSPECT && !m.leaving {
-            m.leaving = true;
-            self.out.push(Effect::Note(format!("machine {machine} fails every job")));
+        m.proven = false;
+        m.quarantined_until = now + MACHINE_PROBATION_MS;
+        if m.failed_jobs.len() >= MACHINE_QUARANTINE_JOBS && !m.to_terminate {
+            m.to_terminate = true;
+            self.out.push(Effect::Log(format!("machine {machine} fails every job")));
         }
     }
 
     /// Suspect jobs of which a task does well.
-    pub(super) fn watch_suspects(&mut self, now: Millis) {
-        let well: Vec<JobId> = self.suspects().filter(|id| self.does_well(now, *id)).collect();
+    pub(super) fn restore_healthy_jobs(&mut self, now: Millis) {
+        let well: Vec<JobId> =
+            self.quarantined_jobs().filter(|id| self.has_healthy_run(now, *id)).collect();
         for id in well {
-            self.restore(now, id);
+            self.restore_job(now, id);
         }
     }
 
     /// Whether a job keeps off this machine: it failed there a while ago. Not for ever, as machines that
     /// were faulty for a time may be all that it fits. A suspect is tried only where others have
     /// succeeded, unless it has waited long for such a place.
-    pub(super) fn avoids(&self, now: Millis, job: &Job, machine: &str) -> bool {
-        let failed =
-            job.failed_on.get(machine).is_some_and(|at| now < at.saturating_add(FAILED_AVOIDED_MS));
-        if !job.is_suspect {
+    pub(super) fn avoids_machine(&self, now: Millis, job: &Job, machine: &str) -> bool {
+        let failed = job
+            .failed_on
+            .get(machine)
+            .is_some_and(|at| now < at.saturating_add(FAILED_MACHINE_AVOIDANCE_MS));
+        if !job.is_quarantined {
             return failed;
         }
-        let proved = || self.machines.get(machine).is_some_and(|m| m.proved);
-        now < job.pause_until.saturating_add(TRIAL_ANYWHERE_MS) && (failed || !proved())
+        let proven = || self.machines.get(machine).is_some_and(|m| m.proven);
+        now < job.backoff_until.saturating_add(TRIAL_ANYWHERE_MS) && (failed || !proven())
     }
 }
--- a/crates/latchtrack-core/src/leader/sharing.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -5,11 +5,11 @@
 use latchtrack_balance::arrivals::Heat;
 use latchtrack_balance::fairness::{shares, TeamDemand};
 
-use super::balancing::amounts;
+use super::moves::amounts;
 use super::policy::Team;
-use super::Cluster;
+use super::Scheduler;
 use crate::job::{Demand, JobId};
-use crate::placement::Rank;
+use crate::placement::QueueRank;
 use crate::Millis;
 
 /// What a team uses and asks for, in dominant shares of the cluster.
@@ -19,13 +19,13 @@
     waiting: f64,
 }
 
-impl Cluster {
+impl Scheduler {
     /// Marks the jobs of hot teams that are beyond their share, in the order of the queue. Among themselves
     /// they keep that order, and what nobody else asks for they borrow.
     pub(super) fn mark_beyond_share(
         &mut self,
         now: Millis,
-        order: &mut [(Rank, JobId)],
+        order: &mut [(QueueRank, JobId)],
         total: &Demand,
     ) {
         if !self.policy.balance.teams {
@@ -43,8 +43,8 @@
             let Some(share) = hot.get(&job.spec.team) else { continue };
             let taken = taken.entry(job.spec.team.clone()).or_default();
             rank.beyond_share = u8::from(*taken >= *share);
-            *taken +=
-                amounts(&job.spec.demand).dominant_share(&amounts(total)) * f64::from(job.wanted());
+            *taken += amounts(&job.spec.demand).dominant_share(&amounts(total))
+                * f64::from(job.schedulable_tasks());
         }
     }
 
@@ -71,17 +71,18 @@
         hot
     }
 
-    fn team_use(&self, order: &[(Rank, JobId)], total: &Demand) -> BTreeMap<String, TeamUse> {
+    fn team_use(&self, order: &[(QueueRank, JobId)], total: &Demand) -> BTreeMap<String, TeamUse> {
         let mut used: BTreeMap<String, TeamUse> = BTreeMap::new();
         let runs = self.machines.values().flat_map(|m| m.runs.values());
-        for spec in runs.filter(|run| run.live()).filter_map(|run| run.spec.as_ref()) {
+        for spec in runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref()) {
             used.entry(spec.team.clone()).or_default().running +=
                 amounts(&spec.demand).dominant_share(&amounts(total));
         }
         // Each job stands in the order once.
         for job in order.iter().filter_map(|(_, id)| self.jobs.get(id)) {
-            used.entry(job.spec.team.clone()).or_default().waiting +=
-                amounts(&job.spec.demand).dominant_share(&amounts(total)) * f64::from(job.wanted());
+            used.entry(job.spec.team.clone()).or_default().waiting += amounts(&job.spec.demand)
+                .dominant_share(&amounts(total))
+                * f64::from(job.schedulable_tasks());
         }
         used
     }
--- a/crates/latchtrack-core/src/leader/rooms.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -1,46 +1,46 @@
 //! What a round of placing begins with: the room of each machine, and what the teams use.
 
-use super::limits::TeamUsages;
-use super::renting::promised;
-use super::shapes::Found;
-use super::Cluster;
+use super::equivalence_classes::ClassSearch;
+use super::provisioning::pending_capacity;
+use super::team_limits::UsageByTeam;
+use super::Scheduler;
 use crate::job::Demand;
 use crate::machine::Machine;
-use crate::placement::Room;
+use crate::placement::FreeCapacity;
 use crate::Millis;
 
 /// What one round of placing carries from job to job.
-pub(super) struct Round {
-    pub rooms: Vec<Room>,
+pub(super) struct SchedulingCycle {
+    pub rooms: Vec<FreeCapacity>,
     pub total: Demand,
-    pub shapes: Vec<Found>,
+    pub searches: Vec<ClassSearch>,
     /// What teams use, if any has a limit.
-    pub used: TeamUsages,
+    pub used: UsageByTeam,
     /// The same with what this round counts on machines that are on their way.
-    pub expected: TeamUsages,
+    pub expected: UsageByTeam,
 }
 
-impl Cluster {
+impl Scheduler {
     /// The room of a machine, if it may be counted on; up ones take no more tasks when they get
     /// silent, and still count as running.
-    pub(super) fn room_of(&self, now: Millis, m: &Machine) -> Option<Room> {
-        if m.leaving
-            || m.unsettled()
+    pub(super) fn free_capacity_of(&self, now: Millis, m: &Machine) -> Option<FreeCapacity> {
+        if m.to_terminate
+            || m.is_unreconciled()
             || m.is_slow()
-            || m.notice_at.is_some()
-            || now < m.probation_until
+            || m.preempt_at.is_some()
+            || now < m.quarantined_until
         {
             return None;
         }
         let t = self.type_of(&m.kind)?;
-        let used = m.used()?;
+        let used = m.allocated()?;
         let reserved = self.reserved_on(&m.name);
         // One on its way in a zone that is not heard will not be of use soon.
         let late = || self.is_late(now, m);
-        if !m.up() && (self.quiet.contains(&m.zone) || late()) {
+        if !m.is_up() && (self.unreachable_zones.contains(&m.zone) || late()) {
             return None;
         }
-        Some(Room {
+        Some(FreeCapacity {
             machine: Some(m.name.clone()),
             kind: m.kind.clone(),
             zone: m.zone.clone(),
@@ -53,30 +53,30 @@
                 gpus: t.gpus - used.gpus - reserved.gpus,
                 memory_gb: t.memory_gb - used.memory_gb - reserved.memory_gb,
             },
-            ready: m.up() && m.stored,
+            ready: m.is_up() && m.persisted,
             held: None,
-            balance: self.room_balance(m, t),
+            balance: self.load_info(m, t),
         })
     }
 
-    pub(super) fn rooms(&self, now: Millis) -> (Vec<Room>, Demand) {
+    pub(super) fn rooms(&self, now: Millis) -> (Vec<FreeCapacity>, Demand) {
         let mut rooms = Vec::with_capacity(self.machines.len());
         let mut total = Demand::default();
         for m in self.machines.values() {
-            let Some(room) = self.room_of(now, m) else { continue };
-            if let (true, Some(t)) = (m.up(), self.type_of(&m.kind)) {
+            let Some(room) = self.free_capacity_of(now, m) else { continue };
+            if let (true, Some(t)) = (m.is_up(), self.type_of(&m.kind)) {
                 total.cpus += t.cpus;
                 total.gpus += t.gpus;
                 total.memory_gb += t.memory_gb;
-                if m.silent_for(now, self.policy.probe_ms()) {
+                if m.heartbeat_older_than(now, self.policy.probe_ms()) {
                     continue;
                 }
             }
             rooms.push(room);
         }
-        for h in self.hires.values() {
+        for h in self.pending_provisions.values() {
             if let Some(t) = self.type_of(&h.offer.kind) {
-                rooms.extend((0..h.number).map(|_| promised(&h.offer, t)));
+                rooms.extend((0..h.number).map(|_| pending_capacity(&h.offer, t)));
             }
         }
         (rooms, total)
--- a/crates/latchtrack-core/src/leader/reserve.rs
+++ b/crates/latchtrack-core/src/scheduler/gang_reserves.rs
@@ -7,17 +7,17 @@
 
 use std::sync::Arc;
 
-use super::holding::keep_free;
-use super::rooms::Round;
-use super::Cluster;
-use crate::constants::RESERVE_MEMORY_MS;
+use super::free_capacity::SchedulingCycle;
+use super::reservations::reserve_free;
+use super::Scheduler;
+use crate::constants::GANG_RESERVE_TTL_MS;
 use crate::job::JobSpec;
-use crate::placement::{allowed, Room};
+use crate::placement::{allowed, FreeCapacity};
 use crate::Millis;
 
 /// Room kept for gangs of a shape.
 #[derive(Clone, Debug)]
-pub(super) struct Reserve {
+pub(super) struct GangReserve {
     /// The largest of them that was seen.
     spec: Arc<JobSpec>,
     /// When the last was submitted.
@@ -28,26 +28,26 @@
     lacking: u32,
 }
 
-impl Reserve {
+impl GangReserve {
     /// Whether a task of such a gang could be in this room by anything but its size.
-    fn may_use(&self, room: &Room) -> bool {
+    fn may_use(&self, room: &FreeCapacity) -> bool {
         let in_zone = self.zone.as_ref().is_none_or(|zone| *zone == room.zone);
         in_zone && allowed(&self.spec, &room.kind, &room.zone, room.spot)
     }
 }
 
-impl Cluster {
+impl Scheduler {
     /// A job was submitted: if it is a gang that is to start promptly, more like it will come.
-    pub(super) fn note_for_reserve(
+    pub(super) fn note_gang_arrival(
         &mut self,
         spec: &Arc<JobSpec>,
-        shape: usize,
+        equivalence_class: usize,
         submitted_at: Millis,
     ) {
-        if !spec.gang || self.prompt_ms(spec).is_none() {
+        if !spec.gang || self.start_objective_ms(spec).is_none() {
             return;
         }
-        let reserve = self.reserves.entry(shape).or_insert_with(|| Reserve {
+        let reserve = self.reserves.entry(equivalence_class).or_insert_with(|| GangReserve {
             spec: spec.clone(),
             seen_at: submitted_at,
             zone: None,
@@ -60,31 +60,31 @@
     }
 
     /// Keeps what is free for the reserves, before any job takes it, and rents what no machine could hold.
-    pub(super) fn hold_reserves(&mut self, now: Millis, round: &mut Round) {
-        self.reserves.retain(|_, r| now < r.seen_at.saturating_add(RESERVE_MEMORY_MS));
-        for shape in self.reserves.keys().copied().collect::<Vec<_>>() {
-            let Some(mut reserve) = self.reserves.remove(&shape) else { continue };
-            self.choose_zone(&mut reserve, round);
-            reserve.lacking = hold(&reserve, shape, round);
-            let missing = self.beyond_capacity(&reserve, round);
+    pub(super) fn fill_gang_reserves(&mut self, now: Millis, cycle: &mut SchedulingCycle) {
+        self.reserves.retain(|_, r| now < r.seen_at.saturating_add(GANG_RESERVE_TTL_MS));
+        for equivalence_class in self.reserves.keys().copied().collect::<Vec<_>>() {
+            let Some(mut reserve) = self.reserves.remove(&equivalence_class) else { continue };
+            self.choose_zone(&mut reserve, cycle);
+            reserve.lacking = hold(&reserve, equivalence_class, cycle);
+            let missing = self.tasks_beyond_capacity(&reserve, cycle);
             if missing > 0 {
                 let (spec, zone) = (reserve.spec.clone(), reserve.zone.clone());
-                self.rent(now, &spec, zone.as_deref(), missing, 0, round);
+                self.provision(now, &spec, zone.as_deref(), missing, 0, cycle);
             }
-            self.reserves.insert(shape, reserve);
+            self.reserves.insert(equivalence_class, reserve);
         }
     }
 
     /// Stays in its zone as long as there are machines, else goes where there are most.
-    fn choose_zone(&self, reserve: &mut Reserve, round: &Round) {
+    fn choose_zone(&self, reserve: &mut GangReserve, cycle: &SchedulingCycle) {
         if !reserve.spec.one_zone {
             return;
         }
-        if reserve.zone.is_some() && round.rooms.iter().any(|r| r.ready && reserve.may_use(r)) {
+        if reserve.zone.is_some() && cycle.rooms.iter().any(|r| r.ready && reserve.may_use(r)) {
             return;
         }
         reserve.zone = None;
-        let usable = || round.rooms.iter().filter(|r| reserve.may_use(r));
+        let usable = || cycle.rooms.iter().filter(|r| reserve.may_use(r));
         let mut zones: Vec<Arc<str>> = usable().map(|r| r.zone.clone()).collect();
         zones.sort();
         zones.dedup();
@@ -93,15 +93,16 @@
     }
 
     /// For how many tasks of the reserve there would be no room if its machines were empty.
-    fn beyond_capacity(&self, reserve: &Reserve, round: &Round) -> u32 {
-        let usable = round.rooms.iter().filter(|r| reserve.may_use(r));
-        let holds = |r: &Room| self.type_of(&r.kind).map_or(0, |t| t.holds(&reserve.spec.demand));
+    fn tasks_beyond_capacity(&self, reserve: &GangReserve, cycle: &SchedulingCycle) -> u32 {
+        let usable = cycle.rooms.iter().filter(|r| reserve.may_use(r));
+        let holds =
+            |r: &FreeCapacity| self.type_of(&r.kind).map_or(0, |t| t.holds(&reserve.spec.demand));
         let all: u64 = usable.map(|r| u64::from(holds(r))).sum();
         reserve.spec.tasks.saturating_sub(u32::try_from(all).unwrap_or(u32::MAX))
     }
 
     /// Whether what comes free in this room is to wait for the next round, which keeps it for a reserve.
-    pub(super) fn is_for_reserve(&self, room: &Room) -> bool {
+    pub(super) fn wanted_by_gang_reserve(&self, room: &FreeCapacity) -> bool {
         self.reserves.values().any(|reserve| {
             reserve.lacking > 0 && reserve.may_use(room) && room.holds(&reserve.spec.demand) > 0
         })
@@ -109,9 +110,9 @@
 }
 
 /// Keeps what is free; returns for how many tasks there was no room.
-fn hold(reserve: &Reserve, shape: usize, round: &mut Round) -> u32 {
+fn hold(reserve: &GangReserve, equivalence_class: usize, cycle: &mut SchedulingCycle) -> u32 {
     let demand = &reserve.spec.demand;
-    let mut free: Vec<(usize, u32)> = round
+    let mut free: Vec<(usize, u32)> = cycle
         .rooms
         .iter()
         .enumerate()
@@ -121,6 +122,6 @@
         .collect();
     // Few machines; those that hold the image of the last one first.
     let image = &reserve.spec.image;
-    free.sort_by_key(|(i, n)| (!round.rooms[*i].images.contains(image), std::cmp::Reverse(*n)));
-    keep_free(&free, demand, reserve.spec.tasks, shape, round)
+    free.sort_by_key(|(i, n)| (!cycle.rooms[*i].images.contains(image), std::cmp::Reverse(*n)));
+    reserve_free(&free, demand, reserve.spec.tasks, equivalence_class, cycle)
 }
--- a/crates/latchtrack-core/src/leader/gang.rs
+++ b/crates/latchtrack-core/src/scheduler/gangs.rs
@@ -8,10 +8,10 @@
 
 use std::sync::Arc;
 
-use super::Cluster;
-use crate::constants::{FETCH_KEPT_MS, STOP_GRACE_S};
+use super::Scheduler;
+use crate::constants::{FETCH_GRACE_MS, STOP_GRACE_S};
 use crate::job::{Job, JobId, TaskId};
-use crate::machine::{Phase, Run, Stop};
+use crate::machine::{StopRequest, TaskPhase, TaskRun};
 use crate::Millis;
 
 /// How the attempt of a gang stands.
@@ -35,16 +35,16 @@
     Nothing,
 }
 
-impl Cluster {
+impl Scheduler {
     /// How the attempt of a gang stands, by what its machines report.
     pub fn attempt_state(&self, job: &Job) -> AttemptState {
         if job.placed.is_empty() {
             return AttemptState::Ended;
         }
-        let runs: Vec<&Run> = self.placed_runs(job).collect();
-        if !job.is_whole() || runs.iter().any(|run| run.stop.is_some()) {
+        let runs: Vec<&TaskRun> = self.placed_runs(job).collect();
+        if !job.has_complete_attempt() || runs.iter().any(|run| run.stop.is_some()) {
             AttemptState::Stopping
-        } else if runs.iter().all(|run| run.phase == Phase::Running) {
+        } else if runs.iter().all(|run| run.phase == TaskPhase::Running) {
             AttemptState::Running
         } else {
             AttemptState::Starting
@@ -57,7 +57,7 @@
     }
 
     /// The runs of a job on the machines where its tasks have their places.
-    fn placed_runs<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a Run> + 'a {
+    fn placed_runs<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a TaskRun> + 'a {
         job.placed.iter().filter_map(|(index, place)| {
             let task = TaskId { job: job.spec.id, index: *index };
             self.machines.get(&*place.machine)?.runs.get(&(task, place.attempt))
@@ -70,7 +70,7 @@
         for index in 0..job.spec.tasks {
             job.complete(index, attempt);
         }
-        self.finished.insert(id);
+        self.completed_jobs.insert(id);
     }
 
     /// A task of the attempt is off its machine without a result: the others go too. Those that fetch may
@@ -94,11 +94,11 @@
             match ending(run, keeps_fetching) {
                 Ending::NeverSent => {
                     m.runs.remove(&key);
-                    job.give_back(index);
+                    job.requeue(index);
                 }
                 Ending::Stop => {
-                    run.stop = Some(Stop { grace_s: 0.0, sent_at: None });
-                    self.wake.insert(machine.to_string());
+                    run.stop = Some(StopRequest { grace_s: 0.0, sent_at: None });
+                    self.dispatch_queue.insert(machine.to_string());
                 }
                 Ending::Nothing => {}
             }
@@ -107,9 +107,10 @@
 
     /// Ends attempts of which tasks are missing: those that an earlier leader did not bring to a start, once
     /// all that may be on machines is known; and what was left fetching of those that have ended.
-    pub(super) fn watch_gangs(&mut self, now: Millis) {
-        let all_known = self.all_settled();
-        let broken = |job: &&Job| job.spec.gang && !job.placed.is_empty() && !job.is_whole();
+    pub(super) fn end_broken_gang_attempts(&mut self, now: Millis) {
+        let all_known = self.all_reconciled();
+        let broken =
+            |job: &&Job| job.spec.gang && !job.placed.is_empty() && !job.has_complete_attempt();
         let ended: Vec<(JobId, Vec<u64>, bool)> = self
             .jobs
             .values()
@@ -118,7 +119,7 @@
             .map(|job| {
                 let attempts = job.placed.values().map(|place| place.attempt).collect();
                 let since = job.attempt_ended_at;
-                let keeps = since.is_some_and(|at| now < at.saturating_add(FETCH_KEPT_MS));
+                let keeps = since.is_some_and(|at| now < at.saturating_add(FETCH_GRACE_MS));
                 (job.spec.id, attempts, keeps)
             })
             .collect();
@@ -135,7 +136,9 @@
         let Some(job) = self.jobs.get(&id) else { return };
         let probe_ms = self.policy.probe_ms();
         let hears = |machine: &str| {
-            self.machines.get(machine).is_some_and(|m| m.up() && !m.silent_for(now, probe_ms))
+            self.machines
+                .get(machine)
+                .is_some_and(|m| m.is_up() && !m.heartbeat_older_than(now, probe_ms))
         };
         let all_hear = job.placed.values().all(|place| hears(&place.machine));
         if self.attempt_state(job) != AttemptState::Running || !all_hear {
@@ -148,19 +151,19 @@
             let Some(m) = self.machines.get_mut(&*machine) else { continue };
             let key = (TaskId { job: id, index }, attempt);
             if let Some(run) = m.runs.get_mut(&key) {
-                run.stop = Some(Stop { grace_s, sent_at: None });
-                self.wake.insert(machine.to_string());
+                run.stop = Some(StopRequest { grace_s, sent_at: None });
+                self.dispatch_queue.insert(machine.to_string());
             }
         }
     }
 }
 
 /// What is to be done with a run of an attempt that is over.
-fn ending(run: &Run, keeps_fetching: bool) -> Ending {
+fn ending(run: &TaskRun, keeps_fetching: bool) -> Ending {
     match run.phase {
-        Phase::Ended(_) => Ending::Nothing,
-        Phase::Assigned if run.sends == 0 => Ending::NeverSent,
-        Phase::Fetching if keeps_fetching && run.stop.is_none() => Ending::Nothing,
+        TaskPhase::Ended(_) => Ending::Nothing,
+        TaskPhase::Assigned if run.launch_sends == 0 => Ending::NeverSent,
+        TaskPhase::Fetching if keeps_fetching && run.stop.is_none() => Ending::Nothing,
         // Told already to end at once.
         _ if run.stop.is_some_and(|stop| stop.grace_s == 0.0) => Ending::Nothing,
         _ => Ending::Stop,
--- a/crates/latchtrack-core/src/leader/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -6,9 +6,9 @@
 
 use crate::bitmap::Bitmap;
 use crate::job::{JobId, JobSpec};
-use crate::machine::{Command, MachineType, Report};
-use crate::packs::PackWrite;
+use crate::machine::{Command, Heartbeat, MachineType};
 use crate::placement::Offer;
+use crate::record_shards::ShardWrite;
 use crate::Millis;
 
 /// A machine as it stands in the stored set.
@@ -23,18 +23,18 @@
 
 /// The stamps of the state service that a term begins with.
 #[derive(Clone, Copy, Debug)]
-pub struct Stamps {
+pub struct TermRevisions {
     /// Of the leader key: the token.
     pub token: u64,
     /// From this one up to the token nobody led: what was accepted meanwhile was never launched.
-    pub vacant: u64,
+    pub leaderless_since: u64,
 }
 
 /// A stored value of the machine set, with its stamp.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StoredFleet {
+pub struct StoredMachineSet {
     pub name: String,
-    pub stamp: u64,
+    pub revision: u64,
     /// None if it can't be read: then any machine may be in it.
     pub machines: Option<Vec<StoredMachine>>,
 }
@@ -43,13 +43,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredResults {
     pub name: String,
-    pub stamp: u64,
+    pub revision: u64,
     pub chunks: Vec<(JobId, u32, Vec<u8>)>,
 }
 
 /// A machine as the cloud lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedMachine {
     pub name: String,
     pub kind: String,
     pub zone: String,
@@ -64,49 +64,49 @@
 #[derive(Clone, Debug)]
 pub enum CallOutcome {
     /// 200: executed.
-    Done(Report),
+    Executed(Heartbeat),
     /// 409: not executed, and never will be.
-    Refused(Report),
+    Rejected(Heartbeat),
     /// Never sent.
     NotSent,
     /// No answer: may have been executed, or may be later.
-    Lost,
+    NoAnswer,
 }
 
 /// How a rental ended.
 #[derive(Clone, Debug)]
-pub enum HireOutcome {
-    Machines(Vec<String>),
+pub enum ProvisionOutcome {
+    Provisioned(Vec<String>),
     NoCapacity,
     /// Surely not executed.
-    NotDone,
+    NotExecuted,
     /// Unknown: to be asked again under the same name.
-    Lost,
+    Unknown,
 }
 
 /// One change for the state service; it costs one put or delete.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Write {
+pub enum RecordWrite {
     /// A value of the machine set; without machines it is dropped.
-    Fleet { pack: PackWrite<String>, machines: Vec<StoredMachine> },
+    MachineSet { pack: ShardWrite<String>, machines: Vec<StoredMachine> },
     /// A value of results; without any it is dropped.
-    Results { pack: PackWrite<(JobId, u32)>, chunks: Vec<(JobId, u32, Vec<u8>)> },
+    Results { pack: ShardWrite<(JobId, u32)>, chunks: Vec<(JobId, u32, Vec<u8>)> },
     /// The job's record becomes done. `stamp` is that of the open record.
-    Done { job: JobId, stamp: u64, tasks: u32 },
+    JobDone { job: JobId, revision: u64, tasks: u32 },
 }
 
 /// How a batch of writes ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SaveOutcome {
+pub enum BatchOutcome {
     /// With the stamp that all of it has now.
-    Ok(u64),
+    Committed(u64),
     /// Surely not written, and never will be.
-    NotDone,
+    NotExecuted,
     /// May have been written, or may be later.
     Unknown,
     /// Surely not written: the state service does not take a transaction like this, by its size or the
     /// number of its changes.
-    Refused,
+    Rejected,
     /// Nothing was written, since these have changed: jobs closed by somebody else, values of
     /// which an earlier write came late.
     Conflict { jobs: Vec<JobId>, fleet: Vec<String>, results: Vec<String> },
@@ -116,40 +116,40 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An unfinished job of the cache.
-    Job {
+    JobOpened {
         spec: Arc<JobSpec>,
         submitted_at: Millis,
-        stamp: u64,
+        revision: u64,
         done: Option<Bitmap>,
     },
     /// A job was cancelled, or called done by an earlier leader.
-    Closed(JobId),
-    Report(Report),
+    JobClosed(JobId),
+    Heartbeat(Heartbeat),
     /// The same by way of another node, which its worker could reach.
-    Relayed(Report),
-    Called {
+    RelayedHeartbeat(Heartbeat),
+    CallFinished {
         machine: String,
         call: u64,
         outcome: CallOutcome,
     },
-    Hired {
-        hire: String,
-        outcome: HireOutcome,
+    ProvisionFinished {
+        request_id: String,
+        outcome: ProvisionOutcome,
     },
-    Returned {
+    TerminateFinished {
         names: Vec<String>,
         ok: bool,
     },
-    Listed(Vec<Listed>),
-    Saved {
-        writes: Vec<Write>,
-        outcome: SaveOutcome,
+    MachinesListed(Vec<ListedMachine>),
+    WritesFinished {
+        writes: Vec<RecordWrite>,
+        outcome: BatchOutcome,
     },
     /// The cloud's types and prices.
-    Types(Vec<MachineType>),
+    MachineTypes(Vec<MachineType>),
     /// A look at what the cells share, which began in this term.
-    Quota(View),
-    QuotaWritten {
+    QuotaObserved(View),
+    LedgerWriteFinished {
         write: LedgerWrite,
         outcome: WriteOutcome,
     },
@@ -160,28 +160,28 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// The answer to the report that was the event.
-    Answer(Vec<Command>),
-    Call {
+    Respond(Vec<Command>),
+    CallWorker {
         machine: String,
         addr: String,
-        session: u64,
+        agent_epoch: u64,
         call: u64,
         commands: Vec<Command>,
     },
-    Hire {
-        hire: String,
+    Provision {
+        request_id: String,
         offer: Offer,
         number: u32,
     },
-    Return(Vec<String>),
+    Terminate(Vec<String>),
     /// Ask the cloud for its list.
-    List,
+    ListMachines,
     /// Something waits to be written: ask [`Cluster::next_writes`].
-    Save,
+    WritesReady,
     /// A change of what the cells share.
-    WriteQuota(LedgerWrite),
+    WriteLedger(LedgerWrite),
     /// A higher token has been seen, or our workers hear us no more: stop leading.
     Resign(&'static str),
     /// For the log, once each.
-    Note(String),
+    Log(String),
 }
--- a/crates/latchtrack-core/src/leader/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -8,27 +8,27 @@
 //! - a launch whose direct call was never answered may execute later, so its attempt is never
 //!   forgotten in that session.
 
-mod balancing;
-mod boots;
-mod filling;
-mod fleet;
-mod gang;
-mod holding;
-mod limits;
+mod backfill;
+mod boot_tracking;
+mod cell_quota;
+mod cycle;
+mod equivalence_classes;
+mod failure_attribution;
+mod fair_share;
+mod free_capacity;
+mod gang_reserves;
+mod gangs;
+mod heartbeats;
+mod machine_lifecycle;
 mod messages;
-mod order;
-mod placing;
+mod moves;
+mod objectives;
+mod persistence;
 mod policy;
-mod promptness;
-mod quota;
-mod renting;
-mod reports;
-mod reserve;
-mod rooms;
-mod saving;
-mod shapes;
-mod sharing;
-mod suspects;
+mod provisioning;
+mod queue;
+mod reservations;
+mod team_limits;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -36,39 +36,39 @@
 use latchtrack_balance::balancer::Balancer;
 use latchtrack_quota::{Amounts, Keeper};
 
-pub use balancing::BalanceSummary;
-pub use gang::AttemptState;
+pub use gangs::AttemptState;
 pub use messages::*;
+pub use moves::BalanceSummary;
 pub use policy::*;
 
-use balancing::Balance;
-use boots::Boots;
-use fleet::new_machine;
-use order::Turn;
-use reports::stop_runs_of;
-use reserve::Reserve;
-use saving::load_results;
-use shapes::Shapes;
+use boot_tracking::BootTracker;
+use equivalence_classes::EquivalenceClasses;
+use gang_reserves::GangReserve;
+use heartbeats::stop_job_runs;
+use machine_lifecycle::new_machine;
+use moves::Balance;
+use persistence::load_result_shards;
+use queue::QueueEntry;
 
 use crate::bitmap::Bitmap;
 use crate::constants::*;
 use crate::job::{Job, JobId, JobSpec};
 use crate::machine::*;
-use crate::packs::Packs;
-use crate::placement::{Held, Offer};
+use crate::placement::{Offer, Reservation};
+use crate::record_shards::RecordShards;
 use crate::Millis;
 
 /// Counts of the cluster.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Summary {
+pub struct SchedulerSummary {
     pub up: usize,
-    pub promised: usize,
+    pub booting: usize,
     /// Not up though it should be.
     pub late: usize,
-    pub unsettled: usize,
+    pub unreconciled: usize,
     /// Suspect jobs, and done ones of which the record does not say so yet.
     pub suspects: usize,
-    pub unsaved: usize,
+    pub unpersisted: usize,
     pub waiting: u64,
     pub cpus: f64,
     pub cpus_assigned: f64,
@@ -78,75 +78,75 @@
 }
 
 #[derive(Clone, Debug)]
-struct Hire {
+struct ProvisionRequest {
     offer: Offer,
     number: u32,
 }
 
 /// The cluster as its leader sees it.
 #[derive(Clone)]
-pub struct Cluster {
+pub struct Scheduler {
     policy: Policy,
     token: u64,
-    vacant: u64,
+    leaderless_since: u64,
     types: Vec<MachineType>,
     jobs: BTreeMap<JobId, Job>,
     machines: BTreeMap<String, Machine>,
-    gone: BTreeSet<String>,
-    gone_order: VecDeque<String>,
-    hires: BTreeMap<String, Hire>,
-    exhausted: BTreeMap<Offer, Millis>,
+    terminated: BTreeSet<String>,
+    terminated_order: VecDeque<String>,
+    pending_provisions: BTreeMap<String, ProvisionRequest>,
+    exhausted_offers: BTreeMap<Offer, Millis>,
     next_attempt: u64,
     next_hire: u64,
     next_call: u64,
-    took_over: Millis,
-    last_plan: Option<Millis>,
-    rounds: u64,
-    replan: bool,
-    rotate: usize,
+    term_started_at: Millis,
+    last_cycle_at: Option<Millis>,
+    cycles: u64,
+    cycle_requested: bool,
+    zone_rotation: usize,
     listed_at: Option<Millis>,
-    finished: BTreeSet<JobId>,
-    boots: Boots,
+    completed_jobs: BTreeSet<JobId>,
+    boots: BootTracker,
     balancer: Balancer,
     balance: Balance,
     /// This cell's part of the teams' limits, where cells share them.
-    quota: Option<Keeper>,
+    cell_quota: Option<Keeper>,
     /// What teams need for the first of their jobs that are to begin before all others.
-    next_of_teams: BTreeMap<String, Amounts>,
+    next_of_team: BTreeMap<String, Amounts>,
     /// What was launched of each team in this term.
     started: BTreeMap<String, Amounts>,
     /// Values of the machine set that can't be read: until every lease of before this term has run
     /// out, tasks may be on machines that we do not know.
-    garbled: Vec<(String, u64)>,
+    unreadable_machine_sets: Vec<(String, u64)>,
     /// Most changes of the next batch for the state service.
-    batch_most: usize,
-    fleet: Packs<String>,
-    results: Packs<(JobId, u32)>,
-    shapes: Shapes,
+    max_batch_changes: usize,
+    machine_set_shards: RecordShards<String>,
+    result_shards: RecordShards<(JobId, u32)>,
+    equivalence_classes: EquivalenceClasses,
     /// Jobs with waiting tasks, in the order of the last round.
-    queue: Vec<Turn>,
+    queue: Vec<QueueEntry>,
     /// Jobs that are to begin before that order, and machines kept free for them.
-    begin: Vec<JobId>,
+    starving: Vec<JobId>,
     /// Gangs for which the last round found room for some tasks only: what comes free is kept for them.
-    gathering: HashSet<JobId>,
+    gangs_lacking_capacity: HashSet<JobId>,
     /// Room kept for gangs to come, by shape.
-    reserves: BTreeMap<usize, Reserve>,
-    kept: HashSet<Arc<str>>,
+    reserves: BTreeMap<usize, GangReserve>,
+    reserved_exclusively: HashSet<Arc<str>>,
     /// Images that some machine holds, looked up once a second.
-    held_images: HashSet<String>,
-    images_at: Option<Millis>,
+    cached_images: HashSet<String>,
+    cached_images_at: Option<Millis>,
     /// Machines whose room the last round holds for jobs of a shape.
-    held: HashMap<Arc<str>, Held>,
+    held: HashMap<Arc<str>, Reservation>,
     /// Machines for which there may be something to send now, or at the next tick.
-    wake: BTreeSet<String>,
-    wake_later: BTreeSet<String>,
+    dispatch_queue: BTreeSet<String>,
+    dispatch_next_tick: BTreeSet<String>,
     /// Direct calls that are open, and whether each only asks.
     calls: HashMap<u64, bool>,
     probes_open: usize,
     /// What was heard of each zone in this term.
-    zones: BTreeMap<Arc<str>, ZoneSight>,
+    zones: BTreeMap<Arc<str>, ZoneReachability>,
     /// Zones of which nothing is heard, at the last tick.
-    quiet: BTreeSet<Arc<str>>,
+    unreachable_zones: BTreeSet<Arc<str>>,
     /// Since when machines have spoken by way of other nodes, and none to this one itself.
     relayed_since: Option<Millis>,
     last_tick: Millis,
@@ -157,96 +157,96 @@
 
 /// What is heard of a zone.
 #[derive(Clone, Debug, Default)]
-struct ZoneSight {
+struct ZoneReachability {
     /// When one of its machines was last heard holding our token.
-    heard: Option<Millis>,
+    last_heartbeat_at: Option<Millis>,
     /// Direct calls into it without an answer since.
-    in_vain: u32,
+    unanswered_calls: u32,
     /// When it was last quiet no more.
     back: Millis,
 }
 
-impl Cluster {
+impl Scheduler {
     /// What a new leader begins with: `inherited` is the stored set of machines, `results` what is stored
     /// of jobs that are open.
     pub fn new(
         policy: Policy,
-        stamps: Stamps,
+        revisions: TermRevisions,
         types: Vec<MachineType>,
-        inherited: Vec<StoredFleet>,
+        inherited: Vec<StoredMachineSet>,
         results: Vec<StoredResults>,
         now: Millis,
     ) -> Self {
-        let Stamps { token, vacant } = stamps;
-        let most = (policy.value_bytes as f64 * VALUE_FILLED) as usize;
-        let mut fleet = Packs::new(token, most, FLEET_GAP_MS);
+        let TermRevisions { token, leaderless_since } = revisions;
+        let most = (policy.value_bytes as f64 * VALUE_FILL_FACTOR) as usize;
+        let mut fleet = RecordShards::new(token, most, MACHINE_SET_WRITE_INTERVAL_MS);
         let mut machines = BTreeMap::new();
-        let mut garbled = Vec::new();
+        let mut unreadable_machine_sets = Vec::new();
         for f in inherited {
             let Some(stored) = f.machines else {
-                garbled.push((f.name, f.stamp));
+                unreadable_machine_sets.push((f.name, f.revision));
                 continue;
             };
-            fleet.load(&f.name, f.stamp, stored.iter().map(|s| (s.name.clone(), s.bytes())));
+            fleet.load(&f.name, f.revision, stored.iter().map(|s| (s.name.clone(), s.bytes())));
             for s in stored {
                 let mut m = new_machine(&s.name, &s.kind, &s.zone, s.spot, now);
                 m.addr = Some(s.addr);
-                m.stored = true;
+                m.persisted = true;
                 m.inherited = true;
-                m.expected_since = Some(now);
+                m.heartbeat_expected_since = Some(now);
                 machines.insert(s.name, m);
             }
         }
-        let mut kept = Packs::new(token, most, RESULTS_GAP_MS);
+        let mut result_shards = RecordShards::new(token, most, RESULTS_WRITE_INTERVAL_MS);
         for r in results {
-            load_results(&mut kept, &r);
+            load_result_shards(&mut result_shards, &r);
         }
-        Cluster {
+        Scheduler {
             token,
-            vacant,
+            leaderless_since,
             types,
             jobs: BTreeMap::new(),
             machines,
-            gone: BTreeSet::new(),
-            gone_order: VecDeque::new(),
-            hires: BTreeMap::new(),
-            exhausted: BTreeMap::new(),
+            terminated: BTreeSet::new(),
+            terminated_order: VecDeque::new(),
+            pending_provisions: BTreeMap::new(),
+            exhausted_offers: BTreeMap::new(),
             next_attempt: 0,
             next_hire: 0,
             next_call: 0,
-            took_over: now,
-            last_plan: None,
-            rounds: 0,
-            replan: true,
-            rotate: token as usize,
+            term_started_at: now,
+            last_cycle_at: None,
+            cycles: 0,
+            cycle_requested: true,
+            zone_rotation: token as usize,
             listed_at: None,
-            finished: BTreeSet::new(),
-            boots: Boots::default(),
-            next_of_teams: BTreeMap::new(),
+            completed_jobs: BTreeSet::new(),
+            boots: BootTracker::default(),
+            next_of_team: BTreeMap::new(),
             started: BTreeMap::new(),
-            quota: quota::keeper(&policy, token),
+            cell_quota: cell_quota::keeper(&policy, token),
             balancer: Balancer::new(policy.balance.limits),
             balance: Balance::default(),
             policy,
-            garbled,
-            batch_most: usize::MAX,
-            fleet,
-            results: kept,
-            shapes: Shapes::default(),
+            unreadable_machine_sets,
+            max_batch_changes: usize::MAX,
+            machine_set_shards: fleet,
+            result_shards,
+            equivalence_classes: EquivalenceClasses::default(),
             queue: Vec::new(),
-            begin: Vec::new(),
-            gathering: HashSet::new(),
+            starving: Vec::new(),
+            gangs_lacking_capacity: HashSet::new(),
             reserves: BTreeMap::new(),
-            kept: HashSet::new(),
-            held_images: HashSet::new(),
-            images_at: None,
+            reserved_exclusively: HashSet::new(),
+            cached_images: HashSet::new(),
+            cached_images_at: None,
             held: HashMap::new(),
-            wake: BTreeSet::new(),
-            wake_later: BTreeSet::new(),
+            dispatch_queue: BTreeSet::new(),
+            dispatch_next_tick: BTreeSet::new(),
             calls: HashMap::new(),
             probes_open: 0,
             zones: BTreeMap::new(),
-            quiet: BTreeSet::new(),
+            unreachable_zones: BTreeSet::new(),
             relayed_since: None,
             last_tick: now,
             listening_since: now,
@@ -262,7 +262,7 @@
     pub fn progress(&self) -> impl Iterator<Item = (JobId, u32, u32)> + '_ {
         let mut running: HashMap<JobId, u32> = HashMap::new();
         for run in self.machines.values().flat_map(|m| m.runs.values()) {
-            if matches!(run.phase, Phase::Running | Phase::Saving) {
+            if matches!(run.phase, TaskPhase::Running | TaskPhase::Checkpointing) {
                 *running.entry(run.task.job).or_default() += 1;
             }
         }
@@ -275,22 +275,23 @@
     }
 
     /// Whether all that may be on machines is known: no earlier leader's command can still arrive.
-    fn all_settled(&self) -> bool {
-        self.garbled.is_empty() && !self.machines.values().any(Machine::unsettled)
+    fn all_reconciled(&self) -> bool {
+        self.unreadable_machine_sets.is_empty()
+            && !self.machines.values().any(Machine::is_unreconciled)
     }
 
     /// What the cluster looks like, for the log.
-    pub fn summary(&self, now: Millis) -> Summary {
-        let mut s = Summary {
-            suspects: self.suspects().count(),
-            unsaved: self.finished.len(),
+    pub fn summary(&self, now: Millis) -> SchedulerSummary {
+        let mut s = SchedulerSummary {
+            suspects: self.quarantined_jobs().count(),
+            unpersisted: self.completed_jobs.len(),
             late: self.late_boots(now),
-            ..Summary::default()
+            ..SchedulerSummary::default()
         };
         for m in self.machines.values() {
-            s.unsettled += usize::from(m.unsettled());
-            if !m.up() {
-                s.promised += 1;
+            s.unreconciled += usize::from(m.is_unreconciled());
+            if !m.is_up() {
+                s.booting += 1;
                 continue;
             }
             s.up += 1;
@@ -298,12 +299,12 @@
             for run in m.runs.values() {
                 let cpus = run.spec.as_ref().map_or(0.0, |s| s.demand.cpus);
                 match run.phase {
-                    Phase::Assigned => s.cpus_assigned += cpus,
-                    Phase::Fetching | Phase::Waiting | Phase::Unrecognised => {
+                    TaskPhase::Assigned => s.cpus_assigned += cpus,
+                    TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Unrecognised => {
                         s.cpus_fetching += cpus;
                     }
-                    Phase::Running | Phase::Saving => s.cpus_running += cpus,
-                    Phase::Ended(_) => {}
+                    TaskPhase::Running | TaskPhase::Checkpointing => s.cpus_running += cpus,
+                    TaskPhase::Ended(_) => {}
                 }
             }
         }
@@ -320,16 +321,18 @@
         let mut bytes = 0;
         self.machines
             .values()
-            .filter(|m| !m.leaving)
-            .filter(|m| match m.heard {
-                Some(heard) => now >= heard + self.policy.overdue_ms(),
+            .filter(|m| !m.to_terminate)
+            .filter(|m| match m.last_heartbeat_at {
+                Some(last_heartbeat_at) => now >= last_heartbeat_at + self.policy.overdue_ms(),
                 // Asked directly at the take-over, it should have answered by now.
-                None => m.unsettled() && now >= self.took_over + UNSETTLED_MS,
+                None => {
+                    m.is_unreconciled() && now >= self.term_started_at + UNRECONCILED_OVERDUE_MS
+                }
             })
             .map(|m| m.name.to_string())
             .take_while(|name| {
                 bytes += name.len() + OVERDUE_NAME_BYTES;
-                bytes <= OVERDUE_BYTES
+                bytes <= MAX_OVERDUE_BYTES
             })
             .collect()
     }
@@ -340,18 +343,18 @@
     }
 
     /// Jobs that have shown nothing but failures.
-    pub fn suspects(&self) -> impl Iterator<Item = JobId> + '_ {
-        self.jobs.iter().filter(|(_, job)| job.is_suspect).map(|(id, _)| *id)
+    pub fn quarantined_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
+        self.jobs.iter().filter(|(_, job)| job.is_quarantined).map(|(id, _)| *id)
     }
 
     /// Zones of which nothing is heard.
-    pub fn quiet_zones(&self) -> Vec<String> {
-        self.quiet.iter().map(|z| z.to_string()).collect()
+    pub fn unreachable_zones(&self) -> Vec<String> {
+        self.unreachable_zones.iter().map(|z| z.to_string()).collect()
     }
 
     /// Rounds of placing in this term, for checks.
-    pub fn rounds(&self) -> u64 {
-        self.rounds
+    pub fn cycles(&self) -> u64 {
+        self.cycles
     }
 
     /// The unfinished jobs, for checks.
@@ -362,41 +365,50 @@
     /// Takes one event.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Effect> {
         match event {
-            Event::Job { spec, submitted_at, stamp, done } => {
-                self.on_job(spec, submitted_at, stamp, done)
+            Event::JobOpened { spec, submitted_at, revision, done } => {
+                self.on_job_opened(spec, submitted_at, revision, done)
             }
-            Event::Closed(job) => self.on_closed(now, job),
-            Event::Report(report) => {
+            Event::JobClosed(job) => self.on_job_closed(now, job),
+            Event::Heartbeat(report) => {
                 self.relayed_since = None;
-                self.on_report(now, &report);
+                self.on_heartbeat(now, &report);
             }
-            Event::Relayed(report) => {
+            Event::RelayedHeartbeat(report) => {
                 self.relayed_since.get_or_insert(now);
-                self.on_report(now, &report);
+                self.on_heartbeat(now, &report);
+            }
+            Event::CallFinished { machine, call, outcome } => {
+                self.on_call_finished(now, &machine, call, outcome)
+            }
+            Event::ProvisionFinished { request_id, outcome } => {
+                self.on_provision_finished(now, &request_id, outcome)
+            }
+            Event::TerminateFinished { names, ok } => self.on_terminate_finished(now, names, ok),
+            Event::MachinesListed(listed) => self.on_machines_listed(now, listed),
+            Event::WritesFinished { writes, outcome } => {
+                self.on_writes_finished(now, writes, outcome)
             }
-            Event::Called { machine, call, outcome } => {
-                self.on_called(now, &machine, call, outcome)
+            Event::MachineTypes(types) => self.types = types,
+            Event::QuotaObserved(view) => self.on_quota_observed(now, view),
+            Event::LedgerWriteFinished { write, outcome } => {
+                self.on_ledger_write_finished(now, &write, outcome)
             }
-            Event::Hired { hire, outcome } => self.on_hired(now, &hire, outcome),
-            Event::Returned { names, ok } => self.on_returned(now, names, ok),
-            Event::Listed(listed) => self.on_listed(now, listed),
-            Event::Saved { writes, outcome } => self.on_saved(now, writes, outcome),
-            Event::Types(types) => self.types = types,
-            Event::Quota(view) => self.on_quota(now, view),
-            Event::QuotaWritten { write, outcome } => self.on_quota_written(now, &write, outcome),
             Event::Tick => self.on_tick(now),
         }
-        if !self.finished.is_empty() || self.fleet.due(now) || self.results.due(now) {
-            self.out.push(Effect::Save);
+        if !self.completed_jobs.is_empty()
+            || self.machine_set_shards.due(now)
+            || self.result_shards.due(now)
+        {
+            self.out.push(Effect::WritesReady);
         }
         std::mem::take(&mut self.out)
     }
 
-    fn on_job(
+    fn on_job_opened(
         &mut self,
         spec: Arc<JobSpec>,
         submitted_at: Millis,
-        stamp: u64,
+        revision: u64,
         done: Option<Bitmap>,
     ) {
         let id = spec.id;
@@ -406,35 +418,35 @@
         let mut done = done.unwrap_or_else(|| Bitmap::new(spec.tasks));
         if spec.gang && done.ones() > 0 {
             // They complete together: if one is done, all are.
-            done.fill();
+            done.backfill();
         }
-        let finished = done.full();
+        let completed_jobs = done.full();
         // The record's stamp is that of its creation while the job is open.
-        let inherited = stamp < self.vacant;
-        let shape = self.shapes.of(&spec);
-        self.note_for_reserve(&spec, shape, submitted_at);
+        let inherited = revision < self.leaderless_since;
+        let equivalence_class = self.equivalence_classes.of(&spec);
+        self.note_gang_arrival(&spec, equivalence_class, submitted_at);
         self.note_arrival(&spec, submitted_at);
-        let mut job = Job::new(spec, submitted_at, stamp, inherited, done);
-        job.shape = shape;
+        let mut job = Job::new(spec, submitted_at, revision, inherited, done);
+        job.equivalence_class = equivalence_class;
         self.jobs.insert(id, job);
-        if finished {
-            self.finished.insert(id);
+        if completed_jobs {
+            self.completed_jobs.insert(id);
         }
-        self.replan = true;
+        self.cycle_requested = true;
     }
 
-    fn on_closed(&mut self, now: Millis, id: JobId) {
+    fn on_job_closed(&mut self, now: Millis, id: JobId) {
         if self.jobs.remove(&id).is_none() {
             return;
         }
-        self.finished.remove(&id);
-        self.forget_results(id);
+        self.completed_jobs.remove(&id);
+        self.forget_job_results(id);
         for (name, m) in &mut self.machines {
-            if stop_runs_of(m, id) {
-                self.wake.insert(name.clone());
+            if stop_job_runs(m, id) {
+                self.dispatch_queue.insert(name.clone());
             }
         }
-        self.replan = true;
-        self.flush(now, None);
+        self.cycle_requested = true;
+        self.dispatch(now, None);
     }
 }
--- a/crates/latchtrack-core/src/leader/balancing.rs
+++ b/crates/latchtrack-core/src/scheduler/moves.rs
@@ -16,11 +16,11 @@
 use latchtrack_balance::spread::Spread;
 
 use super::messages::Effect;
-use super::Cluster;
+use super::Scheduler;
 use crate::constants::*;
 use crate::job::{Demand, Job, JobId, JobSpec, TaskId};
-use crate::machine::{Machine, MachineType, Phase, Run, Stop};
-use crate::placement::{Room, RoomBalance};
+use crate::machine::{Machine, MachineType, StopRequest, TaskPhase, TaskRun};
+use crate::placement::{FreeCapacity, LoadInfo};
 use crate::rules;
 use crate::Millis;
 
@@ -33,7 +33,7 @@
     observed_at: Option<Millis>,
     logged_at: Option<Millis>,
     /// Machine types whose amounts make no sense, named once in the log.
-    odd_types: BTreeSet<String>,
+    invalid_types: BTreeSet<String>,
 }
 
 /// What there is to tell an operator of the balance of the cluster.
@@ -49,7 +49,7 @@
     pub counts: MoveCounts,
 }
 
-impl Cluster {
+impl Scheduler {
     /// What there is to tell of the balance; None while nothing of it is switched on.
     pub fn balance_summary(&self) -> Option<BalanceSummary> {
         let policy = &self.policy.balance;
@@ -87,12 +87,13 @@
     }
 
     /// What load balancing knows of a machine's room; None while it has no say in placing.
-    pub(super) fn room_balance(&self, m: &Machine, t: &MachineType) -> Option<RoomBalance> {
+    pub(super) fn load_info(&self, m: &Machine, t: &MachineType) -> Option<LoadInfo> {
         if !self.policy.balance.placement {
             return None;
         }
         let mut fetching: BTreeMap<&str, f64> = BTreeMap::new();
-        for run in m.runs.values().filter(|r| matches!(r.phase, Phase::Assigned | Phase::Fetching))
+        for run in
+            m.runs.values().filter(|r| matches!(r.phase, TaskPhase::Assigned | TaskPhase::Fetching))
         {
             let Some(spec) = &run.spec else { continue };
             if !m.images.contains(&spec.image) {
@@ -101,7 +102,7 @@
         }
         let pool = self.balance.pools.get(&(m.kind.clone(), m.zone.clone(), m.spot));
         let spread = pool.and_then(|pool| self.balancer.spreads().get(pool));
-        Some(RoomBalance {
+        Some(LoadInfo {
             capacity: Demand { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
             mean_load: spread.map_or(0.0, |spread| spread.mean),
             fetching_gb: fetching.values().sum(),
@@ -110,7 +111,7 @@
 
     /// What weighs against a place before its size and score: that the image is not there, or, with
     /// balanced placement, the term of [`Place::cost`].
-    pub(super) fn place_cost(&self, spec: &JobSpec, room: &Room) -> f64 {
+    pub(super) fn placement_cost(&self, spec: &JobSpec, room: &FreeCapacity) -> f64 {
         let is_cold = !room.images.contains(&spec.image);
         let Some(balance) = &room.balance else { return f64::from(u8::from(is_cold)) };
         let speed = self.type_of(&room.kind).map_or(0.0, |t| t.fetch_gb_per_s);
@@ -132,42 +133,46 @@
     }
 
     /// Looks at the loads, begins moves, and carries on those under way.
-    pub(super) fn watch_balance(&mut self, now: Millis) {
+    pub(super) fn balance_load(&mut self, now: Millis) {
         self.advance_moves(now);
         let policy = self.policy.balance;
         if !policy.observes() && !policy.teams {
             return;
         }
         self.log_balance(now);
-        if !policy.observes() || self.balance.observed_at.is_some_and(|at| now < at + BALANCE_MS) {
+        if !policy.observes()
+            || self.balance.observed_at.is_some_and(|at| now < at + BALANCE_INTERVAL_MS)
+        {
             return;
         }
         self.balance.observed_at = Some(now);
         let input = self.plan_input(now);
-        let holds_off = !policy.moves || !self.may_move(now);
+        let holds_off = !policy.moves || !self.moves_allowed(now);
         for begun in self.balancer.observe(now, input, holds_off) {
             let text = format!("a move begins: {}", describe(&begun));
-            self.out.push(Effect::Note(text));
+            self.out.push(Effect::Log(text));
             self.begin_move(now, &begun);
         }
     }
 
     /// Whether tasks may be moved now: all is known and calm, and nobody waits for room.
-    fn may_move(&self, now: Millis) -> bool {
-        let calm = now >= self.took_over.saturating_add(self.policy.balance.calm_ms)
+    fn moves_allowed(&self, now: Millis) -> bool {
+        let calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
             && now >= self.listening_since.saturating_add(self.policy.probe_ms());
-        calm && self.all_settled() && self.quiet.is_empty() && !self.overloaded(now)
+        calm && self.all_reconciled() && self.unreachable_zones.is_empty() && !self.overloaded(now)
     }
 
     /// Whether jobs that found no room for a while ask for a good part of the cluster: while a task saves,
     /// its move takes room twice.
     fn overloaded(&self, now: Millis) -> bool {
         let short_of_room = |job: &&Job| {
-            job.passed_since.is_some_and(|at| now >= at.saturating_add(self.policy.pass_over_ms))
+            job.unschedulable_since
+                .is_some_and(|at| now >= at.saturating_add(self.policy.reserve_after_ms))
         };
-        let cpus = |job: &Job| job.spec.demand.cpus * f64::from(job.wanted());
+        let cpus = |job: &Job| job.spec.demand.cpus * f64::from(job.schedulable_tasks());
         let waiting: f64 = self.jobs.values().filter(short_of_room).map(cpus).sum();
-        let types = self.machines.values().filter(|m| m.up()).filter_map(|m| self.type_of(&m.kind));
+        let types =
+            self.machines.values().filter(|m| m.is_up()).filter_map(|m| self.type_of(&m.kind));
         waiting > OVERLOAD_SHARE * types.map(|t| t.cpus).sum::<f64>()
     }
 
@@ -176,7 +181,7 @@
         let mut input = PlanInput::default();
         let mut gangs: BTreeMap<JobId, Vec<(u32, usize)>> = BTreeMap::new();
         let up: Vec<String> =
-            self.machines.values().filter(|m| m.up()).map(|m| m.name.to_string()).collect();
+            self.machines.values().filter(|m| m.is_up()).map(|m| m.name.to_string()).collect();
         for name in up {
             let Some(load) = self.load_of(now, &name) else { continue };
             let index = input.machines.len();
@@ -229,16 +234,16 @@
         let m = self.machines.get(name)?;
         let t = self.type_of(&m.kind)?;
         let capacity = Amounts { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb };
-        let used = amounts(&m.used()?)
+        let used = amounts(&m.allocated()?)
             .plus(&self.balancer.reserved_on(name))
             .minus(&self.balancer.leaving_from(name));
         let is_well = self.accepts_moves(now, m);
         let pool = (m.kind.clone(), m.zone.clone(), m.spot);
         if !capacity.is_valid() || !used.is_valid() {
             let kind = m.kind.to_string();
-            if self.balance.odd_types.insert(kind.clone()) {
+            if self.balance.invalid_types.insert(kind.clone()) {
                 let text = format!("the loads of machines of type {kind} make no sense: {used:?}");
-                self.out.push(Effect::Note(text));
+                self.out.push(Effect::Log(text));
             }
             return None;
         }
@@ -258,8 +263,8 @@
 
     /// Whether a machine may take part in a move: it takes tasks, and was heard lately.
     fn accepts_moves(&self, now: Millis, m: &Machine) -> bool {
-        let takes_tasks = self.room_of(now, m).is_some_and(|room| room.ready);
-        takes_tasks && !m.silent_for(now, self.policy.overdue_ms())
+        let takes_tasks = self.free_capacity_of(now, m).is_some_and(|room| room.ready);
+        takes_tasks && !m.heartbeat_older_than(now, self.policy.overdue_ms())
     }
 
     /// What the planner needs to know of a running task, or a gang.
@@ -297,7 +302,7 @@
             true => MoveEvent::StopSent,
             false => MoveEvent::Failed(Reason::NotStopped),
         };
-        self.tell_move(now, begun.unit, event);
+        self.advance_move(now, begun.unit, event);
     }
 
     fn stop_gang_to_move(&mut self, now: Millis, id: JobId) -> bool {
@@ -312,13 +317,13 @@
         let key = (TaskId { job: id, index: leg.task }, place.attempt);
         let probe_ms = self.policy.probe_ms();
         let Some(m) = self.machines.get_mut(&*leg.source) else { return false };
-        if *place.machine != *leg.source || m.silent_for(now, probe_ms) {
+        if *place.machine != *leg.source || m.heartbeat_older_than(now, probe_ms) {
             return false;
         }
         let Some(run) = m.runs.get_mut(&key).filter(|run| is_movable(run)) else { return false };
         let save_s = run.spec.as_ref().map_or(0.0, |spec| spec.save_s);
-        run.stop = Some(Stop { grace_s: save_s + STOP_GRACE_S, sent_at: None });
-        self.wake.insert(leg.source.to_string());
+        run.stop = Some(StopRequest { grace_s: save_s + STOP_GRACE_S, sent_at: None });
+        self.dispatch_queue.insert(leg.source.to_string());
         true
     }
 
@@ -329,27 +334,27 @@
         }
         for under_way in self.balancer.moves().to_vec() {
             for event in self.move_events(now, &under_way) {
-                self.tell_move(now, under_way.unit, event);
+                self.advance_move(now, under_way.unit, event);
             }
             let ready = self.balancer.moves().iter().find(|m| m.unit == under_way.unit);
             if let Some(ready) = ready.filter(|m| m.stage == Stage::Ready).cloned() {
-                let event = match self.launch_move(now, &ready) {
+                let event = match self.launch_on_targets(now, &ready) {
                     Ok(()) => MoveEvent::Launched,
                     Err(reason) => MoveEvent::Failed(reason),
                 };
-                self.tell_move(now, ready.unit, event);
+                self.advance_move(now, ready.unit, event);
             }
-            self.tell_move(now, under_way.unit, MoveEvent::Tick);
+            self.advance_move(now, under_way.unit, MoveEvent::Tick);
         }
     }
 
-    fn tell_move(&mut self, now: Millis, unit: UnitId, event: MoveEvent) {
+    fn advance_move(&mut self, now: Millis, unit: UnitId, event: MoveEvent) {
         let Some(stage) = self.balancer.tell(now, unit, event) else { return };
         if stage.is_final() {
             // What was reserved is free, or its task waits in the queue.
-            self.replan = true;
+            self.cycle_requested = true;
             let text = format!("the move of {} is over: {stage}", describe_unit(unit));
-            self.out.push(Effect::Note(text));
+            self.out.push(Effect::Log(text));
         }
     }
 
@@ -377,8 +382,9 @@
             }
             Some(_) => {
                 let source = self.machines.get(&*leg.source);
-                let goes =
-                    source.is_none_or(|m| m.leaving || m.silent_for(now, self.policy.probe_ms()));
+                let goes = source.is_none_or(|m| {
+                    m.to_terminate || m.heartbeat_older_than(now, self.policy.probe_ms())
+                });
                 goes.then_some(MoveEvent::Failed(Reason::SourceLost))
             }
         }
@@ -392,11 +398,11 @@
         let Some(place) = place else { return Some(MoveEvent::Failed(Reason::TargetLost)) };
         let key = (TaskId { job: job.spec.id, index: leg.task }, place.attempt);
         let run = self.machines.get(&*leg.target)?.runs.get(&key)?;
-        (run.phase == Phase::Running).then_some(MoveEvent::Runs { task: leg.task })
+        (run.phase == TaskPhase::Running).then_some(MoveEvent::Runs { task: leg.task })
     }
 
     /// Launches the tasks of a move on its targets, if every rule allows it now.
-    fn launch_move(&mut self, now: Millis, m: &Move) -> Result<(), Reason> {
+    fn launch_on_targets(&mut self, now: Millis, m: &Move) -> Result<(), Reason> {
         let id = JobId(m.unit.job);
         self.check_launch(now, id, m)?;
         let Some(job) = self.jobs.get_mut(&id) else { return Err(Reason::JobOver) };
@@ -412,20 +418,20 @@
     fn check_launch(&self, now: Millis, id: JobId, m: &Move) -> Result<(), Reason> {
         let job = self.jobs.get(&id).ok_or(Reason::JobOver)?;
         let spec = &job.spec;
-        if self.limit_left(spec, &self.used_by_teams()) < m.legs.len() as u32 {
+        if self.tasks_within_limit(spec, &self.limited_usage()) < m.legs.len() as u32 {
             return Err(Reason::TeamLimit);
         }
-        let mut zones: Vec<Arc<str>> = self.live_zones(job);
+        let mut zones: Vec<Arc<str>> = self.zones_in_use(job);
         let mut taken: BTreeMap<&str, u32> = BTreeMap::new();
         for leg in &m.legs {
             let target = self.machines.get(&*leg.target).ok_or(Reason::TargetLost)?;
-            let mut room = self.room_of(now, target).ok_or(Reason::TargetLost)?;
+            let mut room = self.free_capacity_of(now, target).ok_or(Reason::TargetLost)?;
             if !self.accepts_moves(now, target) {
                 return Err(Reason::TargetLost);
             }
             let others = zones.iter().map(|zone| &**zone);
             let may_start = rules::may_start(spec, &room.kind, &room.zone, room.spot, others);
-            if !may_start || self.avoids(now, job, &leg.target) {
+            if !may_start || self.avoids_machine(now, job, &leg.target) {
                 return Err(Reason::NotAllowed);
             }
             // Its own reservation is taken off the room of a machine like any other.
@@ -445,13 +451,13 @@
 
     /// Sums up the balance in the log, once a minute.
     fn log_balance(&mut self, now: Millis) {
-        if self.balance.logged_at.is_some_and(|at| now < at + BALANCE_LOG_MS) {
+        if self.balance.logged_at.is_some_and(|at| now < at + BALANCE_LOG_INTERVAL_MS) {
             return;
         }
         self.balance.logged_at = Some(now);
         let Some(summary) = self.balance_summary() else { return };
         let (spread, counts) = (summary.spread, summary.counts);
-        self.out.push(Effect::Note(format!(
+        self.out.push(Effect::Log(format!(
             "balance: spread {:.2} (greatest load {:.2}, mean {:.2}), {} over the bound, hot teams \
              [{}], moves begun {} settled {} abandoned {}",
             spread.ratio(),
@@ -468,15 +474,15 @@
 
 impl Job {
     /// Whether tasks of it are being stopped, or are gone already.
-    fn stop_is_under_way(&self, cluster: &Cluster) -> bool {
+    fn stop_is_under_way(&self, cluster: &Scheduler) -> bool {
         cluster.attempt_state(self) == super::AttemptState::Stopping
     }
 }
 
 /// Whether a run may be stopped to move: it runs, saves, and is not told to stop for another reason.
-fn is_movable(run: &Run) -> bool {
+fn is_movable(run: &TaskRun) -> bool {
     let saves = run.spec.as_ref().is_some_and(|spec| spec.checkpoint_s > 0.0);
-    run.phase == Phase::Running && saves && run.stop.is_none()
+    run.phase == TaskPhase::Running && saves && run.stop.is_none()
 }
 
 pub(super) fn amounts(demand: &Demand) -> Amounts {
--- a/crates/latchtrack-core/src/leader/saving.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -1,42 +1,42 @@
 //! What has to be written to the state service.
 
-use super::messages::{Effect, SaveOutcome, StoredMachine, StoredResults, Write};
-use super::Cluster;
+use super::messages::{BatchOutcome, Effect, RecordWrite, StoredMachine, StoredResults};
+use super::Scheduler;
 use crate::bitmap::{all_chunks, is_large_chunk, small_chunks};
 use crate::constants::*;
 use crate::job::JobId;
 use crate::machine::Machine;
-use crate::packs::{Packs, Wrote};
+use crate::record_shards::{RecordShards, ShardOutcome};
 use crate::Millis;
 
 /// Bytes of a stored value that some bytes of results take.
-pub(super) fn results_bytes(bits: usize) -> usize {
+pub(super) fn result_entry_bytes(bits: usize) -> usize {
     bits.div_ceil(3) * 4 + ENTRY_BYTES
 }
 
 /// Takes in a stored value of results. One with chunks of the earlier size, which may be above the state
 /// service's limit by themselves, is replaced by others with small ones.
-pub(super) fn load_results(packs: &mut Packs<(JobId, u32)>, stored: &StoredResults) {
+pub(super) fn load_result_shards(packs: &mut RecordShards<(JobId, u32)>, stored: &StoredResults) {
     if !stored.chunks.iter().any(|(_, _, bytes)| is_large_chunk(bytes)) {
         let entries = stored.chunks.iter();
-        let entries = entries.map(|(job, chunk, b)| ((*job, *chunk), results_bytes(b.len())));
-        packs.load(&stored.name, stored.stamp, entries);
+        let entries = entries.map(|(job, chunk, b)| ((*job, *chunk), result_entry_bytes(b.len())));
+        packs.load(&stored.name, stored.revision, entries);
         return;
     }
     let mut entries = Vec::new();
     for (job, chunk, bytes) in &stored.chunks {
         if is_large_chunk(bytes) {
             let small = small_chunks(*chunk, bytes);
-            entries.extend(small.map(|(c, len)| ((*job, c), results_bytes(len))));
+            entries.extend(small.map(|(c, len)| ((*job, c), result_entry_bytes(len))));
         } else {
-            entries.push(((*job, *chunk), results_bytes(bytes.len())));
+            entries.push(((*job, *chunk), result_entry_bytes(bytes.len())));
         }
     }
     packs.load_to_replace(&stored.name, entries);
 }
 
 /// A machine as it is stored.
-pub(super) fn stored_of(m: &Machine) -> StoredMachine {
+pub(super) fn stored_machine(m: &Machine) -> StoredMachine {
     StoredMachine {
         name: m.name.to_string(),
         kind: m.kind.to_string(),
@@ -54,116 +54,127 @@
     }
 }
 
-impl Cluster {
+impl Scheduler {
     /// The next batch for the state service, of at most `most` changes: first jobs that are done,
     /// then machines that wait to be used, then results and machines that went.
-    pub fn next_writes(&mut self, now: Millis, most: usize) -> Vec<Write> {
-        let mut out: Vec<Write> = Vec::new();
-        let most = most.min(self.batch_most);
+    pub fn next_writes(&mut self, now: Millis, most: usize) -> Vec<RecordWrite> {
+        let mut out: Vec<RecordWrite> = Vec::new();
+        let most = most.min(self.max_batch_changes);
         while out.len() < most {
-            let Some(id) = self.finished.pop_first() else { break };
-            if let Some(job) = self.jobs.get(&id).filter(|j| !j.conflict) {
-                out.push(Write::Done { job: id, stamp: job.stamp, tasks: job.spec.tasks });
+            let Some(id) = self.completed_jobs.pop_first() else { break };
+            if let Some(job) = self.jobs.get(&id).filter(|j| !j.closed_elsewhere) {
+                out.push(RecordWrite::JobDone {
+                    job: id,
+                    revision: job.revision,
+                    tasks: job.spec.tasks,
+                });
             }
         }
         while out.len() < most {
-            let Some(pack) = self.fleet.next(now) else { break };
+            let Some(pack) = self.machine_set_shards.next(now) else { break };
             let machines = pack.entries.iter().filter_map(|n| self.machines.get(n));
-            let machines = machines.map(stored_of).collect();
-            out.push(Write::Fleet { pack, machines });
+            let machines = machines.map(stored_machine).collect();
+            out.push(RecordWrite::MachineSet { pack, machines });
         }
         while out.len() < most {
-            let Some(pack) = self.results.next(now) else { break };
+            let Some(pack) = self.result_shards.next(now) else { break };
             let chunks = pack.entries.iter().filter_map(|(id, chunk)| {
                 let job = self.jobs.get(id)?;
                 Some((*id, *chunk, job.done.chunk(*chunk).to_vec()))
             });
             let chunks = chunks.collect();
-            out.push(Write::Results { pack, chunks });
+            out.push(RecordWrite::Results { pack, chunks });
         }
         out
     }
 
     /// A job is closed: what is stored of its results is of no use any more.
-    pub(super) fn forget_results(&mut self, id: JobId) {
+    pub(super) fn forget_job_results(&mut self, id: JobId) {
         for chunk in all_chunks() {
-            self.results.remove(&(id, chunk));
+            self.result_shards.remove(&(id, chunk));
         }
     }
 
     /// A value was refused by itself: it is stored in smaller ones, or given up.
-    fn split_refused(&mut self, write: &Write) {
+    fn split_rejected_shard(&mut self, write: &RecordWrite) {
         let (name, given_up) = match write {
-            Write::Fleet { pack, .. } => (&pack.name, self.fleet.refused(pack)),
-            Write::Results { pack, .. } => (&pack.name, self.results.refused(pack)),
-            Write::Done { .. } => return,
+            RecordWrite::MachineSet { pack, .. } => {
+                (&pack.name, self.machine_set_shards.refused(pack))
+            }
+            RecordWrite::Results { pack, .. } => (&pack.name, self.result_shards.refused(pack)),
+            RecordWrite::JobDone { .. } => return,
         };
         let what = if given_up { "given up, it can't be smaller" } else { "split" };
-        self.out.push(Effect::Note(format!("the value {name} was refused and is {what}")));
+        self.out.push(Effect::Log(format!("the value {name} was refused and is {what}")));
     }
 
-    pub(super) fn on_saved(&mut self, now: Millis, writes: Vec<Write>, outcome: SaveOutcome) {
+    pub(super) fn on_writes_finished(
+        &mut self,
+        now: Millis,
+        writes: Vec<RecordWrite>,
+        outcome: BatchOutcome,
+    ) {
         let (mut late_fleet, mut late_results) = (Vec::new(), Vec::new());
-        if let SaveOutcome::Conflict { jobs, fleet, results } = &outcome {
+        if let BatchOutcome::Conflict { jobs, fleet, results } = &outcome {
             for id in jobs {
                 // The cache will say who closed it.
                 if let Some(job) = self.jobs.get_mut(id) {
-                    job.conflict = true;
+                    job.closed_elsewhere = true;
                 }
             }
             (late_fleet, late_results) = (fleet.clone(), results.clone());
         }
-        let ok = matches!(outcome, SaveOutcome::Ok(_));
-        if outcome == SaveOutcome::Refused {
+        let ok = matches!(outcome, BatchOutcome::Committed(_));
+        if outcome == BatchOutcome::Rejected {
             if let [write] = writes.as_slice() {
-                self.split_refused(write);
+                self.split_rejected_shard(write);
             }
             // Smaller batches show which value it is, or keep to a lower number of changes.
-            self.batch_most = (writes.len() / 2).max(1);
+            self.max_batch_changes = (writes.len() / 2).max(1);
         } else if ok {
-            self.batch_most = self.batch_most.saturating_mul(2);
+            self.max_batch_changes = self.max_batch_changes.saturating_mul(2);
         }
-        let refused_alone = outcome == SaveOutcome::Refused && writes.len() == 1;
+        let refused_alone = outcome == BatchOutcome::Rejected && writes.len() == 1;
         // An earlier write of a value that came late leaves its stamp in doubt, as one without an
         // answer does.
         let wrote = |late: &[String], name: &String| match outcome {
-            SaveOutcome::Ok(stamp) => Wrote::Yes(stamp),
-            SaveOutcome::Unknown => Wrote::Unknown,
-            _ if late.contains(name) => Wrote::Unknown,
-            _ => Wrote::No,
+            BatchOutcome::Committed(revision) => ShardOutcome::Committed(revision),
+            BatchOutcome::Unknown => ShardOutcome::Unknown,
+            _ if late.contains(name) => ShardOutcome::Unknown,
+            _ => ShardOutcome::NotExecuted,
         };
         for write in writes {
             match write {
-                Write::Fleet { .. } | Write::Results { .. } if refused_alone => {}
-                Write::Fleet { pack, machines } => {
-                    self.fleet.wrote(&pack, wrote(&late_fleet, &pack.name));
+                RecordWrite::MachineSet { .. } | RecordWrite::Results { .. } if refused_alone => {}
+                RecordWrite::MachineSet { pack, machines } => {
+                    self.machine_set_shards.wrote(&pack, wrote(&late_fleet, &pack.name));
                     for s in machines.iter().filter(|_| ok) {
                         let Some(m) = self.machines.get_mut(&s.name) else { continue };
-                        if !m.stored {
-                            m.stored = true;
-                            self.fill(now, &s.name);
+                        if !m.persisted {
+                            m.persisted = true;
+                            self.backfill(now, &s.name);
                         }
                     }
-                    self.replan |= ok;
+                    self.cycle_requested |= ok;
                 }
-                Write::Results { pack, chunks } => {
-                    self.results.wrote(&pack, wrote(&late_results, &pack.name));
+                RecordWrite::Results { pack, chunks } => {
+                    self.result_shards.wrote(&pack, wrote(&late_results, &pack.name));
                     for (id, chunk, bytes) in chunks.iter().filter(|_| ok) {
                         if let Some(job) = self.jobs.get_mut(id) {
-                            job.stored.merge_chunk(*chunk, bytes);
+                            job.persisted.merge_chunk(*chunk, bytes);
                         }
                     }
                 }
-                Write::Done { job: id, .. } => {
+                RecordWrite::JobDone { job: id, .. } => {
                     if ok {
                         self.jobs.remove(&id);
-                        self.forget_results(id);
-                    } else if self.jobs.get(&id).is_some_and(|j| !j.conflict) {
-                        self.finished.insert(id);
+                        self.forget_job_results(id);
+                    } else if self.jobs.get(&id).is_some_and(|j| !j.closed_elsewhere) {
+                        self.completed_jobs.insert(id);
                     }
                 }
             }
         }
-        self.flush(now, None);
+        self.dispatch(now, None);
     }
 }
--- a/crates/latchtrack-core/src/leader/policy.rs
+++ b/crates/latchtrack-core/src/scheduler/policy.rs
@@ -5,40 +5,40 @@
 use latchtrack_balance::balancer::Limits;
 
 use crate::constants::*;
-use crate::placement::Weights;
+use crate::placement::ScoreWeights;
 use crate::Millis;
 
 /// What operators may set, and what the platform says, as far as the core needs it.
 #[derive(Clone, Debug)]
 pub struct Policy {
-    pub weights: Weights,
+    pub weights: ScoreWeights,
     pub slice: u32,
     /// How long an empty machine is kept: a spot one, an ordinary one.
-    pub idle_wait_ms: Millis,
-    pub ordinary_idle_wait_ms: Millis,
-    pub pass_over_ms: Millis,
+    pub spot_idle_timeout_ms: Millis,
+    pub on_demand_idle_timeout_ms: Millis,
+    pub reserve_after_ms: Millis,
     /// How long a job finds no room before a machine is rented for it: a spot one, an ordinary one.
-    pub spot_after_ms: Millis,
-    pub ordinary_after_ms: Millis,
-    pub silence_ms: Millis,
-    pub settle_ms: Millis,
+    pub spot_provision_delay_ms: Millis,
+    pub on_demand_provision_delay_ms: Millis,
+    pub heartbeat_timeout_ms: Millis,
+    pub reconcile_timeout_ms: Millis,
     /// How often workers report, plus or minus a quarter.
-    pub report_ms: Millis,
+    pub heartbeat_interval_ms: Millis,
     /// The workers' lease.
-    pub lease_ms: Millis,
+    pub worker_lease_ms: Millis,
     /// How late the cloud's lists are; at times it is twice that.
     pub list_lag_ms: Millis,
     /// Direct calls open at once, commands and questions together.
-    pub calls_open: usize,
+    pub max_open_calls: usize,
     /// Bytes of one stored value.
     pub value_bytes: usize,
     pub teams: Vec<Team>,
     /// What is aimed at for the classes.
-    pub aims: Vec<Aim>,
+    pub completion_objectives: Vec<CompletionObjective>,
     /// Classes with an aim of any kind.
-    pub aimed: BTreeSet<String>,
+    pub classes_with_objectives: BTreeSet<String>,
     /// Classes whose tasks are to start within so many ms.
-    pub prompt: Vec<(String, Millis)>,
+    pub start_objectives: Vec<(String, Millis)>,
     pub balance: BalancePolicy,
     /// The cell that shares the teams' limits with others; None if this deployment has them alone.
     pub quota_cell: Option<String>,
@@ -65,7 +65,7 @@
             teams: false,
             moves: false,
             limits: Limits::default(),
-            calm_ms: MOVES_CALM_MS,
+            calm_ms: MOVES_DELAY_AFTER_FAILOVER_MS,
         }
     }
 }
@@ -79,43 +79,44 @@
 
 impl Policy {
     /// The longest time between two reports of a healthy worker.
-    pub(super) fn reports_within(&self) -> Millis {
-        reports_within(self.report_ms)
+    pub(super) fn max_heartbeat_gap_ms(&self) -> Millis {
+        max_heartbeat_gap_ms(self.heartbeat_interval_ms)
     }
 
     /// Silence after which the other nodes are told of a machine.
     pub fn overdue_ms(&self) -> Millis {
-        self.reports_within().saturating_add(OVERDUE_MS)
+        self.max_heartbeat_gap_ms().saturating_add(OVERDUE_MARGIN_MS)
     }
 
     /// Silence after which a machine is asked directly.
     pub fn probe_ms(&self) -> Millis {
-        self.reports_within().saturating_add(PROBE_MS)
+        self.max_heartbeat_gap_ms().saturating_add(PROBE_MARGIN_MS)
     }
 
     /// Silence after which a machine has killed its tasks, since nobody can have answered it.
-    pub fn past_lease_ms(&self) -> Millis {
-        self.lease_ms.saturating_add(LEASE_MARGIN_MS)
+    pub fn worker_lease_expiry_ms(&self) -> Millis {
+        self.worker_lease_ms.saturating_add(WORKER_LEASE_MARGIN_MS)
     }
 
     /// Age at which a machine is in every list, however late that is.
-    pub(super) fn list_sure_ms(&self) -> Millis {
+    pub(super) fn list_complete_ms(&self) -> Millis {
         self.list_lag_ms.saturating_mul(2).saturating_add(LIST_MARGIN_MS)
     }
 
     /// Silence after which a machine is given up, unless operators say otherwise.
-    pub fn silence_default(report_ms: Millis) -> Millis {
-        reports_within(report_ms).saturating_add(PROBE_MS + ASKED_MS)
+    pub fn default_heartbeat_timeout_ms(heartbeat_interval_ms: Millis) -> Millis {
+        max_heartbeat_gap_ms(heartbeat_interval_ms)
+            .saturating_add(PROBE_MARGIN_MS + PROBING_TIMEOUT_MS)
     }
 }
 
-fn reports_within(report_ms: Millis) -> Millis {
-    (report_ms as f64 * REPORT_VARIES) as Millis
+fn max_heartbeat_gap_ms(heartbeat_interval_ms: Millis) -> Millis {
+    (heartbeat_interval_ms as f64 * HEARTBEAT_JITTER_FACTOR) as Millis
 }
 
 /// How soon the jobs of a class should be complete.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Aim {
+pub struct CompletionObjective {
     pub class: String,
     pub due: Due,
 }
--- a/crates/latchtrack-core/src/leader/renting.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -2,34 +2,34 @@
 
 use std::sync::Arc;
 
+use super::free_capacity::SchedulingCycle;
 use super::messages::Effect;
-use super::rooms::Round;
-use super::{Cluster, Hire};
+use super::{ProvisionRequest, Scheduler};
 use crate::constants::*;
 use crate::job::{Demand, JobSpec};
 use crate::machine::MachineType;
 use crate::placement;
-use crate::placement::{Offer, Room};
+use crate::placement::{FreeCapacity, Offer};
 use crate::Millis;
 
-impl Cluster {
+impl Scheduler {
     /// Rents the first choice that is not known to be exhausted, in the zone alone in which the job must
     /// stay; returns for how many tasks.
-    pub(super) fn rent(
+    pub(super) fn provision(
         &mut self,
         now: Millis,
         spec: &JobSpec,
         only: Option<&str>,
         left: u32,
         passed: Millis,
-        round: &mut Round,
+        cycle: &mut SchedulingCycle,
     ) -> u32 {
-        if self.hires.len() >= OPEN_HIRES {
+        if self.pending_provisions.len() >= MAX_OPEN_PROVISIONS {
             return 0;
         }
-        let offers = placement::offers(spec, &self.types, self.rotate);
+        let offers = placement::offers(spec, &self.types, self.zone_rotation);
         let policy = &self.policy;
-        let spare = self.is_spare(spec);
+        let spare = self.is_best_effort(spec);
         let Some(offer) = offers.into_iter().find(|o| {
             if only.is_some_and(|zone| zone != o.zone) {
                 return false;
@@ -37,12 +37,16 @@
             // A job that may not use spot machines has nothing to wait for; one that takes what would
             // stand idle is not worth an ordinary one.
             let cheapest = o.spot || !spec.spot;
-            let wait = if cheapest { policy.spot_after_ms } else { policy.ordinary_after_ms };
+            let wait = if cheapest {
+                policy.spot_provision_delay_ms
+            } else {
+                policy.on_demand_provision_delay_ms
+            };
             passed >= wait
                 && (cheapest || !spare)
-                && self.exhausted.get(o).is_none_or(|until| *until <= now)
-                && !self.quiet.contains(o.zone.as_str())
-                && self.may_rent(now, o) > 0
+                && self.exhausted_offers.get(o).is_none_or(|until| *until <= now)
+                && !self.unreachable_zones.contains(o.zone.as_str())
+                && self.max_provisionable(now, o) > 0
         }) else {
             return 0;
         };
@@ -50,32 +54,37 @@
         let per_machine = t.holds(&spec.demand).max(1);
         // Like tasks are decided as a class: one call for all of this shape, not one a job. Team
         // limits are left to each job.
-        let alike = match self.limit_left(spec, &round.used) {
-            u32::MAX => self.jobs.get(&spec.id).map_or(0, |j| round.shapes[j.shape].to_come),
+        let alike = match self.tasks_within_limit(spec, &cycle.used) {
+            u32::MAX => {
+                self.jobs.get(&spec.id).map_or(0, |j| cycle.searches[j.equivalence_class].to_come)
+            }
             _ => 0,
         };
-        let number =
-            left.saturating_add(alike).div_ceil(per_machine).min(self.may_rent(now, &offer));
+        let number = left
+            .saturating_add(alike)
+            .div_ceil(per_machine)
+            .min(self.max_provisionable(now, &offer));
         self.rented(now, &offer);
         self.next_hire += 1;
-        self.rotate = self.rotate.wrapping_add(1);
-        let hire = format!("h-{}-{}", self.token, self.next_hire);
+        self.zone_rotation = self.zone_rotation.wrapping_add(1);
+        let request_id = format!("h-{}-{}", self.token, self.next_hire);
         for _ in 0..number {
-            round.rooms.push(promised(&offer, &t));
+            cycle.rooms.push(pending_capacity(&offer, &t));
         }
-        self.hires.insert(hire.clone(), Hire { offer: offer.clone(), number });
-        self.out.push(Effect::Hire { hire, offer, number });
+        self.pending_provisions
+            .insert(request_id.clone(), ProvisionRequest { offer: offer.clone(), number });
+        self.out.push(Effect::Provision { request_id, offer, number });
         // What is left of the new machines is promised room for other shapes.
-        for found in &mut round.shapes {
-            found.no_promise = false;
+        for found in &mut cycle.searches {
+            found.no_pending = false;
         }
-        fill_promised(spec, only, left, round)
+        place_on_pending(spec, only, left, cycle)
     }
 }
 
 /// The room of a machine that is being rented.
-pub(super) fn promised(offer: &Offer, t: &MachineType) -> Room {
-    Room {
+pub(super) fn pending_capacity(offer: &Offer, t: &MachineType) -> FreeCapacity {
+    FreeCapacity {
         machine: None,
         kind: offer.kind.as_str().into(),
         zone: offer.zone.as_str().into(),
@@ -92,14 +101,14 @@
 
 /// Counts waiting tasks against machines that will be up, in the zone alone in which the job must stay;
 /// returns for how many there is room.
-pub(super) fn fill_promised(
+pub(super) fn place_on_pending(
     spec: &JobSpec,
     only: Option<&str>,
     want: u32,
-    round: &mut Round,
+    cycle: &mut SchedulingCycle,
 ) -> u32 {
     let mut left = want;
-    for room in round.rooms.iter_mut().filter(|r| !r.ready) {
+    for room in cycle.rooms.iter_mut().filter(|r| !r.ready) {
         if left == 0 {
             break;
         }
--- a/crates/latchtrack-core/src/leader/order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue.rs
@@ -2,42 +2,49 @@
 
 use std::collections::{HashMap, HashSet};
 
-use super::limits::TeamUsage;
 use super::policy::Due;
-use super::Cluster;
+use super::team_limits::TeamUsage;
+use super::Scheduler;
 use crate::constants::*;
 use crate::job::{Demand, Job, JobId, JobSpec, Priority};
 use crate::placement;
-use crate::placement::{Rank, Tier};
+use crate::placement::{QueueRank, QueueTier};
 use crate::Millis;
 
 /// A job in the queue, with how many of its tasks may be placed in this turn.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Turn {
+pub(super) struct QueueEntry {
     pub job: JobId,
     pub most: u32,
 }
 
-impl Cluster {
+impl Scheduler {
     /// The jobs with waiting tasks that may be placed now, the first to be placed first.
-    pub(super) fn order(&mut self, now: Millis, total: &Demand, unsettled: bool) -> Vec<Turn> {
+    pub(super) fn order(
+        &mut self,
+        now: Millis,
+        total: &Demand,
+        unsettled: bool,
+    ) -> Vec<QueueEntry> {
         let guaranteed = self.guaranteed_jobs();
-        let spares = self.spares_due(now, total);
-        let mut order: Vec<(Rank, JobId)> = self
+        let spares = self.best_effort_due(now, total);
+        let mut order: Vec<(QueueRank, JobId)> = self
             .jobs
             .iter()
-            .filter(|(_, j)| !(unsettled && self.waits_for_settling(j)) && j.pause_until <= now)
+            .filter(|(_, j)| {
+                !(unsettled && self.waits_for_reconciliation(j)) && j.backoff_until <= now
+            })
             .filter_map(|(id, j)| {
-                let waiting = j.wanted();
+                let waiting = j.schedulable_tasks();
                 (waiting > 0).then(|| {
                     let d = &j.spec.demand;
                     let demand = placement::job_demand(d, waiting, total, &self.policy.weights);
                     let (tier, due) = match spares.get(id) {
-                        _ if j.is_suspect => (Tier::Trial, j.pause_until),
-                        Some(_) => (Tier::Regular, j.submitted_at),
+                        _ if j.is_quarantined => (QueueTier::Trial, j.backoff_until),
+                        Some(_) => (QueueTier::Regular, j.submitted_at),
                         None => self.due(now, j),
                     };
-                    let rank = Rank {
+                    let rank = QueueRank {
                         guaranteed: u8::from(!guaranteed.contains(id)),
                         beyond_share: 0,
                         tier,
@@ -48,7 +55,7 @@
                 })
             })
             .collect();
-        let by_rank = |a: &(Rank, JobId), b: &(Rank, JobId)| {
+        let by_rank = |a: &(QueueRank, JobId), b: &(QueueRank, JobId)| {
             a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal)
         };
         order.sort_by(by_rank);
@@ -57,20 +64,20 @@
         self.defer_jobs(now, &mut order, total);
         order.sort_by(by_rank);
         let most = |id: &JobId| spares.get(id).copied().unwrap_or(u32::MAX);
-        order.into_iter().map(|(_, job)| Turn { job, most: most(&job) }).collect()
+        order.into_iter().map(|(_, job)| QueueEntry { job, most: most(&job) }).collect()
     }
 
     /// Spare jobs that have waited long enough to go before those that can't be in time, with how
     /// many tasks: the oldest first, within their share of the cluster. Behind an overload that lasts
     /// they would else not be served at all.
-    fn spares_due(&self, now: Millis, total: &Demand) -> HashMap<JobId, u32> {
-        let mut left = total.cpus * SPARE_SHARE;
+    fn best_effort_due(&self, now: Millis, total: &Demand) -> HashMap<JobId, u32> {
+        let mut left = total.cpus * BEST_EFFORT_SHARE;
         let mut due: Vec<&Job> = Vec::new();
-        for job in self.jobs.values().filter(|j| self.is_spare(&j.spec)) {
+        for job in self.jobs.values().filter(|j| self.is_best_effort(&j.spec)) {
             left -= job.spec.demand.cpus * job.placed.len() as f64;
             if job.waiting() > 0
-                && !job.is_suspect
-                && now >= job.submitted_at.saturating_add(BEGIN_MS)
+                && !job.is_quarantined
+                && now >= job.submitted_at.saturating_add(STARVATION_MS)
             {
                 due.push(job);
             }
@@ -92,16 +99,16 @@
 
     /// Whether a job may not start anything while a machine is unsettled: an earlier leader may
     /// have launched its tasks, or its team's limit depends on what runs there.
-    fn waits_for_settling(&self, job: &Job) -> bool {
-        job.inherited || self.limited(&job.spec)
+    fn waits_for_reconciliation(&self, job: &Job) -> bool {
+        job.inherited || self.has_team_limit(&job.spec)
     }
 
     /// Whether a job is to take only what would stand idle: of the lowest priority, and nothing says by
     /// when anybody wants it.
-    pub(super) fn is_spare(&self, spec: &JobSpec) -> bool {
+    pub(super) fn is_best_effort(&self, spec: &JobSpec) -> bool {
         spec.priority == Priority::Low
             && spec.deadline_s.is_none()
-            && !self.policy.aimed.contains(&spec.class)
+            && !self.policy.classes_with_objectives.contains(&spec.class)
     }
 
     /// Jobs that fit into their team's guarantee together with the team's earlier ones.
@@ -112,8 +119,11 @@
             if guarantee == TeamUsage::default() {
                 continue;
             }
-            let mut mine: Vec<&Job> =
-                self.jobs.values().filter(|j| j.spec.team == team.name && !j.is_suspect).collect();
+            let mut mine: Vec<&Job> = self
+                .jobs
+                .values()
+                .filter(|j| j.spec.team == team.name && !j.is_quarantined)
+                .collect();
             mine.sort_by_key(|j| (j.submitted_at, j.spec.id));
             let (mut cpus, mut gpus) = (0.0, 0.0);
             for job in mine {
@@ -133,14 +143,15 @@
     /// a deadline of their own first, then those whose class has an aim, each by the next that
     /// can still be met; then the others; then those that can't all be in time, with those that have
     /// missed theirs already; last what is of the lowest priority and has no aim at all.
-    fn due(&self, now: Millis, job: &Job) -> (Tier, Millis) {
-        if let Some(within) = self.prompt_ms(&job.spec).filter(|_| job.spec.gang) {
+    fn due(&self, now: Millis, job: &Job) -> (QueueTier, Millis) {
+        if let Some(within) = self.start_objective_ms(&job.spec).filter(|_| job.spec.gang) {
             // Its start is what is due, and for that it needs its room at once.
-            return (Tier::Deadline, job.submitted_at.saturating_add(within));
+            return (QueueTier::Deadline, job.submitted_at.saturating_add(within));
         }
         let own = job.spec.deadline_s.map(|d| (d * 1000.0) as Millis);
-        let aims = self.policy.aims.iter().filter(|a| a.class == job.spec.class);
-        let mut dues: Vec<Millis> = aims
+        let completion_objectives =
+            self.policy.completion_objectives.iter().filter(|a| a.class == job.spec.class);
+        let mut dues: Vec<Millis> = completion_objectives
             .filter_map(|a| match a.due {
                 Due::Within(ms) => Some(ms),
                 Due::Times(t) => own.map(|d| (d as f64 * t) as Millis),
@@ -149,52 +160,55 @@
             .collect();
         if dues.is_empty() {
             // Idle-time work one job after the other: all at once, none would be done for long.
-            return match self.is_spare(&job.spec) {
-                true => (Tier::Spare, job.submitted_at),
-                false => (Tier::Regular, 0),
+            return match self.is_best_effort(&job.spec) {
+                true => (QueueTier::BestEffort, job.submitted_at),
+                false => (QueueTier::Regular, 0),
             };
         }
         dues.retain(|ms| job.submitted_at.saturating_add(*ms) > now);
         match dues.iter().min() {
-            Some(ms) if own.is_some() => (Tier::Deadline, job.submitted_at.saturating_add(*ms)),
-            Some(ms) => (Tier::Aim, job.submitted_at.saturating_add(*ms)),
-            None => (Tier::Deferred, work_ms(job) as Millis),
+            Some(ms) if own.is_some() => {
+                (QueueTier::Deadline, job.submitted_at.saturating_add(*ms))
+            }
+            Some(ms) => (QueueTier::Objective, job.submitted_at.saturating_add(*ms)),
+            None => (QueueTier::Deferred, work_ms(job) as Millis),
         }
     }
 
     /// The jobs that are deferred because not all can be in time: see [`placement::deferred`].
-    fn defer_jobs(&self, now: Millis, order: &mut [(Rank, JobId)], total: &Demand) {
+    fn defer_jobs(&self, now: Millis, order: &mut [(QueueRank, JobId)], total: &Demand) {
         // What runs now takes its room for half its estimate more, on average.
         let running: f64 = self
             .machines
             .values()
             .flat_map(|m| m.runs.values())
-            .filter(|r| r.live())
+            .filter(|r| r.is_live())
             .filter_map(|r| r.spec.as_ref().map(|s| cpu_ms(s, 0.5)))
             .sum();
         let deadlines: f64 = order
             .iter()
-            .filter(|(rank, _)| rank.tier == Tier::Deadline)
+            .filter(|(rank, _)| rank.tier == QueueTier::Deadline)
             .filter_map(|(_, id)| self.jobs.get(id))
             .map(work_ms)
             .sum();
-        let aims = || order.iter().enumerate().filter(|(_, (rank, _))| rank.tier == Tier::Aim);
-        let queue: Vec<placement::Asked> = aims()
+        let completion_objectives =
+            || order.iter().enumerate().filter(|(_, (rank, _))| rank.tier == QueueTier::Objective);
+        let queue: Vec<placement::TimedDemand> = completion_objectives()
             .filter_map(|(_, (rank, id))| {
                 let job = self.jobs.get(id)?;
-                Some(placement::Asked {
+                Some(placement::TimedDemand {
                     left_ms: rank.due.saturating_sub(now) as f64,
                     run_ms: job.spec.estimate_s * 1000.0,
                     work: work_ms(job),
                 })
             })
             .collect();
-        let places: Vec<usize> = aims().map(|(i, _)| i).collect();
+        let places: Vec<usize> = completion_objectives().map(|(i, _)| i).collect();
         let is_deferred = placement::deferred(&queue, running + deadlines, total.cpus);
         for ((place, is_deferred), asked) in places.into_iter().zip(is_deferred).zip(queue) {
             if is_deferred {
                 let rank = &mut order[place].0;
-                rank.tier = Tier::Deferred;
+                rank.tier = QueueTier::Deferred;
                 rank.due = asked.work as Millis;
             }
         }
--- a/crates/latchtrack-core/src/leader/limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
+use super::free_capacity::SchedulingCycle;
 use super::policy::Team;
-use super::rooms::Round;
-use super::Cluster;
+use super::Scheduler;
 use crate::job::JobSpec;
 use crate::machine::fits;
 
@@ -25,13 +25,13 @@
 
 /// What the teams use, by name.
 #[derive(Clone, Debug, Default)]
-pub(super) struct TeamUsages {
+pub(super) struct UsageByTeam {
     pub teams: BTreeMap<String, TeamUsage>,
     /// A run of unknown size and team is somewhere.
     pub unknown_runs: bool,
 }
 
-impl TeamUsages {
+impl UsageByTeam {
     /// Counts so many tasks of a job.
     pub fn add(&mut self, spec: &JobSpec, tasks: u32) {
         match self.teams.get_mut(&spec.team) {
@@ -66,10 +66,10 @@
     }
 }
 
-impl Cluster {
+impl Scheduler {
     /// The limit of a team at this moment: its allotment where teams are shared with other cells.
     fn limit_of(&self, team: &Team) -> Option<TeamLimit> {
-        let Some(keeper) = &self.quota else { return TeamLimit::of_settings(team) };
+        let Some(keeper) = &self.cell_quota else { return TeamLimit::of_settings(team) };
         let limit = keeper.launch_limit(&team.name)?;
         let decimal = |milli: Option<u64>| {
             milli.map_or(f64::INFINITY, |amount| amount as f64 / latchtrack_quota::constants::MILLI)
@@ -82,7 +82,7 @@
     }
 
     /// Whether a limit of its team has a say in when a job's tasks start.
-    pub(super) fn limited(&self, spec: &JobSpec) -> bool {
+    pub(super) fn has_team_limit(&self, spec: &JobSpec) -> bool {
         self.team_of(spec).is_some_and(|team| self.limit_of(team).is_some())
     }
 
@@ -91,17 +91,17 @@
     }
 
     /// What the teams use, which only limits ask for.
-    pub(super) fn used_by_teams(&self) -> TeamUsages {
+    pub(super) fn limited_usage(&self) -> UsageByTeam {
         match self.any_limit() {
-            true => self.used_by_all(),
-            false => TeamUsages::default(),
+            true => self.usage_of_all_teams(),
+            false => UsageByTeam::default(),
         }
     }
 
     /// What all teams use, with a limit or without.
-    pub(super) fn used_by_all(&self) -> TeamUsages {
-        let mut used = TeamUsages::default();
-        for run in self.machines.values().flat_map(|m| m.runs.values()).filter(|r| r.live()) {
+    pub(super) fn usage_of_all_teams(&self) -> UsageByTeam {
+        let mut used = UsageByTeam::default();
+        for run in self.machines.values().flat_map(|m| m.runs.values()).filter(|r| r.is_live()) {
             match &run.spec {
                 Some(spec) => used.add(spec, 1),
                 None => used.unknown_runs = true,
@@ -119,25 +119,30 @@
     }
 
     /// How many more tasks the team's limit allows, beside what the teams use.
-    pub(super) fn limit_left(&self, spec: &JobSpec, used: &TeamUsages) -> u32 {
-        if self.limited(spec) && used.unknown_runs {
+    pub(super) fn tasks_within_limit(&self, spec: &JobSpec, used: &UsageByTeam) -> u32 {
+        if self.has_team_limit(spec) && used.unknown_runs {
             return 0;
         }
         self.within_limit(spec, used.of(&spec.team))
     }
 
     /// Counts tasks against their team's limit.
-    pub(super) fn count_use(&self, spec: &JobSpec, tasks: u32, round: &mut Round) {
+    pub(super) fn count_usage(&self, spec: &JobSpec, tasks: u32, cycle: &mut SchedulingCycle) {
         if self.any_limit() {
-            round.used.add(spec, tasks);
-            round.expected.add(spec, tasks);
+            cycle.used.add(spec, tasks);
+            cycle.expected.add(spec, tasks);
         }
     }
 
     /// Counts tasks that machines on their way are to take.
-    pub(super) fn count_expected(&self, spec: &JobSpec, tasks: u32, round: &mut Round) {
+    pub(super) fn count_expected_usage(
+        &self,
+        spec: &JobSpec,
+        tasks: u32,
+        cycle: &mut SchedulingCycle,
+    ) {
         if tasks > 0 && self.any_limit() {
-            round.expected.add(spec, tasks);
+            cycle.expected.add(spec, tasks);
         }
     }
 }
--- a/crates/latchtrack-core/tests/balance.rs
+++ b/crates/latchtrack-core/tests/balance.rs
@@ -10,8 +10,8 @@
 use latchtrack_balance::balancer::Limits;
 use latchtrack_balance::moves::Stage;
 use latchtrack_core::job::{Demand, JobId, JobSpec, TaskId};
-use latchtrack_core::leader::*;
 use latchtrack_core::machine::*;
+use latchtrack_core::scheduler::*;
 
 /// Quick enough for small cases; the order of the times is that of the defaults.
 const LIMITS: Limits = Limits {
@@ -27,7 +27,7 @@
 fn moving() -> Policy {
     let balance =
         BalancePolicy { moves: true, limits: LIMITS, calm_ms: 1_000, ..BalancePolicy::default() };
-    Policy { ordinary_idle_wait_ms: 600_000, balance, ..policy() }
+    Policy { on_demand_idle_timeout_ms: 600_000, balance, ..policy() }
 }
 
 /// An array of tasks of one CPU that save, with ten minutes to run.
@@ -53,8 +53,8 @@
     for tasks in site.tasks.values_mut() {
         for phase in tasks.values_mut() {
             match phase {
-                Phase::Fetching => *phase = Phase::Running,
-                Phase::Saving => *phase = Phase::Ended(Cause::Stopped),
+                TaskPhase::Fetching => *phase = TaskPhase::Running,
+                TaskPhase::Checkpointing => *phase = TaskPhase::Ended(ExitCause::Stopped),
                 _ => {}
             }
         }
@@ -82,13 +82,13 @@
 /// Live tasks on a machine.
 fn load(site: &Site, machine: u64) -> usize {
     let tasks = site.tasks.get(&machine).into_iter().flatten();
-    tasks.filter(|(_, phase)| !matches!(phase, Phase::Ended(_))).count()
+    tasks.filter(|(_, phase)| !matches!(phase, TaskPhase::Ended(_))).count()
 }
 
 /// Where a task is that has not ended, by what the machines list.
 fn places(site: &Site, task: TaskId) -> Vec<u64> {
-    let on = |tasks: &std::collections::BTreeMap<(TaskId, u64), Phase>| {
-        tasks.iter().any(|((t, _), phase)| *t == task && !matches!(phase, Phase::Ended(_)))
+    let on = |tasks: &std::collections::BTreeMap<(TaskId, u64), TaskPhase>| {
+        tasks.iter().any(|((t, _), phase)| *t == task && !matches!(phase, TaskPhase::Ended(_)))
     };
     site.tasks.iter().filter(|(_, tasks)| on(tasks)).map(|(i, _)| *i).collect()
 }
@@ -102,7 +102,8 @@
             let task = TaskId { job: JobId(m.unit.job), index: leg.task };
             return (task, number(&leg.source), number(&leg.target));
         }
-        let saving = site.tasks.values().flatten().any(|(_, phase)| *phase == Phase::Saving);
+        let saving =
+            site.tasks.values().flatten().any(|(_, phase)| *phase == TaskPhase::Checkpointing);
         if saving && stage != Stage::Stopping {
             work_saved(site);
         }
@@ -113,8 +114,8 @@
 
 fn work_saved(site: &mut Site) {
     for phase in site.tasks.values_mut().flat_map(|tasks| tasks.values_mut()) {
-        if *phase == Phase::Saving {
-            *phase = Phase::Ended(Cause::Stopped);
+        if *phase == TaskPhase::Checkpointing {
+            *phase = TaskPhase::Ended(ExitCause::Stopped);
         }
     }
 }
@@ -203,7 +204,7 @@
 
 #[test]
 fn a_reserved_target_is_not_given_back_as_idle() {
-    let mut site = crowded(Policy { ordinary_idle_wait_ms: 12_000, ..moving() });
+    let mut site = crowded(Policy { on_demand_idle_timeout_ms: 12_000, ..moving() });
     site.deletes = true;
     let (_, _, target) = until(&mut site, Stage::Stopping);
     // The tasks take their time to save.
@@ -222,10 +223,10 @@
     let mut site = crowded(moving());
     site.silent.insert(5);
     site.leader = new_leader(6, TOKEN + 1, moving(), site.now);
-    let job = Event::Job {
+    let job = Event::JobOpened {
         spec: std::sync::Arc::new(saving(1, 8)),
         submitted_at: 1_000,
-        stamp: TOKEN,
+        revision: TOKEN,
         done: None,
     };
     site.drive(job);
@@ -253,7 +254,7 @@
     let mut site = crowded(moving());
     site.pass(1_000);
     site.deaf.insert(0);
-    site.drive(Event::Closed(JobId(1)));
+    site.drive(Event::JobClosed(JobId(1)));
     site.pass(12_000);
     assert_eq!(load(&site, 0), 8, "it has not heard of it");
     assert_eq!(site.leader.balance_summary().unwrap().counts.begun, 0, "{:?}", site.notes);
@@ -280,7 +281,7 @@
     site.submit(saving(2, 1));
     let (task, ..) = until(&mut site, Stage::Stopping);
     let stray = (TaskId { job: JobId(2), index: 0 }, 1);
-    site.tasks.get_mut(&5).unwrap().insert(stray, Phase::Running);
+    site.tasks.get_mut(&5).unwrap().insert(stray, TaskPhase::Running);
     site.report(5);
     work_saved(&mut site);
     site.pass(2_000);
@@ -305,7 +306,7 @@
     assert_eq!((load(&site, 0), site.live(1).len()), (8, 2), "two of four in zone a, none in b");
     let (task, ..) = until(&mut site, Stage::Stopping);
     let stray = (TaskId { job: JobId(1), index: 3 }, 1);
-    site.tasks.get_mut(&4).unwrap().insert(stray, Phase::Running);
+    site.tasks.get_mut(&4).unwrap().insert(stray, TaskPhase::Running);
     site.report(4);
     work_saved(&mut site);
     site.pass(2_000);
@@ -328,7 +329,7 @@
     assert_eq!((load(&site, 0), load(&site, 2)), (7, 2), "the gang is on two machines");
     work(&mut site);
     site.pass(1_000);
-    site.set(11, Phase::Ended(Cause::Error), |_| true);
+    site.set(11, TaskPhase::Ended(ExitCause::Failed), |_| true);
     site.pass(12_000);
     // With time to save; a task that is slower than the first is told once more, to go at once.
     let of_gang = |site: &Site| {
@@ -378,7 +379,7 @@
     site.pass(400);
     let (task, _, target) = until(&mut site, Stage::Stopping);
     let stray = (TaskId { job: JobId(2), index: 7 }, 1);
-    site.tasks.get_mut(&target).unwrap().insert(stray, Phase::Running);
+    site.tasks.get_mut(&target).unwrap().insert(stray, TaskPhase::Running);
     site.report(target);
     work_saved(&mut site);
     site.pass(1_000);
@@ -413,7 +414,7 @@
     site.pass(1_000);
     for ((t, _), phase) in site.tasks.get_mut(&target).unwrap().iter_mut() {
         if *t == task {
-            *phase = Phase::Ended(Cause::Error);
+            *phase = TaskPhase::Ended(ExitCause::Failed);
         }
     }
     let failed_at = site.now;
@@ -487,7 +488,7 @@
             site.notice.insert(machine, 30.0);
         }
         Trouble::Failed => {
-            let listed = site.tasks.keys().map(|i| Listed {
+            let listed = site.tasks.keys().map(|i| ListedMachine {
                 name: name(*i),
                 kind: "g".into(),
                 zone: zone_of(*i).into(),
@@ -496,12 +497,12 @@
                 running: *i != machine,
                 age_ms: 60_000,
             });
-            let listed = Event::Listed(listed.collect());
+            let listed = Event::MachinesListed(listed.collect());
             site.drive(listed);
             site.silent.insert(machine);
         }
         Trouble::NewSession => {
-            *site.session.entry(machine).or_default() += 1;
+            *site.agent_epoch.entry(machine).or_default() += 1;
             if let Some(tasks) = site.tasks.get_mut(&machine) {
                 tasks.clear();
             }
@@ -586,7 +587,7 @@
     for stage in [Stage::Stopping, Stage::Launching] {
         let mut site = crowded(moving());
         until(&mut site, stage);
-        site.drive(Event::Closed(JobId(1)));
+        site.drive(Event::JobClosed(JobId(1)));
         go_on(&mut site, 5_000);
         assert_eq!(site.leader.moves(), [], "while {stage}");
         assert_eq!((0..6).map(|i| load(&site, i)).sum::<usize>(), 0, "all of it is stopped");
@@ -610,10 +611,10 @@
                 let policy = Policy { balance, ..moving() };
                 site.leader = new_leader(6, token, policy, site.now);
                 // Accepted under an earlier leader.
-                let job = Event::Job {
+                let job = Event::JobOpened {
                     spec: std::sync::Arc::new(saving(1, 8)),
                     submitted_at: 1_000,
-                    stamp: TOKEN + 1,
+                    revision: TOKEN + 1,
                     done: None,
                 };
                 site.drive(job);
@@ -646,8 +647,8 @@
     for _ in 0..40 {
         site.pass(1_000);
         for phase in site.tasks.values_mut().flat_map(|tasks| tasks.values_mut()) {
-            if *phase == Phase::Fetching {
-                *phase = Phase::Running;
+            if *phase == TaskPhase::Fetching {
+                *phase = TaskPhase::Running;
             }
         }
     }
@@ -670,9 +671,9 @@
     site.report(source);
     let (launched, ..) = until(&mut site, Stage::Launching);
     assert_eq!(launched, task);
-    site.drive(Event::Report(copy.clone()));
+    site.drive(Event::Heartbeat(copy.clone()));
     go_on(&mut site, 3_000);
-    site.drive(Event::Report(copy));
+    site.drive(Event::Heartbeat(copy));
     go_on(&mut site, 20_000);
     ends_well(&site, &[(1, 8)], "a late copy");
 }
@@ -685,7 +686,7 @@
     let tasks = site.tasks.get_mut(&source).unwrap();
     for ((t, _), phase) in tasks.iter_mut() {
         if *t == task {
-            *phase = Phase::Ended(Cause::Done);
+            *phase = TaskPhase::Ended(ExitCause::Done);
         }
     }
     site.pass(3_000);
@@ -731,7 +732,7 @@
     let tasks = site.tasks.get_mut(&0).unwrap();
     for ((task, _), phase) in tasks.iter_mut() {
         if task.job == JobId(1) && task.index == 0 {
-            *phase = Phase::Ended(Cause::Stopped);
+            *phase = TaskPhase::Ended(ExitCause::Stopped);
         }
     }
     for _ in 0..40 {
@@ -777,7 +778,7 @@
     let mut site = crowded(moving());
     let mut odd = common::machine_type(vec!["a".into(), "b".into()]);
     (odd.memory_gb, odd.fetch_gb_per_s) = (f64::NAN, -3.0);
-    site.drive(Event::Types(vec![odd]));
+    site.drive(Event::MachineTypes(vec![odd]));
     go_on(&mut site, 20_000);
     assert_eq!(site.notes.iter().filter(|n| n.contains("make no sense")).count(), 1);
     assert_eq!(site.stops, []);
@@ -833,11 +834,14 @@
         // One task ends each second, the longest running first.
         for _ in 0..20 {
             let oldest = site.tasks.iter().flat_map(|(i, tasks)| {
-                let running = tasks.iter().filter(|(_, phase)| **phase == Phase::Running);
+                let running = tasks.iter().filter(|(_, phase)| **phase == TaskPhase::Running);
                 running.map(|(key, _)| (key.1, *i, *key))
             });
             if let Some((_, machine, key)) = oldest.min() {
-                site.tasks.get_mut(&machine).unwrap().insert(key, Phase::Ended(Cause::Done));
+                site.tasks
+                    .get_mut(&machine)
+                    .unwrap()
+                    .insert(key, TaskPhase::Ended(ExitCause::Done));
             }
             go_on(&mut site, 1_000);
         }
@@ -918,8 +922,8 @@
                 moved.entry(task).or_default().push(site.now);
             }
         }
-        site.drive(Event::Closed(JobId(bound)));
-        site.drive(Event::Closed(JobId(free)));
+        site.drive(Event::JobClosed(JobId(bound)));
+        site.drive(Event::JobClosed(JobId(free)));
         go_on(&mut site, 5_000);
         site.stops.clear();
     }
--- a/crates/latchtrack-core/tests/common/mod.rs
+++ b/crates/latchtrack-core/tests/common/mod.rs
@@ -7,34 +7,34 @@
 use std::sync::Arc;
 
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
-use latchtrack_core::leader::*;
 use latchtrack_core::machine::*;
-use latchtrack_core::placement::Weights;
+use latchtrack_core::placement::ScoreWeights;
+use latchtrack_core::scheduler::*;
 
 /// The workers' lease.
 pub const LEASE: u64 = 24_000;
 
 pub fn policy() -> Policy {
     Policy {
-        weights: Weights::default(),
+        weights: ScoreWeights::default(),
         slice: 1,
-        idle_wait_ms: 20_000,
-        ordinary_idle_wait_ms: 4_000,
-        pass_over_ms: 2_000,
-        spot_after_ms: 0,
-        ordinary_after_ms: 10_000,
-        silence_ms: 12_000,
-        settle_ms: 9_000,
-        report_ms: 3_000,
-        lease_ms: LEASE,
+        spot_idle_timeout_ms: 20_000,
+        on_demand_idle_timeout_ms: 4_000,
+        reserve_after_ms: 2_000,
+        spot_provision_delay_ms: 0,
+        on_demand_provision_delay_ms: 10_000,
+        heartbeat_timeout_ms: 12_000,
+        reconcile_timeout_ms: 9_000,
+        heartbeat_interval_ms: 3_000,
+        worker_lease_ms: LEASE,
         list_lag_ms: 3_000,
-        calls_open: 64,
+        max_open_calls: 64,
         value_bytes: 4_096,
         teams: vec![Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
         quota_cell: None,
-        aims: Vec::new(),
-        aimed: Default::default(),
-        prompt: Vec::new(),
+        completion_objectives: Vec::new(),
+        classes_with_objectives: Default::default(),
+        start_objectives: Vec::new(),
         balance: BalancePolicy::default(),
     }
 }
@@ -82,14 +82,14 @@
     })
 }
 
-pub const STAMPS: Stamps = Stamps { token: 7, vacant: 7 };
+pub const STAMPS: TermRevisions = TermRevisions { token: 7, leaderless_since: 7 };
 
 pub fn types() -> Vec<MachineType> {
     vec![machine_type(vec!["a".into()])]
 }
 
 /// The stored set of so many machines, in one value.
-pub fn stored_set(which: std::ops::Range<u64>) -> Vec<StoredFleet> {
+pub fn stored_set(which: std::ops::Range<u64>) -> Vec<StoredMachineSet> {
     let machine = |i| StoredMachine {
         name: name(i),
         kind: "g".into(),
@@ -98,18 +98,18 @@
         addr: name(i),
     };
     let machines = Some(which.map(machine).collect());
-    vec![StoredFleet { name: "3-1".into(), stamp: 4, machines }]
+    vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
 }
 
-pub fn report(i: u64, seq: u64, token: u64, tasks: Vec<TaskReport>) -> Report {
-    Report {
+pub fn report(i: u64, sequence: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+    Heartbeat {
         machine: name(i),
         addr: name(i),
         kind: "g".into(),
         zone: "a".into(),
         spot: true,
-        session: 1,
-        seq,
+        agent_epoch: 1,
+        sequence,
         token,
         notice_s: None,
         tasks,
@@ -120,7 +120,7 @@
     effects
         .iter()
         .filter_map(|e| match e {
-            Effect::Return(names) => Some(names.clone()),
+            Effect::Terminate(names) => Some(names.clone()),
             _ => None,
         })
         .flatten()
@@ -129,7 +129,7 @@
 
 pub fn launches(effects: &[Effect]) -> usize {
     let all = effects.iter().map(|e| match e {
-        Effect::Answer(commands) | Effect::Call { commands, .. } => {
+        Effect::Respond(commands) | Effect::CallWorker { commands, .. } => {
             commands.iter().filter(|c| matches!(c, Command::Launch { .. })).count()
         }
         _ => 0,
@@ -138,27 +138,28 @@
 }
 
 /// A leader with `n` settled machines, each running one task of a job, all heard at 1,000 ms.
-pub fn busy_fleet(n: u64) -> Cluster {
-    let mut c = Cluster::new(policy(), STAMPS, types(), stored_set(0..n), Vec::new(), 1_000);
-    let job = Event::Job { spec: spec(1, n as u32), submitted_at: 0, stamp: 3, done: None };
+pub fn busy_fleet(n: u64) -> Scheduler {
+    let mut c = Scheduler::new(policy(), STAMPS, types(), stored_set(0..n), Vec::new(), 1_000);
+    let job =
+        Event::JobOpened { spec: spec(1, n as u32), submitted_at: 0, revision: 3, done: None };
     c.handle(1_000, job);
     for i in 0..n {
-        let task = TaskReport {
+        let task = TaskStatus {
             task: format!("req-000001/{i}").parse().unwrap(),
             attempt: 5,
-            phase: Phase::Running,
+            phase: TaskPhase::Running,
         };
-        c.handle(1_000, Event::Report(report(i, 1, 7, vec![task])));
+        c.handle(1_000, Event::Heartbeat(report(i, 1, 7, vec![task])));
     }
     c
 }
 
-pub fn seen(run: &Run) -> TaskReport {
-    TaskReport { task: run.task, attempt: run.attempt, phase: run.phase }
+pub fn seen(run: &TaskRun) -> TaskStatus {
+    TaskStatus { task: run.task, attempt: run.attempt, phase: run.phase }
 }
 
 /// Ticks from one time to another, every direct call ending as `outcome` says 1 s later.
-pub fn ticks(c: &mut Cluster, from: u64, to: u64, outcome: &CallOutcome) -> Vec<Effect> {
+pub fn ticks(c: &mut Scheduler, from: u64, to: u64, outcome: &CallOutcome) -> Vec<Effect> {
     let mut out = Vec::new();
     let mut open: Vec<(u64, String, u64)> = Vec::new();
     for now in (from..to).step_by(200) {
@@ -168,36 +169,37 @@
                 continue;
             }
             let outcome = outcome.clone();
-            out.extend(c.handle(now, Event::Called { machine, call, outcome }));
+            out.extend(c.handle(now, Event::CallFinished { machine, call, outcome }));
         }
         let effects = c.handle(now, Event::Tick);
         for e in &effects {
-            if let Effect::Call { machine, call, .. } = e {
+            if let Effect::CallWorker { machine, call, .. } = e {
                 open.push((now + 1_000, machine.clone(), *call));
             }
         }
         out.extend(effects);
     }
     for (_, machine, call) in open {
-        out.extend(c.handle(to, Event::Called { machine, call, outcome: outcome.clone() }));
+        out.extend(c.handle(to, Event::CallFinished { machine, call, outcome: outcome.clone() }));
     }
     out
 }
 
 /// Machines are kept however long they are empty.
 pub fn patient() -> Policy {
-    Policy { idle_wait_ms: 1_000_000, ..policy() }
+    Policy { spot_idle_timeout_ms: 1_000_000, ..policy() }
 }
 
 /// Whether all runs that a machine lists have ended.
-pub fn ends(c: &Cluster, i: u64) -> bool {
-    c.machines()[&name(i)].runs.values().all(|r| matches!(r.phase, Phase::Ended(_)))
+pub fn ends(c: &Scheduler, i: u64) -> bool {
+    c.machines()[&name(i)].runs.values().all(|r| matches!(r.phase, TaskPhase::Ended(_)))
 }
 
 /// All jobs of class c are late from the start.
 pub fn c_policy() -> Policy {
-    let aims = vec![Aim { class: "c".into(), due: Due::Within(1) }];
-    Policy { aims, aimed: ["c".to_string()].into(), ..patient() }
+    let completion_objectives =
+        vec![CompletionObjective { class: "c".into(), due: Due::Within(1) }];
+    Policy { completion_objectives, classes_with_objectives: ["c".to_string()].into(), ..patient() }
 }
 
 /// A type that no zone has any more: with something to rent, a job keeps no machines meanwhile.
--- a/crates/latchtrack-core/tests/common/site.rs
+++ b/crates/latchtrack-core/tests/common/site.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use latchtrack_core::job::{JobId, JobSpec, TaskId};
-use latchtrack_core::leader::*;
 use latchtrack_core::machine::*;
 use latchtrack_core::placement::Offer;
+use latchtrack_core::scheduler::*;
 
 use super::*;
 
@@ -15,25 +15,25 @@
 
 /// A leader with machines of eight CPUs that do what they are told at once.
 pub struct Site {
-    pub leader: Cluster,
+    pub leader: Scheduler,
     pub now: u64,
     /// What each machine lists.
-    pub tasks: BTreeMap<u64, BTreeMap<(TaskId, u64), Phase>>,
-    pub seq: u64,
+    pub tasks: BTreeMap<u64, BTreeMap<(TaskId, u64), TaskPhase>>,
+    pub sequence: u64,
     /// Grace of the stops that machines were told, and how many launches.
     pub stops: Vec<(TaskId, f64)>,
     pub launches: Vec<(u64, TaskId, u64)>,
     /// Machines whose answers and commands are lost.
     pub deaf: BTreeSet<u64>,
     pub notice: BTreeMap<u64, f64>,
-    pub writes: Vec<Write>,
+    pub writes: Vec<RecordWrite>,
     /// Rentals asked for, and whether the cloud has nothing.
     pub hired: Vec<Offer>,
     pub no_capacity: bool,
     /// Machines that neither report nor answer.
     pub silent: BTreeSet<u64>,
     /// The session of each machine, and when its last answered report was sent.
-    pub session: BTreeMap<u64, u64>,
+    pub agent_epoch: BTreeMap<u64, u64>,
     pub lease_from: BTreeMap<u64, u64>,
     /// Deletes are carried out and answered.
     pub deletes: bool,
@@ -49,7 +49,7 @@
     ["a", "b"][(machine % 2) as usize]
 }
 
-fn stored(machines: u64) -> Vec<StoredFleet> {
+fn stored(machines: u64) -> Vec<StoredMachineSet> {
     let machine = |i| StoredMachine {
         name: name(i),
         kind: "g".into(),
@@ -58,13 +58,13 @@
         addr: name(i),
     };
     let machines = Some((0..machines).map(machine).collect());
-    vec![StoredFleet { name: "3-1".into(), stamp: 4, machines }]
+    vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
 }
 
-pub fn new_leader(machines: u64, token: u64, policy: Policy, now: u64) -> Cluster {
+pub fn new_leader(machines: u64, token: u64, policy: Policy, now: u64) -> Scheduler {
     let types = vec![machine_type(vec!["a".into(), "b".into()])];
-    let stamps = Stamps { token, vacant: token };
-    Cluster::new(policy, stamps, types, stored(machines), Vec::new(), now)
+    let revisions = TermRevisions { token, leaderless_since: token };
+    Scheduler::new(policy, revisions, types, stored(machines), Vec::new(), now)
 }
 
 impl Site {
@@ -74,7 +74,7 @@
             leader: new_leader(machines, TOKEN, policy, 1_000),
             now: 1_000,
             tasks: (0..machines).map(|i| (i, BTreeMap::new())).collect(),
-            seq: 0,
+            sequence: 0,
             stops: Vec::new(),
             launches: Vec::new(),
             deaf: BTreeSet::new(),
@@ -83,7 +83,7 @@
             hired: Vec::new(),
             no_capacity: false,
             silent: BTreeSet::new(),
-            session: (0..machines).map(|i| (i, 1)).collect(),
+            agent_epoch: (0..machines).map(|i| (i, 1)).collect(),
             lease_from: (0..machines).map(|i| (i, 1_000)).collect(),
             deletes: false,
             refusing: BTreeSet::new(),
@@ -95,10 +95,10 @@
     }
 
     pub fn submit(&mut self, spec: JobSpec) {
-        let event = Event::Job {
+        let event = Event::JobOpened {
             spec: Arc::new(spec),
             submitted_at: self.now,
-            stamp: self.leader.token() + 1,
+            revision: self.leader.token() + 1,
             done: None,
         };
         self.drive(event);
@@ -106,36 +106,39 @@
 
     pub fn drive(&mut self, event: Event) {
         let reporting = match &event {
-            Event::Report(report) => Some(report.machine.clone()),
+            Event::Heartbeat(report) => Some(report.machine.clone()),
             _ => None,
         };
         for effect in self.leader.handle(self.now, event) {
             match effect {
-                Effect::Answer(commands) => {
+                Effect::Respond(commands) => {
                     let machine = reporting.clone().expect("an answer to a report");
                     self.execute(&machine, &commands);
                 }
-                Effect::Call { machine, call, commands, .. } => {
-                    let heard = self.execute(&machine, &commands);
-                    let outcome = match heard {
-                        true => CallOutcome::Done(self.report_of(number(&machine))),
-                        false => CallOutcome::Lost,
+                Effect::CallWorker { machine, call, commands, .. } => {
+                    let last_heartbeat_at = self.execute(&machine, &commands);
+                    let outcome = match last_heartbeat_at {
+                        true => CallOutcome::Executed(self.report_of(number(&machine))),
+                        false => CallOutcome::NoAnswer,
                     };
-                    self.drive(Event::Called { machine, call, outcome });
+                    self.drive(Event::CallFinished { machine, call, outcome });
                 }
-                Effect::Hire { hire, offer, .. } => {
+                Effect::Provision { request_id, offer, .. } => {
                     self.hired.push(offer);
                     if self.no_capacity {
-                        self.drive(Event::Hired { hire, outcome: HireOutcome::NoCapacity });
+                        self.drive(Event::ProvisionFinished {
+                            request_id,
+                            outcome: ProvisionOutcome::NoCapacity,
+                        });
                     }
                 }
-                Effect::Return(names) if self.deletes => {
+                Effect::Terminate(names) if self.deletes => {
                     for name in &names {
                         self.tasks.remove(&number(name));
                     }
-                    self.drive(Event::Returned { names, ok: true });
+                    self.drive(Event::TerminateFinished { names, ok: true });
                 }
-                Effect::Note(text) => self.notes.push(text),
+                Effect::Log(text) => self.notes.push(text),
                 _ => {}
             }
         }
@@ -155,8 +158,8 @@
                 Command::Launch { task, attempt } => {
                     if let Entry::Vacant(free) = tasks.entry((task, attempt)) {
                         free.insert(match refuses {
-                            true => Phase::Ended(Cause::NoRoom),
-                            false => Phase::Fetching,
+                            true => TaskPhase::Ended(ExitCause::InsufficientResources),
+                            false => TaskPhase::Fetching,
                         });
                         self.launches.push((i, task, attempt));
                     }
@@ -164,11 +167,11 @@
                 Command::Stop { task, attempt, grace_s } => {
                     self.stops.push((task, grace_s));
                     if let Some(phase) = tasks.get_mut(&(task, attempt)) {
-                        let live = !matches!(phase, Phase::Ended(_));
+                        let live = !matches!(phase, TaskPhase::Ended(_));
                         if live && grace_s == 0.0 {
-                            *phase = Phase::Ended(Cause::Stopped);
+                            *phase = TaskPhase::Ended(ExitCause::Stopped);
                         } else if live {
-                            *phase = Phase::Saving;
+                            *phase = TaskPhase::Checkpointing;
                         }
                     }
                 }
@@ -180,21 +183,21 @@
         true
     }
 
-    pub fn report_of(&mut self, i: u64) -> Report {
-        self.seq += 1;
-        let tasks = self.tasks[&i].iter().map(|((task, attempt), phase)| TaskReport {
+    pub fn report_of(&mut self, i: u64) -> Heartbeat {
+        self.sequence += 1;
+        let tasks = self.tasks[&i].iter().map(|((task, attempt), phase)| TaskStatus {
             task: *task,
             attempt: *attempt,
             phase: *phase,
         });
-        Report {
+        Heartbeat {
             machine: name(i),
             addr: name(i),
             kind: "g".into(),
             zone: zone_of(i).into(),
             spot: false,
-            session: self.session[&i],
-            seq: self.seq,
+            agent_epoch: self.agent_epoch[&i],
+            sequence: self.sequence,
             token: self.leader.token(),
             notice_s: self.notice.get(&i).copied(),
             tasks: tasks.collect(),
@@ -206,7 +209,7 @@
             return;
         }
         let report = self.report_of(i);
-        self.drive(Event::Report(report));
+        self.drive(Event::Heartbeat(report));
         if !self.deaf.contains(&i) {
             self.lease_from.insert(i, self.now);
         }
@@ -218,7 +221,7 @@
             let Command::Launch { task, attempt } = command else { continue };
             let is_new = !self.tasks[&machine].contains_key(&(*task, *attempt));
             let elsewhere = self.tasks.iter().filter(|(i, _)| **i != machine).find(|(_, tasks)| {
-                let live = |p: &Phase| !matches!(p, Phase::Ended(_));
+                let live = |p: &TaskPhase| !matches!(p, TaskPhase::Ended(_));
                 tasks.iter().any(|((t, _), phase)| t == task && live(phase))
             });
             if let (true, Some((other, _))) = (is_new, elsewhere) {
@@ -233,7 +236,7 @@
         for (i, from) in self.lease_from.clone() {
             if self.now > from + LEASE {
                 self.lease_from.insert(i, self.now);
-                *self.session.entry(i).or_default() += 1;
+                *self.agent_epoch.entry(i).or_default() += 1;
                 if let Some(tasks) = self.tasks.get_mut(&i) {
                     tasks.clear();
                 }
@@ -260,17 +263,17 @@
             let writes = self.leader.next_writes(self.now, 8);
             if !writes.is_empty() {
                 self.writes.extend(writes.clone());
-                let outcome = SaveOutcome::Ok(self.now);
-                self.drive(Event::Saved { writes, outcome });
+                let outcome = BatchOutcome::Committed(self.now);
+                self.drive(Event::WritesFinished { writes, outcome });
             }
         }
     }
 
     /// Sets the phase of a job's live tasks, all of them or some.
-    pub fn set(&mut self, id: u64, phase: Phase, which: impl Fn(u32) -> bool) {
+    pub fn set(&mut self, id: u64, phase: TaskPhase, which: impl Fn(u32) -> bool) {
         for tasks in self.tasks.values_mut() {
             for ((task, _), p) in tasks.iter_mut() {
-                let live = !matches!(p, Phase::Ended(_));
+                let live = !matches!(p, TaskPhase::Ended(_));
                 if task.job == JobId(id) && live && which(task.index) {
                     *p = phase;
                 }
@@ -282,7 +285,7 @@
     pub fn live(&self, id: u64) -> BTreeMap<u64, usize> {
         let mut live = BTreeMap::new();
         for ((task, attempt), phase) in self.tasks.values().flatten() {
-            if task.job == JobId(id) && !matches!(phase, Phase::Ended(_)) {
+            if task.job == JobId(id) && !matches!(phase, TaskPhase::Ended(_)) {
                 *live.entry(*attempt).or_default() += 1;
             }
         }
--- a/crates/latchtrack-core/tests/silence.rs
+++ b/crates/latchtrack-core/tests/failure_detection.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use latchtrack_core::job::JobId;
-use latchtrack_core::leader::*;
 use latchtrack_core::machine::*;
+use latchtrack_core::scheduler::*;
 
 /// Recorded day: sixteen of twenty-two machines fell silent within two seconds. Each passed the
 /// limit at a time when few others had, so that the guard against cuts saw no cut.
@@ -25,7 +25,7 @@
                     7,
                     c.machines()[&name(i)].runs.values().map(seen).collect(),
                 );
-                effects.extend(c.handle(now, Event::Report(r)));
+                effects.extend(c.handle(now, Event::Heartbeat(r)));
             }
         }
         let gone = returned(&effects);
@@ -37,7 +37,7 @@
 fn a_silent_machine_that_the_list_lost_goes_at_once() {
     let mut c = busy_fleet(4);
     let listed = |names: &[u64]| {
-        let all = names.iter().map(|i| Listed {
+        let all = names.iter().map(|i| ListedMachine {
             name: name(*i),
             kind: "g".into(),
             zone: "a".into(),
@@ -46,11 +46,11 @@
             running: false,
             age_ms: 50_000,
         });
-        Event::Listed(all.collect())
+        Event::MachinesListed(all.collect())
     };
-    let running: Vec<TaskReport> = c.machines()[&name(0)].runs.values().map(seen).collect();
+    let running: Vec<TaskStatus> = c.machines()[&name(0)].runs.values().map(seen).collect();
     // Heard lately: an old list proves nothing.
-    c.handle(17_000, Event::Report(report(0, 2, 7, running)));
+    c.handle(17_000, Event::Heartbeat(report(0, 2, 7, running)));
     c.handle(18_000, listed(&[2, 3]));
     let gone = returned(&c.handle(18_100, Event::Tick));
     assert_eq!(gone, [name(1)], "silent and not listed any more");
@@ -60,7 +60,7 @@
 /// after which it may delete them, and the next began to wait again.
 #[test]
 fn a_leader_that_never_heard_a_machine_does_not_resign_but_deletes_them() {
-    let mut c = Cluster::new(policy(), STAMPS, types(), stored_set(0..4), Vec::new(), 1_000);
+    let mut c = Scheduler::new(policy(), STAMPS, types(), stored_set(0..4), Vec::new(), 1_000);
     let mut gone = Vec::new();
     for step in 1..300 {
         let effects = c.handle(1_000 + step * 200, Event::Tick);
@@ -85,8 +85,8 @@
         addr: name(i),
     };
     let machines = Some((0..machines).map(long).collect());
-    let stored = vec![StoredFleet { name: "3-1".into(), stamp: 4, machines }];
-    let c = Cluster::new(policy(), STAMPS, types(), stored, Vec::new(), 1_000);
+    let stored = vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }];
+    let c = Scheduler::new(policy(), STAMPS, types(), stored, Vec::new(), 1_000);
     let overdue = c.overdue(60_000);
     let bytes: usize = overdue.iter().map(String::len).sum();
     assert!(overdue.len() > 500 && bytes <= 128 * 1024, "{} names, {bytes} bytes", overdue.len());
@@ -104,7 +104,7 @@
         let now = 5_000 + step * 200;
         if step % 15 == 1 {
             let tasks = c.machines()[&name(0)].runs.values().map(seen).collect();
-            c.handle(now, Event::Report(report(0, 1 + step, 7, tasks)));
+            c.handle(now, Event::Heartbeat(report(0, 1 + step, 7, tasks)));
             assert!(!c.overdue(now).contains(&name(0)));
         }
         let gone = returned(&c.handle(now, Event::Tick));
@@ -116,18 +116,18 @@
 /// would hold up all inherited jobs for as long as it reports.
 #[test]
 fn a_machine_that_reports_with_an_old_token_for_ever_is_given_up() {
-    let mut c = Cluster::new(patient(), STAMPS, types(), stored_set(0..5), Vec::new(), 1_000);
+    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..5), Vec::new(), 1_000);
     for i in 1..5 {
-        c.handle(1_100, Event::Report(report(i, 1, 7, Vec::new())));
+        c.handle(1_100, Event::Heartbeat(report(i, 1, 7, Vec::new())));
     }
     let mut gone = Vec::new();
     for step in 0..10 {
         let now = 1_200 + step * 3_000;
-        c.handle(now, Event::Report(report(0, 2 + step, 6, Vec::new())));
+        c.handle(now, Event::Heartbeat(report(0, 2 + step, 6, Vec::new())));
         for i in 1..5 {
-            c.handle(now, Event::Report(report(i, 2 + step, 7, Vec::new())));
+            c.handle(now, Event::Heartbeat(report(i, 2 + step, 7, Vec::new())));
         }
-        gone.extend(returned(&ticks(&mut c, now, now + 3_000, &CallOutcome::Lost)));
+        gone.extend(returned(&ticks(&mut c, now, now + 3_000, &CallOutcome::NoAnswer)));
     }
     assert_eq!(gone[..1], [name(0)]);
 }
@@ -136,19 +136,22 @@
 /// given.
 #[test]
 fn a_machine_that_takes_no_launch_is_given_up_and_its_tasks_go_elsewhere() {
-    let mut c = Cluster::new(patient(), STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
-    c.handle(1_000, Event::Job { spec: spec(1, 2), submitted_at: 0, stamp: 8, done: None });
+    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
+    c.handle(
+        1_000,
+        Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 8, done: None },
+    );
     let mut given = 0;
     let mut gone = Vec::new();
     for step in 0..8 {
         let now = 1_100 + step * 3_000;
-        let effects = c.handle(now, Event::Report(report(0, 1 + step, 7, Vec::new())));
+        let effects = c.handle(now, Event::Heartbeat(report(0, 1 + step, 7, Vec::new())));
         given += launches(&effects);
-        gone.extend(returned(&ticks(&mut c, now, now + 3_000, &CallOutcome::Lost)));
+        gone.extend(returned(&ticks(&mut c, now, now + 3_000, &CallOutcome::NoAnswer)));
     }
     assert!(given >= 4, "repeated with each answer: {given}");
     assert_eq!(gone, [name(0)]);
-    c.handle(30_000, Event::Returned { names: gone, ok: true });
+    c.handle(30_000, Event::TerminateFinished { names: gone, ok: true });
     assert_eq!(c.jobs()[&JobId(1)].waiting(), 2);
 }
 
@@ -156,26 +159,29 @@
 /// leader has deleted. A copy brings back nothing, settles nothing and refreshes nothing.
 #[test]
 fn a_late_copy_proves_nothing() {
-    let mut c = Cluster::new(patient(), STAMPS, types(), stored_set(0..2), Vec::new(), 1_000);
-    c.handle(1_000, Event::Job { spec: spec(1, 4), submitted_at: 0, stamp: 8, done: None });
+    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..2), Vec::new(), 1_000);
+    c.handle(
+        1_000,
+        Event::JobOpened { spec: spec(1, 4), submitted_at: 0, revision: 8, done: None },
+    );
     let known = c.machines().len();
     // Of a machine unknown to us, and of one that has not yet spoken in this term.
-    let mut effects = c.handle(1_100, Event::Report(report(9, 40, 6, Vec::new())));
-    effects.extend(c.handle(1_200, Event::Report(report(1, 40, 6, Vec::new()))));
+    let mut effects = c.handle(1_100, Event::Heartbeat(report(9, 40, 6, Vec::new())));
+    effects.extend(c.handle(1_200, Event::Heartbeat(report(1, 40, 6, Vec::new()))));
     effects.extend(c.handle(1_400, Event::Tick));
     assert_eq!((c.machines().len(), launches(&effects)), (known, 0));
-    assert_eq!(c.machines()[&name(1)].heard, None);
+    assert_eq!(c.machines()[&name(1)].last_heartbeat_at, None);
     assert!(c.next_writes(1_500, 8).is_empty(), "nothing is stored for it");
     // Settled; then a copy of an earlier report, from within the term, refreshes nothing.
-    c.handle(2_000, Event::Report(report(0, 50, 7, Vec::new())));
-    let effects = c.handle(9_000, Event::Report(report(0, 49, 7, Vec::new())));
-    assert_eq!((c.machines()[&name(0)].heard, launches(&effects)), (Some(2_000), 0));
+    c.handle(2_000, Event::Heartbeat(report(0, 50, 7, Vec::new())));
+    let effects = c.handle(9_000, Event::Heartbeat(report(0, 49, 7, Vec::new())));
+    assert_eq!((c.machines()[&name(0)].last_heartbeat_at, launches(&effects)), (Some(2_000), 0));
     // Deleted in this term: not brought back, whatever token the copy shows.
-    c.handle(9_100, Event::Returned { names: vec![name(0)], ok: true });
-    c.handle(80_000, Event::Report(report(0, 51, 7, Vec::new())));
+    c.handle(9_100, Event::TerminateFinished { names: vec![name(0)], ok: true });
+    c.handle(80_000, Event::Heartbeat(report(0, 51, 7, Vec::new())));
     assert!(!c.machines().contains_key(&name(0)));
     // A rental carried out late shows our token half a second after it first hears it.
-    c.handle(80_100, Event::Report(report(9, 41, 7, Vec::new())));
+    c.handle(80_100, Event::Heartbeat(report(9, 41, 7, Vec::new())));
     assert!(c.machines().contains_key(&name(9)));
 }
 
@@ -184,13 +190,13 @@
 #[test]
 fn a_late_leader_does_not_take_its_lateness_for_death() {
     let run = |answered: bool| {
-        let mut c = Cluster::new(patient(), STAMPS, types(), stored_set(0..5), Vec::new(), 1_000);
+        let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..5), Vec::new(), 1_000);
         let mut gone = None;
         for step in 0..40u64 {
             let now = 1_100 + step * 1_000;
             // The first never speaks.
             for i in 1..5 {
-                c.handle(now, Event::Report(report(i, 1 + step, 7, Vec::new())));
+                c.handle(now, Event::Heartbeat(report(i, 1 + step, 7, Vec::new())));
             }
             let effects = match answered {
                 true => ticks(&mut c, now, now + 900, &CallOutcome::NotSent),
@@ -210,25 +216,28 @@
 /// answered holds nothing any more, and the inherited jobs start.
 #[test]
 fn machines_that_outlast_their_lease_hold_up_nobody() {
-    let mut c = Cluster::new(patient(), STAMPS, types(), stored_set(0..2), Vec::new(), 1_000);
-    c.handle(1_000, Event::Job { spec: spec(1, 2), submitted_at: 0, stamp: 3, done: None });
+    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..2), Vec::new(), 1_000);
+    c.handle(
+        1_000,
+        Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 3, done: None },
+    );
     for step in 0..9 {
         let now = 1_100 + step * 3_000;
-        let effects = c.handle(now, Event::Report(report(0, 1 + step, 7, Vec::new())));
+        let effects = c.handle(now, Event::Heartbeat(report(0, 1 + step, 7, Vec::new())));
         assert_eq!(launches(&effects), 0, "at {now}");
-        let effects = ticks(&mut c, now, now + 3_000, &CallOutcome::Lost);
+        let effects = ticks(&mut c, now, now + 3_000, &CallOutcome::NoAnswer);
         assert_eq!(launches(&effects), 0, "at {now}");
         for e in effects {
-            if let Effect::Return(names) = e {
-                c.handle(now + 3_000, Event::Returned { names, ok: false });
+            if let Effect::Terminate(names) = e {
+                c.handle(now + 3_000, Event::TerminateFinished { names, ok: false });
             }
         }
     }
     let mut n = 0;
     for step in 9..12 {
         let now = 1_100 + step * 3_000;
-        n += launches(&c.handle(now, Event::Report(report(0, 1 + step, 7, Vec::new()))));
-        n += launches(&ticks(&mut c, now, now + 3_000, &CallOutcome::Lost));
+        n += launches(&c.handle(now, Event::Heartbeat(report(0, 1 + step, 7, Vec::new()))));
+        n += launches(&ticks(&mut c, now, now + 3_000, &CallOutcome::NoAnswer));
     }
     assert!(n >= 2, "started after the lease: {n}");
 }
