--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -4,49 +4,51 @@
 
 use common::*;
 use latchtrack_core::job::{JobId, TaskId};
-use latchtrack_core::leader::*;
 use latchtrack_core::machine::*;
+use latchtrack_core::scheduler::*;
 
 /// Seen in the design for a few machines, where three of them failing a job spoke against the job: a
 /// large array meets three faulty machines of a large fleet at once, and was then held back for up
 /// to a minute while the faulty machines kept their names.
 #[test]
 fn a_large_job_on_a_few_faulty_machines_is_not_suspected() {
-    let phases = |c: &Cluster, i: u64, phase| -> Vec<TaskReport> {
+    let phases = |c: &Scheduler, i: u64, phase| -> Vec<TaskStatus> {
         let runs = c.machines()[&name(i)].runs.values();
-        runs.map(|r| TaskReport { phase, ..seen(r) }).collect()
+        runs.map(|r| TaskStatus { phase, ..seen(r) }).collect()
     };
     let run = |tasks: u32| {
-        let mut c = Cluster::new(patient(), STAMPS, types(), stored_set(0..20), Vec::new(), 1_000);
+        let mut c =
+            Scheduler::new(patient(), STAMPS, types(), stored_set(0..20), Vec::new(), 1_000);
         for i in 0..20 {
-            c.handle(1_000, Event::Report(report(i, 1, 7, Vec::new())));
+            c.handle(1_000, Event::Heartbeat(report(i, 1, 7, Vec::new())));
         }
-        let job = Event::Job { spec: spec(1, tasks), submitted_at: 0, stamp: 8, done: None };
+        let job =
+            Event::JobOpened { spec: spec(1, tasks), submitted_at: 0, revision: 8, done: None };
         c.handle(1_100, job);
         c.handle(1_300, Event::Tick);
         // All its tasks on three of its machines fail.
         let on: Vec<u64> =
             (0..20).filter(|i| !c.machines()[&name(*i)].runs.is_empty()).take(3).collect();
         for i in on {
-            let failed = phases(&c, i, Phase::Ended(Cause::Error));
-            c.handle(2_000, Event::Report(report(i, 2, 7, failed)));
+            let failed = phases(&c, i, TaskPhase::Ended(ExitCause::Failed));
+            c.handle(2_000, Event::Heartbeat(report(i, 2, 7, failed)));
         }
         c
     };
     let mut large = run(30);
     // Three failures say nothing once others are seen to run for longer.
     let rest: Vec<u64> = (0..20).filter(|i| !ends(&large, *i)).collect();
-    for (seq, now) in [(3, 2_500), (4, 6_000)] {
+    for (sequence, now) in [(3, 2_500), (4, 6_000)] {
         for i in &rest {
-            let running = phases(&large, *i, Phase::Running);
-            large.handle(now, Event::Report(report(*i, seq, 7, running)));
+            let running = phases(&large, *i, TaskPhase::Running);
+            large.handle(now, Event::Heartbeat(report(*i, sequence, 7, running)));
         }
     }
     large.handle(6_200, Event::Tick);
-    assert!(!large.jobs()[&JobId(1)].is_suspect);
+    assert!(!large.jobs()[&JobId(1)].is_quarantined);
     assert_eq!(large.jobs()[&JobId(1)].waiting(), 0, "its tasks have gone elsewhere");
     let small = run(6);
-    assert!(small.jobs()[&JobId(1)].is_suspect, "it has failed wherever it was");
+    assert!(small.jobs()[&JobId(1)].is_quarantined, "it has failed wherever it was");
 }
 
 /// Own days with mistaken jobs (28,000 failed starts in one): two arrays submitted with a mistake met on
@@ -56,12 +58,12 @@
 fn two_broken_arrays_over_the_same_machines_lose_none_of_them() {
     let machines = 20u64;
     let mut c =
-        Cluster::new(patient(), STAMPS, types(), stored_set(0..machines), Vec::new(), 1_000);
+        Scheduler::new(patient(), STAMPS, types(), stored_set(0..machines), Vec::new(), 1_000);
     let mut seqs = vec![1; machines as usize];
-    let job = |id, tasks, at| Event::Job {
+    let job = |id, tasks, at| Event::JobOpened {
         spec: spec(id, tasks),
         submitted_at: at,
-        stamp: 8,
+        revision: 8,
         done: None,
     };
     let (mut failed, mut gone, mut good_done) = (0, Vec::new(), 0);
@@ -80,27 +82,27 @@
             let runs = c.machines()[&name(i)].runs.clone();
             let tasks = runs.iter().map(|(key, run)| {
                 let phase = match run.phase {
-                    Phase::Assigned | Phase::Fetching if key.0.job.0 < 3 => {
+                    TaskPhase::Assigned | TaskPhase::Fetching if key.0.job.0 < 3 => {
                         failed += 1;
-                        Phase::Ended(Cause::Error)
+                        TaskPhase::Ended(ExitCause::Failed)
                     }
-                    Phase::Assigned => {
+                    TaskPhase::Assigned => {
                         running.insert(*key, now);
-                        Phase::Running
+                        TaskPhase::Running
                     }
-                    Phase::Running if now >= running[key] + 10_000 => {
+                    TaskPhase::Running if now >= running[key] + 10_000 => {
                         good_done += 1;
-                        Phase::Ended(Cause::Done)
+                        TaskPhase::Ended(ExitCause::Done)
                     }
                     other => other,
                 };
-                TaskReport { phase, ..seen(run) }
+                TaskStatus { phase, ..seen(run) }
             });
             let r = report(i, seqs[i as usize], 7, tasks.collect());
-            effects.extend(c.handle(now, Event::Report(r)));
+            effects.extend(c.handle(now, Event::Heartbeat(r)));
         }
         for e in &effects {
-            if let Effect::Note(text) = e {
+            if let Effect::Log(text) = e {
                 gone.extend(text.contains("fails every job").then(|| text.clone()));
             }
         }
@@ -115,29 +117,33 @@
 /// whole; what it suffered speaks against those machines.
 #[test]
 fn a_good_job_that_met_three_faulty_machines_gets_going_again() {
-    let mut c = Cluster::new(patient(), STAMPS, types(), stored_set(0..5), Vec::new(), 1_000);
-    let report_all = |c: &mut Cluster, now: u64, seq: u64| {
+    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..5), Vec::new(), 1_000);
+    let report_all = |c: &mut Scheduler, now: u64, sequence: u64| {
         for i in 0..5 {
             let runs = c.machines()[&name(i)].runs.clone();
             let tasks = runs.values().map(|run| {
                 let phase = match run.phase {
-                    Phase::Assigned if i < 3 => Phase::Ended(Cause::Error),
-                    Phase::Assigned => Phase::Running,
-                    Phase::Running => Phase::Ended(Cause::Done),
+                    TaskPhase::Assigned if i < 3 => TaskPhase::Ended(ExitCause::Failed),
+                    TaskPhase::Assigned => TaskPhase::Running,
+                    TaskPhase::Running => TaskPhase::Ended(ExitCause::Done),
                     other => other,
                 };
-                TaskReport { phase, ..seen(run) }
+                TaskStatus { phase, ..seen(run) }
             });
-            let r = report(i, seq, 7, tasks.collect());
-            c.handle(now, Event::Report(r));
+            let r = report(i, sequence, 7, tasks.collect());
+            c.handle(now, Event::Heartbeat(r));
         }
     };
     for i in 0..5 {
-        c.handle(1_000, Event::Report(report(i, 1, 7, Vec::new())));
+        c.handle(1_000, Event::Heartbeat(report(i, 1, 7, Vec::new())));
     }
     // Others have the sound machines; then the job starts on the faulty ones.
-    let job =
-        |id, tasks| Event::Job { spec: spec(id, tasks), submitted_at: 0, stamp: 8, done: None };
+    let job = |id, tasks| Event::JobOpened {
+        spec: spec(id, tasks),
+        submitted_at: 0,
+        revision: 8,
+        done: None,
+    };
     c.handle(1_100, job(1, 6));
     c.handle(1_300, Event::Tick);
     let mut suspected = false;
@@ -148,7 +154,7 @@
         if step == 4 {
             c.handle(now, job(2, 2));
         }
-        suspected |= c.jobs().get(&JobId(1)).is_some_and(|j| j.is_suspect);
+        suspected |= c.jobs().get(&JobId(1)).is_some_and(|j| j.is_quarantined);
     }
     assert!(suspected);
     let done = c.jobs().get(&JobId(1)).map_or(6, |j| j.done.ones());
@@ -159,25 +165,25 @@
 /// back: the job is tried there again, soon enough for nobody to wait 90 s where there is room.
 #[test]
 fn a_job_goes_back_to_a_machine_whose_fault_has_passed() {
-    let mut c = Cluster::new(patient(), STAMPS, sold_out(), stored_set(0..1), Vec::new(), 1_000);
+    let mut c = Scheduler::new(patient(), STAMPS, sold_out(), stored_set(0..1), Vec::new(), 1_000);
     for (id, tasks) in [(1, 2), (2, 1)] {
         let spec = spec(id, tasks);
-        c.handle(1_000, Event::Job { spec, submitted_at: 0, stamp: 3, done: None });
+        c.handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 3, done: None });
     }
-    let task = |task: &str, phase| TaskReport { task: task.parse().unwrap(), attempt: 5, phase };
-    let long = task("req-000002/0", Phase::Running);
-    let first = task("req-000001/0", Phase::Ended(Cause::Done));
-    c.handle(1_000, Event::Report(report(0, 1, 7, vec![long, first])));
+    let task = |task: &str, phase| TaskStatus { task: task.parse().unwrap(), attempt: 5, phase };
+    let long = task("req-000002/0", TaskPhase::Running);
+    let first = task("req-000001/0", TaskPhase::Ended(ExitCause::Done));
+    c.handle(1_000, Event::Heartbeat(report(0, 1, 7, vec![long, first])));
     let mut failed_at = None;
     for now in (1_200..120_000).step_by(200) {
         let mut tasks = vec![long];
         for run in c.machines()[&name(0)].runs.values().filter(|r| r.task.job == JobId(1)) {
             // The first try of the other task fails, at once.
-            let fails = run.live() && failed_at.is_none_or(|at| at == now);
+            let fails = run.is_live() && failed_at.is_none_or(|at| at == now);
             if fails {
                 failed_at = Some(now);
-                tasks.push(TaskReport { phase: Phase::Ended(Cause::Error), ..seen(run) });
-            } else if run.phase == Phase::Assigned {
+                tasks.push(TaskStatus { phase: TaskPhase::Ended(ExitCause::Failed), ..seen(run) });
+            } else if run.phase == TaskPhase::Assigned {
                 let at = failed_at.unwrap();
                 assert!((at + 10_000..at + 80_000).contains(&now), "{at}, {now}");
                 return;
@@ -185,7 +191,7 @@
                 tasks.push(seen(run));
             }
         }
-        c.handle(now, Event::Report(report(0, now, 7, tasks)));
+        c.handle(now, Event::Heartbeat(report(0, now, 7, tasks)));
         c.handle(now, Event::Tick);
     }
     panic!("never tried again, failed at {failed_at:?}");
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -9,7 +9,7 @@
 /// = 0.05 + 0.016666...; Eq. 9 for 5 tasks of 4 CPUs and 12 GB: (0.05 + 0.0125) * 5.
 #[test]
 fn scores_follow_the_papers_equations() {
-    let w = Weights::default();
+    let w = ScoreWeights::default();
     let total = Demand { cpus: 16.0 + 16.0 + 32.0, gpus: 0.0, memory_gb: 64.0 + 64.0 + 64.0 };
     let free = Demand { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
     assert!((score(&free, &total, &w) - (0.05 + 1.0 / 60.0)).abs() < 1e-12);
@@ -20,7 +20,7 @@
 
 #[test]
 fn the_largest_steps_back_when_not_all_can_be_in_time() {
-    let job = |left_ms, work| Asked { left_ms, run_ms: 0.0, work };
+    let job = |left_ms, work| TimedDemand { left_ms, run_ms: 0.0, work };
     let all = [job(10.0, 40.0), job(20.0, 300.0), job(25.0, 40.0), job(30.0, 40.0)];
     assert_eq!(deferred(&all, 0.0, 100.0), [false; 4], "there is room for all");
     assert_eq!(deferred(&all, 0.0, 10.0), [false, true, false, false]);
@@ -41,7 +41,7 @@
 #[test]
 fn a_kept_room_is_open_to_others_for_what_its_holder_leaves() {
     let amount = |cpus| Demand { cpus, gpus: 0.0, memory_gb: cpus };
-    let mut room = Room {
+    let mut room = FreeCapacity {
         machine: None,
         kind: "g".into(),
         zone: "a".into(),
@@ -51,13 +51,13 @@
         may_hold: false,
         free: amount(9.0),
         ready: true,
-        held: Some(Held { shape: 1, spare: amount(4.0) }),
+        held: Some(Reservation { equivalence_class: 1, spare: amount(4.0) }),
         balance: None,
     };
     let task = amount(2.0);
-    assert_eq!((room.open_to(&task, 1), room.open_to(&task, 2)), (4, 2));
+    assert_eq!((room.admits(&task, 1), room.admits(&task, 2)), (4, 2));
     room.take(&task, 1);
-    assert_eq!((room.open_to(&task, 1), room.open_to(&task, 2)), (3, 1));
+    assert_eq!((room.admits(&task, 1), room.admits(&task, 2)), (3, 1));
     room.held = None;
-    assert_eq!(room.open_to(&task, 2), 3);
+    assert_eq!(room.admits(&task, 2), 3);
 }
--- a/crates/latchtrack-core/tests/renting.rs
+++ b/crates/latchtrack-core/tests/provisioning.rs
@@ -6,18 +6,18 @@
 
 use common::*;
 use latchtrack_core::job::{JobId, JobSpec};
-use latchtrack_core::leader::*;
 use latchtrack_core::machine::*;
+use latchtrack_core::scheduler::*;
 
 /// Seen on real processes: a job that may not use spot machines waited as if one might come free.
 #[test]
 fn a_job_without_spot_machines_rents_at_once() {
-    let mut c = Cluster::new(policy(), STAMPS, types(), Vec::new(), Vec::new(), 1_000);
+    let mut c = Scheduler::new(policy(), STAMPS, types(), Vec::new(), Vec::new(), 1_000);
     let ordinary = Arc::new(JobSpec { spot: false, ..(*spec(1, 2)).clone() });
-    let job = Event::Job { spec: ordinary, submitted_at: 0, stamp: 8, done: None };
+    let job = Event::JobOpened { spec: ordinary, submitted_at: 0, revision: 8, done: None };
     c.handle(1_000, job);
     let effects = c.handle(1_000, Event::Tick);
-    let hired = effects.iter().any(|e| matches!(e, Effect::Hire { offer, .. } if !offer.spot));
+    let hired = effects.iter().any(|e| matches!(e, Effect::Provision { offer, .. } if !offer.spot));
     assert!(hired, "{effects:?}");
 }
 
@@ -25,26 +25,35 @@
 /// which began it anew (1,695 ordinary machines rented where 700 are enough).
 #[test]
 fn boots_late_for_a_whole_type_are_waited_for() {
-    let mut c = Cluster::new(patient(), STAMPS, types(), Vec::new(), Vec::new(), 1_000);
-    c.handle(1_000, Event::Job { spec: spec(1, 60), submitted_at: 0, stamp: 8, done: None });
+    let mut c = Scheduler::new(patient(), STAMPS, types(), Vec::new(), Vec::new(), 1_000);
+    c.handle(
+        1_000,
+        Event::JobOpened { spec: spec(1, 60), submitted_at: 0, revision: 8, done: None },
+    );
     let (mut rented, mut back, mut next) = (0, 0, 0);
     let mut boots: Vec<(u64, u64)> = Vec::new();
-    let mut run = |c: &mut Cluster, from: u64, to: u64| {
+    let mut run = |c: &mut Scheduler, from: u64, to: u64| {
         for now in (from..to).step_by(200) {
             for e in c.handle(now, Event::Tick) {
                 match e {
-                    Effect::Hire { hire, number, .. } => {
+                    Effect::Provision { request_id, number, .. } => {
                         let names: Vec<String> =
                             (next..next + u64::from(number)).map(name).collect();
                         boots.extend((next..next + u64::from(number)).map(|i| (now, i)));
                         next += u64::from(number);
                         rented += number;
-                        c.handle(now, Event::Hired { hire, outcome: HireOutcome::Machines(names) });
+                        c.handle(
+                            now,
+                            Event::ProvisionFinished {
+                                request_id,
+                                outcome: ProvisionOutcome::Provisioned(names),
+                            },
+                        );
                     }
-                    Effect::Return(names) => {
+                    Effect::Terminate(names) => {
                         back += names.len();
                         boots.retain(|(_, i)| !names.contains(&name(*i)));
-                        c.handle(now, Event::Returned { names, ok: true });
+                        c.handle(now, Event::TerminateFinished { names, ok: true });
                     }
                     _ => {}
                 }
@@ -52,11 +61,11 @@
             // A boot of 10 s takes 65 s.
             for (at, i) in &boots {
                 if now >= at + 65_000 && now < at + 65_200 {
-                    c.handle(now, Event::Report(report(*i, 1, 7, Vec::new())));
+                    c.handle(now, Event::Heartbeat(report(*i, 1, 7, Vec::new())));
                 }
             }
         }
-        (rented, back, c.machines().values().filter(|m| m.up()).count())
+        (rented, back, c.machines().values().filter(|m| m.is_up()).count())
     };
     let (rented, back, _) = run(&mut c, 1_200, 63_000);
     // Thirty are needed, and rented once more when the first seem late, before all do; then a few are
@@ -71,22 +80,26 @@
 /// used at once, and neither deleted as unknown nor counted twice.
 #[test]
 fn a_machine_that_is_up_before_its_rental_is_answered_is_used_at_once() {
-    let mut c = Cluster::new(patient(), STAMPS, types(), Vec::new(), Vec::new(), 1_000);
-    c.handle(1_000, Event::Job { spec: spec(1, 2), submitted_at: 0, stamp: 8, done: None });
+    let mut c = Scheduler::new(patient(), STAMPS, types(), Vec::new(), Vec::new(), 1_000);
+    c.handle(
+        1_000,
+        Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 8, done: None },
+    );
     let effects = c.handle(1_200, Event::Tick);
-    let hire = effects.iter().find_map(|e| match e {
-        Effect::Hire { hire, .. } => Some(hire.clone()),
+    let request_id = effects.iter().find_map(|e| match e {
+        Effect::Provision { request_id, .. } => Some(request_id.clone()),
         _ => None,
     });
-    c.handle(1_300, Event::Report(report(0, 1, 7, Vec::new())));
+    c.handle(1_300, Event::Heartbeat(report(0, 1, 7, Vec::new())));
     let writes = c.next_writes(1_310, 8);
     assert!(!writes.is_empty(), "it is stored before anything starts on it");
-    let effects = c.handle(1_320, Event::Saved { writes, outcome: SaveOutcome::Ok(20) });
+    let effects =
+        c.handle(1_320, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(20) });
     assert_eq!(launches(&effects), 2);
-    let outcome = HireOutcome::Machines(vec![name(0)]);
-    c.handle(1_400, Event::Hired { hire: hire.unwrap(), outcome });
+    let outcome = ProvisionOutcome::Provisioned(vec![name(0)]);
+    c.handle(1_400, Event::ProvisionFinished { request_id: request_id.unwrap(), outcome });
     let effects = c.handle(1_600, Event::Tick);
-    let more = effects.iter().any(|e| matches!(e, Effect::Hire { .. } | Effect::Return(_)));
+    let more = effects.iter().any(|e| matches!(e, Effect::Provision { .. } | Effect::Terminate(_)));
     assert!(!more && c.machines().len() == 1, "{effects:?}");
 }
 
@@ -96,15 +109,21 @@
 fn what_must_stay_in_one_zone_rents_there() {
     let zones = vec!["a".to_string(), "b".into(), "c".into()];
     let types = vec![MachineType { zones, ..types().remove(0) }];
-    let mut c = Cluster::new(patient(), STAMPS, types, stored_set(0..1), Vec::new(), 1_000);
+    let mut c = Scheduler::new(patient(), STAMPS, types, stored_set(0..1), Vec::new(), 1_000);
     let spec = JobSpec { one_zone: true, ..(*spec(1, 8)).clone() };
-    c.handle(1_000, Event::Job { spec: Arc::new(spec), submitted_at: 0, stamp: 8, done: None });
-    let mut effects = c.handle(1_000, Event::Report(report(0, 1, 7, Vec::new())));
+    c.handle(
+        1_000,
+        Event::JobOpened { spec: Arc::new(spec), submitted_at: 0, revision: 8, done: None },
+    );
+    let mut effects = c.handle(1_000, Event::Heartbeat(report(0, 1, 7, Vec::new())));
     for now in (1_200..30_000).step_by(200) {
         for e in std::mem::replace(&mut effects, c.handle(now, Event::Tick)) {
-            let Effect::Hire { hire, offer, .. } = e else { continue };
+            let Effect::Provision { request_id, offer, .. } = e else { continue };
             assert_eq!(offer.zone, "a", "at {now}");
-            effects.extend(c.handle(now, Event::Hired { hire, outcome: HireOutcome::NoCapacity }));
+            effects.extend(c.handle(
+                now,
+                Event::ProvisionFinished { request_id, outcome: ProvisionOutcome::NoCapacity },
+            ));
         }
     }
     assert_eq!(c.jobs()[&JobId(1)].placed.len(), 2);
@@ -117,14 +136,17 @@
     let mut policy = patient();
     // Two tasks, which one machine takes.
     policy.teams[0].cpus_max = 2.0 * spec(1, 1).demand.cpus;
-    let mut c = Cluster::new(policy, STAMPS, types(), Vec::new(), Vec::new(), 1_000);
+    let mut c = Scheduler::new(policy, STAMPS, types(), Vec::new(), Vec::new(), 1_000);
     for id in 1..=5 {
-        c.handle(1_000, Event::Job { spec: spec(id, 10), submitted_at: 0, stamp: 8, done: None });
+        c.handle(
+            1_000,
+            Event::JobOpened { spec: spec(id, 10), submitted_at: 0, revision: 8, done: None },
+        );
     }
     let mut rented = 0;
     for now in (1_200..5_000).step_by(200) {
         for effect in c.handle(now, Event::Tick) {
-            if let Effect::Hire { number, .. } = effect {
+            if let Effect::Provision { number, .. } = effect {
                 rented += number;
             }
         }
--- a/crates/latchtrack-core/tests/packs.rs
+++ b/crates/latchtrack-core/tests/record_shards.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use latchtrack_core::packs::*;
+use latchtrack_core::record_shards::*;
 
 /// A store that applies writes late, twice or never, and a random run over it: whatever was
 /// written and not removed must be found by whoever reads the store next.
@@ -13,9 +13,9 @@
     let mut late_applied = 0;
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut packs: Packs<u32> = Packs::new(7, 40, 500);
+        let mut packs: RecordShards<u32> = RecordShards::new(7, 40, 500);
         let mut store: BTreeMap<String, (u64, Vec<u32>)> = BTreeMap::new();
-        let mut late: Vec<PackWrite<u32>> = Vec::new();
+        let mut late: Vec<ShardWrite<u32>> = Vec::new();
         let (mut stored, mut next, mut epoch) = (BTreeSet::new(), 0, 0);
         for step in 0..400u64 {
             let now = step * 100;
@@ -31,8 +31,8 @@
                 }
                 _ => {}
             }
-            let mut apply = |w: &PackWrite<u32>, epoch: &mut u64| {
-                let have = store.get(&w.name).map_or(0, |(stamp, _)| *stamp);
+            let mut apply = |w: &ShardWrite<u32>, epoch: &mut u64| {
+                let have = store.get(&w.name).map_or(0, |(revision, _)| *revision);
                 if w.expect.is_some_and(|e| e != have) {
                     return false;
                 }
@@ -52,14 +52,14 @@
             match rng.random_range(0..4) {
                 0 => {
                     late.push(w.clone());
-                    packs.wrote(&w, Wrote::Unknown);
+                    packs.wrote(&w, ShardOutcome::Unknown);
                 }
-                1 => packs.wrote(&w, Wrote::No),
+                1 => packs.wrote(&w, ShardOutcome::NotExecuted),
                 _ if apply(&w, &mut epoch) => {
                     stored.extend(w.entries.iter().copied());
-                    packs.wrote(&w, Wrote::Yes(epoch));
+                    packs.wrote(&w, ShardOutcome::Committed(epoch));
                 }
-                _ => packs.wrote(&w, Wrote::Unknown),
+                _ => packs.wrote(&w, ShardOutcome::Unknown),
             }
             let found: BTreeSet<u32> =
                 store.values().flat_map(|(_, entries)| entries.iter().copied()).collect();
@@ -72,7 +72,7 @@
 
 #[test]
 fn many_entries_cost_few_writes() {
-    let mut packs: Packs<u32> = Packs::new(7, 4_000, 500);
+    let mut packs: RecordShards<u32> = RecordShards::new(7, 4_000, 500);
     for k in 0..1_000 {
         packs.put(k, 80, true);
     }
@@ -90,7 +90,7 @@
 #[test]
 fn values_above_a_lowered_limit_are_split_on_their_next_write() {
     let mut store: BTreeMap<String, Vec<u32>> = BTreeMap::new();
-    let mut packs: Packs<u32> = Packs::new(9, 100, 0);
+    let mut packs: RecordShards<u32> = RecordShards::new(9, 100, 0);
     for value in 0..5u32 {
         let name = format!("7-{value}");
         let entries: Vec<u32> = (value * 30..value * 30 + 30).collect();
@@ -110,7 +110,7 @@
         } else {
             store.insert(write.name.clone(), write.entries.clone());
         }
-        packs.wrote(&write, Wrote::Yes(epoch));
+        packs.wrote(&write, ShardOutcome::Committed(epoch));
         let found: BTreeSet<u32> = store.values().flatten().copied().collect();
         let missing = (0..150).filter(|k| k % 30 != 0 && !found.contains(k)).count();
         assert_eq!(missing, 0, "after {}", write.name);
@@ -121,7 +121,7 @@
 /// A value whose entries have another form now: it stays until all of them are stored anew.
 #[test]
 fn a_value_that_is_replaced_stays_until_its_entries_are_stored_elsewhere() {
-    let mut packs: Packs<u32> = Packs::new(9, 100, 0);
+    let mut packs: RecordShards<u32> = RecordShards::new(9, 100, 0);
     packs.load_to_replace("7-1", (0..25).map(|k| (k, 10)));
     let mut stored = BTreeSet::new();
     let mut dropped = false;
@@ -132,7 +132,7 @@
             dropped = true;
         }
         stored.extend(write.entries.iter().copied());
-        packs.wrote(&write, Wrote::Yes(1));
+        packs.wrote(&write, ShardOutcome::Committed(1));
     }
     assert!(dropped);
 }
--- a/crates/latchtrack-core/tests/refused_writes.rs
+++ b/crates/latchtrack-core/tests/refused_writes.rs
@@ -4,24 +4,24 @@
 mod common;
 
 use common::*;
-use latchtrack_core::leader::*;
-use latchtrack_core::machine::Report;
+use latchtrack_core::machine::Heartbeat;
+use latchtrack_core::scheduler::*;
 
-fn leader() -> Cluster {
+fn leader() -> Scheduler {
     let types = vec![machine_type(vec!["a".into()])];
-    let stamps = Stamps { token: 7, vacant: 7 };
-    Cluster::new(policy(), stamps, types, Vec::new(), Vec::new(), 1_000)
+    let revisions = TermRevisions { token: 7, leaderless_since: 7 };
+    Scheduler::new(policy(), revisions, types, Vec::new(), Vec::new(), 1_000)
 }
 
 fn report(name: &str, addr: String) -> Event {
-    Event::Report(Report {
+    Event::Heartbeat(Heartbeat {
         machine: name.into(),
         addr,
         kind: "g".into(),
         zone: "a".into(),
         spot: true,
-        session: 1,
-        seq: 1,
+        agent_epoch: 1,
+        sequence: 1,
         token: 7,
         notice_s: None,
         tasks: Vec::new(),
@@ -29,34 +29,34 @@
 }
 
 /// Bytes of the machines in a write, as the state service would count about.
-fn bytes(write: &Write) -> usize {
+fn bytes(write: &RecordWrite) -> usize {
     match write {
-        Write::Fleet { machines, .. } => machines.iter().map(StoredMachine::bytes).sum(),
+        RecordWrite::MachineSet { machines, .. } => machines.iter().map(StoredMachine::bytes).sum(),
         other => panic!("{other:?}"),
     }
 }
 
 /// Writes all that is to be written, to a service that takes no more than so many changes and so many
 /// bytes of a value; returns the machines stored and the transactions it took.
-fn write_all(c: &mut Cluster, most_changes: usize, most_bytes: usize) -> (Vec<String>, usize) {
+fn write_all(c: &mut Scheduler, most_changes: usize, most_bytes: usize) -> (Vec<String>, usize) {
     let mut stored = Vec::new();
-    for round in 0..200 {
-        let now = 10_000 + round * 10_000;
+    for cycle in 0..200 {
+        let now = 10_000 + cycle * 10_000;
         let writes = c.next_writes(now, 8);
         if writes.is_empty() {
-            return (stored, round as usize);
+            return (stored, cycle as usize);
         }
         let fits = writes.len() <= most_changes && writes.iter().all(|w| bytes(w) <= most_bytes);
         let outcome = if fits {
             for write in &writes {
-                let Write::Fleet { machines, .. } = write else { continue };
+                let RecordWrite::MachineSet { machines, .. } = write else { continue };
                 stored.extend(machines.iter().map(|m| m.name.clone()));
             }
-            SaveOutcome::Ok(100 + round)
+            BatchOutcome::Committed(100 + cycle)
         } else {
-            SaveOutcome::Refused
+            BatchOutcome::Rejected
         };
-        c.handle(now, Event::Saved { writes, outcome });
+        c.handle(now, Event::WritesFinished { writes, outcome });
     }
     panic!("refused without end");
 }
@@ -68,11 +68,11 @@
         for i in 0..300 {
             c.handle(1_000, report(&name(i), name(i)));
         }
-        let (mut stored, rounds) = write_all(&mut c, most_changes, most_bytes);
+        let (mut stored, cycles) = write_all(&mut c, most_changes, most_bytes);
         stored.sort();
         stored.dedup();
         assert_eq!(stored.len(), 300, "{most_changes} changes, {most_bytes} bytes");
-        assert!(rounds < 150, "{rounds} transactions");
+        assert!(cycles < 150, "{cycles} transactions");
     }
 }
 
@@ -87,5 +87,5 @@
     stored.sort();
     stored.dedup();
     assert_eq!(stored, (0..20).map(name).collect::<Vec<_>>());
-    assert!(!c.machines()["n-large"].stored, "and it gets no task");
+    assert!(!c.machines()["n-large"].persisted, "and it gets no task");
 }
--- a/crates/latchtrack-core/tests/results.rs
+++ b/crates/latchtrack-core/tests/results.rs
@@ -5,13 +5,13 @@
 
 #[test]
 fn chunks_carry_a_large_job_over() {
-    let mut a = Bitmap::new(CHUNK_TASKS + 10);
-    for i in [0, 7, 8, CHUNK_TASKS - 1, CHUNK_TASKS, CHUNK_TASKS + 9] {
+    let mut a = Bitmap::new(LEGACY_CHUNK_TASKS + 10);
+    for i in [0, 7, 8, LEGACY_CHUNK_TASKS - 1, LEGACY_CHUNK_TASKS, LEGACY_CHUNK_TASKS + 9] {
         assert!(a.set(i));
         assert!(!a.set(i));
     }
-    assert!(!a.set(CHUNK_TASKS + 10));
-    let mut b = Bitmap::new(CHUNK_TASKS + 10);
+    assert!(!a.set(LEGACY_CHUNK_TASKS + 10));
+    let mut b = Bitmap::new(LEGACY_CHUNK_TASKS + 10);
     b.merge_chunk(0, a.chunk(0));
     assert_eq!(b.ones(), 4);
     b.merge_chunk(1, a.chunk(1));
@@ -23,7 +23,7 @@
 
 #[test]
 fn small_chunks_carry_every_job_over() {
-    for tasks in [1, SMALL_CHUNK_TASKS, SMALL_CHUNK_TASKS + 1, CHUNK_TASKS + 10, TASKS_MOST] {
+    for tasks in [1, CHUNK_TASKS, CHUNK_TASKS + 1, LEGACY_CHUNK_TASKS + 10, MAX_TASKS] {
         let mut a = Bitmap::new(tasks);
         for i in (0..tasks).step_by(97).chain([tasks - 1]) {
             a.set(i);
@@ -43,12 +43,12 @@
 /// What an earlier version stored in large chunks is the same in small ones.
 #[test]
 fn a_large_chunk_is_split_into_the_same_bits() {
-    let mut a = Bitmap::new(TASKS_MOST);
-    for i in (0..TASKS_MOST).step_by(31) {
+    let mut a = Bitmap::new(MAX_TASKS);
+    for i in (0..MAX_TASKS).step_by(31) {
         a.set(i);
     }
-    let mut b = Bitmap::new(TASKS_MOST);
-    for chunk in 0..TASKS_MOST.div_ceil(CHUNK_TASKS) {
+    let mut b = Bitmap::new(MAX_TASKS);
+    for chunk in 0..MAX_TASKS.div_ceil(LEGACY_CHUNK_TASKS) {
         for (small, len) in small_chunks(chunk, a.chunk(chunk)) {
             assert_eq!(a.chunk(small).len(), len);
             b.merge_chunk(small, a.chunk(small));
@@ -61,8 +61,8 @@
 /// a small chunk, nor may it fail on one.
 #[test]
 fn the_production_version_ignores_small_chunks() {
-    for chunk in all_chunks().filter(|chunk| *chunk >= SMALL_CHUNKS_FROM) {
-        let first = chunk.checked_mul(CHUNK_TASKS).expect("no overflow");
-        assert!(first >= TASKS_MOST, "{chunk}");
+    for chunk in all_chunks().filter(|chunk| *chunk >= FIRST_CHUNK_INDEX) {
+        let first = chunk.checked_mul(LEGACY_CHUNK_TASKS).expect("no overflow");
+        assert!(first >= MAX_TASKS, "{chunk}");
     }
 }
--- a/crates/latchtrack-core/tests/simulation/decision_trace.rs
+++ b/crates/latchtrack-core/tests/simulation/decision_trace.rs
@@ -55,7 +55,7 @@
             "late boots",
             BUSY,
             8..10,
-            vec![(2_000, Boots(5.0, 0.2, 40_000)), (30_000, NodesDown(5, 30_000))],
+            vec![(2_000, BootTracker(5.0, 0.2, 40_000)), (30_000, NodesDown(5, 30_000))],
         ),
         ("broken jobs", BUSY, 10..12, vec![(10_000, Mistakes(12)), (30_000, Sick(0.3))]),
         ("lowered limits", BUSY, 12..14, vec![(20_000, KeepTo(150, 4)), (30_000, Lower(150, 4))]),
--- a/crates/latchtrack-core/tests/simulation/fault_interactions.rs
+++ b/crates/latchtrack-core/tests/simulation/fault_interactions.rs
@@ -54,7 +54,7 @@
 #[test]
 fn machines_that_are_up_at_once_get_work_while_writes_lag_and_the_leader_ends() {
     let plan = [
-        (1_500, Boots(0.1, 0.0, 150_000)),
+        (1_500, BootTracker(0.1, 0.0, 150_000)),
         (2_000, LateWrites(0.5, 140_000)),
         (6_000, NodesDown(1, 2_000)),
         (9_000, NodesDown(1, 200)),
--- a/crates/latchtrack-core/tests/simulation/main.rs
+++ b/crates/latchtrack-core/tests/simulation/main.rs
@@ -10,6 +10,7 @@
 mod quota;
 mod world;
 
+use world::trace::DecisionTrace;
 use world::{Broken, Planned, Size, World, BUSY, FLEET, HUGE, HUGEST, LARGE, SMALL};
 
 const SEEDS: std::ops::Range<u64> = 0..60;
@@ -39,6 +40,19 @@
     assert!(broken_gangs > 50, "{broken_gangs} times a task of a running gang was missing");
 }
 
+/// Otherwise the decisions of two versions could not be compared: see `decision_trace.rs`.
+#[test]
+fn a_seeded_run_decides_the_same_twice() {
+    let digest = |seed| {
+        let mut world = World::new(seed, Broken::Nothing);
+        world.trace = Some(DecisionTrace::default());
+        world.run();
+        world.trace.map(|trace| (trace.effects, trace.writes, trace.digest()))
+    };
+    assert_eq!(digest(0), digest(0));
+    assert_ne!(digest(0), digest(1));
+}
+
 /// Runs seeds until the checker speaks up; panics if it never does.
 fn caught(broken: Broken, rule: &str) {
     for seed in 0..300 {
@@ -197,7 +211,7 @@
         // One a step at most, however many reports come in it; of a leader, and of one that does
         // not know yet that it is none any more.
         let most = 2 * size.end / size.step;
-        assert!(world.rounds < most, "{} rounds, {most} at most", world.rounds);
+        assert!(world.cycles < most, "{} rounds, {most} at most", world.cycles);
         // The leader knows what is there: machines of at most eight CPUs with the runs on them and
         // a few that have ended, and the open jobs.
         let most = 12 * world.most_up;
@@ -337,16 +351,16 @@
 fn nodes_away_beyond_a_lease_while_boots_are_late_lose_no_job() {
     use Planned::*;
     let plan = [
-        (2_000, Boots(5.0, 0.2, 40_000)),
+        (2_000, BootTracker(5.0, 0.2, 40_000)),
         (30_000, NodesDown(5, 30_000)),
         (75_000, NodesDown(4, 35_000)),
-        (80_000, Boots(0.01, 0.0, 30_000)),
+        (80_000, BootTracker(0.01, 0.0, 30_000)),
         (112_000, NodesDown(1, 25_000)),
     ];
     let terms = ends_well("nodes away", BUSY, 0..8, &plan);
     assert!(terms >= 8 * 3, "{terms} terms");
     let plan = [
-        (1_500, Boots(5.0, 0.2, 30_000)),
+        (1_500, BootTracker(5.0, 0.2, 30_000)),
         (15_000, NodesDown(5, 30_000)),
         (60_000, FreezeLeader(12_000)),
     ];
--- a/crates/latchtrack-core/tests/simulation/world/cloud.rs
+++ b/crates/latchtrack-core/tests/simulation/world/cloud.rs
@@ -3,12 +3,17 @@
 use super::*;
 
 impl World {
-    pub(super) fn rent(&mut self, hire: &str, offer: &Offer, number: u32) -> HireOutcome {
+    pub(super) fn provision(
+        &mut self,
+        request_id: &str,
+        offer: &Offer,
+        number: u32,
+    ) -> ProvisionOutcome {
         if self.now < self.cloud_down_until {
-            return HireOutcome::NotDone;
+            return ProvisionOutcome::NotExecuted;
         }
-        if let Some(names) = self.hires.get(hire) {
-            return HireOutcome::Machines(names.clone());
+        if let Some(names) = self.provisions.get(request_id) {
+            return ProvisionOutcome::Provisioned(names.clone());
         }
         let have = self
             .workers
@@ -17,7 +22,7 @@
             .count();
         let free = self.size.capacity.saturating_sub(have).min(number as usize);
         if free == 0 {
-            return HireOutcome::NoCapacity;
+            return ProvisionOutcome::NoCapacity;
         }
         let mut names = Vec::new();
         for _ in 0..free {
@@ -35,8 +40,8 @@
                 rented_at: self.now,
                 up_at: if never { u64::MAX / 4 } else { self.now + boot },
                 alive: true,
-                session: 0,
-                seq: 0,
+                agent_epoch: 0,
+                sequence: 0,
                 token: 0,
                 lease_from: 0,
                 tasks: BTreeMap::new(),
@@ -53,7 +58,7 @@
             self.workers.insert(name.clone(), worker);
             names.push(name);
         }
-        self.hires.insert(hire.into(), names.clone());
-        HireOutcome::Machines(names)
+        self.provisions.insert(request_id.into(), names.clone());
+        ProvisionOutcome::Provisioned(names)
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/federation.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation.rs
@@ -178,11 +178,13 @@
 
     /// CPUs of the shared team that are in use in a cell.
     pub fn used(&self, cell: usize) -> f64 {
-        self.cpus_of(cell, |phase| matches!(phase, Phase::Waiting | Phase::Running | Phase::Saving))
+        self.cpus_of(cell, |phase| {
+            matches!(phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
+        })
     }
 
     /// CPUs that the tasks of the shared team in these phases take in a cell.
-    fn cpus_of(&self, cell: usize, counts: impl Fn(Phase) -> bool) -> f64 {
+    fn cpus_of(&self, cell: usize, counts: impl Fn(TaskPhase) -> bool) -> f64 {
         let world = &self.cells[cell];
         let tasks = world.workers.values().flat_map(|w| &w.tasks).filter(|(_, t)| counts(t.phase));
         let jobs = tasks.filter_map(|((task, _), _)| world.jobs.get(&task.job));
@@ -193,7 +195,7 @@
         self.now += self.size.step;
         for i in 0..self.cells.len() {
             let elsewhere = || (0..self.cells.len()).filter(|other| *other != i);
-            let is_live = |phase| !matches!(phase, Phase::Ended(_));
+            let is_live = |phase| !matches!(phase, TaskPhase::Ended(_));
             let used_elsewhere = elsewhere().map(|other| self.used(other)).sum();
             let taken_elsewhere = elsewhere().map(|other| self.cpus_of(other, is_live)).sum();
             let cell = &mut self.cells[i];
@@ -268,7 +270,7 @@
                 continue;
             }
             let (run, token) = (node.run, node.token);
-            let event = Box::new(Event::Quota(view.clone()));
+            let event = Box::new(Event::QuotaObserved(view.clone()));
             let slow = self.rng.random_bool(0.05);
             let delay = self.rng.random_range(1..if slow { 1_200 } else { 60 });
             self.post(delay, SharedMsg::Tell { cell, node: n, run, token, event });
@@ -303,7 +305,8 @@
     fn send(&mut self, cell: usize, shared: SharedWrite) {
         let (node, run, token) = (shared.node, shared.run, shared.token);
         let outcome = |outcome| {
-            let event = Box::new(Event::QuotaWritten { write: shared.write.clone(), outcome });
+            let event =
+                Box::new(Event::LedgerWriteFinished { write: shared.write.clone(), outcome });
             SharedMsg::Tell { cell, node, run, token, event }
         };
         let troubled = self.size.troubles > 0.0 && self.now < self.size.troubled;
@@ -339,7 +342,7 @@
             self.next_look[cell] = self.now;
         }
         if tell {
-            let event = Box::new(Event::QuotaWritten { write, outcome });
+            let event = Box::new(Event::LedgerWriteFinished { write, outcome });
             self.post(5, SharedMsg::Tell { cell, node, run, token, event });
         }
     }
--- a/crates/latchtrack-core/tests/simulation/world/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/world/gangs.rs
@@ -18,7 +18,7 @@
 struct Member {
     worker: String,
     key: (TaskId, u64),
-    phase: Phase,
+    phase: TaskPhase,
     executes: bool,
 }
 
@@ -32,7 +32,10 @@
         let mut attempts: BTreeMap<(JobId, u64), Vec<Member>> = BTreeMap::new();
         for (name, w) in self.workers.iter().filter(|(_, w)| w.alive) {
             for (key, task) in &w.tasks {
-                let on = matches!(task.phase, Phase::Waiting | Phase::Running | Phase::Saving);
+                let on = matches!(
+                    task.phase,
+                    TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing
+                );
                 if !on || !self.is_gang(key.0.job) {
                     continue;
                 }
@@ -47,7 +50,7 @@
         attempts
     }
 
-    fn set_phase(&mut self, member: &Member, phase: Phase) {
+    fn set_phase(&mut self, member: &Member, phase: TaskPhase) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(&member.worker) else { return };
         if let Some(task) = w.tasks.get_mut(&member.key) {
@@ -67,7 +70,7 @@
                 None if all => self.start_gang(attempt, &members),
                 None => {}
                 Some(_) => {
-                    let runs = all && members.iter().all(|m| m.phase == Phase::Running);
+                    let runs = all && members.iter().all(|m| m.phase == TaskPhase::Running);
                     self.step_running_gang(attempt, &members, runs);
                 }
             }
@@ -77,7 +80,7 @@
     fn start_gang(&mut self, attempt: (JobId, u64), members: &[Member]) {
         let run = self.rng.random_range(1_500..20_000);
         for member in members {
-            self.set_phase(member, Phase::Running);
+            self.set_phase(member, TaskPhase::Running);
         }
         self.meets("gang started");
         if let Some(j) = self.jobs.get_mut(&attempt.0) {
@@ -95,8 +98,9 @@
         if let Some(at) = run.broken_at {
             if now >= at + GANG_PEER {
                 self.meets("gang lost a task");
-                for member in members.iter().filter(|m| m.executes && m.phase == Phase::Running) {
-                    self.set_phase(member, Phase::Ended(Cause::Peers));
+                for member in members.iter().filter(|m| m.executes && m.phase == TaskPhase::Running)
+                {
+                    self.set_phase(member, TaskPhase::Ended(ExitCause::GangPeerLost));
                 }
             }
             return;
@@ -108,13 +112,13 @@
         let sick = |m: &&Member| mistaken || self.workers[&m.worker].sick;
         if let Some(member) = members.iter().find(sick) {
             self.failures += 1;
-            self.set_phase(member, Phase::Ended(Cause::Error));
+            self.set_phase(member, TaskPhase::Ended(ExitCause::Failed));
             return;
         }
         self.meets("gang done");
         for member in members {
             self.completed.insert(member.key.0);
-            self.set_phase(member, Phase::Ended(Cause::Done));
+            self.set_phase(member, TaskPhase::Ended(ExitCause::Done));
             if let Some(w) = self.workers.get_mut(&member.worker) {
                 w.done_here.insert(member.key.0);
             }
@@ -124,7 +128,9 @@
 
     /// The referee: while a task of one attempt is on a machine, none of another starts.
     pub(super) fn check_attempt(&mut self, name: &str, key: (TaskId, u64)) {
-        let on = |t: &WTask| matches!(t.phase, Phase::Waiting | Phase::Running | Phase::Saving);
+        let on = |t: &WTask| {
+            matches!(t.phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
+        };
         let other = |((task, attempt), state): (&(TaskId, u64), &WTask)| {
             task.job == key.0.job && *attempt != key.1 && on(state)
         };
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -15,10 +15,10 @@
 use latchtrack_balance::balancer::{Limits, MoveCounts};
 use latchtrack_core::bitmap::Bitmap;
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority, TaskId};
-use latchtrack_core::leader::*;
 use latchtrack_core::machine::*;
-use latchtrack_core::placement::{Offer, Weights};
+use latchtrack_core::placement::{Offer, ScoreWeights};
 use latchtrack_core::rules;
+use latchtrack_core::scheduler::*;
 use latchtrack_quota::{LedgerWrite, WriteOutcome};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -175,7 +175,7 @@
     /// So many nodes, the leader first, end and do not come back for so many ms.
     NodesDown(usize, u64),
     /// For so many ms boots take so many times as long, and so many of them never end.
-    Boots(f64, f64, u64),
+    BootTracker(f64, f64, u64),
     /// So many jobs that fail on every machine.
     Mistakes(usize),
     /// A part of the machines fails every task.
@@ -265,7 +265,7 @@
 struct Stored {
     spec: Arc<JobSpec>,
     state: State,
-    stamp: u64,
+    revision: u64,
     told_cancelled: Option<u64>,
     told_done: bool,
     /// Fails on every machine.
@@ -273,11 +273,11 @@
     submitted_at: u64,
     begun: Option<u64>,
     /// Since when a task of it has waited though a machine that fits had room.
-    passed_since: Option<u64>,
+    unschedulable_since: Option<u64>,
 }
 
 struct WTask {
-    phase: Phase,
+    phase: TaskPhase,
     until: u64,
 }
 
@@ -288,8 +288,8 @@
     rented_at: u64,
     up_at: u64,
     alive: bool,
-    session: u64,
-    seq: u64,
+    agent_epoch: u64,
+    sequence: u64,
     token: u64,
     lease_from: u64,
     tasks: BTreeMap<(TaskId, u64), WTask>,
@@ -315,7 +315,7 @@
     /// Refused by the state service alone.
     refused_until: u64,
     drift: f64,
-    cluster: Option<Cluster>,
+    cluster: Option<Scheduler>,
     token: u64,
     valid_until: u64,
     fresh_at: u64,
@@ -328,10 +328,10 @@
 }
 
 enum Msg {
-    Report {
+    Heartbeat {
         node: usize,
         worker: String,
-        report: Report,
+        report: Heartbeat,
         id: u64,
         sent: u64,
     },
@@ -339,7 +339,7 @@
         worker: String,
         id: u64,
         token: u64,
-        session: u64,
+        agent_epoch: u64,
         commands: Vec<Command>,
         sent: u64,
     },
@@ -352,7 +352,7 @@
         run: u64,
         worker: String,
         token: u64,
-        session: u64,
+        agent_epoch: u64,
         call: u64,
         commands: Vec<Command>,
         late: bool,
@@ -365,11 +365,11 @@
         call: u64,
         outcome: CallOutcome,
     },
-    Hire {
+    Provision {
         node: usize,
         run: u64,
         token: u64,
-        hire: String,
+        request_id: String,
         offer: Offer,
         number: u32,
         tell: bool,
@@ -385,7 +385,7 @@
         node: usize,
         run: u64,
         token: u64,
-        writes: Vec<Write>,
+        writes: Vec<RecordWrite>,
         tell: bool,
     },
     /// Something for a node's core, if it still is in that term.
@@ -399,8 +399,8 @@
         node: usize,
         run: u64,
         token: u64,
-        writes: Vec<Write>,
-        outcome: SaveOutcome,
+        writes: Vec<RecordWrite>,
+        outcome: BatchOutcome,
     },
 }
 
@@ -414,10 +414,10 @@
     epoch: u64,
     leader: Option<(usize, u64, u64)>,
     /// The stamp with which the leader key last went.
-    vacant: u64,
+    leaderless_since: u64,
     jobs: BTreeMap<JobId, Stored>,
     results: BTreeMap<String, StoredResults>,
-    fleet: BTreeMap<String, StoredFleet>,
+    machine_sets: BTreeMap<String, StoredMachineSet>,
     store_down_until: u64,
     /// The zone that is cut off, and until when.
     zone_cut: Option<(&'static str, u64)>,
@@ -436,9 +436,9 @@
     copies_kept: (f64, u64),
     cancels_at_end: (f64, u64),
     swarm_until: u64,
-    kept: Vec<(String, Report)>,
+    reserved_exclusively: Vec<(String, Heartbeat)>,
     workers: BTreeMap<String, Worker>,
-    hires: BTreeMap<String, Vec<String>>,
+    provisions: BTreeMap<String, Vec<String>>,
     next_machine: u64,
     nodes: Vec<Node>,
     // Referee.
@@ -459,7 +459,7 @@
     pub most_up: usize,
     /// Most machines that a leader named as overdue.
     pub most_overdue: usize,
-    pub rounds: u64,
+    pub cycles: u64,
     /// Most runs and jobs known to a leader, and most open jobs at that time.
     pub most_runs: usize,
     pub most_jobs: (usize, usize),
@@ -532,10 +532,10 @@
             queue: BTreeMap::new(),
             epoch: 10,
             leader: None,
-            vacant: 0,
+            leaderless_since: 0,
             jobs: BTreeMap::new(),
             results: BTreeMap::new(),
-            fleet: BTreeMap::new(),
+            machine_sets: BTreeMap::new(),
             store_down_until: 0,
             zone_cut: None,
             plan: Vec::new(),
@@ -548,9 +548,9 @@
             copies_kept: (0.0, 0),
             cancels_at_end: (0.0, 0),
             swarm_until: 0,
-            kept: Vec::new(),
+            reserved_exclusively: Vec::new(),
             workers: BTreeMap::new(),
-            hires: BTreeMap::new(),
+            provisions: BTreeMap::new(),
             next_machine: 0,
             nodes,
             violations: Vec::new(),
@@ -566,7 +566,7 @@
             failures: 0,
             most_up: 0,
             most_overdue: 0,
-            rounds: 0,
+            cycles: 0,
             most_runs: 0,
             most_jobs: (0, 0),
             moves: MoveCounts::default(),
--- a/crates/latchtrack-core/tests/simulation/world/nodes.rs
+++ b/crates/latchtrack-core/tests/simulation/world/nodes.rs
@@ -6,7 +6,7 @@
 const MOVES_A_MINUTE: u32 = 120;
 
 /// The moves of a leader's term so far.
-fn counts(cluster: &Cluster) -> MoveCounts {
+fn counts(cluster: &Scheduler) -> MoveCounts {
     cluster.balance_summary().map(|summary| summary.counts).unwrap_or_default()
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(super) fn list(&mut self) -> Option<Vec<Listed>> {
+    pub(super) fn list(&mut self) -> Option<Vec<ListedMachine>> {
         if self.now < self.cloud_down_until {
             return None;
         }
@@ -76,7 +76,7 @@
         for (name, w) in &self.workers {
             // New ones are absent for a while.
             if w.rented_at + 3_000 < self.now {
-                out.push(Listed {
+                out.push(ListedMachine {
                     name: name.clone(),
                     kind: w.kind.into(),
                     zone: w.zone.into(),
@@ -124,34 +124,38 @@
         };
         let limit = if self.broken == Broken::NoLimit { 0.0 } else { self.size.limit };
         let policy = Policy {
-            weights: Weights::default(),
+            weights: ScoreWeights::default(),
             slice: 1 + (token % 2) as u32,
-            idle_wait_ms: self.size.idle_wait,
-            ordinary_idle_wait_ms: self.size.idle_wait * 2 / 5,
-            pass_over_ms: 3_000,
-            spot_after_ms: 0,
-            ordinary_after_ms: 500,
-            silence_ms: Policy::silence_default(self.size.report).max(6_000),
-            settle_ms: 4_000,
-            report_ms: self.size.report,
+            spot_idle_timeout_ms: self.size.idle_wait,
+            on_demand_idle_timeout_ms: self.size.idle_wait * 2 / 5,
+            reserve_after_ms: 3_000,
+            spot_provision_delay_ms: 0,
+            on_demand_provision_delay_ms: 500,
+            heartbeat_timeout_ms: Policy::default_heartbeat_timeout_ms(self.size.report).max(6_000),
+            reconcile_timeout_ms: 4_000,
+            heartbeat_interval_ms: self.size.report,
             list_lag_ms: 1_500,
-            lease_ms: if self.broken == Broken::ShortLease { 0 } else { LEASE },
-            calls_open: 16.max(self.size.capacity),
+            worker_lease_ms: if self.broken == Broken::ShortLease { 0 } else { LEASE },
+            max_open_calls: 16.max(self.size.capacity),
             value_bytes: self.kept_to.0,
             teams: vec![team("free", 0.0), team("limited", limit)],
             quota_cell: self.cell.clone(),
-            aimed: ["c", "d"].map(String::from).into(),
-            prompt: vec![("d".into(), 1_000)],
+            classes_with_objectives: ["c", "d"].map(String::from).into(),
+            start_objectives: vec![("d".into(), 1_000)],
             balance: self.balance_policy(token),
-            aims: [("c", 30_000), ("d", 60_000)]
-                .map(|(class, ms)| Aim { class: class.into(), due: Due::Within(ms) })
+            completion_objectives: [("c", 30_000), ("d", 60_000)]
+                .map(|(class, ms)| CompletionObjective {
+                    class: class.into(),
+                    due: Due::Within(ms),
+                })
                 .to_vec(),
         };
-        let vacant = if self.broken == Broken::AlwaysVacant { 0 } else { self.vacant };
-        let stamps = Stamps { token, vacant };
+        let leaderless_since =
+            if self.broken == Broken::AlwaysVacant { 0 } else { self.leaderless_since };
+        let revisions = TermRevisions { token, leaderless_since };
         let inherited = match self.broken {
             Broken::NoSettling => Vec::new(),
-            _ => self.fleet.values().cloned().collect(),
+            _ => self.machine_sets.values().cloned().collect(),
         };
         let mut results: Vec<StoredResults> = self.results.values().cloned().collect();
         for r in &mut results {
@@ -159,16 +163,16 @@
             r.chunks.retain(|(id, ..)| open(id));
         }
         // What was held back of the last leader's time reaches every node now, within a second.
-        for (worker, report) in std::mem::take(&mut self.kept) {
+        for (worker, report) in std::mem::take(&mut self.reserved_exclusively) {
             for node in 0..self.size.nodes {
                 let (worker, report) = (worker.clone(), report.clone());
                 let delay = self.rng.random_range(1..1_500);
                 self.meets("copies for the next leader");
-                self.post(delay, Msg::Report { node, worker, report, id: 0, sent: self.now });
+                self.post(delay, Msg::Heartbeat { node, worker, report, id: 0, sent: self.now });
             }
         }
         let node = &mut self.nodes[n];
-        node.cluster = Some(Cluster::new(policy, stamps, types(), inherited, results, now));
+        node.cluster = Some(Scheduler::new(policy, revisions, types(), inherited, results, now));
         node.token = token;
         node.valid_until = now + TTL - GUARD;
         node.seen_stamp = 0;
@@ -179,7 +183,7 @@
     pub(super) fn read_jobs(&mut self, n: usize) {
         let seen = self.nodes[n].seen_stamp;
         let mut events = Vec::new();
-        for (id, j) in self.jobs.iter().filter(|(_, j)| j.stamp > seen) {
+        for (id, j) in self.jobs.iter().filter(|(_, j)| j.revision > seen) {
             match j.state {
                 State::Open { .. } if self.broken == Broken::Forgetful && id.0 % 5 == 0 => {}
                 State::Open { stored_at } => {
@@ -201,15 +205,15 @@
                         (s.types, s.zone, s.one_zone, s.spread) = (None, None, false, false);
                         s.spot = true;
                     }
-                    events.push(Event::Job {
+                    events.push(Event::JobOpened {
                         spec,
                         submitted_at: stored_at,
-                        stamp: j.stamp,
+                        revision: j.revision,
                         done: Some(done),
                     });
                 }
                 _ if self.broken == Broken::DeafToCancel => {}
-                _ => events.push(Event::Closed(*id)),
+                _ => events.push(Event::JobClosed(*id)),
             }
         }
         self.nodes[n].seen_stamp = self.epoch;
@@ -224,14 +228,14 @@
         let node = &mut self.nodes[n];
         let (run, token) = (node.run, node.token);
         let cluster = node.cluster.as_mut()?;
-        let rounds = cluster.rounds();
+        let cycles = cluster.cycles();
         let moves = counts(cluster);
         let ticks = matches!(event, Event::Tick);
         let effects = cluster.handle(now, event);
         if let Some(trace) = &mut self.trace {
             trace.record_effects(self.now, n, &effects);
         }
-        self.rounds += cluster.rounds() - rounds;
+        self.cycles += cluster.cycles() - cycles;
         let now_counted = counts(cluster);
         self.moves.begun += now_counted.begun - moves.begun;
         self.moves.settled += now_counted.settled - moves.settled;
@@ -246,8 +250,8 @@
         let mut answer = None;
         for effect in effects {
             match effect {
-                Effect::Answer(commands) => answer = Some(commands),
-                Effect::Call { machine, session, call, commands, .. } => {
+                Effect::Respond(commands) => answer = Some(commands),
+                Effect::CallWorker { machine, agent_epoch, call, commands, .. } => {
                     self.calls += 1;
                     let late = self.now < self.size.troubled && self.chance(0.2);
                     let delay =
@@ -264,7 +268,7 @@
                         token,
                         worker: machine,
                         call,
-                        outcome: CallOutcome::Lost,
+                        outcome: CallOutcome::NoAnswer,
                     };
                     self.post(2_500, lost);
                     let apart = self.apart(&worker, n);
@@ -279,47 +283,52 @@
                     };
                     self.post(
                         delay,
-                        Msg::Do { node: n, run, worker, token, session, call, commands, late },
+                        Msg::Do { node: n, run, worker, token, agent_epoch, call, commands, late },
                     );
                 }
-                Effect::Hire { hire, offer, number } => {
+                Effect::Provision { request_id, offer, number } => {
                     let (delay, tell) = (self.delay(0.05), !self.chance(0.05));
                     if self.now < self.size.troubled && self.chance(0.1) {
                         // A request that was carried out comes once more, late.
-                        let (hire, offer) = (hire.clone(), offer.clone());
+                        let (request_id, offer) = (request_id.clone(), offer.clone());
                         let again = self.rng.random_range(3_000..40_000);
                         let tell = false;
-                        let msg = Msg::Hire { node: n, run, token, hire, offer, number, tell };
+                        let msg =
+                            Msg::Provision { node: n, run, token, request_id, offer, number, tell };
                         self.post(again, msg);
                     }
-                    self.post(delay, Msg::Hire { node: n, run, token, hire, offer, number, tell });
+                    self.post(
+                        delay,
+                        Msg::Provision { node: n, run, token, request_id, offer, number, tell },
+                    );
                 }
-                Effect::Return(names) => {
+                Effect::Terminate(names) => {
                     let (delay, tell) = (self.delay(0.05), !self.chance(0.1));
                     self.post(delay, Msg::Return { node: n, run, token, names, tell });
                 }
-                Effect::List => {
+                Effect::ListMachines => {
                     if let Some(listed) = self.list() {
-                        let event = Event::Listed(listed);
+                        let event = Event::MachinesListed(listed);
                         let delay = self.rng.random_range(50..2_000);
                         self.post(delay, Msg::Tell { node: n, run, token, event });
                     }
                 }
-                Effect::Save => self.save(n),
+                Effect::WritesReady => self.save(n),
                 Effect::Resign(_) => {
                     if self.leader.map(|l| l.1) == Some(token) {
                         self.leader = None;
                         self.epoch += 1;
-                        self.vacant = self.epoch;
+                        self.leaderless_since = self.epoch;
                     }
                 }
-                Effect::Note(_) => {}
-                Effect::WriteQuota(write) if self.may_act(n) => {
+                Effect::Log(_) => {}
+                Effect::WriteLedger(write) if self.may_act(n) => {
                     let shared = federation::SharedWrite { node: n, run, token, write };
                     self.shared_writes.push(shared);
                 }
-                Effect::WriteQuota(write) => {
-                    let event = Event::QuotaWritten { write, outcome: WriteOutcome::NotStored };
+                Effect::WriteLedger(write) => {
+                    let event =
+                        Event::LedgerWriteFinished { write, outcome: WriteOutcome::NotStored };
                     self.post(500, Msg::Tell { node: n, run, token, event });
                 }
             }
@@ -360,7 +369,7 @@
         }
         if delay > 2_000 || !tell {
             // Unknown to the node, and perhaps applied late.
-            let outcome = SaveOutcome::Unknown;
+            let outcome = BatchOutcome::Unknown;
             let writes = writes.clone();
             self.post(2_000, Msg::Saved { node: n, run, token, writes, outcome });
         }
@@ -374,13 +383,13 @@
 
     pub(super) fn deliver(&mut self, msg: Msg) {
         match msg {
-            Msg::Report { node, worker, mut report, id, sent } => {
+            Msg::Heartbeat { node, worker, mut report, id, sent } => {
                 self.copies += u64::from(id == 0);
                 if self.broken == Broken::SavingUnseen {
-                    report.tasks.retain(|t| t.phase != Phase::Saving);
+                    report.tasks.retain(|t| t.phase != TaskPhase::Checkpointing);
                 }
                 if self.broken == Broken::WaitingUnseen {
-                    report.tasks.retain(|t| t.phase != Phase::Waiting);
+                    report.tasks.retain(|t| t.phase != TaskPhase::Waiting);
                 }
                 if self.broken == Broken::CancelledUseNothing {
                     let cancelled = |id: &JobId| matches!(self.jobs[id].state, State::Cancelled);
@@ -397,14 +406,15 @@
                     self.post(5, Msg::Elsewhere { worker, id });
                     return;
                 }
-                let (token, session) = (self.nodes[node].token, report.session);
-                let commands = self.drive(node, Event::Report(report.clone()));
+                let (token, agent_epoch) = (self.nodes[node].token, report.agent_epoch);
+                let commands = self.drive(node, Event::Heartbeat(report.clone()));
                 let Some(mut commands) = commands else {
                     self.post(5, Msg::Elsewhere { worker, id });
                     return;
                 };
                 if self.broken == Broken::EarlyForget {
-                    for t in report.tasks.iter().filter(|t| matches!(t.phase, Phase::Ended(_))) {
+                    for t in report.tasks.iter().filter(|t| matches!(t.phase, TaskPhase::Ended(_)))
+                    {
                         commands.push(Command::Forget { task: t.task, attempt: t.attempt });
                     }
                 }
@@ -412,9 +422,9 @@
                     return;
                 }
                 let delay = self.delay(0.01);
-                self.post(delay, Msg::Answer { worker, id, token, session, commands, sent });
+                self.post(delay, Msg::Answer { worker, id, token, agent_epoch, commands, sent });
             }
-            Msg::Answer { worker, id, token, session, commands, sent } => {
+            Msg::Answer { worker, id, token, agent_epoch, commands, sent } => {
                 let now = self.now;
                 let Some(w) = self.workers.get_mut(&worker) else { return };
                 let current = w.flying.is_some_and(|(_, f)| f == id) && now <= sent + 4_000;
@@ -423,7 +433,7 @@
                     return;
                 }
                 w.flying = None;
-                if token < w.token || session != w.session {
+                if token < w.token || agent_epoch != w.agent_epoch {
                     return;
                 }
                 if token > w.token {
@@ -444,22 +454,30 @@
                     w.next_report = now + 500;
                 }
             }
-            Msg::Do { node, run, worker, token, session, call, commands, late } => {
+            Msg::Do { node, run, worker, token, agent_epoch, call, commands, late } => {
                 let now = self.now;
                 let Some(w) = self.workers.get_mut(&worker) else { return };
-                if !w.alive || now < w.up_at || w.session == 0 {
+                if !w.alive || now < w.up_at || w.agent_epoch == 0 {
                     return;
                 }
                 if now < w.hang_until {
                     // Executed when the machine resumes.
                     let wait = w.hang_until - now + 1;
-                    let msg =
-                        Msg::Do { node, run, worker, token, session, call, commands, late: true };
+                    let msg = Msg::Do {
+                        node,
+                        run,
+                        worker,
+                        token,
+                        agent_epoch,
+                        call,
+                        commands,
+                        late: true,
+                    };
                     self.post(wait, msg);
                     return;
                 }
-                w.seq += 1;
-                let good = token >= w.token && session == w.session;
+                w.sequence += 1;
+                let good = token >= w.token && agent_epoch == w.agent_epoch;
                 if good {
                     w.token = token;
                     self.late_commands += u64::from(late && !commands.is_empty());
@@ -469,8 +487,11 @@
                     return;
                 }
                 let Some(report) = self.report(&worker) else { return };
-                let outcome =
-                    if good { CallOutcome::Done(report) } else { CallOutcome::Refused(report) };
+                let outcome = if good {
+                    CallOutcome::Executed(report)
+                } else {
+                    CallOutcome::Rejected(report)
+                };
                 // The answer may be lost on its way.
                 if !self.chance(0.02) {
                     let delay = self.rng.random_range(1..60);
@@ -478,14 +499,15 @@
                 }
             }
             Msg::Did { node, run, token, worker, call, outcome } => {
-                let event = Event::Called { machine: worker, call, outcome };
+                let event = Event::CallFinished { machine: worker, call, outcome };
                 self.deliver(Msg::Tell { node, run, token, event });
             }
-            Msg::Hire { node, run, token, hire, offer, number, tell } => {
-                let outcome = self.rent(&hire, &offer, number);
-                let outcome = if tell { outcome } else { HireOutcome::Lost };
-                let wait = if matches!(outcome, HireOutcome::Machines(_)) { 50 } else { 800 };
-                let event = Event::Hired { hire, outcome };
+            Msg::Provision { node, run, token, request_id, offer, number, tell } => {
+                let outcome = self.provision(&request_id, &offer, number);
+                let outcome = if tell { outcome } else { ProvisionOutcome::Unknown };
+                let wait =
+                    if matches!(outcome, ProvisionOutcome::Provisioned(_)) { 50 } else { 800 };
+                let event = Event::ProvisionFinished { request_id, outcome };
                 self.post(wait, Msg::Tell { node, run, token, event });
             }
             Msg::Return { node, run, token, names, tell } => {
@@ -496,20 +518,20 @@
                     }
                 }
                 let ok = up && tell;
-                let event = Event::Returned { names, ok };
+                let event = Event::TerminateFinished { names, ok };
                 self.post(if ok { 50 } else { 800 }, Msg::Tell { node, run, token, event });
             }
             Msg::Write { node, run, token, writes, tell } => {
                 let outcome = self.write(token, &writes);
                 if tell {
-                    let wait = if matches!(outcome, SaveOutcome::Ok(_)) { 5 } else { 250 };
+                    let wait = if matches!(outcome, BatchOutcome::Committed(_)) { 5 } else { 250 };
                     self.post(wait, Msg::Saved { node, run, token, writes, outcome });
                 }
             }
             Msg::Saved { node, run, token, writes, outcome } => {
                 if self.nodes[node].run == run && self.nodes[node].token == token {
                     self.nodes[node].saving = false;
-                    let event = Event::Saved { writes, outcome };
+                    let event = Event::WritesFinished { writes, outcome };
                     self.deliver(Msg::Tell { node, run, token, event });
                 }
             }
--- a/crates/latchtrack-core/tests/simulation/world/store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/store.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 /// Bytes of the value that a change puts.
-fn value_size(write: &Write) -> usize {
+fn value_size(write: &RecordWrite) -> usize {
     match write {
-        Write::Fleet { machines, .. } => machines.iter().map(StoredMachine::bytes).sum(),
-        Write::Results { chunks, .. } => {
+        RecordWrite::MachineSet { machines, .. } => machines.iter().map(StoredMachine::bytes).sum(),
+        RecordWrite::Results { chunks, .. } => {
             chunks.iter().map(|(_, _, bytes)| bytes.len().div_ceil(3) * 4 + 24).sum()
         }
-        Write::Done { .. } => 0,
+        RecordWrite::JobDone { .. } => 0,
     }
 }
 
@@ -23,23 +23,23 @@
         } else if self.leader.is_some_and(|(_, _, until)| until < self.now) {
             self.leader = None;
             self.epoch += 1;
-            self.vacant = self.epoch;
+            self.leaderless_since = self.epoch;
         }
     }
 
-    pub(super) fn write(&mut self, token: u64, writes: &[Write]) -> SaveOutcome {
+    pub(super) fn write(&mut self, token: u64, writes: &[RecordWrite]) -> BatchOutcome {
         if self.now < self.store_down_until {
-            return SaveOutcome::NotDone;
+            return BatchOutcome::NotExecuted;
         }
         let (bytes, changes) = self.taken;
         if writes.len() > changes || writes.iter().any(|w| value_size(w) > bytes) {
             self.meets("write refused");
-            return SaveOutcome::Refused;
+            return BatchOutcome::Rejected;
         }
         if writes.iter().any(|w| value_size(w) > self.kept_to.0) {
             self.meets("value above what leaders keep to");
         }
-        let none = || SaveOutcome::Conflict { jobs: vec![], fleet: vec![], results: vec![] };
+        let none = || BatchOutcome::Conflict { jobs: vec![], fleet: vec![], results: vec![] };
         self.puts += writes.len() as u64;
         if self.broken != Broken::NoFence {
             if self.leader.map(|l| l.1) != Some(token) {
@@ -48,7 +48,11 @@
             let stale: Vec<JobId> = writes
                 .iter()
                 .filter_map(|w| match w {
-                    Write::Done { job, stamp, .. } if self.jobs[job].stamp != *stamp => Some(*job),
+                    RecordWrite::JobDone { job, revision, .. }
+                        if self.jobs[job].revision != *revision =>
+                    {
+                        Some(*job)
+                    }
                     _ => None,
                 })
                 .collect();
@@ -59,52 +63,56 @@
                     strict && expect.is_some_and(|e| e != have.unwrap_or(0))
                 };
                 match w {
-                    Write::Fleet { pack, .. } => {
-                        if differs(pack.expect, self.fleet.get(&pack.name).map(|f| f.stamp)) {
+                    RecordWrite::MachineSet { pack, .. } => {
+                        if differs(
+                            pack.expect,
+                            self.machine_sets.get(&pack.name).map(|f| f.revision),
+                        ) {
                             fleet.push(pack.name.clone());
                         }
                     }
-                    Write::Results { pack, .. } => {
-                        if differs(pack.expect, self.results.get(&pack.name).map(|r| r.stamp)) {
+                    RecordWrite::Results { pack, .. } => {
+                        if differs(pack.expect, self.results.get(&pack.name).map(|r| r.revision)) {
                             results.push(pack.name.clone());
                         }
                     }
-                    Write::Done { .. } => {}
+                    RecordWrite::JobDone { .. } => {}
                 }
             }
             let stale = if self.broken == Broken::DoneAnyway { Vec::new() } else { stale };
             if !(stale.is_empty() && fleet.is_empty() && results.is_empty()) {
-                return SaveOutcome::Conflict { jobs: stale, fleet, results };
+                return BatchOutcome::Conflict { jobs: stale, fleet, results };
             }
         }
         self.epoch += 1;
         for w in writes {
             match w.clone() {
-                Write::Fleet { pack, machines } => {
+                RecordWrite::MachineSet { pack, machines } => {
                     if machines.is_empty() {
-                        self.fleet.remove(&pack.name);
+                        self.machine_sets.remove(&pack.name);
                     } else if self.broken != Broken::NotStored {
-                        let (name, stamp) = (pack.name, self.epoch);
+                        let (name, revision) = (pack.name, self.epoch);
                         let machines = Some(machines);
-                        self.fleet.insert(name.clone(), StoredFleet { name, stamp, machines });
+                        self.machine_sets
+                            .insert(name.clone(), StoredMachineSet { name, revision, machines });
                     }
                 }
-                Write::Results { pack, chunks } => {
+                RecordWrite::Results { pack, chunks } => {
                     if chunks.is_empty() {
                         self.results.remove(&pack.name);
                     } else {
-                        let (name, stamp) = (pack.name, self.epoch);
-                        self.results.insert(name.clone(), StoredResults { name, stamp, chunks });
+                        let (name, revision) = (pack.name, self.epoch);
+                        self.results.insert(name.clone(), StoredResults { name, revision, chunks });
                     }
                 }
-                Write::Done { job, .. } => {
+                RecordWrite::JobDone { job, .. } => {
                     if let Some(j) = self.jobs.get_mut(&job) {
                         j.state = State::Done;
-                        j.stamp = self.epoch;
+                        j.revision = self.epoch;
                     }
                 }
             }
         }
-        SaveOutcome::Ok(self.epoch)
+        BatchOutcome::Committed(self.epoch)
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/trace.rs
+++ b/crates/latchtrack-core/tests/simulation/world/trace.rs
@@ -5,8 +5,8 @@
 
 use std::fmt::Write as _;
 
-use latchtrack_core::leader::{Effect, Write};
 use latchtrack_core::machine::Command;
+use latchtrack_core::scheduler::{Effect, RecordWrite};
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -40,7 +40,7 @@
     }
 
     /// What a node's leader writes at a time.
-    pub fn record_writes(&mut self, now: u64, node: usize, writes: &[Write]) {
+    pub fn record_writes(&mut self, now: u64, node: usize, writes: &[RecordWrite]) {
         for write in writes {
             self.writes += 1;
             self.add(&format!("{now} {node} {}\n", describe_write(write)));
@@ -70,19 +70,19 @@
 
 fn describe_effect(effect: &Effect) -> String {
     match effect {
-        Effect::Answer(commands) => format!("answer{}", describe_commands(commands)),
-        Effect::Call { machine, addr, session, call, commands } => {
-            format!("call {machine} {addr} {session} {call}{}", describe_commands(commands))
+        Effect::Respond(commands) => format!("answer{}", describe_commands(commands)),
+        Effect::CallWorker { machine, addr, agent_epoch, call, commands } => {
+            format!("call {machine} {addr} {agent_epoch} {call}{}", describe_commands(commands))
         }
-        Effect::Hire { hire, offer, number } => {
-            format!("rent {hire} {} {} {} {number}", offer.kind, offer.zone, offer.spot)
+        Effect::Provision { request_id, offer, number } => {
+            format!("rent {request_id} {} {} {} {number}", offer.kind, offer.zone, offer.spot)
         }
-        Effect::Return(names) => format!("return {}", names.join(" ")),
-        Effect::List => "list".into(),
-        Effect::Save => "save".into(),
+        Effect::Terminate(names) => format!("return {}", names.join(" ")),
+        Effect::ListMachines => "list".into(),
+        Effect::WritesReady => "save".into(),
         Effect::Resign(_) => "resign".into(),
-        Effect::Note(_) => "note".into(),
-        Effect::WriteQuota(write) => {
+        Effect::Log(_) => "note".into(),
+        Effect::WriteLedger(write) => {
             let dead: Vec<String> = write
                 .dead
                 .iter()
@@ -94,9 +94,9 @@
     }
 }
 
-fn describe_write(write: &Write) -> String {
+fn describe_write(write: &RecordWrite) -> String {
     match write {
-        Write::Fleet { pack, machines } => {
+        RecordWrite::MachineSet { pack, machines } => {
             let mut out = format!("machines {} {:?}", pack.name, pack.expect);
             for entry in &pack.entries {
                 let _ = write!(out, " {entry}");
@@ -106,7 +106,7 @@
             }
             out
         }
-        Write::Results { pack, chunks } => {
+        RecordWrite::Results { pack, chunks } => {
             let mut out = format!("results {} {:?}", pack.name, pack.expect);
             for (job, chunk) in &pack.entries {
                 let _ = write!(out, " {job} {chunk}");
@@ -116,6 +116,6 @@
             }
             out
         }
-        Write::Done { job, stamp, tasks } => format!("done {job} {stamp} {tasks}"),
+        RecordWrite::JobDone { job, revision, tasks } => format!("done {job} {revision} {tasks}"),
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/users.rs
+++ b/crates/latchtrack-core/tests/simulation/world/users.rs
@@ -76,7 +76,7 @@
                         self.nodes[n].back_at = now + ms;
                     }
                 }
-                Planned::Boots(times, never, ms) => self.boots = (times, never, now + ms),
+                Planned::BootTracker(times, never, ms) => self.boots = (times, never, now + ms),
                 Planned::Mistakes(many) => (0..many).for_each(|_| self.submit_with(1.0)),
                 Planned::Sick(share) => self.some(share, |w| w.sick = true),
                 Planned::Hang(share, ms) => self.some(share, |w| w.hang_until = now + ms),
@@ -155,7 +155,7 @@
         let (epoch, now) = (self.epoch, self.now);
         if let Some(j) = self.jobs.get_mut(&id) {
             j.state = State::Cancelled;
-            j.stamp = epoch;
+            j.revision = epoch;
             j.told_cancelled = Some(now);
         }
     }
@@ -391,13 +391,13 @@
             Stored {
                 spec: Arc::new(spec),
                 state: State::Open { stored_at: self.now },
-                stamp: self.epoch,
+                revision: self.epoch,
                 told_cancelled: None,
                 told_done: false,
                 mistaken,
                 submitted_at: self.now,
                 begun: None,
-                passed_since: None,
+                unschedulable_since: None,
             },
         );
     }
@@ -434,7 +434,10 @@
         let mut bad = Vec::new();
         for (name, w) in &self.workers {
             for ((task, _), t) in &w.tasks {
-                if !matches!(t.phase, Phase::Waiting | Phase::Running | Phase::Saving) {
+                if !matches!(
+                    t.phase,
+                    TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing
+                ) {
                     continue;
                 }
                 let told = self.jobs.get(&task.job).and_then(|j| j.told_cancelled);
@@ -456,24 +459,25 @@
         }
         let room = |w: &Worker| {
             let used = |s: &BTreeMap<(TaskId, u64), WTask>| -> f64 {
-                let live = s.iter().filter(|(_, t)| !matches!(t.phase, Phase::Ended(_)));
+                let live = s.iter().filter(|(_, t)| !matches!(t.phase, TaskPhase::Ended(_)));
                 live.map(|((t, _), _)| self.jobs[&t.job].spec.demand.cpus).sum()
             };
             let cpus = types().iter().find(|t| t.name == w.kind).map_or(0.0, |t| t.cpus);
             cpus - used(&w.tasks)
         };
-        let well = |w: &&Worker| w.alive && w.session > 0 && !w.sick && self.now >= w.hang_until;
+        let well =
+            |w: &&Worker| w.alive && w.agent_epoch > 0 && !w.sick && self.now >= w.hang_until;
         let rooms: Vec<(&Worker, f64)> =
             self.workers.values().filter(well).map(|w| (w, room(w))).collect();
         let live: Vec<(TaskId, &str, f64)> = self
             .workers
             .values()
             .flat_map(|w| w.tasks.iter().map(move |((t, _), s)| (t, s, w.zone)))
-            .filter(|(_, s, _)| !matches!(s.phase, Phase::Ended(_)))
+            .filter(|(_, s, _)| !matches!(s.phase, TaskPhase::Ended(_)))
             .map(|(t, _, zone)| (*t, zone, self.jobs[&t.job].spec.demand.cpus))
             .collect();
-        let limited = |t: &JobId| self.jobs[t].spec.team == "limited";
-        let here: f64 = live.iter().filter(|(t, ..)| limited(&t.job)).map(|(.., c)| c).sum();
+        let has_team_limit = |t: &JobId| self.jobs[t].spec.team == "limited";
+        let here: f64 = live.iter().filter(|(t, ..)| has_team_limit(&t.job)).map(|(.., c)| c).sum();
         let used = here + self.taken_elsewhere;
         let mut passed = BTreeSet::new();
         for (id, j) in &self.jobs {
@@ -509,8 +513,8 @@
         let mut bad = Vec::new();
         for (id, j) in &mut self.jobs {
             if !passed.contains(id) {
-                j.passed_since = None;
-            } else if now > *j.passed_since.get_or_insert(now) + WAITS_MOST {
+                j.unschedulable_since = None;
+            } else if now > *j.unschedulable_since.get_or_insert(now) + WAITS_MOST {
                 bad.push(format!("{id} while a machine has room"));
             }
         }
--- a/crates/latchtrack-core/tests/simulation/world/workers.rs
+++ b/crates/latchtrack-core/tests/simulation/world/workers.rs
@@ -3,22 +3,22 @@
 use super::*;
 
 impl World {
-    pub(super) fn report(&self, name: &str) -> Option<Report> {
+    pub(super) fn report(&self, name: &str) -> Option<Heartbeat> {
         let w = self.workers.get(name)?;
-        Some(Report {
+        Some(Heartbeat {
             machine: name.into(),
             addr: name.into(),
             kind: w.kind.into(),
             zone: w.zone.into(),
             spot: w.spot,
-            session: w.session,
-            seq: w.seq,
+            agent_epoch: w.agent_epoch,
+            sequence: w.sequence,
             token: w.token,
             notice_s: None,
             tasks: w
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt), t)| TaskStatus {
                     task: *task,
                     attempt: *attempt,
                     phase: t.phase,
@@ -34,16 +34,16 @@
         for name in names {
             let now = self.now;
             let Some(w) = self.workers.get_mut(&name) else { continue };
-            if !w.alive || now < w.up_at || (now < w.hang_until && w.session == 0) {
+            if !w.alive || now < w.up_at || (now < w.hang_until && w.agent_epoch == 0) {
                 continue;
             }
-            if w.session == 0 {
-                w.session = 1;
+            if w.agent_epoch == 0 {
+                w.agent_epoch = 1;
                 w.lease_from = now;
             }
             // A steady clock that is slow: the worst case.
             if now > w.lease_from + LEASE + LEASE / 2_000 {
-                w.session += 1;
+                w.agent_epoch += 1;
                 w.tasks.clear();
                 w.lease_from = now;
                 w.flying = None;
@@ -66,7 +66,7 @@
                 continue;
             }
             if w.flying.is_none() && now >= w.next_report {
-                w.seq += 1;
+                w.sequence += 1;
                 self.next_id += 1;
                 let id = self.next_id;
                 w.flying = Some((now, id));
@@ -84,13 +84,13 @@
                     let delay = self.rng.random_range(2_000..3 * LEASE);
                     let (worker, report) = (name.clone(), report.clone());
                     let node = self.rng.random_range(0..self.size.nodes);
-                    self.post(delay, Msg::Report { node, worker, report, id: 0, sent: now });
+                    self.post(delay, Msg::Heartbeat { node, worker, report, id: 0, sent: now });
                 }
                 if now < self.copies_kept.1 && self.rng.random_bool(self.copies_kept.0) {
-                    self.kept.push((name.clone(), report.clone()));
+                    self.reserved_exclusively.push((name.clone(), report.clone()));
                 }
                 if !(cut && self.chance(0.5)) {
-                    let msg = Msg::Report { node, worker: name, report, id, sent: now };
+                    let msg = Msg::Heartbeat { node, worker: name, report, id, sent: now };
                     self.post(delay, msg);
                 }
             }
@@ -109,38 +109,38 @@
             let run = self.rng.random_range(1_500..most);
             let mistaken = self.jobs.get(&key.0.job).is_some_and(|j| j.mistaken);
             let next = match phase {
-                Phase::Fetching if w.done_here.contains(&key.0) => {
-                    (Phase::Ended(Cause::Done), u64::MAX)
+                TaskPhase::Fetching if w.done_here.contains(&key.0) => {
+                    (TaskPhase::Ended(ExitCause::Done), u64::MAX)
                 }
-                Phase::Fetching => {
+                TaskPhase::Fetching => {
                     self.check_start(name, key.0);
                     match self.is_gang(key.0.job) {
                         true => {
                             self.check_attempt(name, key);
-                            (Phase::Waiting, now + gangs::GANG_WAIT)
+                            (TaskPhase::Waiting, now + gangs::GANG_WAIT)
                         }
-                        false => (Phase::Running, now + run),
+                        false => (TaskPhase::Running, now + run),
                     }
                 }
-                Phase::Waiting => {
+                TaskPhase::Waiting => {
                     self.meets("gang incomplete");
-                    (Phase::Ended(Cause::Alone), u64::MAX)
+                    (TaskPhase::Ended(ExitCause::GangIncomplete), u64::MAX)
                 }
                 // Ends with its gang.
-                Phase::Running if self.is_gang(key.0.job) => continue,
-                Phase::Running if w.sick || mistaken => {
+                TaskPhase::Running if self.is_gang(key.0.job) => continue,
+                TaskPhase::Running if w.sick || mistaken => {
                     self.failures += 1;
-                    (Phase::Ended(Cause::Error), u64::MAX)
+                    (TaskPhase::Ended(ExitCause::Failed), u64::MAX)
                 }
-                Phase::Running => {
+                TaskPhase::Running => {
                     self.completed.insert(key.0);
                     if let Some(w) = self.workers.get_mut(name) {
                         w.done_here.insert(key.0);
                     }
                     self.cancel_at_end(key.0.job);
-                    (Phase::Ended(Cause::Done), u64::MAX)
+                    (TaskPhase::Ended(ExitCause::Done), u64::MAX)
                 }
-                Phase::Saving => (Phase::Ended(Cause::Stopped), u64::MAX),
+                TaskPhase::Checkpointing => (TaskPhase::Ended(ExitCause::Stopped), u64::MAX),
                 _ => continue,
             };
             if let Some(t) = self.workers.get_mut(name).and_then(|w| w.tasks.get_mut(&key)) {
@@ -176,7 +176,9 @@
             j.begun.get_or_insert(now);
         }
         let spec = j.spec.clone();
-        let on = |t: &WTask| matches!(t.phase, Phase::Waiting | Phase::Running | Phase::Saving);
+        let on = |t: &WTask| {
+            matches!(t.phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
+        };
         let mut zones = Vec::new();
         let mut used = self.used_elsewhere;
         let mut bad = Vec::new();
@@ -219,19 +221,19 @@
                     let busy = w
                         .tasks
                         .iter()
-                        .any(|((t, _), s)| *t == task && !matches!(s.phase, Phase::Ended(_)));
+                        .any(|((t, _), s)| *t == task && !matches!(s.phase, TaskPhase::Ended(_)));
                     let room = types().iter().find(|t| t.name == w.kind).map_or(0.0, |t| t.cpus)
                         - w.tasks
                             .iter()
-                            .filter(|(_, s)| !matches!(s.phase, Phase::Ended(_)))
+                            .filter(|(_, s)| !matches!(s.phase, TaskPhase::Ended(_)))
                             .map(|((t, _), _)| self.jobs[&t.job].spec.demand.cpus)
                             .sum::<f64>();
                     let phase = if busy {
-                        Phase::Ended(Cause::Busy)
+                        TaskPhase::Ended(ExitCause::DuplicateTask)
                     } else if room + 1e-6 < self.jobs[&task.job].spec.demand.cpus {
-                        Phase::Ended(Cause::NoRoom)
+                        TaskPhase::Ended(ExitCause::InsufficientResources)
                     } else {
-                        Phase::Fetching
+                        TaskPhase::Fetching
                     };
                     w.tasks.insert((task, attempt), WTask { phase, until: now + fetch });
                 }
@@ -240,19 +242,19 @@
                     let Some(t) = w.tasks.get_mut(&(task, attempt)) else { continue };
                     let saves = spec.is_some_and(|s| s.checkpoint_s > 0.0 && grace_s >= s.save_s);
                     match t.phase {
-                        Phase::Running if saves => {
-                            t.phase = Phase::Saving;
+                        TaskPhase::Running if saves => {
+                            t.phase = TaskPhase::Checkpointing;
                             t.until = now + 1_000;
                         }
-                        Phase::Ended(_) => {}
-                        Phase::Saving if grace_s > 0.0 => {}
-                        _ => t.phase = Phase::Ended(Cause::Stopped),
+                        TaskPhase::Ended(_) => {}
+                        TaskPhase::Checkpointing if grace_s > 0.0 => {}
+                        _ => t.phase = TaskPhase::Ended(ExitCause::Stopped),
                     }
                 }
                 Command::Forget { task, attempt } => {
                     if w.tasks
                         .get(&(task, attempt))
-                        .is_some_and(|t| matches!(t.phase, Phase::Ended(_)))
+                        .is_some_and(|t| matches!(t.phase, TaskPhase::Ended(_)))
                     {
                         w.tasks.remove(&(task, attempt));
                     }
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -6,8 +6,8 @@
 
 use common::*;
 use latchtrack_core::job::JobId;
-use latchtrack_core::leader::*;
 use latchtrack_core::machine::*;
+use latchtrack_core::scheduler::*;
 
 /// After which a worker's lease surely has run out.
 const PAST_LEASE: u64 = LEASE + 5_000;
@@ -16,9 +16,9 @@
 /// What a node would make of its settings.
 fn settings() -> Policy {
     Policy {
-        ordinary_after_ms: 8_000,
-        silence_ms: Policy::silence_default(3_000),
-        settle_ms: 3_500,
+        on_demand_provision_delay_ms: 8_000,
+        heartbeat_timeout_ms: Policy::default_heartbeat_timeout_ms(3_000),
+        reconcile_timeout_ms: 3_500,
         ..policy()
     }
 }
@@ -33,16 +33,16 @@
 
 /// A fleet over three zones, in which some machines neither speak nor answer.
 struct Fleet {
-    c: Cluster,
+    c: Scheduler,
     now: u64,
-    seq: u64,
-    session: BTreeMap<u64, u64>,
+    sequence: u64,
+    agent_epoch: BTreeMap<u64, u64>,
     /// Open calls into the silence: when each ends, machine and number.
     calls: Vec<(u64, String, u64)>,
     notes: Vec<String>,
     returned: Vec<u64>,
     resigned: Vec<&'static str>,
-    hires: Vec<String>,
+    provisions: Vec<String>,
     asked: BTreeMap<String, u32>,
     /// Machines that don't answer may be heard by way of other nodes, and be given tasks.
     relays: bool,
@@ -59,22 +59,25 @@
             addr: name(i),
         };
         let machines = Some((0..3 * PER_ZONE).map(machine).collect());
-        let stored = vec![StoredFleet { name: "3-1".into(), stamp: 4, machines }];
+        let stored = vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }];
         let types = vec![machine_type((0..3).map(zone).collect())];
-        let stamps = Stamps { token: 7, vacant: 7 };
-        let mut c = Cluster::new(settings(), stamps, types, stored, Vec::new(), 1_000);
+        let revisions = TermRevisions { token: 7, leaderless_since: 7 };
+        let mut c = Scheduler::new(settings(), revisions, types, stored, Vec::new(), 1_000);
         let tasks = 3 * PER_ZONE as u32;
-        c.handle(1_000, Event::Job { spec: spec(1, tasks), submitted_at: 0, stamp: 3, done: None });
+        c.handle(
+            1_000,
+            Event::JobOpened { spec: spec(1, tasks), submitted_at: 0, revision: 3, done: None },
+        );
         Fleet {
             c,
             now: 1_000,
-            seq: 0,
-            session: BTreeMap::new(),
+            sequence: 0,
+            agent_epoch: BTreeMap::new(),
             calls: Vec::new(),
             notes: Vec::new(),
             returned: Vec::new(),
             resigned: Vec::new(),
-            hires: Vec::new(),
+            provisions: Vec::new(),
             asked: BTreeMap::new(),
             relays: false,
         }
@@ -84,31 +87,31 @@
     fn settled() -> Fleet {
         let mut f = Fleet::inherited();
         f.run(3_000, |_| false);
-        assert_eq!(f.c.summary(0).unsettled, 0);
+        assert_eq!(f.c.summary(0).unreconciled, 0);
         f
     }
 
-    fn report(&mut self, i: u64) -> Report {
-        self.seq += 1;
-        let session = *self.session.get(&i).unwrap_or(&1);
+    fn report(&mut self, i: u64) -> Heartbeat {
+        self.sequence += 1;
+        let agent_epoch = *self.agent_epoch.get(&i).unwrap_or(&1);
         let runs = self.c.machines().get(&name(i)).map(|m| &m.runs);
         let known = runs.into_iter().flat_map(|r| r.values());
-        let mut tasks: Vec<TaskReport> = known
-            .map(|r| TaskReport { task: r.task, attempt: r.attempt, phase: Phase::Running })
+        let mut tasks: Vec<TaskStatus> = known
+            .map(|r| TaskStatus { task: r.task, attempt: r.attempt, phase: TaskPhase::Running })
             .collect();
         // What the earlier leader has launched.
-        if tasks.is_empty() && session == 1 {
+        if tasks.is_empty() && agent_epoch == 1 {
             let task = format!("req-000001/{i}").parse().unwrap();
-            tasks.push(TaskReport { task, attempt: 5, phase: Phase::Running });
+            tasks.push(TaskStatus { task, attempt: 5, phase: TaskPhase::Running });
         }
-        Report {
+        Heartbeat {
             machine: name(i),
             addr: name(i),
             kind: "g".into(),
             zone: zone(i),
             spot: true,
-            session,
-            seq: self.seq,
+            agent_epoch,
+            sequence: self.sequence,
             token: 7,
             notice_s: None,
             tasks,
@@ -118,18 +121,18 @@
     fn take(&mut self, effects: Vec<Effect>, silent: &impl Fn(u64) -> bool) {
         for e in effects {
             match e {
-                Effect::Note(t) => self.notes.push(t),
+                Effect::Log(t) => self.notes.push(t),
                 Effect::Resign(why) => self.resigned.push(why),
-                Effect::Return(names) => self.returned.extend(names.iter().map(|n| index(n))),
-                Effect::Hire { offer, .. } => self.hires.push(offer.zone),
-                Effect::Call { machine, call, commands, .. } if silent(index(&machine)) => {
+                Effect::Terminate(names) => self.returned.extend(names.iter().map(|n| index(n))),
+                Effect::Provision { offer, .. } => self.provisions.push(offer.zone),
+                Effect::CallWorker { machine, call, commands, .. } if silent(index(&machine)) => {
                     assert!(commands.is_empty() || self.relays, "a command into the silence");
                     *self.asked.entry(zone(index(&machine))).or_default() += 1;
                     self.calls.push((self.now + 2_500, machine, call));
                 }
-                Effect::Call { machine, call, .. } => {
-                    let outcome = CallOutcome::Done(self.report(index(&machine)));
-                    let event = Event::Called { machine, call, outcome };
+                Effect::CallWorker { machine, call, .. } => {
+                    let outcome = CallOutcome::Executed(self.report(index(&machine)));
+                    let event = Event::CallFinished { machine, call, outcome };
                     let effects = self.c.handle(self.now, event);
                     self.take(effects, silent);
                 }
@@ -148,14 +151,14 @@
             let (over, open) = calls.into_iter().partition::<Vec<_>, _>(|(at, ..)| *at <= now);
             self.calls = open;
             for (_, machine, call) in over {
-                let event = Event::Called { machine, call, outcome: CallOutcome::Lost };
+                let event = Event::CallFinished { machine, call, outcome: CallOutcome::NoAnswer };
                 let effects = self.c.handle(now, event);
                 self.take(effects, &silent);
             }
             for i in (0..3 * PER_ZONE).filter(|i| (now / 200 + i) % 10 == 0 && !silent(*i)) {
                 if self.c.machines().contains_key(&name(i)) {
                     let r = self.report(i);
-                    let effects = self.c.handle(now, Event::Report(r));
+                    let effects = self.c.handle(now, Event::Heartbeat(r));
                     self.take(effects, &silent);
                 }
             }
@@ -183,10 +186,10 @@
     assert_eq!(f.runs(1), 0, "the lease is over");
     assert!(f.c.jobs()[&JobId(1)].placed.values().all(|p| !in_b(index(&p.machine))));
     assert_eq!((f.returned.len(), f.resigned.len()), (0, 0));
-    let needless = f.hires.iter().filter(|z| *z == "b").count();
-    assert_eq!(needless, 0, "rented where nothing is heard: {:?}", f.hires);
+    let needless = f.provisions.iter().filter(|z| *z == "b").count();
+    assert_eq!(needless, 0, "rented where nothing is heard: {:?}", f.provisions);
     // Back, in the next session.
-    f.session.extend((0..3 * PER_ZONE).filter(|i| in_b(*i)).map(|i| (i, 2)));
+    f.agent_epoch.extend((0..3 * PER_ZONE).filter(|i| in_b(*i)).map(|i| (i, 2)));
     f.run(3_000, |_| false);
     assert_eq!(f.returned, Vec::<u64>::new());
     assert_eq!(f.c.summary(0).up, 3 * PER_ZONE as usize);
@@ -199,8 +202,8 @@
     let mut f = Fleet::settled();
     let held = f.report(1);
     f.run(PAST_LEASE + 4_000, in_b);
-    let effects = f.c.handle(f.now, Event::Report(held));
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Answer(c) if !c.is_empty())));
+    let effects = f.c.handle(f.now, Event::Heartbeat(held));
+    assert!(!effects.iter().any(|e| matches!(e, Effect::Respond(c) if !c.is_empty())));
     assert_eq!(f.runs(1), 0);
 }
 
@@ -251,7 +254,7 @@
 fn a_leader_that_was_away_does_not_take_that_for_the_machines_silence() {
     let mut f = Fleet::settled();
     f.now += PAST_LEASE + 20_000;
-    f.session.extend((0..3 * PER_ZONE).map(|i| (i, 2)));
+    f.agent_epoch.extend((0..3 * PER_ZONE).map(|i| (i, 2)));
     f.run(3_000, |_| false);
     assert_eq!((f.returned.len(), f.resigned.len()), (0, 0), "{:?}", f.notes);
     assert_eq!(f.c.summary(0).up, 3 * PER_ZONE as usize);
@@ -262,7 +265,7 @@
 #[test]
 fn a_machine_that_the_list_lost_before_it_came_up_counts_no_more() {
     let mut f = Fleet::settled();
-    let listed = |n: u64| Listed {
+    let listed = |n: u64| ListedMachine {
         name: name(n),
         kind: "g".into(),
         zone: zone(n),
@@ -271,13 +274,13 @@
         running: false,
         age_ms: 2_000,
     };
-    let all = |n: u64| Event::Listed((0..n).map(listed).collect());
+    let all = |n: u64| Event::MachinesListed((0..n).map(listed).collect());
     let now = f.now;
     f.c.handle(now, all(3 * PER_ZONE + 1));
     f.c.handle(now + 5_000, all(3 * PER_ZONE));
-    assert!(!f.c.machines()[&name(3 * PER_ZONE)].leaving, "lists are late");
+    assert!(!f.c.machines()[&name(3 * PER_ZONE)].to_terminate, "lists are late");
     f.c.handle(now + 14_000, all(3 * PER_ZONE));
-    assert!(f.c.machines()[&name(3 * PER_ZONE)].leaving);
+    assert!(f.c.machines()[&name(3 * PER_ZONE)].to_terminate);
 }
 
 /// Day apart of the working sites: the leader lost its workers for a minute, others passed their
@@ -289,21 +292,21 @@
     for _ in 0..20 {
         f.run(400, |i| i != 0);
         let r = f.report(3);
-        let effects = f.c.handle(f.now, Event::Relayed(r));
+        let effects = f.c.handle(f.now, Event::RelayedHeartbeat(r));
         f.take(effects, &|i| i != 0);
     }
     assert_eq!(f.resigned, Vec::<&str>::new(), "one speaks to it: the others are cut off");
     // Recorded day inc-16b6: nobody had spoken for a minute, then one by way of another node.
     f.now += 60_000;
     let r = f.report(3);
-    let effects = f.c.handle(f.now, Event::Relayed(r));
+    let effects = f.c.handle(f.now, Event::RelayedHeartbeat(r));
     f.take(effects, &|_| false);
     f.run(2_000, |_| false);
     assert_eq!(f.resigned, Vec::<&str>::new(), "one report by way of another says nothing");
     for _ in 0..20 {
         f.run(400, |_| true);
         let r = f.report(3);
-        let effects = f.c.handle(f.now, Event::Relayed(r));
+        let effects = f.c.handle(f.now, Event::RelayedHeartbeat(r));
         f.take(effects, &|_| true);
     }
     assert!(f.resigned.contains(&"machines are heard by way of other nodes only"));
--- a/crates/latchtrack/src/actors/cloud.rs
+++ b/crates/latchtrack/src/actors/cloud.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use actix::prelude::*;
-use latchtrack_core::leader::{Event, HireOutcome, Listed};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::placement::Offer;
+use latchtrack_core::scheduler::{Event, ListedMachine, ProvisionOutcome};
 
 use super::intake::{Intake, Types};
 use super::leader::{Came, Leader, LeaderTerm, Leadership};
@@ -24,7 +24,7 @@
 pub enum CloudRequest {
     Hire {
         token: u64,
-        hire: String,
+        request_id: String,
         offer: Offer,
         number: u32,
     },
@@ -38,7 +38,7 @@
     /// The next page of a list.
     Page {
         token: u64,
-        listed: Vec<Listed>,
+        listed: Vec<ListedMachine>,
     },
     /// Types and prices, which every node needs.
     Types,
@@ -126,12 +126,22 @@
             return Some(request);
         }
         match request {
-            CloudRequest::Hire { token, hire, .. } => {
-                let outcome = HireOutcome::NotDone;
-                self.tell(token, Event::Hired { hire, outcome }, CLOUD_RETRY_MS, ctx);
+            CloudRequest::Hire { token, request_id, .. } => {
+                let outcome = ProvisionOutcome::NotExecuted;
+                self.tell(
+                    token,
+                    Event::ProvisionFinished { request_id, outcome },
+                    CLOUD_RETRY_MS,
+                    ctx,
+                );
             }
             CloudRequest::Return { token, names } => {
-                self.tell(token, Event::Returned { names, ok: false }, CLOUD_RETRY_MS, ctx);
+                self.tell(
+                    token,
+                    Event::TerminateFinished { names, ok: false },
+                    CLOUD_RETRY_MS,
+                    ctx,
+                );
             }
             // The leader asks for a list again by itself.
             _ => {}
@@ -160,17 +170,17 @@
                     });
                 }));
             }
-            CloudRequest::Hire { token, hire, offer, number } => {
+            CloudRequest::Hire { token, request_id, offer, number } => {
                 let work = async move {
-                    let outcome = rent(&client, &base, &hire, &offer, number).await;
-                    (hire, outcome)
+                    let outcome = rent(&client, &base, &request_id, &offer, number).await;
+                    (request_id, outcome)
                 };
-                ctx.spawn(work.into_actor(self).map(move |(hire, outcome), act, ctx| {
+                ctx.spawn(work.into_actor(self).map(move |(request_id, outcome), act, ctx| {
                     let wait = match outcome {
-                        HireOutcome::NotDone | HireOutcome::Lost => CLOUD_RETRY_MS,
+                        ProvisionOutcome::NotExecuted | ProvisionOutcome::Unknown => CLOUD_RETRY_MS,
                         _ => 0,
                     };
-                    act.tell(token, Event::Hired { hire, outcome }, wait, ctx);
+                    act.tell(token, Event::ProvisionFinished { request_id, outcome }, wait, ctx);
                 }));
             }
             CloudRequest::Return { token, names } => {
@@ -180,7 +190,7 @@
                 };
                 ctx.spawn(work.into_actor(self).map(move |(names, ok), act, ctx| {
                     let wait = if ok { 0 } else { CLOUD_RETRY_MS };
-                    act.tell(token, Event::Returned { names, ok }, wait, ctx);
+                    act.tell(token, Event::TerminateFinished { names, ok }, wait, ctx);
                 }));
             }
             CloudRequest::List { token } => {
@@ -194,7 +204,7 @@
                         act.queue.push_front(CloudRequest::Page { token, listed });
                         act.pump(ctx);
                     }
-                    Some((listed, false)) => act.tell(token, Event::Listed(listed), 0, ctx),
+                    Some((listed, false)) => act.tell(token, Event::MachinesListed(listed), 0, ctx),
                     None => {}
                 }));
             }
@@ -244,12 +254,12 @@
 async fn rent(
     client: &awc::Client,
     base: &str,
-    hire: &str,
+    request_id: &str,
     offer: &Offer,
     number: u32,
-) -> HireOutcome {
+) -> ProvisionOutcome {
     let body = RentRequest {
-        request: hire,
+        request: request_id,
         kind: &offer.kind,
         zone: &offer.zone,
         spot: offer.spot,
@@ -257,25 +267,25 @@
     };
     let sent = client.post(format!("{base}/rentals")).timeout(CLOUD_TIMEOUT).send_json(&body);
     match finish(sent).await {
-        Err(CallError::NotSent) => HireOutcome::NotDone,
-        Err(CallError::Lost) => HireOutcome::Lost,
+        Err(CallError::NotSent) => ProvisionOutcome::NotExecuted,
+        Err(CallError::Lost) => ProvisionOutcome::Unknown,
         Ok((status, body)) => match status.as_u16() {
             200 => match serde_json::from_slice::<Names>(&body) {
-                Ok(n) => HireOutcome::Machines(n.machines),
-                Err(_) => HireOutcome::Lost,
+                Ok(n) => ProvisionOutcome::Provisioned(n.machines),
+                Err(_) => ProvisionOutcome::Unknown,
             },
             503 => {
                 let e: ErrorAnswer = serde_json::from_slice(&body).unwrap_or_default();
                 if e.error == "no capacity" {
-                    HireOutcome::NoCapacity
+                    ProvisionOutcome::NoCapacity
                 } else {
-                    HireOutcome::NotDone
+                    ProvisionOutcome::NotExecuted
                 }
             }
-            429 => HireOutcome::NotDone,
+            429 => ProvisionOutcome::NotExecuted,
             other => {
                 tracing::error!("the cloud refused a rental with {other}");
-                HireOutcome::NoCapacity
+                ProvisionOutcome::NoCapacity
             }
         },
     }
@@ -292,8 +302,8 @@
 async fn page(
     client: &awc::Client,
     base: &str,
-    mut listed: Vec<Listed>,
-) -> Option<(Vec<Listed>, bool)> {
+    mut listed: Vec<ListedMachine>,
+) -> Option<(Vec<ListedMachine>, bool)> {
     let from = listed.last().map(|l| format!("&from={}", l.name)).unwrap_or_default();
     let url = format!("{base}/rentals?most={LIST_PAGE}{from}");
     let sent = client.get(url).timeout(CLOUD_TIMEOUT).send();
@@ -303,7 +313,7 @@
     }
     let page: ListAnswer = serde_json::from_slice(&body).ok()?;
     let more = page.truncated.unwrap_or(false) && !page.machines.is_empty();
-    listed.extend(page.machines.into_iter().map(Listed::from));
+    listed.extend(page.machines.into_iter().map(ListedMachine::from));
     Some((listed, more))
 }
 
--- a/crates/latchtrack/src/actors/election.rs
+++ b/crates/latchtrack/src/actors/election.rs
@@ -56,7 +56,7 @@
         let record = CellRecord {
             cloud: settings.platform.services.cloud.to_string(),
             leader_lease_ms: settings.leader_ttl_ms(),
-            worker_lease_ms: settings.policy().lease_ms,
+            worker_lease_ms: settings.policy().worker_lease_ms,
         };
         Some(Cell { name: quota.cell.clone(), record })
     }
--- a/crates/latchtrack/src/actors/intake.rs
+++ b/crates/latchtrack/src/actors/intake.rs
@@ -6,9 +6,9 @@
 
 use actix::prelude::*;
 use latchtrack_core::job::{JobId, JobSpec};
-use latchtrack_core::leader::Team;
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::placement;
+use latchtrack_core::scheduler::Team;
 use tokio::sync::oneshot;
 
 use super::job_cache::{JobCache, Learn, Look};
--- a/crates/latchtrack/src/actors/leader.rs
+++ b/crates/latchtrack/src/actors/leader.rs
@@ -7,10 +7,11 @@
 use actix::prelude::*;
 use latchtrack_core::bitmap::Bitmap;
 use latchtrack_core::job::{JobId, JobSpec};
-use latchtrack_core::leader::{
-    CallOutcome, Cluster, Effect, Event, HireOutcome, Policy, SaveOutcome, Stamps, Write,
+use latchtrack_core::machine::{Command, Heartbeat, MachineType};
+use latchtrack_core::scheduler::{
+    BatchOutcome, CallOutcome, Effect, Event, Policy, ProvisionOutcome, RecordWrite, Scheduler,
+    TermRevisions,
 };
-use latchtrack_core::machine::{Command, MachineType, Report};
 use latchtrack_quota::WriteOutcome;
 
 use super::cloud::{Cloud, CloudRequest};
@@ -65,7 +66,7 @@
 #[derive(Message)]
 #[rtype(result = "Answer")]
 pub struct WorkerReport {
-    pub report: Report,
+    pub report: Heartbeat,
     pub relayed: bool,
 }
 
@@ -125,7 +126,7 @@
     /// The types as this node knows them to be stored.
     stored_types: Vec<MachineType>,
     term: Option<LeaderTerm>,
-    cluster: Option<Cluster>,
+    cluster: Option<Scheduler>,
     building: bool,
     /// Changes of the cache that came while the stored state was being read.
     meanwhile: Vec<JobChange>,
@@ -163,7 +164,7 @@
             peers,
             election: None,
             quota: None,
-            client: http_client(settings.policy().calls_open),
+            client: http_client(settings.policy().max_open_calls),
             node: settings.platform.node_name.clone(),
             policy: settings.policy(),
             value_bytes: settings.platform.params.state.value_bytes(),
@@ -222,40 +223,46 @@
         let mut answer = None;
         for effect in effects {
             match effect {
-                Effect::Answer(commands) => answer = Some(commands),
-                Effect::Call { machine, call, .. } if !may_act => {
+                Effect::Respond(commands) => answer = Some(commands),
+                Effect::CallWorker { machine, call, .. } if !may_act => {
                     self.put_off(
-                        Event::Called { machine, call, outcome: CallOutcome::NotSent },
+                        Event::CallFinished { machine, call, outcome: CallOutcome::NotSent },
                         ctx,
                     );
                 }
-                Effect::Hire { hire, .. } if !may_act => {
-                    self.put_off(Event::Hired { hire, outcome: HireOutcome::NotDone }, ctx);
+                Effect::Provision { request_id, .. } if !may_act => {
+                    self.put_off(
+                        Event::ProvisionFinished {
+                            request_id,
+                            outcome: ProvisionOutcome::NotExecuted,
+                        },
+                        ctx,
+                    );
                 }
-                Effect::Return(names) if !may_act => {
-                    self.put_off(Event::Returned { names, ok: false }, ctx);
+                Effect::Terminate(names) if !may_act => {
+                    self.put_off(Event::TerminateFinished { names, ok: false }, ctx);
                 }
-                Effect::Call { machine, addr, session, call, commands } => {
-                    self.call(machine, addr, session, call, &commands, ctx);
+                Effect::CallWorker { machine, addr, agent_epoch, call, commands } => {
+                    self.call(machine, addr, agent_epoch, call, &commands, ctx);
                 }
-                Effect::Hire { hire, offer, number } => {
-                    self.cloud.do_send(CloudRequest::Hire { token, hire, offer, number });
+                Effect::Provision { request_id, offer, number } => {
+                    self.cloud.do_send(CloudRequest::Hire { token, request_id, offer, number });
                 }
-                Effect::Return(names) => {
+                Effect::Terminate(names) => {
                     self.cloud.do_send(CloudRequest::Return { token, names });
                 }
-                Effect::List => self.cloud.do_send(CloudRequest::List { token }),
-                Effect::Save => self.save(ctx),
+                Effect::ListMachines => self.cloud.do_send(CloudRequest::List { token }),
+                Effect::WritesReady => self.save(ctx),
                 Effect::Resign(why) => {
                     if let Some(e) = &self.election {
                         e.do_send(Resign(why));
                     }
                 }
-                Effect::Note(text) => tracing::info!("{text}"),
-                Effect::WriteQuota(write) => match &self.quota {
+                Effect::Log(text) => tracing::info!("{text}"),
+                Effect::WriteLedger(write) => match &self.quota {
                     Some(quota) if may_act => quota.do_send(quota::Change { token, write }),
                     _ => self.put_off(
-                        Event::QuotaWritten { write, outcome: WriteOutcome::NotStored },
+                        Event::LedgerWriteFinished { write, outcome: WriteOutcome::NotStored },
                         ctx,
                     ),
                 },
@@ -274,34 +281,34 @@
         &self,
         machine: String,
         addr: String,
-        session: u64,
+        agent_epoch: u64,
         call: u64,
         commands: &[Command],
         ctx: &mut Context<Self>,
     ) {
         let token = self.token();
         let commands = commands.iter().map(CommandDto::from).collect();
-        let body = Call { token, session, commands };
+        let body = Call { token, session: agent_epoch, commands };
         // Each worker is called seldom: an idle connection to each would take a socket.
         let request = self.client.post(format!("http://{addr}/do")).force_close();
         let sent = request.timeout(CALL_TIMEOUT).send_json(&body);
         ctx.spawn(finish(sent).into_actor(self).map(move |result, act, ctx| {
             let outcome = match result {
                 Ok((status, body)) => match (status.as_u16(), parse_report(&body)) {
-                    (200, Ok(report)) => CallOutcome::Done(report),
-                    (409, Ok(report)) => CallOutcome::Refused(report),
-                    _ => CallOutcome::Lost,
+                    (200, Ok(report)) => CallOutcome::Executed(report),
+                    (409, Ok(report)) => CallOutcome::Rejected(report),
+                    _ => CallOutcome::NoAnswer,
                 },
                 Err(CallError::NotSent) => CallOutcome::NotSent,
-                Err(CallError::Lost) => CallOutcome::Lost,
+                Err(CallError::Lost) => CallOutcome::NoAnswer,
             };
             // An answer to a call of an earlier term tells this one nothing in its own terms.
             if act.token() == token && act.may_act() {
-                act.drive(Event::Called { machine, call, outcome }, ctx);
+                act.drive(Event::CallFinished { machine, call, outcome }, ctx);
             } else if act.token() == token {
                 // Out of time just now: what was answered is taken for lost.
-                let outcome = CallOutcome::Lost;
-                act.drive(Event::Called { machine, call, outcome }, ctx);
+                let outcome = CallOutcome::NoAnswer;
+                act.drive(Event::CallFinished { machine, call, outcome }, ctx);
             }
         }));
     }
@@ -336,12 +343,12 @@
             let outcome = match result.map(|a| a.reply) {
                 Ok(Reply::Applied(stamp)) => {
                     for w in &writes {
-                        if let Write::Done { job, tasks, .. } = w {
+                        if let RecordWrite::JobDone { job, tasks, .. } = w {
                             let record = Record::Done { tasks: *tasks };
                             act.cache.do_send(Learn { id: *job, record, stamp });
                         }
                     }
-                    SaveOutcome::Ok(stamp)
+                    BatchOutcome::Committed(stamp)
                 }
                 Ok(Reply::Failed(keys)) => {
                     if keys.iter().any(|k| k == LEADER) {
@@ -351,19 +358,19 @@
                     }
                     conflict(&keys)
                 }
-                Ok(_) | Err(StoreError::Unknown) => SaveOutcome::Unknown,
+                Ok(_) | Err(StoreError::Unknown) => BatchOutcome::Unknown,
                 Err(StoreError::Refused(why)) => {
                     tracing::error!("the state service refused {}: {why}", keys.join(", "));
-                    SaveOutcome::Refused
+                    BatchOutcome::Rejected
                 }
                 Err(e) => {
                     tracing::debug!("a write of the leader failed: {e}");
-                    SaveOutcome::NotDone
+                    BatchOutcome::NotExecuted
                 }
             };
             let failed = matches!(
                 outcome,
-                SaveOutcome::NotDone | SaveOutcome::Unknown | SaveOutcome::Refused
+                BatchOutcome::NotExecuted | BatchOutcome::Unknown | BatchOutcome::Rejected
             );
             let again = act.want_save;
             // `Saved` itself asks for the next write if there is one.
@@ -372,11 +379,11 @@
                 ctx.run_later(Duration::from_millis(SYNC_RETRY_MS), move |act, ctx| {
                     act.saving = false;
                     if act.token() == token {
-                        act.drive(Event::Saved { writes, outcome }, ctx);
+                        act.drive(Event::WritesFinished { writes, outcome }, ctx);
                     }
                 });
             } else {
-                act.drive(Event::Saved { writes, outcome }, ctx);
+                act.drive(Event::WritesFinished { writes, outcome }, ctx);
                 if again {
                     act.save(ctx);
                 }
@@ -422,16 +429,16 @@
         let (policy, types) = (self.policy.clone(), self.types.clone());
         let (fleet, kept) = (stored.fleet, stored.results);
         // The last time before this term that nobody led.
-        let vacant = stored.vacant.filter(|stamp| *stamp < token).unwrap_or(token);
-        let stamps = Stamps { token, vacant };
-        self.cluster = Some(Cluster::new(policy, stamps, types, fleet, kept, now));
-        for (spec, at_ms, stamp) in stored.jobs {
+        let leaderless_since = stored.vacant.filter(|revision| *revision < token).unwrap_or(token);
+        let revisions = TermRevisions { token, leaderless_since };
+        self.cluster = Some(Scheduler::new(policy, revisions, types, fleet, kept, now));
+        for (spec, at_ms, revision) in stored.jobs {
             let mut done = None;
             for (chunk, bytes) in results.remove(&spec.id).unwrap_or_default() {
                 done.get_or_insert_with(|| Bitmap::new(spec.tasks)).merge_chunk(chunk, &bytes);
             }
             let submitted_at = clock::steady_of(at_ms);
-            self.drive(Event::Job { spec, submitted_at, stamp, done }, ctx);
+            self.drive(Event::JobOpened { spec, submitted_at, revision, done }, ctx);
         }
         for change in std::mem::take(&mut self.meanwhile) {
             self.change(change, ctx);
@@ -471,11 +478,11 @@
 
     fn change(&mut self, change: JobChange, ctx: &mut Context<Self>) {
         let event = match change {
-            JobChange::Open(spec, at_ms, stamp) => {
+            JobChange::Open(spec, at_ms, revision) => {
                 let submitted_at = clock::steady_of(at_ms);
-                Event::Job { spec, submitted_at, stamp, done: None }
+                Event::JobOpened { spec, submitted_at, revision, done: None }
             }
-            JobChange::Closed(id) => Event::Closed(id),
+            JobChange::Closed(id) => Event::JobClosed(id),
         };
         self.drive(event, ctx);
     }
@@ -548,7 +555,7 @@
     type Result = ();
     fn handle(&mut self, msg: Types, ctx: &mut Self::Context) {
         self.types = msg.0.clone();
-        self.drive(Event::Types(msg.0), ctx);
+        self.drive(Event::MachineTypes(msg.0), ctx);
         self.keep_types(ctx);
         self.build(ctx);
     }
@@ -591,8 +598,8 @@
         }
         let token = self.token();
         let event = match msg.relayed {
-            true => Event::Relayed(msg.report),
-            false => Event::Report(msg.report),
+            true => Event::RelayedHeartbeat(msg.report),
+            false => Event::Heartbeat(msg.report),
         };
         match self.drive(event, ctx) {
             Some(commands) => Answer::Orders { token, commands },
@@ -619,14 +626,18 @@
                 token: c.token(),
                 acting: self.may_act(),
                 machines_up: s.up,
-                machines_booting: s.promised - s.unsettled,
+                machines_booting: s.booting - s.unreconciled,
                 machines_late: s.late,
-                machines_unsettled: s.unsettled,
-                late_boots: c.late_classes(),
-                quiet_zones: c.quiet_zones(),
+                machines_unsettled: s.unreconciled,
+                late_boots: c.late_boot_pools(),
+                quiet_zones: c.unreachable_zones(),
                 jobs_open: c.jobs().len(),
                 gangs_open: c.open_gangs(),
-                suspect_jobs: c.suspects().map(|id| id.to_string()).take(STATUS_JOBS).collect(),
+                suspect_jobs: c
+                    .quarantined_jobs()
+                    .map(|id| id.to_string())
+                    .take(STATUS_JOBS)
+                    .collect(),
                 tasks_waiting: s.waiting,
                 cpus: s.cpus,
                 cpus_running: s.cpus_running,
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use actix::prelude::*;
-use latchtrack_core::leader::Event;
+use latchtrack_core::scheduler::Event;
 use latchtrack_quota::{Amounts, LedgerWrite, WriteOutcome};
 
 use super::leader::{Came, Leader};
@@ -112,7 +112,7 @@
         self.revision = Some(revision);
         // The keeper leaves out what is older than its term.
         if self.term == Some(token) {
-            let event = Event::Quota(self.keys.view(revision));
+            let event = Event::QuotaObserved(self.keys.view(revision));
             self.leader.do_send(Came { token, event });
         }
     }
@@ -151,7 +151,7 @@
                 // Somebody else has changed something, most likely.
                 act.look(ctx);
             }
-            let event = Event::QuotaWritten { write, outcome };
+            let event = Event::LedgerWriteFinished { write, outcome };
             act.leader.do_send(Came { token, event });
         }));
     }
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -4,7 +4,7 @@
 
 use actix::prelude::*;
 use latchtrack_core::job::JobId;
-use latchtrack_core::leader::{SaveOutcome, StoredFleet, StoredResults, Write};
+use latchtrack_core::scheduler::{BatchOutcome, RecordWrite, StoredMachineSet, StoredResults};
 use serde_json::value::RawValue;
 
 use super::job_cache::{Inheritance, JobCache, OpenJob, OpenJobs};
@@ -16,32 +16,32 @@
 pub struct StoredState {
     pub jobs: Vec<OpenJob>,
     pub vacant: Option<u64>,
-    pub fleet: Vec<StoredFleet>,
+    pub fleet: Vec<StoredMachineSet>,
     pub results: Vec<StoredResults>,
 }
 
 /// The transaction of a batch: fenced by the leader key; for a job that becomes done by the stamp
 /// of its record, which a cancellation would have changed; for a packed value by its own, which a
 /// late write of ours would have.
-pub fn transaction(token: u64, writes: &[Write]) -> Option<Txn> {
+pub fn transaction(token: u64, writes: &[RecordWrite]) -> Option<Txn> {
     let mut conditions = vec![Condition { key: LEADER.into(), version: token }];
     let mut changes = Vec::new();
     let put = |key, value| Change::Put { key, value, lease: None };
     for w in writes {
         let (key, expect, value) = match w {
-            Write::Fleet { pack, machines } => (
+            RecordWrite::MachineSet { pack, machines } => (
                 fleet_key(&pack.name),
                 pack.expect,
                 packed(machines.is_empty(), || fleet(machines))?,
             ),
-            Write::Results { pack, chunks } => (
+            RecordWrite::Results { pack, chunks } => (
                 results_key(&pack.name),
                 pack.expect,
                 packed(chunks.is_empty(), || results(chunks))?,
             ),
-            Write::Done { job, stamp, tasks } => {
+            RecordWrite::JobDone { job, revision, tasks } => {
                 let value = Record::Done { tasks: *tasks }.to_json().ok()?;
-                (job_key(*job), Some(*stamp), Some(value))
+                (job_key(*job), Some(*revision), Some(value))
             }
         };
         if let Some(version) = expect {
@@ -68,12 +68,12 @@
 }
 
 /// What stood in the way of a write.
-pub fn conflict(keys: &[String]) -> SaveOutcome {
+pub fn conflict(keys: &[String]) -> BatchOutcome {
     let under = |prefix: &str| -> Vec<String> {
         keys.iter().filter_map(|k| k.strip_prefix(prefix)).map(str::to_string).collect()
     };
     let jobs = under(JOBS).iter().filter_map(|t| t.parse().ok()).collect();
-    SaveOutcome::Conflict { jobs, fleet: under(FLEET), results: under(RESULTS) }
+    BatchOutcome::Conflict { jobs, fleet: under(FLEET), results: under(RESULTS) }
 }
 
 /// Reads open jobs, results and machine set; None if the state service can't be asked. All of it
@@ -88,7 +88,7 @@
         let machines = read_fleet(name, item.value.get())
             .map_err(|e| tracing::error!("the machines under {name} are garbled: {e}"))
             .ok();
-        fleet.push(StoredFleet { name: name.to_string(), stamp: item.version, machines });
+        fleet.push(StoredMachineSet { name: name.to_string(), revision: item.version, machines });
     }
     let open: HashSet<JobId> = jobs.iter().map(|(spec, ..)| spec.id).collect();
     let mut results = Vec::new();
@@ -100,7 +100,7 @@
             Vec::new()
         });
         chunks.retain(|(id, ..)| open.contains(id));
-        results.push(StoredResults { name: name.to_string(), stamp: item.version, chunks });
+        results.push(StoredResults { name: name.to_string(), revision: item.version, chunks });
     }
     Some(StoredState { jobs, vacant, fleet, results })
 }
--- a/crates/latchtrack/src/http/mod.rs
+++ b/crates/latchtrack/src/http/mod.rs
@@ -98,7 +98,7 @@
 /// Answers what another node has passed on; never passes it on again.
 pub async fn answer_passed_on(app: &AppState, request: PeerRequest) -> Answer {
     let response = match request {
-        PeerRequest::Report(bytes) => workers::answer_here(app, &bytes).await,
+        PeerRequest::Heartbeat(bytes) => workers::answer_here(app, &bytes).await,
         PeerRequest::Status => status(app).await,
         request => users::answer_here(app, request).await,
     };
--- a/crates/latchtrack/src/http/users.rs
+++ b/crates/latchtrack/src/http/users.rs
@@ -66,7 +66,7 @@
         }
         PeerRequest::Query(id) => query_id(app, &id).await,
         PeerRequest::Withdraw(id) => withdraw_id(app, &id).await,
-        PeerRequest::Report(_) | PeerRequest::Status => {
+        PeerRequest::Heartbeat(_) | PeerRequest::Status => {
             refuse(StatusCode::BAD_REQUEST, "not a user's request")
         }
     }
--- a/crates/latchtrack/src/http/workers.rs
+++ b/crates/latchtrack/src/http/workers.rs
@@ -17,7 +17,7 @@
     // A worker that was sent to the leader and is back can't reach it: its report is passed on, and
     // an answer with the leader's token counts from any node.
     if let Ok(Answer::Relay(leader)) = &answer {
-        let passed = pass_on(&app, Some(leader.clone()), PeerRequest::Report(bytes)).await;
+        let passed = pass_on(&app, Some(leader.clone()), PeerRequest::Heartbeat(bytes)).await;
         return passed.unwrap_or_else(|| elsewhere(None));
     }
     say(answer)
--- a/crates/latchtrack/src/settings/check.rs
+++ b/crates/latchtrack/src/settings/check.rs
@@ -103,13 +103,14 @@
         let t = &self.tuning;
         within("alpha", t.alpha, 0.0, 1.0)?;
         within("gamma", t.gamma, 0.0, 100.0)?;
-        within("slice", f64::from(t.slice), 1.0, f64::from(core::TASKS_MOST))?;
+        within("slice", f64::from(t.slice), 1.0, f64::from(core::MAX_TASKS))?;
         within("idle_wait_s", t.idle_wait_s, 0.0, 86_400.0)?;
         within("ordinary_idle_wait_s", t.ordinary_idle_wait_s, 0.0, 86_400.0)?;
         within("pass_over_s", t.pass_over_s, 0.0, 86_400.0)?;
         within("spot_after_s", t.spot_after_s, 0.0, 3_600.0)?;
         within("ordinary_after_s", t.ordinary_after_s, 0.0, 3_600.0)?;
-        let asked_first = report_s * core::REPORT_VARIES + core::PROBE_MS as f64 / 1000.0;
+        let asked_first =
+            report_s * core::HEARTBEAT_JITTER_FACTOR + core::PROBE_MARGIN_MS as f64 / 1000.0;
         within("silence_s", self.silence_s(), asked_first, 3_600.0)?;
         within("settle_s", t.settle_s, 3.0, 3_600.0)?;
         let moves = f64::from(t.balance.moves_per_minute);
--- a/crates/latchtrack/src/settings/mod.rs
+++ b/crates/latchtrack/src/settings/mod.rs
@@ -9,8 +9,8 @@
 use std::path::Path;
 
 use latchtrack_core::constants as core;
-use latchtrack_core::leader::{Policy, Team};
-use latchtrack_core::placement::Weights;
+use latchtrack_core::placement::ScoreWeights;
+use latchtrack_core::scheduler::{Policy, Team};
 use serde::Serialize;
 
 pub use check::BadSettings;
@@ -65,25 +65,37 @@
         let t = &self.tuning;
         let ms = |s: f64| (s * 1000.0) as u64;
         Policy {
-            weights: Weights { alpha: t.alpha, beta: 1.0 - t.alpha, gamma: t.gamma },
+            weights: ScoreWeights { alpha: t.alpha, beta: 1.0 - t.alpha, gamma: t.gamma },
             slice: t.slice,
-            idle_wait_ms: ms(t.idle_wait_s),
-            ordinary_idle_wait_ms: ms(t.ordinary_idle_wait_s),
-            pass_over_ms: ms(t.pass_over_s),
-            spot_after_ms: ms(t.spot_after_s),
-            ordinary_after_ms: ms(t.ordinary_after_s),
-            silence_ms: ms(self.silence_s()),
-            report_ms: ms(self.platform.params.workers.report_s),
-            settle_ms: ms(t.settle_s),
-            lease_ms: ms(self.platform.params.workers.lease_s),
+            spot_idle_timeout_ms: ms(t.idle_wait_s),
+            on_demand_idle_timeout_ms: ms(t.ordinary_idle_wait_s),
+            reserve_after_ms: ms(t.pass_over_s),
+            spot_provision_delay_ms: ms(t.spot_after_s),
+            on_demand_provision_delay_ms: ms(t.ordinary_after_s),
+            heartbeat_timeout_ms: ms(self.silence_s()),
+            heartbeat_interval_ms: ms(self.platform.params.workers.report_s),
+            reconcile_timeout_ms: ms(t.settle_s),
+            worker_lease_ms: ms(self.platform.params.workers.lease_s),
             list_lag_ms: ms(self.platform.params.cloud.list_lag_s),
-            calls_open: self.calls_open(),
+            max_open_calls: self.max_open_calls(),
             value_bytes: self.platform.params.state.value_bytes(),
-            prompt: self.prompt(),
+            start_objectives: self.prompt(),
             balance: t.balance.policy(),
             quota_cell: t.quota.as_ref().map(|quota| quota.cell.clone()),
-            aimed: self.platform.params.objectives.iter().map(|o| o.class.clone()).collect(),
-            aims: self.platform.params.objectives.iter().filter_map(Objective::aim).collect(),
+            classes_with_objectives: self
+                .platform
+                .params
+                .objectives
+                .iter()
+                .map(|o| o.class.clone())
+                .collect(),
+            completion_objectives: self
+                .platform
+                .params
+                .objectives
+                .iter()
+                .filter_map(Objective::aim)
+                .collect(),
             teams: self
                 .platform
                 .params
@@ -105,7 +117,9 @@
     fn prompt(&self) -> Vec<(String, u64)> {
         let mut tightest: BTreeMap<&str, u64> = BTreeMap::new();
         for o in &self.platform.params.objectives {
-            let Some(ms) = o.wait_ms().filter(|ms| *ms <= core::PROMPT_MOST_MS) else { continue };
+            let Some(ms) = o.wait_ms().filter(|ms| *ms <= core::MAX_START_OBJECTIVE_MS) else {
+                continue;
+            };
             let least = tightest.entry(&o.class).or_insert(ms);
             *least = ms.min(*least);
         }
@@ -115,12 +129,12 @@
     /// s of silence after which a machine is given up.
     pub fn silence_s(&self) -> f64 {
         let report_ms = (self.platform.params.workers.report_s * 1000.0) as u64;
-        let derived = || Policy::silence_default(report_ms) as f64 / 1000.0;
+        let derived = || Policy::default_heartbeat_timeout_ms(report_ms) as f64 / 1000.0;
         self.tuning.silence_s.unwrap_or_else(derived)
     }
 
     /// Direct calls open at once: half of the sockets that users and workers leave us.
-    fn calls_open(&self) -> usize {
+    fn max_open_calls(&self) -> usize {
         let ours = self.platform.params.limits.max_sockets as f64 * (1.0 - c::SOCKETS_USED);
         ((ours / 2.0) as usize).clamp(1, c::CALLS_MOST)
     }
@@ -148,7 +162,7 @@
     pub fn derived(&self) -> Derived {
         Derived {
             connections: self.connections(),
-            direct_calls: self.calls_open(),
+            direct_calls: self.max_open_calls(),
             prompt_ms: self.prompt().into_iter().collect(),
         }
     }
--- a/crates/latchtrack/src/settings/platform.rs
+++ b/crates/latchtrack/src/settings/platform.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use latchtrack_core::leader::{Aim, Due};
+use latchtrack_core::scheduler::{CompletionObjective, Due};
 use serde::{Deserialize, Serialize};
 
 /// The platform's file. Fields that we do not know are ignored.
@@ -78,13 +78,13 @@
         Some((s * 1000.0) as u64)
     }
 
-    pub(super) fn aim(&self) -> Option<Aim> {
+    pub(super) fn aim(&self) -> Option<CompletionObjective> {
         let due = match (self.kind.as_str(), self.within_s, self.times) {
             ("finished", Some(s), _) if s > 0.0 => Due::Within((s * 1000.0) as u64),
             ("deadline", _, Some(t)) if t > 0.0 => Due::Times(t),
             _ => return None,
         };
-        Some(Aim { class: self.class.clone(), due })
+        Some(CompletionObjective { class: self.class.clone(), due })
     }
 }
 
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -2,7 +2,7 @@
 
 use latchtrack_balance::{balancer, constants as balance};
 use latchtrack_core::constants as core;
-use latchtrack_core::leader::BalancePolicy;
+use latchtrack_core::scheduler::BalancePolicy;
 use serde::{Deserialize, Serialize};
 
 use super::quota::QuotaTuning;
@@ -75,7 +75,7 @@
             min_run_s: s(balance::MIN_RUN_MS),
             task_cooldown_s: s(balance::TASK_COOLDOWN_MS),
             machine_gap_s: s(balance::MACHINE_GAP_MS),
-            calm_s: s(core::MOVES_CALM_MS),
+            calm_s: s(core::MOVES_DELAY_AFTER_FAILOVER_MS),
         }
     }
 }
@@ -110,13 +110,13 @@
             alpha: core::ALPHA,
             gamma: core::GAMMA,
             slice: core::SLICE,
-            idle_wait_s: s(core::IDLE_WAIT_MS),
-            ordinary_idle_wait_s: s(core::ORDINARY_IDLE_WAIT_MS),
-            pass_over_s: s(core::PASS_OVER_MS),
-            spot_after_s: s(core::SPOT_AFTER_MS),
-            ordinary_after_s: s(core::ORDINARY_AFTER_MS),
+            idle_wait_s: s(core::SPOT_IDLE_TIMEOUT_MS),
+            ordinary_idle_wait_s: s(core::ON_DEMAND_IDLE_TIMEOUT_MS),
+            pass_over_s: s(core::RESERVE_AFTER_MS),
+            spot_after_s: s(core::SPOT_PROVISION_DELAY_MS),
+            ordinary_after_s: s(core::ON_DEMAND_PROVISION_DELAY_MS),
             silence_s: None,
-            settle_s: s(core::SETTLE_MS),
+            settle_s: s(core::RECONCILE_TIMEOUT_MS),
             leader_lease_s: None,
             balance: BalanceTuning::default(),
             quota: None,
--- a/crates/latchtrack/src/status.rs
+++ b/crates/latchtrack/src/status.rs
@@ -5,7 +5,7 @@
 
 use actix::prelude::*;
 use futures_util::StreamExt;
-use latchtrack_core::machine::Phase;
+use latchtrack_core::machine::TaskPhase;
 use serde::Serialize;
 
 use crate::actors::peers;
@@ -104,7 +104,7 @@
             found.silent += 1;
             continue;
         };
-        for task in report.tasks.iter().filter(|t| matches!(t.phase, Phase::Running)) {
+        for task in report.tasks.iter().filter(|t| matches!(t.phase, TaskPhase::Running)) {
             *found.running.entry(task.task.job.to_string()).or_default() += 1;
         }
     }
--- a/crates/latchtrack/src/wire/cloud.rs
+++ b/crates/latchtrack/src/wire/cloud.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes and cloud.
 
-use latchtrack_core::leader::Listed;
 use latchtrack_core::machine::MachineType;
+use latchtrack_core::scheduler::ListedMachine;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
@@ -97,9 +97,9 @@
     age_s: Option<f64>,
 }
 
-impl From<ListedDto> for Listed {
+impl From<ListedDto> for ListedMachine {
     fn from(l: ListedDto) -> Self {
-        Listed {
+        ListedMachine {
             name: l.name,
             kind: l.kind,
             zone: l.zone,
--- a/crates/latchtrack/src/wire/peers.rs
+++ b/crates/latchtrack/src/wire/peers.rs
@@ -26,7 +26,7 @@
     Query(String),
     Withdraw(String),
     /// A report of a worker that can't reach the leader itself.
-    Report(Vec<u8>),
+    Heartbeat(Vec<u8>),
     /// An operator's question: see [`super::status::NodeView`].
     Status,
 }
--- a/crates/latchtrack/src/wire/records.rs
+++ b/crates/latchtrack/src/wire/records.rs
@@ -10,8 +10,8 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
-use latchtrack_core::leader::StoredMachine;
 use latchtrack_core::machine::MachineType;
+use latchtrack_core::scheduler::StoredMachine;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
@@ -159,7 +159,7 @@
                 let numbers =
                     [s.cpus, s.gpus, s.memory_gb, s.checkpoint_s, s.save_s, run, image, due];
                 if s.tasks == 0
-                    || s.tasks > latchtrack_core::constants::TASKS_MOST
+                    || s.tasks > latchtrack_core::constants::MAX_TASKS
                     || numbers.iter().any(|n| !n.is_finite() || *n < 0.0)
                 {
                     return Err("a number out of range".into());
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use latchtrack_core::leader::BalanceSummary;
+use latchtrack_core::scheduler::BalanceSummary;
 use latchtrack_quota::{Account, Amounts, TeamSummary};
 use serde::{Deserialize, Serialize};
 
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -1,6 +1,6 @@
 //! Messages between users and nodes.
 
-use latchtrack_core::constants::TASKS_MOST;
+use latchtrack_core::constants::MAX_TASKS;
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
 use serde::Serialize;
 use serde_json::{Map, Value};
@@ -81,7 +81,7 @@
     let tasks = get(map, "pieces")
         .ok_or(Missing("pieces"))?
         .as_u64()
-        .filter(|n| (1..=u64::from(TASKS_MOST)).contains(n))
+        .filter(|n| (1..=u64::from(MAX_TASKS)).contains(n))
         .ok_or(Invalid("pieces", "must be a whole number from 1 to 100000"))?;
     let types = match get(map, "builds") {
         None => None,
--- a/crates/latchtrack/src/wire/workers.rs
+++ b/crates/latchtrack/src/wire/workers.rs
@@ -1,6 +1,6 @@
 //! Messages between workers and nodes.
 
-use latchtrack_core::machine::{Cause, Command, Phase, Report, TaskReport};
+use latchtrack_core::machine::{Command, ExitCause, Heartbeat, TaskPhase, TaskStatus};
 use serde::{Deserialize, Serialize};
 
 /// Why a report is of no use.
@@ -49,42 +49,42 @@
 
 /// What a state means. One that this version does not know is no reason to lose a machine with all that
 /// is on it.
-fn phase(state: &str) -> Phase {
+fn phase(state: &str) -> TaskPhase {
     match state {
-        "pulling" => Phase::Fetching,
-        "waiting" => Phase::Waiting,
-        "running" => Phase::Running,
-        "flushing" => Phase::Saving,
-        _ => Phase::Unrecognised,
+        "pulling" => TaskPhase::Fetching,
+        "waiting" => TaskPhase::Waiting,
+        "running" => TaskPhase::Running,
+        "flushing" => TaskPhase::Checkpointing,
+        _ => TaskPhase::Unrecognised,
     }
 }
 
 /// What the cause of an end means.
-fn cause(cause: Option<&str>) -> Cause {
+fn cause(cause: Option<&str>) -> ExitCause {
     match cause {
-        Some("done") => Cause::Done,
-        Some("halted") => Cause::Stopped,
-        Some("error") => Cause::Error,
-        Some("no_room") => Cause::NoRoom,
-        Some("busy") => Cause::Busy,
-        Some("unknown") => Cause::Unknown,
-        Some("peers") => Cause::Peers,
-        Some("alone") => Cause::Alone,
-        _ => Cause::Unrecognised,
+        Some("done") => ExitCause::Done,
+        Some("halted") => ExitCause::Stopped,
+        Some("error") => ExitCause::Failed,
+        Some("no_room") => ExitCause::InsufficientResources,
+        Some("busy") => ExitCause::DuplicateTask,
+        Some("unknown") => ExitCause::UnknownTask,
+        Some("peers") => ExitCause::GangPeerLost,
+        Some("alone") => ExitCause::GangIncomplete,
+        _ => ExitCause::Unrecognised,
     }
 }
 
 /// Reads a report; also the body of a direct call's answer.
-pub fn parse_report(body: &[u8]) -> Result<Report, BadReport> {
+pub fn parse_report(body: &[u8]) -> Result<Heartbeat, BadReport> {
     let dto: ReportDto = serde_json::from_slice(body)?;
     let mut tasks = Vec::new();
     for t in dto.tasks.unwrap_or_default() {
         let Ok(task) = t.task.parse() else { return Err(BadReport::Task(t.task, "no task id")) };
         let phase = match t.status.as_str() {
-            "ended" => Phase::Ended(cause(t.cause.as_deref())),
+            "ended" => TaskPhase::Ended(cause(t.cause.as_deref())),
             state => phase(state),
         };
-        tasks.push(TaskReport { task, attempt: t.attempt, phase });
+        tasks.push(TaskStatus { task, attempt: t.attempt, phase });
     }
     if dto.notice_s.is_some_and(|n| !n.is_finite()) {
         return Err(BadReport::Range("recall_s"));
@@ -93,14 +93,14 @@
     if dto.session == 0 {
         return Err(BadReport::Range("shift"));
     }
-    Ok(Report {
+    Ok(Heartbeat {
         machine: dto.host,
         addr: dto.addr,
         kind: dto.kind,
         zone: dto.zone,
         spot: dto.spot.unwrap_or(false),
-        session: dto.session,
-        seq: dto.seq,
+        agent_epoch: dto.session,
+        sequence: dto.seq,
         token: dto.token.unwrap_or(0),
         notice_s: dto.notice_s,
         tasks,
--- a/crates/latchtrack/tests/integration/main.rs
+++ b/crates/latchtrack/tests/integration/main.rs
@@ -518,7 +518,7 @@
     .unwrap();
     let addr = door.addrs()[0].to_string();
     actix_web::rt::spawn(door.run());
-    let machine = |name: &str, addr: &str| latchtrack_core::leader::StoredMachine {
+    let machine = |name: &str, addr: &str| latchtrack_core::scheduler::StoredMachine {
         name: name.into(),
         kind: "t1".into(),
         zone: "a".into(),
--- a/crates/latchtrack/tests/parsers.rs
+++ b/crates/latchtrack/tests/parsers.rs
@@ -101,7 +101,7 @@
         "pieces":[{"piece":"req-000412/3","try":2,"status":"ended","cause":"done"}]}"#;
     fuzz(text, 2, |bytes| match parse_report(bytes) {
         Ok(r) => {
-            assert!(r.session > 0 && r.notice_s.is_none_or(f64::is_finite));
+            assert!(r.agent_epoch > 0 && r.notice_s.is_none_or(f64::is_finite));
             true
         }
         Err(_) => false,
@@ -150,7 +150,7 @@
         }
         // What passes the check must be usable as it is.
         let policy = settings.policy();
-        assert!(policy.lease_ms >= 1_000 && settings.leader_ttl_ms() >= 1_000);
+        assert!(policy.worker_lease_ms >= 1_000 && settings.leader_ttl_ms() >= 1_000);
         true
     });
 }
--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -12,8 +12,8 @@
 use latchtrack_core::bitmap::Bitmap;
 use latchtrack_core::constants::{ATTEMPT_BITS, CHUNK_TASKS};
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
-use latchtrack_core::leader::StoredMachine;
 use latchtrack_core::machine::MachineType;
+use latchtrack_core::scheduler::StoredMachine;
 
 /// A job with every field of its record.
 fn full_spec() -> JobSpec {
@@ -154,7 +154,7 @@
         (ask(PeerRequest::Submit(b"{}".to_vec())), &[2, 251, 44, 1, 0, 2, 123, 125]),
         (ask(PeerRequest::Query("r".into())), &[2, 251, 44, 1, 1, 1, 114]),
         (ask(PeerRequest::Withdraw("r".into())), &[2, 251, 44, 1, 2, 1, 114]),
-        (ask(PeerRequest::Report(b"{}".to_vec())), &[2, 251, 44, 1, 3, 2, 123, 125]),
+        (ask(PeerRequest::Heartbeat(b"{}".to_vec())), &[2, 251, 44, 1, 3, 2, 123, 125]),
         (ask(PeerRequest::Status), &[2, 251, 44, 1, 4]),
         (answer(300, 503, Some(1), b"x"), &[3, 251, 44, 1, 251, 247, 1, 1, 1, 1, 120]),
         (answer(1, 200, None, b""), &[3, 1, 200, 0, 0]),
--- a/crates/latchtrack/tests/records.rs
+++ b/crates/latchtrack/tests/records.rs
@@ -6,8 +6,8 @@
 use base64::Engine;
 use latchtrack::wire::records::*;
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
-use latchtrack_core::leader::StoredMachine;
 use latchtrack_core::machine::MachineType;
+use latchtrack_core::scheduler::StoredMachine;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/latchtrack/tests/reports.rs
+++ b/crates/latchtrack/tests/reports.rs
@@ -1,7 +1,7 @@
 //! What a worker's report must say, and what is made of words that are new.
 
 use latchtrack::wire::workers::parse_report;
-use latchtrack_core::machine::{Cause, Phase};
+use latchtrack_core::machine::{ExitCause, TaskPhase};
 
 const GOOD: &str = r#"{"host":"n-1","addr":"1.2.3.4:9","build":"g","yard":"a","loaners":true,
     "shift":1,"tally":88,"baton":41,"recall_s":null,"extra":{},
@@ -11,8 +11,8 @@
 #[test]
 fn reads_a_report_and_refuses_nonsense() {
     let r = parse_report(GOOD.as_bytes()).unwrap();
-    assert_eq!((r.session, r.seq, r.token, r.tasks.len()), (1, 88, 41, 2));
-    assert_eq!(r.tasks[0].phase, Phase::Ended(Cause::Done));
+    assert_eq!((r.agent_epoch, r.sequence, r.token, r.tasks.len()), (1, 88, 41, 2));
+    assert_eq!(r.tasks[0].phase, TaskPhase::Ended(ExitCause::Done));
     for (from, to) in [
         ("\"shift\":1", "\"shift\":-1"),
         ("\"shift\":1", "\"shift\":0"),
@@ -32,12 +32,12 @@
 #[test]
 fn unknown_words_cost_neither_the_report_nor_a_result() {
     for (from, to, phase) in [
-        ("\"ended\"", "\"frozen\"", Phase::Unrecognised),
-        ("\"cause\":\"done\"", "\"cause\":\"moved\"", Phase::Ended(Cause::Unrecognised)),
-        (",\"cause\":\"done\"", "", Phase::Ended(Cause::Unrecognised)),
+        ("\"ended\"", "\"frozen\"", TaskPhase::Unrecognised),
+        ("\"cause\":\"done\"", "\"cause\":\"moved\"", TaskPhase::Ended(ExitCause::Unrecognised)),
+        (",\"cause\":\"done\"", "", TaskPhase::Ended(ExitCause::Unrecognised)),
     ] {
         let r = parse_report(GOOD.replace(from, to).as_bytes()).unwrap();
         assert_eq!(r.tasks[0].phase, phase, "{from} -> {to}");
-        assert_eq!((r.tasks[1].phase, r.tasks.len()), (Phase::Running, 2));
+        assert_eq!((r.tasks[1].phase, r.tasks.len()), (TaskPhase::Running, 2));
     }
 }
--- a/crates/latchtrack/tests/settings.rs
+++ b/crates/latchtrack/tests/settings.rs
@@ -30,7 +30,7 @@
     let mut aims = vec![aim("u", 70.0), aim("u", 2.0), aim("slow", 180.0), aim("u", 5.0)];
     for _ in 0..2 {
         s.platform.params.objectives = aims.clone();
-        assert_eq!(s.policy().prompt, [("u".to_string(), 2_000)]);
+        assert_eq!(s.policy().start_objectives, [("u".to_string(), 2_000)]);
         aims.reverse();
     }
 }
--- a/crates/latchtrack/tests/stored.rs
+++ b/crates/latchtrack/tests/stored.rs
@@ -4,19 +4,19 @@
 use latchtrack::wire::records::LEADER;
 use latchtrack::wire::store::Change;
 use latchtrack_core::job::JobId;
-use latchtrack_core::leader::{SaveOutcome, Write};
-use latchtrack_core::packs::PackWrite;
+use latchtrack_core::record_shards::ShardWrite;
+use latchtrack_core::scheduler::{BatchOutcome, RecordWrite};
 
 #[test]
 fn every_write_of_the_leader_is_fenced() {
-    let pack = |expect| PackWrite { name: "41-1".into(), expect, entries: Vec::new() };
+    let pack = |expect| ShardWrite { name: "41-1".into(), expect, entries: Vec::new() };
     let writes = vec![
-        Write::Fleet { pack: pack(Some(7)), machines: Vec::new() },
-        Write::Results {
-            pack: PackWrite { name: "41-1".into(), expect: None, entries: Vec::new() },
+        RecordWrite::MachineSet { pack: pack(Some(7)), machines: Vec::new() },
+        RecordWrite::Results {
+            pack: ShardWrite { name: "41-1".into(), expect: None, entries: Vec::new() },
             chunks: vec![(JobId(5), 0, vec![3])],
         },
-        Write::Done { job: JobId(5), stamp: 9, tasks: 2 },
+        RecordWrite::JobDone { job: JobId(5), revision: 9, tasks: 2 },
     ];
     let txn = transaction(41, &writes).unwrap();
     let fences: Vec<(&str, u64)> =
@@ -25,6 +25,6 @@
     assert_eq!(txn.changes.len(), 3);
     assert!(matches!(&txn.changes[0], Change::Delete { key } if key == "fleet/41-1"));
     let failed = ["fleet/41-1".to_string(), "live/job/req-000005".to_string()];
-    let SaveOutcome::Conflict { jobs, fleet, .. } = conflict(&failed) else { panic!() };
+    let BatchOutcome::Conflict { jobs, fleet, .. } = conflict(&failed) else { panic!() };
     assert_eq!((jobs, fleet), (vec![JobId(5)], vec!["41-1".to_string()]));
 }
