--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -22,17 +22,18 @@
     /// would have done, had it come now. Jobs whose room depends on more than this machine wait for
     /// the next round.
     pub(super) fn backfill(&mut self, now: Millis, machine: &str) {
-        if self.queue.is_empty() {
+        if self.queue.entries.is_empty() {
             return;
         }
-        let Some(mut room) = self.machines.get(machine).and_then(|m| self.free_capacity_of(now, m))
+        let Some(mut room) =
+            self.inventory.get(machine).and_then(|m| self.free_capacity_of(now, m))
         else {
             return;
         };
         if !room.ready {
             return;
         }
-        for id in std::mem::take(&mut self.starving) {
+        for id in std::mem::take(&mut self.queue.starving) {
             let Some(job) = self.jobs.get(&id).filter(|j| j.schedulable_tasks() > 0) else {
                 continue;
             };
@@ -41,42 +42,45 @@
             }
             let (spec, slice) = (job.spec.clone(), self.slice_size(&job.spec));
             if self.tasks_fitting(now, job, machine, &room) < slice {
-                self.starving.push(id);
+                self.queue.starving.push(id);
                 continue;
             }
             room.take(&spec.demand, slice);
             self.assign(now, id, &spec, machine, slice);
         }
-        if self.reserved_exclusively.contains(machine) {
+        if self.reservations.exclusive.contains(machine) {
             return;
         }
         if self.wanted_by_gang_reserve(&room) {
-            self.cycle_requested = true;
+            self.cycle_timer.requested = true;
             return;
         }
         let mut empty = 0;
         while room.free.cpus > 0.0 {
             let next = self.next_for_machine(now, machine, &room);
             empty = next.empty;
-            self.cycle_requested |= next.awaited_by_gang;
+            self.cycle_timer.requested |= next.awaited_by_gang;
             let Some((i, n)) = next.turn else { break };
-            let turn = &mut self.queue[i];
+            let turn = &mut self.queue.entries[i];
             turn.most -= n;
             let id = turn.job;
             let Some(job) = self.jobs.get(&id) else { break };
             let spec = job.spec.clone();
             room.take(&spec.demand, n);
             let equivalence_class = job.equivalence_class;
-            if let Some(held) =
-                self.held.get_mut(machine).filter(|h| h.equivalence_class != equivalence_class)
+            if let Some(held) = self
+                .reservations
+                .by_machine
+                .get_mut(machine)
+                .filter(|h| h.equivalence_class != equivalence_class)
             {
                 held.spare.take(&spec.demand, n);
             }
             self.assign(now, id, &spec, machine, n);
         }
-        if empty * 2 > self.queue.len() {
+        if empty * 2 > self.queue.entries.len() {
             let jobs = &self.jobs;
-            self.queue.retain(|t| {
+            self.queue.entries.retain(|t| {
                 t.most > 0 && jobs.get(&t.job).is_some_and(|j| j.schedulable_tasks() > 0)
             });
         }
@@ -90,19 +94,19 @@
         let mut first = None;
         let mut looked = 0;
         // It is kept from those that come after the jobs for which it is held.
-        let held = self.held.get(machine).copied();
+        let held = self.reservations.by_machine.get(machine).copied();
         let reserved_exclusively =
             held.map(|h| (h.equivalence_class, FreeCapacity { held, ..room.clone() }));
         // What is kept for gangs to come is kept from all.
         let mut room = match &reserved_exclusively {
             Some((equivalence_class, reserved_exclusively))
-                if self.reserves.contains_key(equivalence_class) =>
+                if self.reservations.gang_reserves.contains_key(equivalence_class) =>
             {
                 reserved_exclusively
             }
             _ => room,
         };
-        for (i, turn) in self.queue.iter().enumerate() {
+        for (i, turn) in self.queue.entries.iter().enumerate() {
             let Some(job) =
                 self.jobs.get(&turn.job).filter(|j| turn.most > 0 && j.schedulable_tasks() > 0)
             else {
@@ -120,7 +124,7 @@
             let want = job.schedulable_tasks().min(turn.most);
             let n = if fits < want { fits / slice * slice } else { want };
             if n == 0 {
-                if self.gangs_lacking_capacity.contains(&turn.job)
+                if self.queue.gangs_lacking_capacity.contains(&turn.job)
                     && self.useful_to_gang(now, job, machine, room)
                 {
                     // The next round keeps it for that gang.
--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -8,11 +8,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::machine_lifecycle::type_named;
 use super::messages::Effect;
 use super::Scheduler;
 use crate::constants::*;
-use crate::machine::{Machine, MachineType};
+use crate::machine::Machine;
 use crate::placement::Offer;
 use crate::Millis;
 
@@ -75,17 +74,22 @@
 impl Scheduler {
     /// Looks once a second at what has come up and what has not.
     pub(super) fn track_boots(&mut self, now: Millis) {
-        if self.boots.looked_at.is_some_and(|at| now < at.saturating_add(MAX_CYCLE_INTERVAL_MS)) {
+        if self
+            .provisioning
+            .boots
+            .looked_at
+            .is_some_and(|at| now < at.saturating_add(MAX_CYCLE_INTERVAL_MS))
+        {
             return;
         }
-        self.boots.looked_at = Some(now);
-        self.boots.usual.clear();
-        for (class, came) in &mut self.boots.came {
+        self.provisioning.boots.looked_at = Some(now);
+        self.provisioning.boots.usual.clear();
+        for (class, came) in &mut self.provisioning.boots.came {
             came.retain(|_, (at, _)| now < at.saturating_add(BOOT_SAMPLE_TTL_MS));
             let mut took: Vec<Millis> = came.values().map(|(_, took)| *took).collect();
             took.sort_unstable();
             if took.len() >= MIN_BOOT_SAMPLES {
-                self.boots.usual.insert(class.clone(), took[took.len() / 2]);
+                self.provisioning.boots.usual.insert(class.clone(), took[took.len() / 2]);
             }
         }
         self.judge_late_boots(now);
@@ -97,13 +101,10 @@
     /// ago, which are all that a new leader sees boot, say nothing when others came after them.
     fn judge_late_boots(&mut self, now: Millis) {
         let mut told: BTreeMap<Class, (usize, usize, usize)> = BTreeMap::new();
-        for m in self
-            .machines
-            .values()
-            .rev()
-            .filter(|m| !m.to_terminate && !self.unreachable_zones.contains(&m.zone))
-        {
-            let due = boot_limit(&self.types, &m.kind, BOOT_LATE_FACTOR);
+        for m in self.inventory.iter().rev().filter(|m| {
+            !m.to_terminate && !self.failure_detector.unreachable_zones.contains(&m.zone)
+        }) {
+            let due = self.boot_limit(&m.kind, BOOT_LATE_FACTOR);
             let missing = is_booting(m) && now.saturating_sub(m.rented_at) > due;
             if !missing && is_awaited(m) {
                 continue;
@@ -115,8 +116,9 @@
                 *absent += usize::from(missing);
             }
         }
-        let before = std::mem::take(&mut self.boots.late);
-        let least = MIN_BOOT_SAMPLES.max((self.machines.len() as f64 * MIN_MISSING_SHARE) as usize);
+        let before = std::mem::take(&mut self.provisioning.boots.late);
+        let least =
+            MIN_BOOT_SAMPLES.max((self.inventory.len() as f64 * MIN_MISSING_SHARE) as usize);
         for (class, (of, missing, all_missing)) in told {
             if all_missing < least || missing * 4 < of * 3 {
                 continue;
@@ -126,9 +128,11 @@
                 self.out.push(Effect::Log(format!("boots of {kind} in {zone} are late")));
             }
             let trials = before.get(&class).copied().unwrap_or_default();
-            self.boots.late.insert(class, trials);
+            self.provisioning.boots.late.insert(class, trials);
         }
-        for (kind, zone) in before.keys().filter(|class| !self.boots.late.contains_key(class)) {
+        for (kind, zone) in
+            before.keys().filter(|class| !self.provisioning.boots.late.contains_key(class))
+        {
             self.out.push(Effect::Log(format!("boots of {kind} in {zone} are not late any more")));
         }
     }
@@ -137,7 +141,7 @@
     /// can be hoped for.
     fn terminate_never_joined(&mut self, now: Millis) {
         let mut never_joined: Vec<(Millis, String)> = Vec::new();
-        for m in self.machines.values().filter(|m| is_awaited(m)) {
+        for m in self.inventory.iter().filter(|m| is_awaited(m)) {
             let age = now.saturating_sub(m.rented_at);
             if age > self.boot_failed_after_ms(m) {
                 never_joined.push((m.rented_at, m.name.to_string()));
@@ -146,10 +150,10 @@
         never_joined.sort();
         let mut few: BTreeMap<Class, usize> = BTreeMap::new();
         for (rented, name) in never_joined {
-            let Some(m) = self.machines.get_mut(&name) else { continue };
+            let Some(m) = self.inventory.get(&name) else { continue };
             let class = class_of(m);
-            let ever = boot_limit(&self.types, &m.kind, BOOT_FAILED_FACTOR_WHILE_LATE);
-            if let Some(trials) = self.boots.late.get_mut(&class) {
+            let ever = self.boot_limit(&m.kind, BOOT_FAILED_FACTOR_WHILE_LATE);
+            if let Some(trials) = self.provisioning.boots.late.get_mut(&class) {
                 let few = few.entry(class).or_default();
                 let due =
                     *few > 0 || now >= trials.given_back.saturating_add(BOOT_TRIAL_INTERVAL_MS);
@@ -159,26 +163,33 @@
                 *few += 1;
                 trials.given_back = now;
             }
-            m.to_terminate = true;
+            if let Some(m) = self.inventory.get_mut(&name) {
+                m.to_terminate = true;
+            }
             self.out.push(Effect::Log(format!("machine {name} never came up")));
         }
     }
 
     /// Types and zones of which most boots are late.
     pub fn late_boot_pools(&self) -> Vec<String> {
-        self.boots.late.keys().map(|(kind, zone)| format!("{kind} in {zone}")).collect()
+        self.provisioning
+            .boots
+            .late
+            .keys()
+            .map(|(kind, zone)| format!("{kind} in {zone}"))
+            .collect()
     }
 
     /// How many machines are not up though they should be.
     pub(super) fn late_boots(&self, now: Millis) -> usize {
         let late = |m: &&Machine| is_booting(m) && self.is_late(now, m);
-        self.machines.values().filter(late).count()
+        self.inventory.iter().filter(late).count()
     }
 
     /// How many machines of an offer may be rented: of a class that is late a few now and then, as more
     /// of them would not help sooner.
     pub(super) fn max_provisionable(&self, now: Millis, offer: &Offer) -> u32 {
-        match self.boots.late.get(&class_of_offer(offer)) {
+        match self.provisioning.boots.late.get(&class_of_offer(offer)) {
             Some(trials) if now < trials.rented.saturating_add(BOOT_TRIAL_INTERVAL_MS) => 0,
             Some(_) => BOOT_TRIAL_MACHINES as u32,
             None => MAX_MACHINES_PER_PROVISION,
@@ -186,32 +197,33 @@
     }
 
     pub(super) fn rented(&mut self, now: Millis, offer: &Offer) {
-        if let Some(trials) = self.boots.late.get_mut(&class_of_offer(offer)) {
+        if let Some(trials) = self.provisioning.boots.late.get_mut(&class_of_offer(offer)) {
             trials.rented = now;
         }
     }
 
     /// ms that boots of the machine's class have lately taken, 0 if too few were seen.
     fn typical_boot_ms(&self, m: &Machine) -> f64 {
-        self.boots.usual.get(&class_of(m)).copied().unwrap_or(0) as f64
+        self.provisioning.boots.usual.get(&class_of(m)).copied().unwrap_or(0) as f64
     }
 
     /// Whether a machine that is not up is too old to be counted on.
     pub(super) fn is_late(&self, now: Millis, m: &Machine) -> bool {
-        let limit = boot_limit(&self.types, &m.kind, BOOT_LATE_FACTOR);
+        let limit = self.boot_limit(&m.kind, BOOT_LATE_FACTOR);
         now.saturating_sub(m.rented_at)
             > limit.max((self.typical_boot_ms(m) * BOOT_LATE_FACTOR) as Millis)
     }
 
     /// Age from which a machine that is not up may be given back.
     fn boot_failed_after_ms(&self, m: &Machine) -> Millis {
-        let limit = boot_limit(&self.types, &m.kind, BOOT_FAILED_FACTOR);
+        let limit = self.boot_limit(&m.kind, BOOT_FAILED_FACTOR);
         limit.max((self.typical_boot_ms(m) * BOOT_LATE_FACTOR) as Millis)
     }
-}
 
-/// So many times what the cloud says a boot of this type takes.
-fn boot_limit(types: &[MachineType], kind: &str, times: f64) -> Millis {
-    let nominal = type_named(types, kind).map_or(DEFAULT_BOOT_S, |t| t.boot_s.max(0.0));
-    ((nominal * times * 1000.0) as Millis).saturating_add(BOOT_GRACE_MS)
+    /// So many times what the cloud says a boot of this type takes.
+    fn boot_limit(&self, kind: &str, times: f64) -> Millis {
+        let machine_type = self.inventory.type_named(kind);
+        let nominal = machine_type.map_or(DEFAULT_BOOT_S, |t| t.boot_s.max(0.0));
+        ((nominal * times * 1000.0) as Millis).saturating_add(BOOT_GRACE_MS)
+    }
 }
--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -39,9 +39,29 @@
     demand_of(&job.spec, tasks)
 }
 
+/// This cell's part of the teams' limits, where cells share them.
+#[derive(Clone, Debug)]
+pub(super) struct QuotaAccounting {
+    pub cell: Option<Keeper>,
+    /// What teams need for the first of their jobs that are to start before all others.
+    pub next_of_team: BTreeMap<String, Amounts>,
+    /// What was launched of each team in this term.
+    pub launched: BTreeMap<String, Amounts>,
+}
+
+impl QuotaAccounting {
+    pub fn new(policy: &Policy, term: u64) -> Self {
+        QuotaAccounting {
+            cell: keeper(policy, term),
+            next_of_team: BTreeMap::new(),
+            launched: BTreeMap::new(),
+        }
+    }
+}
+
 impl Scheduler {
     pub(super) fn on_quota_observed(&mut self, now: Millis, view: View) {
-        let Some(keeper) = self.cell_quota.as_mut() else { return };
+        let Some(keeper) = self.quota.cell.as_mut() else { return };
         keeper.observe(now, view);
         // At once, before others have changed what was seen.
         self.step_cell_quota(now);
@@ -53,7 +73,7 @@
         write: &LedgerWrite,
         outcome: WriteOutcome,
     ) {
-        let Some(keeper) = self.cell_quota.as_mut() else { return };
+        let Some(keeper) = self.quota.cell.as_mut() else { return };
         keeper.written(now, write, outcome);
         self.after_quota();
     }
@@ -61,21 +81,21 @@
     /// Asks, takes and gives back by what the teams use now. Placing comes after it, within the limits that
     /// it leaves.
     pub(super) fn step_cell_quota(&mut self, now: Millis) {
-        let Some(mut keeper) = self.cell_quota.take() else { return };
+        let Some(mut keeper) = self.quota.cell.take() else { return };
         let writes = keeper.step(now, &self.team_uses(now));
-        self.cell_quota = Some(keeper);
+        self.quota.cell = Some(keeper);
         self.out.extend(writes.into_iter().map(Effect::WriteLedger));
         self.after_quota();
     }
 
     /// The teams that cells share, for an operator.
     pub fn quota_summary(&self) -> Option<Vec<TeamSummary>> {
-        self.cell_quota.as_ref().map(Keeper::summary)
+        self.quota.cell.as_ref().map(Keeper::summary)
     }
 
     /// A team's guarantee here: the cell's part of it where teams are shared.
     pub(super) fn guarantee_of(&self, team: &Team) -> TeamUsage {
-        let shared = self.cell_quota.as_ref().and_then(|keeper| keeper.guarantee(&team.name));
+        let shared = self.quota.cell.as_ref().and_then(|keeper| keeper.guarantee(&team.name));
         match shared {
             Some(part) => {
                 let (cpus, gpus) = part.decimal();
@@ -86,9 +106,9 @@
     }
 
     fn after_quota(&mut self) {
-        let Some(keeper) = self.cell_quota.as_mut() else { return };
+        let Some(keeper) = self.quota.cell.as_mut() else { return };
         let notices = keeper.take_notices();
-        self.cycle_requested |= !notices.is_empty();
+        self.cycle_timer.requested |= !notices.is_empty();
         self.out.extend(notices.into_iter().map(|notice| Effect::Log(notice.to_string())));
     }
 
@@ -99,7 +119,7 @@
         let team_use = |team: &Team| {
             let usage = used.of(&team.name);
             let used = Amounts::covering(usage.cpus, usage.gpus);
-            let started = self.started.get(&team.name).copied().unwrap_or_default();
+            let started = self.quota.launched.get(&team.name).copied().unwrap_or_default();
             (team.name.clone(), TeamUse { is_settled, used, started, ..TeamUse::default() })
         };
         let mut uses: BTreeMap<String, TeamUse> = self.policy.teams.iter().map(team_use).collect();
@@ -120,7 +140,7 @@
             }
         }
         for (team, job) in oldest {
-            let noted = self.next_of_team.get(team).copied();
+            let noted = self.quota.next_of_team.get(team).copied();
             if let Some(team_use) = uses.get_mut(team) {
                 team_use.next = noted.unwrap_or_else(|| next_of(job));
             }
@@ -130,16 +150,16 @@
 
     /// Notes that tasks of a job are launched.
     pub(super) fn note_launched(&mut self, spec: &JobSpec, tasks: u32) {
-        if self.cell_quota.is_some() {
-            let started = self.started.entry(spec.team.clone()).or_default();
+        if self.quota.cell.is_some() {
+            let started = self.quota.launched.entry(spec.team.clone()).or_default();
             *started = started.plus(demand_of(spec, tasks));
         }
     }
 
     /// Notes a job that is to begin before all others: the first of each team is the next to start.
     pub(super) fn note_next_to_start(&mut self, spec: &JobSpec, tasks: u32) {
-        if self.cell_quota.is_some() {
-            self.next_of_team.entry(spec.team.clone()).or_insert(demand_of(spec, tasks));
+        if self.quota.cell.is_some() {
+            self.quota.next_of_team.entry(spec.team.clone()).or_insert(demand_of(spec, tasks));
         }
     }
 }
--- a/crates/latchtrack-core/src/scheduler/cycle.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle.rs
@@ -18,12 +18,28 @@
 use crate::rules;
 use crate::Millis;
 
+/// When the next scheduling cycle is due.
+#[derive(Clone, Debug)]
+pub(super) struct CycleTimer {
+    pub last_at: Option<Millis>,
+    /// Cycles in this term.
+    pub count: u64,
+    /// Something has changed since the last one.
+    pub requested: bool,
+}
+
+impl Default for CycleTimer {
+    fn default() -> Self {
+        CycleTimer { last_at: None, count: 0, requested: true }
+    }
+}
+
 impl Scheduler {
     pub(super) fn cycle_due(&self, now: Millis) -> bool {
         // Rounds are apart, so that many changes in a row cost one.
-        self.last_cycle_at.is_none_or(|t| {
+        self.cycle_timer.last_at.is_none_or(|t| {
             now >= t + MIN_CYCLE_INTERVAL_MS
-                && (self.cycle_requested || now >= t + MAX_CYCLE_INTERVAL_MS)
+                && (self.cycle_timer.requested || now >= t + MAX_CYCLE_INTERVAL_MS)
         })
     }
 
@@ -46,13 +62,14 @@
     pub(super) fn run_cycle(&mut self, now: Millis) {
         // What is on its way to a target that is kept for it goes there, not into the queue.
         self.advance_moves(now);
-        self.last_cycle_at = Some(now);
-        self.cycles += 1;
-        self.cycle_requested = false;
-        if self.cached_images_at.is_none_or(|at| now >= at + MAX_CYCLE_INTERVAL_MS) {
-            self.cached_images_at = Some(now);
-            let up = self.machines.values().filter(|m| m.is_up() && !m.to_terminate);
-            self.cached_images = up.flat_map(|m| m.images.names().map(str::to_string)).collect();
+        self.cycle_timer.last_at = Some(now);
+        self.cycle_timer.count += 1;
+        self.cycle_timer.requested = false;
+        if self.image_locality.updated_at.is_none_or(|at| now >= at + MAX_CYCLE_INTERVAL_MS) {
+            self.image_locality.updated_at = Some(now);
+            let up = self.inventory.iter().filter(|m| m.is_up() && !m.to_terminate);
+            self.image_locality.cached =
+                up.flat_map(|m| m.images.names().map(str::to_string)).collect();
         }
         let (rooms, total) = self.rooms(now);
         let used = self.limited_usage();
@@ -60,8 +77,8 @@
         let searches = self.equivalence_classes.new_searches();
         let mut cycle = SchedulingCycle { rooms, total, searches, used, expected };
         let unsettled = !self.all_reconciled();
-        self.gangs_lacking_capacity.clear();
-        self.next_of_team.clear();
+        self.queue.gangs_lacking_capacity.clear();
+        self.quota.next_of_team.clear();
         let mut order = self.order(now, &cycle.total, unsettled);
         for turn in &order {
             let Some(job) = self.jobs.get(&turn.job) else { continue };
@@ -77,8 +94,8 @@
             .filter(|(_, id)| self.is_starving(now, &self.jobs[id]))
             .collect();
         begin.sort();
-        self.starving = begin.into_iter().map(|(_, id)| id).collect();
-        for id in self.starving.clone() {
+        self.queue.starving = begin.into_iter().map(|(_, id)| id).collect();
+        for id in self.queue.starving.clone() {
             let spec = self.jobs[&id].spec.clone();
             let slice = self.slice_size(&spec);
             self.note_next_to_start(&spec, slice);
@@ -116,13 +133,13 @@
         order.retain(|t| {
             t.most > 0 && self.jobs.get(&t.job).is_some_and(|j| j.schedulable_tasks() > 0)
         });
-        self.queue = order;
+        self.queue.entries = order;
         let held = cycle.rooms.into_iter().filter_map(|r| Some((r.machine?, r.held?)));
         let (reserved_exclusively, held): (Vec<_>, Vec<_>) =
             held.partition(|(_, h)| h.equivalence_class == KEPT);
-        self.reserved_exclusively =
+        self.reservations.exclusive =
             reserved_exclusively.into_iter().map(|(machine, _)| machine).collect();
-        self.held = held.into_iter().collect();
+        self.reservations.by_machine = held.into_iter().collect();
     }
 
     /// Whether a gang that has its limit and waits for machines keeps that limit from its team's other jobs,
@@ -348,7 +365,7 @@
         if !job.spec.is_zone_constrained() {
             return Vec::new();
         }
-        let on = job.placed.values().filter_map(|p| self.machines.get(&*p.machine));
+        let on = job.placed.values().filter_map(|p| self.inventory.get(&p.machine));
         on.map(|m| m.zone.clone()).collect()
     }
 
@@ -396,7 +413,7 @@
         n: u32,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if !self.machines.contains_key(machine) {
+        if !self.inventory.contains(machine) {
             return;
         }
         let age = now.saturating_sub(job.submitted_at);
@@ -416,7 +433,7 @@
         tasks: &[u32],
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.inventory.get_mut(machine) else { return };
         // All tasks of a gang are in one attempt.
         let mut gang_attempt = job.placed.values().next().map(|p| p.attempt).filter(|_| spec.gang);
         job.attempt_ended_at = None;
@@ -444,7 +461,7 @@
             );
         }
         m.idle_since = None;
-        self.dispatch_queue.insert(machine.to_string());
+        self.dispatcher.pending.insert(machine.to_string());
         self.note_launched(spec, tasks.len() as u32);
     }
 }
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -45,7 +45,7 @@
         let least = job.failed_after.saturating_mul(2).saturating_add(HEALTHY_RUN_MARGIN_MS);
         let runs = job.placed.iter().take(HEALTHY_RUN_SCAN_LIMIT).filter_map(|(index, place)| {
             let task = TaskId { job: id, index: *index };
-            self.machines.get(&*place.machine)?.runs.get(&(task, place.attempt))
+            self.inventory.get(&place.machine)?.runs.get(&(task, place.attempt))
         });
         job.done.ones() > 0
             || runs
@@ -63,13 +63,13 @@
         )));
         // It was no fault of theirs.
         for name in job.failed_on.keys() {
-            let Some(m) = self.machines.get_mut(name) else { continue };
+            let Some(m) = self.inventory.get_mut(name) else { continue };
             m.failed_jobs.remove(&id);
             if m.failed_jobs.is_empty() {
                 m.quarantined_until = 0;
             }
         }
-        self.cycle_requested = true;
+        self.cycle_timer.requested = true;
     }
 
     /// It can be done: what failed was its machines' fault.
@@ -85,12 +85,12 @@
         for name in names {
             self.blame_machine(now, &name, id);
         }
-        self.cycle_requested = true;
+        self.cycle_timer.requested = true;
     }
 
     /// Holds a job's failure against the machine. One that fails different jobs goes back.
     fn blame_machine(&mut self, now: Millis, machine: &str, id: JobId) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.inventory.get_mut(machine) else { return };
         m.failed_jobs.insert(id);
         m.proven = false;
         m.quarantined_until = now + MACHINE_PROBATION_MS;
@@ -120,7 +120,7 @@
         if !job.is_quarantined {
             return failed;
         }
-        let proven = || self.machines.get(machine).is_some_and(|m| m.proven);
+        let proven = || self.inventory.get(machine).is_some_and(|m| m.proven);
         now < job.backoff_until.saturating_add(TRIAL_ANYWHERE_MS) && (failed || !proven())
     }
 }
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -63,7 +63,7 @@
         let shares = shares(&demands);
         let mut hot = BTreeMap::new();
         for (team, share) in self.policy.teams.iter().zip(shares) {
-            let heat = self.balance.arrivals.judge(now, &team.name, share * total.cpus);
+            let heat = self.load_balancing.arrivals.judge(now, &team.name, share * total.cpus);
             if heat == Heat::Hot {
                 hot.insert(team.name.clone(), share);
             }
@@ -73,7 +73,7 @@
 
     fn team_use(&self, order: &[(QueueRank, JobId)], total: &Demand) -> BTreeMap<String, TeamUse> {
         let mut used: BTreeMap<String, TeamUse> = BTreeMap::new();
-        let runs = self.machines.values().flat_map(|m| m.runs.values());
+        let runs = self.inventory.runs();
         for spec in runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref()) {
             used.entry(spec.team.clone()).or_default().running +=
                 amounts(&spec.demand).dominant_share(&amounts(total));
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -32,12 +32,12 @@
         {
             return None;
         }
-        let t = self.type_of(&m.kind)?;
+        let t = self.inventory.type_named(&m.kind)?;
         let used = m.allocated()?;
         let reserved = self.reserved_on(&m.name);
         // One on its way in a zone that is not heard will not be of use soon.
         let late = || self.is_late(now, m);
-        if !m.is_up() && (self.unreachable_zones.contains(&m.zone) || late()) {
+        if !m.is_up() && (self.failure_detector.unreachable_zones.contains(&m.zone) || late()) {
             return None;
         }
         Some(FreeCapacity {
@@ -60,11 +60,11 @@
     }
 
     pub(super) fn rooms(&self, now: Millis) -> (Vec<FreeCapacity>, Demand) {
-        let mut rooms = Vec::with_capacity(self.machines.len());
+        let mut rooms = Vec::with_capacity(self.inventory.len());
         let mut total = Demand::default();
-        for m in self.machines.values() {
+        for m in self.inventory.iter() {
             let Some(room) = self.free_capacity_of(now, m) else { continue };
-            if let (true, Some(t)) = (m.is_up(), self.type_of(&m.kind)) {
+            if let (true, Some(t)) = (m.is_up(), self.inventory.type_named(&m.kind)) {
                 total.cpus += t.cpus;
                 total.gpus += t.gpus;
                 total.memory_gb += t.memory_gb;
@@ -74,8 +74,8 @@
             }
             rooms.push(room);
         }
-        for h in self.pending_provisions.values() {
-            if let Some(t) = self.type_of(&h.offer.kind) {
+        for h in self.provisioning.pending.values() {
+            if let Some(t) = self.inventory.type_named(&h.offer.kind) {
                 rooms.extend((0..h.number).map(|_| pending_capacity(&h.offer, t)));
             }
         }
--- a/crates/latchtrack-core/src/scheduler/gang_reserves.rs
+++ b/crates/latchtrack-core/src/scheduler/gang_reserves.rs
@@ -47,12 +47,10 @@
         if !spec.gang || self.start_objective_ms(spec).is_none() {
             return;
         }
-        let reserve = self.reserves.entry(equivalence_class).or_insert_with(|| GangReserve {
-            spec: spec.clone(),
-            seen_at: submitted_at,
-            zone: None,
-            lacking: 0,
-        });
+        let reserve =
+            self.reservations.gang_reserves.entry(equivalence_class).or_insert_with(|| {
+                GangReserve { spec: spec.clone(), seen_at: submitted_at, zone: None, lacking: 0 }
+            });
         reserve.seen_at = reserve.seen_at.max(submitted_at);
         if spec.tasks > reserve.spec.tasks {
             reserve.spec = spec.clone();
@@ -61,9 +59,15 @@
 
     /// Keeps what is free for the reserves, before any job takes it, and rents what no machine could hold.
     pub(super) fn fill_gang_reserves(&mut self, now: Millis, cycle: &mut SchedulingCycle) {
-        self.reserves.retain(|_, r| now < r.seen_at.saturating_add(GANG_RESERVE_TTL_MS));
-        for equivalence_class in self.reserves.keys().copied().collect::<Vec<_>>() {
-            let Some(mut reserve) = self.reserves.remove(&equivalence_class) else { continue };
+        self.reservations
+            .gang_reserves
+            .retain(|_, r| now < r.seen_at.saturating_add(GANG_RESERVE_TTL_MS));
+        for equivalence_class in self.reservations.gang_reserves.keys().copied().collect::<Vec<_>>()
+        {
+            let Some(mut reserve) = self.reservations.gang_reserves.remove(&equivalence_class)
+            else {
+                continue;
+            };
             self.choose_zone(&mut reserve, cycle);
             reserve.lacking = hold(&reserve, equivalence_class, cycle);
             let missing = self.tasks_beyond_capacity(&reserve, cycle);
@@ -71,7 +75,7 @@
                 let (spec, zone) = (reserve.spec.clone(), reserve.zone.clone());
                 self.provision(now, &spec, zone.as_deref(), missing, 0, cycle);
             }
-            self.reserves.insert(equivalence_class, reserve);
+            self.reservations.gang_reserves.insert(equivalence_class, reserve);
         }
     }
 
@@ -95,15 +99,16 @@
     /// For how many tasks of the reserve there would be no room if its machines were empty.
     fn tasks_beyond_capacity(&self, reserve: &GangReserve, cycle: &SchedulingCycle) -> u32 {
         let usable = cycle.rooms.iter().filter(|r| reserve.may_use(r));
-        let holds =
-            |r: &FreeCapacity| self.type_of(&r.kind).map_or(0, |t| t.holds(&reserve.spec.demand));
+        let holds = |r: &FreeCapacity| {
+            self.inventory.type_named(&r.kind).map_or(0, |t| t.holds(&reserve.spec.demand))
+        };
         let all: u64 = usable.map(|r| u64::from(holds(r))).sum();
         reserve.spec.tasks.saturating_sub(u32::try_from(all).unwrap_or(u32::MAX))
     }
 
     /// Whether what comes free in this room is to wait for the next round, which keeps it for a reserve.
     pub(super) fn wanted_by_gang_reserve(&self, room: &FreeCapacity) -> bool {
-        self.reserves.values().any(|reserve| {
+        self.reservations.gang_reserves.values().any(|reserve| {
             reserve.lacking > 0 && reserve.may_use(room) && room.holds(&reserve.spec.demand) > 0
         })
     }
--- a/crates/latchtrack-core/src/scheduler/gangs.rs
+++ b/crates/latchtrack-core/src/scheduler/gangs.rs
@@ -60,7 +60,7 @@
     fn placed_runs<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a TaskRun> + 'a {
         job.placed.iter().filter_map(|(index, place)| {
             let task = TaskId { job: job.spec.id, index: *index };
-            self.machines.get(&*place.machine)?.runs.get(&(task, place.attempt))
+            self.inventory.get(&place.machine)?.runs.get(&(task, place.attempt))
         })
     }
 
@@ -70,7 +70,7 @@
         for index in 0..job.spec.tasks {
             job.complete(index, attempt);
         }
-        self.completed_jobs.insert(id);
+        self.persistence.completed_jobs.insert(id);
     }
 
     /// A task of the attempt is off its machine without a result: the others go too. Those that fetch may
@@ -87,7 +87,7 @@
         let places: Vec<(u32, Arc<str>)> =
             job.placed.iter().map(|(index, place)| (*index, place.machine.clone())).collect();
         for (index, machine) in places {
-            let Some(m) = self.machines.get_mut(&*machine) else { continue };
+            let Some(m) = self.inventory.get_mut(&machine) else { continue };
             let key = (TaskId { job: id, index }, attempt);
             // Of another attempt, or already off its machine.
             let Some(run) = m.runs.get_mut(&key) else { continue };
@@ -98,7 +98,7 @@
                 }
                 Ending::Stop => {
                     run.stop = Some(StopRequest { grace_s: 0.0, sent_at: None });
-                    self.dispatch_queue.insert(machine.to_string());
+                    self.dispatcher.pending.insert(machine.to_string());
                 }
                 Ending::Nothing => {}
             }
@@ -136,7 +136,7 @@
         let Some(job) = self.jobs.get(&id) else { return };
         let probe_ms = self.policy.probe_ms();
         let hears = |machine: &str| {
-            self.machines
+            self.inventory
                 .get(machine)
                 .is_some_and(|m| m.is_up() && !m.heartbeat_older_than(now, probe_ms))
         };
@@ -148,11 +148,11 @@
         let places: Vec<(u32, Arc<str>, u64)> =
             job.placed.iter().map(|(i, p)| (*i, p.machine.clone(), p.attempt)).collect();
         for (index, machine, attempt) in places {
-            let Some(m) = self.machines.get_mut(&*machine) else { continue };
+            let Some(m) = self.inventory.get_mut(&machine) else { continue };
             let key = (TaskId { job: id, index }, attempt);
             if let Some(run) = m.runs.get_mut(&key) {
                 run.stop = Some(StopRequest { grace_s, sent_at: None });
-                self.dispatch_queue.insert(machine.to_string());
+                self.dispatcher.pending.insert(machine.to_string());
             }
         }
     }
--- a/crates/latchtrack-core/src/scheduler/heartbeats.rs
+++ b/crates/latchtrack-core/src/scheduler/heartbeats.rs
@@ -2,10 +2,10 @@
 
 use std::collections::btree_map::Entry;
 
-use std::collections::{BTreeMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-use super::machine_lifecycle::{new_machine, type_named};
+use super::machine_lifecycle::new_machine;
 use super::messages::{CallOutcome, Effect};
 use super::persistence::{result_entry_bytes, stored_machine};
 use super::Scheduler;
@@ -17,13 +17,25 @@
 };
 use crate::Millis;
 
+/// Machines that are owed commands, and the direct calls that are open.
+#[derive(Clone, Debug, Default)]
+pub(super) struct CommandDispatcher {
+    /// Machines for which there may be something to send now, or at the next tick.
+    pub pending: BTreeSet<String>,
+    pub next_tick: BTreeSet<String>,
+    /// Direct calls that are open, and whether each only asks.
+    pub open_calls: HashMap<u64, bool>,
+    pub open_probes: usize,
+    pub last_call_id: u64,
+}
+
 impl Scheduler {
     pub(super) fn on_heartbeat(&mut self, now: Millis, r: &Heartbeat) {
         if r.token > self.token {
             self.out.push(Effect::Resign("a machine holds a higher token"));
             return;
         }
-        if !self.terminated.contains(&r.machine) {
+        if !self.inventory.was_terminated(&r.machine) {
             self.register(now, r);
             if self.reconcile(now, r) {
                 if self.cycle_due(now) {
@@ -45,17 +57,17 @@
     /// was lost. It is not in the stored set, so no leader has launched anything on it. Only with
     /// our token it is surely there: a copy from before this term may be of a machine long gone.
     fn register(&mut self, now: Millis, r: &Heartbeat) {
-        if r.token < self.token || self.machines.contains_key(&r.machine) {
+        if r.token < self.token || self.inventory.contains(&r.machine) {
             return;
         }
         let m = new_machine(&r.machine, &r.kind, &r.zone, r.spot, now);
-        self.machines.insert(r.machine.clone(), m);
+        self.inventory.insert(m);
         self.out.push(Effect::Log(format!("machine {} adopted from its report", r.machine)));
     }
 
     /// Takes in what a machine says; false if it is old news or proves nothing.
     pub(super) fn reconcile(&mut self, now: Millis, r: &Heartbeat) -> bool {
-        let Some(m) = self.machines.get_mut(&r.machine) else { return false };
+        let Some(m) = self.inventory.get_mut(&r.machine) else { return false };
         if (r.agent_epoch, r.sequence) <= m.latest_message {
             return false;
         }
@@ -73,16 +85,16 @@
         let first = m.last_heartbeat_at.is_none();
         m.last_heartbeat_at = Some(now);
         m.unanswered_calls = 0;
-        let sight = self.zones.entry(m.zone.clone()).or_default();
+        let sight = self.failure_detector.zones.entry(m.zone.clone()).or_default();
         (sight.last_heartbeat_at, sight.unanswered_calls) = (Some(now), 0);
         m.addr = Some(r.addr.clone());
         m.preempt_at = r.notice_s.map(|s| now.saturating_add((s.max(0.0) * 1000.0) as Millis));
         if first {
-            self.cycle_requested = true;
-            self.boots.record_boot(now, m);
+            self.cycle_timer.requested = true;
+            self.provisioning.boots.record_boot(now, m);
             if !m.persisted {
                 let size = stored_machine(m).bytes();
-                self.machine_set_shards.put(r.machine.clone(), size, true);
+                self.persistence.machine_sets.put(r.machine.clone(), size, true);
             }
         }
         if moved && !m.runs.is_empty() {
@@ -97,9 +109,9 @@
             for run in runs.into_values() {
                 self.release_run(now, &r.machine, &run);
             }
-            self.cycle_requested = true;
+            self.cycle_timer.requested = true;
         }
-        let Some(m) = self.machines.get_mut(&r.machine) else { return false };
+        let Some(m) = self.inventory.get_mut(&r.machine) else { return false };
         let listed: HashSet<(TaskId, u64)> = r.tasks.iter().map(|t| (t.task, t.attempt)).collect();
         let vanished: Vec<(TaskId, u64)> = m
             .runs
@@ -108,7 +120,8 @@
             .map(|(k, _)| *k)
             .collect();
         for key in vanished {
-            if let Some(run) = self.machines.get_mut(&r.machine).and_then(|m| m.runs.remove(&key)) {
+            if let Some(run) = self.inventory.get_mut(&r.machine).and_then(|m| m.runs.remove(&key))
+            {
                 if run.is_live() {
                     self.release_run(now, &r.machine, &run);
                 }
@@ -123,7 +136,9 @@
 
     pub(super) fn reconcile_task(&mut self, now: Millis, machine: &str, t: &TaskStatus) {
         let key = (t.task, t.attempt);
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let kind = self.inventory.get(machine).map(|m| m.kind.clone()).unwrap_or_default();
+        let cache_gb = self.inventory.type_named(&kind).map_or(0.0, |t| t.cache_gb);
+        let Some(m) = self.inventory.get_mut(machine) else { return };
         let run = match m.runs.entry(key) {
             Entry::Occupied(run) => run.into_mut(),
             Entry::Vacant(free) => {
@@ -145,7 +160,6 @@
             run.running_since.get_or_insert(now);
             if let Some(spec) = &run.spec {
                 if !m.images.is_last_used(&spec.image) {
-                    let cache_gb = type_named(&self.types, &m.kind).map_or(0.0, |t| t.cache_gb);
                     Arc::make_mut(&mut m.images).used(&spec.image, spec.image_gb, cache_gb);
                 }
             }
@@ -164,7 +178,7 @@
         cause: ExitCause,
     ) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.inventory.get_mut(machine) else { return };
         match cause {
             ExitCause::Done => {
                 m.failed_jobs.clear();
@@ -174,7 +188,7 @@
                     // Its pace is that of its slowest machine, whichever that is.
                     self.complete_gang(run.task.job, run.attempt);
                     self.restore_job(now, run.task.job);
-                    self.cycle_requested |=
+                    self.cycle_timer.requested |=
                         run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec));
                     return;
                 }
@@ -193,15 +207,15 @@
                 }
                 let news = job.complete(run.task.index, run.attempt);
                 if job.done.full() {
-                    self.completed_jobs.insert(run.task.job);
+                    self.persistence.completed_jobs.insert(run.task.job);
                 } else if news {
                     let chunk = chunk_of(run.task.index, job.spec.tasks);
                     let size = result_entry_bytes(job.done.chunk(chunk).len());
-                    self.result_shards.put((run.task.job, chunk), size, false);
+                    self.persistence.results.put((run.task.job, chunk), size, false);
                 }
                 self.restore_job(now, run.task.job);
                 // What a team with a limit may use again is given out in rounds alone.
-                self.cycle_requested |=
+                self.cycle_timer.requested |=
                     run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec));
                 return;
             }
@@ -240,7 +254,7 @@
             return;
         }
         job.requeue(index);
-        self.cycle_requested = true;
+        self.cycle_timer.requested = true;
         if job.spec.gang {
             let time_was_short = run.phase == TaskPhase::Ended(ExitCause::GangIncomplete);
             self.end_attempt(now, run.task.job, run.attempt, time_was_short);
@@ -248,7 +262,7 @@
     }
 
     pub(super) fn update_idle_since(&mut self, now: Millis, machine: &str) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.inventory.get_mut(machine) else { return };
         if m.runs.values().any(TaskRun::is_live) {
             m.idle_since = None;
         } else {
@@ -258,11 +272,11 @@
 
     /// The commands of a report's answer: everything that the machine has not yet been seen to do.
     pub(super) fn heartbeat_response(&mut self, now: Millis, machine: &str) -> Vec<Command> {
-        let Some(m) = self.machines.get_mut(machine) else { return Vec::new() };
+        let Some(m) = self.inventory.get_mut(machine) else { return Vec::new() };
         if !m.is_up() {
             return Vec::new();
         }
-        self.dispatch_queue.remove(machine);
+        self.dispatcher.pending.remove(machine);
         let mut commands = Vec::new();
         let mut forgets = Vec::new();
         let call_open = m.open_call.is_some();
@@ -301,16 +315,18 @@
 
     /// Sends what should not wait for the next report, to the machines that were woken.
     pub(super) fn dispatch(&mut self, now: Millis, except: Option<&str>) {
-        for name in std::mem::take(&mut self.dispatch_queue) {
+        for name in std::mem::take(&mut self.dispatcher.pending) {
             // With a call open, its end wakes the machine again.
-            let Some(m) = self.machines.get_mut(&name).filter(|m| m.open_call.is_none()) else {
+            let Some(m) = self.inventory.get_mut(&name).filter(|m| m.open_call.is_none()) else {
                 continue;
             };
             if except == Some(name.as_str()) || !m.is_up() || m.termination_sent {
                 continue;
             }
-            if now < m.next_call_at || self.calls.len() >= self.policy.max_open_calls {
-                self.dispatch_next_tick.insert(name);
+            if now < m.next_call_at
+                || self.dispatcher.open_calls.len() >= self.policy.max_open_calls
+            {
+                self.dispatcher.next_tick.insert(name);
                 continue;
             }
             let mut commands = Vec::new();
@@ -326,7 +342,7 @@
                 }
             }
             if stops {
-                self.dispatch_next_tick.insert(name.clone());
+                self.dispatcher.next_tick.insert(name.clone());
             }
             if !commands.is_empty() {
                 self.call(&name, commands);
@@ -340,7 +356,7 @@
         let probe_ms = self.policy.probe_ms();
         let mut due: Vec<(Millis, String, Arc<str>)> = Vec::new();
         let mut open: BTreeMap<Arc<str>, usize> = BTreeMap::new();
-        for m in self.machines.values() {
+        for m in self.inventory.iter() {
             if m.open_call.is_some() {
                 *open.entry(m.zone.clone()).or_default() += 1;
             }
@@ -363,12 +379,14 @@
         // Those asked longest ago first.
         due.sort();
         for (_, name, zone) in due {
-            if self.probes_open >= MAX_OPEN_PROBES || self.calls.len() >= self.policy.max_open_calls
+            if self.dispatcher.open_probes >= MAX_OPEN_PROBES
+                || self.dispatcher.open_calls.len() >= self.policy.max_open_calls
             {
                 return;
             }
             let open = open.entry(zone.clone()).or_default();
-            let unanswered_calls = self.zones.get(&zone).map_or(0, |s| s.unanswered_calls);
+            let unanswered_calls =
+                self.failure_detector.zones.get(&zone).map_or(0, |s| s.unanswered_calls);
             if unanswered_calls >= ZONE_UNANSWERED_CALLS && *open >= MAX_PROBES_PER_UNREACHABLE_ZONE
             {
                 continue;
@@ -379,18 +397,18 @@
     }
 
     fn call(&mut self, machine: &str, commands: Vec<Command>) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.inventory.get_mut(machine) else { return };
         let Some(addr) = m.addr.clone() else { return };
-        self.next_call += 1;
-        m.open_call = Some(self.next_call);
+        self.dispatcher.last_call_id += 1;
+        m.open_call = Some(self.dispatcher.last_call_id);
         let probing = commands.is_empty();
-        self.calls.insert(self.next_call, probing);
-        self.probes_open += usize::from(probing);
+        self.dispatcher.open_calls.insert(self.dispatcher.last_call_id, probing);
+        self.dispatcher.open_probes += usize::from(probing);
         self.out.push(Effect::CallWorker {
             machine: machine.to_string(),
             addr,
             agent_epoch: m.latest_message.0.max(1),
-            call: self.next_call,
+            call: self.dispatcher.last_call_id,
             commands,
         });
     }
@@ -403,18 +421,21 @@
         outcome: CallOutcome,
     ) {
         // Over for the count, be it that the machine is gone meanwhile.
-        let probing = self.calls.remove(&call).unwrap_or(false);
-        self.probes_open -= usize::from(probing);
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let probing = self.dispatcher.open_calls.remove(&call).unwrap_or(false);
+        self.dispatcher.open_probes -= usize::from(probing);
+        let Some(m) = self.inventory.get_mut(machine) else { return };
         if m.open_call != Some(call) {
             return;
         }
         m.open_call = None;
-        self.dispatch_queue.insert(machine.to_string());
+        self.dispatcher.pending.insert(machine.to_string());
         match outcome {
-            CallOutcome::Executed(_) | CallOutcome::Rejected(_) => self.relayed_since = None,
+            CallOutcome::Executed(_) | CallOutcome::Rejected(_) => {
+                self.failure_detector.relayed_since = None
+            }
             CallOutcome::NotSent | CallOutcome::NoAnswer => {
-                self.zones.entry(m.zone.clone()).or_default().unanswered_calls += 1;
+                self.failure_detector.zones.entry(m.zone.clone()).or_default().unanswered_calls +=
+                    1;
             }
         }
         match outcome {
--- a/crates/latchtrack-core/src/scheduler/machine_lifecycle.rs
+++ b/crates/latchtrack-core/src/scheduler/machine_lifecycle.rs
@@ -3,13 +3,44 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::sync::Arc;
 
-use super::messages::{Effect, ListedMachine, ProvisionOutcome};
+use super::messages::{Effect, ListedMachine, ProvisionOutcome, StoredMachine};
 use super::Scheduler;
 use crate::constants::*;
-use crate::machine::{ExitCause, Machine, MachineType, StopRequest, TaskPhase, TaskRun};
+use crate::machine::{ExitCause, Machine, StopRequest, TaskPhase, TaskRun};
 use crate::placement::Offer;
 use crate::Millis;
 
+/// Judges by heartbeats and unanswered calls which machines and zones are unreachable.
+#[derive(Clone, Debug, Default)]
+pub(super) struct FailureDetector {
+    /// What was heard of each zone in this term.
+    pub zones: BTreeMap<Arc<str>, ZoneReachability>,
+    /// Zones of which nothing is heard, at the last tick.
+    pub unreachable_zones: BTreeSet<Arc<str>>,
+    /// Since when heartbeats have come by way of other nodes, and none to this one itself.
+    pub relayed_since: Option<Millis>,
+    pub last_tick_at: Millis,
+    /// Since when this node has listened without a pause of its own.
+    pub listening_since: Millis,
+}
+
+/// What is heard of a zone.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ZoneReachability {
+    /// When one of its machines was last heard holding our token.
+    pub last_heartbeat_at: Option<Millis>,
+    /// Direct calls into it without an answer since.
+    pub unanswered_calls: u32,
+    /// When it was last unreachable no more.
+    pub back: Millis,
+}
+
+impl FailureDetector {
+    pub fn new(now: Millis) -> Self {
+        FailureDetector { last_tick_at: now, listening_since: now, ..FailureDetector::default() }
+    }
+}
+
 impl Scheduler {
     pub(super) fn on_provision_finished(
         &mut self,
@@ -17,24 +48,22 @@
         request_id: &str,
         outcome: ProvisionOutcome,
     ) {
-        let Some(h) = self.pending_provisions.remove(request_id) else { return };
+        let Some(h) = self.provisioning.pending.remove(request_id) else { return };
         match outcome {
             ProvisionOutcome::Provisioned(names) => {
                 if (names.len() as u32) < h.number {
-                    self.exhausted_offers.insert(h.offer.clone(), now + OFFER_EXHAUSTED_MS);
+                    self.provisioning.exhausted.insert(h.offer.clone(), now + OFFER_EXHAUSTED_MS);
                 }
                 for name in names {
-                    if self.terminated.contains(&name) {
+                    if self.inventory.was_terminated(&name) || self.inventory.contains(&name) {
                         continue;
                     }
                     let o = &h.offer;
-                    self.machines
-                        .entry(name.clone())
-                        .or_insert_with(|| new_machine(&name, &o.kind, &o.zone, o.spot, now));
+                    self.inventory.insert(new_machine(&name, &o.kind, &o.zone, o.spot, now));
                 }
             }
             ProvisionOutcome::NoCapacity => {
-                self.exhausted_offers.insert(h.offer, now + OFFER_EXHAUSTED_MS);
+                self.provisioning.exhausted.insert(h.offer, now + OFFER_EXHAUSTED_MS);
             }
             ProvisionOutcome::NotExecuted => {}
             ProvisionOutcome::Unknown => {
@@ -45,58 +74,47 @@
                     offer: h.offer.clone(),
                     number: h.number,
                 });
-                self.pending_provisions.insert(request_id.to_string(), h);
+                self.provisioning.pending.insert(request_id.to_string(), h);
             }
         }
-        self.cycle_requested = true;
+        self.cycle_timer.requested = true;
     }
 
     pub(super) fn on_terminate_finished(&mut self, now: Millis, names: Vec<String>, ok: bool) {
         for name in names {
             if !ok {
-                if let Some(m) = self.machines.get_mut(&name) {
+                if let Some(m) = self.inventory.get_mut(&name) {
                     m.termination_sent = false;
                 }
                 continue;
             }
-            if let Some(m) = self.machines.remove(&name) {
+            if let Some(m) = self.inventory.remove(&name) {
                 // What went back can be had again.
                 let offer =
                     Offer { kind: m.kind.to_string(), zone: m.zone.to_string(), spot: m.spot };
-                self.exhausted_offers.remove(&offer);
+                self.provisioning.exhausted.remove(&offer);
                 for run in m.runs.values().filter(|r| r.is_live()) {
                     self.release_run(now, &name, run);
                 }
-                self.machine_set_shards.remove(&name);
-                self.dispatch_queue.remove(&name);
+                self.persistence.machine_sets.remove(&name);
+                self.dispatcher.pending.remove(&name);
             }
-            self.remember_terminated(name);
+            self.inventory.remember_terminated(name);
         }
-        self.cycle_requested = true;
+        self.cycle_timer.requested = true;
         if self.cycle_due(now) {
             self.run_cycle(now);
             self.dispatch(now, None);
         }
     }
 
-    pub(super) fn remember_terminated(&mut self, name: String) {
-        if self.terminated.insert(name.clone()) {
-            self.terminated_order.push_back(name);
-            if self.terminated_order.len() > MAX_TERMINATED_NAMES {
-                if let Some(old) = self.terminated_order.pop_front() {
-                    self.terminated.remove(&old);
-                }
-            }
-        }
-    }
-
     pub(super) fn on_machines_listed(&mut self, now: Millis, listed: Vec<ListedMachine>) {
         self.detect_unlisted(now, &listed);
         for l in listed {
-            if self.terminated.contains(&l.name) {
+            if self.inventory.was_terminated(&l.name) {
                 continue;
             }
-            match self.machines.get_mut(&l.name) {
+            match self.inventory.get_mut(&l.name) {
                 Some(m) => {
                     m.listed_as_running |= l.running;
                     if l.failed && !m.to_terminate {
@@ -110,8 +128,8 @@
                     m.rented_at = now.saturating_sub(l.age_ms);
                     m.to_terminate = l.failed;
                     m.listed_as_running = l.running;
-                    self.machines.insert(l.name.clone(), m);
-                    self.cycle_requested = true;
+                    self.inventory.insert(m);
+                    self.cycle_timer.requested = true;
                     self.out.push(Effect::Log(format!("machine {} adopted from the list", l.name)));
                 }
             }
@@ -123,7 +141,7 @@
     fn detect_unlisted(&mut self, now: Millis, listed: &[ListedMachine]) {
         let names: HashSet<&str> = listed.iter().map(|l| l.name.as_str()).collect();
         let (probe_ms, sure_ms) = (self.policy.probe_ms(), self.policy.list_complete_ms());
-        for m in self.machines.values_mut().filter(|m| !m.to_terminate) {
+        for m in self.inventory.iter_mut().filter(|m| !m.to_terminate) {
             // A machine of the stored set was up before this term; one that does not answer a new
             // leader either is not younger than lists are late but for a moment's bad luck.
             let sure = m.is_unreconciled() || now >= m.rented_at.saturating_add(sure_ms);
@@ -139,21 +157,21 @@
     fn request_machine_list(&mut self, now: Millis) {
         let probe_ms = self.policy.probe_ms();
         let silent =
-            self.machines.values().any(|m| !m.to_terminate && m.presumed_lost(now, probe_ms));
+            self.inventory.iter().any(|m| !m.to_terminate && m.presumed_lost(now, probe_ms));
         let every = if silent { LIST_INTERVAL_WHILE_SILENT_MS } else { LIST_INTERVAL_MS };
-        if self.listed_at.is_none_or(|t| now >= t + every) {
-            self.listed_at = Some(now);
+        if self.provisioning.listed_at.is_none_or(|t| now >= t + every) {
+            self.provisioning.listed_at = Some(now);
             self.out.push(Effect::ListMachines);
         }
     }
 
     pub(super) fn on_tick(&mut self, now: Millis) {
-        self.exhausted_offers.retain(|_, until| *until > now);
+        self.provisioning.exhausted.retain(|_, until| *until > now);
         // Not leading for a while, or standing still: the machines spoke, and nobody listened.
-        if now > self.last_tick.saturating_add(MAX_TICK_GAP_MS) {
-            self.listening_since = now;
+        if now > self.failure_detector.last_tick_at.saturating_add(MAX_TICK_GAP_MS) {
+            self.failure_detector.listening_since = now;
         }
-        self.last_tick = now;
+        self.failure_detector.last_tick_at = now;
         self.request_machine_list(now);
         self.detect_silent_machines(now);
         self.stop_preempted_tasks(now);
@@ -165,22 +183,18 @@
         self.balance_load(now);
         self.step_cell_quota(now);
         self.probe_silent_machines(now);
-        self.dispatch_queue.append(&mut self.dispatch_next_tick);
+        self.dispatcher.pending.append(&mut self.dispatcher.next_tick);
         if self.cycle_due(now) {
             self.run_cycle(now);
         }
         self.dispatch(now, None);
     }
 
-    pub(super) fn type_of(&self, kind: &str) -> Option<&MachineType> {
-        type_named(&self.types, kind)
-    }
-
     /// For how long a machine that should speak has been silent while we listened and its zone was
     /// not quiet: when a cut ends, one machine is heard before the others.
     fn observed_silence(&self, now: Millis, m: &Machine) -> Option<Millis> {
-        let back = self.zones.get(&m.zone).map_or(0, |sight| sight.back);
-        let from = self.listening_since.max(back);
+        let back = self.failure_detector.zones.get(&m.zone).map_or(0, |sight| sight.back);
+        let from = self.failure_detector.listening_since.max(back);
         m.heartbeat_age(now).map(|s| s.min(now.saturating_sub(from)))
     }
 
@@ -188,13 +202,15 @@
     /// a cut between us and them than that many dead machines at once.
     fn detect_unreachable_zones(&mut self, now: Millis) {
         let mut known: BTreeMap<Arc<str>, u32> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.heartbeat_age(now).is_some()) {
+        for m in self.inventory.iter().filter(|m| m.heartbeat_age(now).is_some()) {
             *known.entry(m.zone.clone()).or_default() += 1;
         }
         let quiet = |(zone, n): (Arc<str>, u32)| {
-            let sight = self.zones.get(&zone)?;
-            let since =
-                sight.last_heartbeat_at.unwrap_or(self.term_started_at).max(self.listening_since);
+            let sight = self.failure_detector.zones.get(&zone)?;
+            let since = sight
+                .last_heartbeat_at
+                .unwrap_or(self.term_started_at)
+                .max(self.failure_detector.listening_since);
             let asked =
                 sight.unanswered_calls >= ZONE_UNANSWERED_CALLS.min(MIN_UNANSWERED_CALLS * n);
             let is = n as usize >= MIN_MACHINES_TO_JUDGE
@@ -204,24 +220,27 @@
         };
         let zones = known.len();
         let quiet: BTreeSet<Arc<str>> = known.into_iter().filter_map(quiet).collect();
-        for zone in quiet.difference(&self.unreachable_zones) {
+        for zone in quiet.difference(&self.failure_detector.unreachable_zones) {
             self.out.push(Effect::Log(format!("nothing is heard of zone {zone}")));
         }
-        for zone in self.unreachable_zones.difference(&quiet) {
-            self.zones.entry(zone.clone()).or_default().back = now;
+        for zone in self.failure_detector.unreachable_zones.difference(&quiet) {
+            self.failure_detector.zones.entry(zone.clone()).or_default().back = now;
             self.out.push(Effect::Log(format!("zone {zone} is not quiet any more")));
         }
-        self.unreachable_zones = quiet;
+        self.failure_detector.unreachable_zones = quiet;
         // A machine heard in this term shows that we were heard once. A new leader that hears none
         // must not resign: the next would do the same for ever, with nobody to settle them.
         if zones > 0
-            && self.unreachable_zones.len() == zones
-            && self.machines.values().any(Machine::is_up)
+            && self.failure_detector.unreachable_zones.len() == zones
+            && self.inventory.iter().any(Machine::is_up)
         {
             self.out.push(Effect::Resign("no machine is heard any more"));
         }
         // Starts would wait for the next report of each machine; another node can call them.
-        let since = self.relayed_since.map(|at| at.max(self.listening_since));
+        let since = self
+            .failure_detector
+            .relayed_since
+            .map(|at| at.max(self.failure_detector.listening_since));
         if since.is_some_and(|at| now >= at.saturating_add(self.policy.probe_ms())) {
             self.out.push(Effect::Resign("machines are heard by way of other nodes only"));
         }
@@ -233,7 +252,11 @@
         let probe_ms = self.policy.probe_ms();
         // They fall silent within a report's time of each other, so all that are overdue count.
         let (mut known, mut overdue) = (0usize, 0usize);
-        for m in self.machines.values().filter(|m| !self.unreachable_zones.contains(&m.zone)) {
+        for m in self
+            .inventory
+            .iter()
+            .filter(|m| !self.failure_detector.unreachable_zones.contains(&m.zone))
+        {
             let Some(s) = self.observed_silence(now, m) else { continue };
             known += 1;
             overdue += usize::from(s >= probe_ms);
@@ -241,14 +264,13 @@
         let ours =
             known >= MIN_MACHINES_TO_JUDGE && overdue as f64 > known as f64 * MAX_SILENT_SHARE;
         // Other zones are heard, so that it is not us.
-        let last_heartbeat_at = self
-            .zones
-            .iter()
-            .any(|(z, s)| s.last_heartbeat_at.is_some() && !self.unreachable_zones.contains(z));
+        let last_heartbeat_at = self.failure_detector.zones.iter().any(|(z, s)| {
+            s.last_heartbeat_at.is_some() && !self.failure_detector.unreachable_zones.contains(z)
+        });
         let mut given_up = Vec::new();
-        for m in self.machines.values().filter(|m| !m.to_terminate) {
+        for m in self.inventory.iter().filter(|m| !m.to_terminate) {
             let Some(s) = self.observed_silence(now, m) else { continue };
-            let give_up = if !self.unreachable_zones.contains(&m.zone) {
+            let give_up = if !self.failure_detector.unreachable_zones.contains(&m.zone) {
                 let limit = if m.is_up() {
                     self.policy.heartbeat_timeout_ms
                 } else {
@@ -270,7 +292,7 @@
             }
         }
         for (name, s) in given_up {
-            if let Some(m) = self.machines.get_mut(&name) {
+            if let Some(m) = self.inventory.get_mut(&name) {
                 m.to_terminate = true;
                 self.out.push(Effect::Log(format!("machine {name} silent for {s} ms, given up")));
             }
@@ -287,13 +309,13 @@
     fn expire_worker_leases(&mut self, now: Millis) {
         let past_lease = self.policy.worker_lease_expiry_ms();
         let expired: Vec<String> = self
-            .machines
-            .values()
+            .inventory
+            .iter()
             .filter(|m| !m.runs.is_empty() && m.heartbeat_older_than(now, past_lease))
             .map(|m| m.name.to_string())
             .collect();
         for name in expired {
-            let Some(m) = self.machines.get_mut(&name) else { continue };
+            let Some(m) = self.inventory.get_mut(&name) else { continue };
             // What comes of the ended session from now on is old news.
             m.latest_message = (m.latest_message.0 + 1, 0);
             m.idle_since = None;
@@ -310,14 +332,14 @@
     /// token holds none of its tasks any more: nobody else can have answered it, and a command that
     /// is still on its way belongs to a session that has ended. It goes back, and holds up nobody.
     fn expire_unreconciled(&mut self, now: Millis) {
-        for (name, revision) in std::mem::take(&mut self.unreadable_machine_sets) {
-            self.machine_set_shards.load(&name, revision, []);
-            self.cycle_requested = true;
+        for (name, revision) in std::mem::take(&mut self.persistence.unreadable_machine_sets) {
+            self.persistence.machine_sets.load(&name, revision, []);
+            self.cycle_timer.requested = true;
         }
-        for m in self.machines.values_mut().filter(|m| m.is_unreconciled()) {
+        for m in self.inventory.iter_mut().filter(|m| m.is_unreconciled()) {
             m.inherited = false;
             m.to_terminate = true;
-            self.cycle_requested = true;
+            self.cycle_timer.requested = true;
             let ms = now.saturating_sub(self.term_started_at);
             self.out.push(Effect::Log(format!("machine {} outlasted its lease, {ms} ms", m.name)));
         }
@@ -326,7 +348,7 @@
     /// A machine whose reports arrive while launches don't reach it is judged by what it was seen
     /// to take. Given tasks again and again, it would keep them from running elsewhere.
     fn detect_ignored_launches(&mut self, now: Millis) {
-        for m in self.machines.values_mut().filter(|m| !m.to_terminate) {
+        for m in self.inventory.iter_mut().filter(|m| !m.to_terminate) {
             let deaf = m.runs.values().any(|r| {
                 r.phase == TaskPhase::Assigned
                     && r.launch_sends >= MAX_IGNORED_LAUNCHES
@@ -343,7 +365,7 @@
     /// A machine that is to be taken: tasks that can save do so now, the others finish if they can.
     pub(super) fn stop_preempted_tasks(&mut self, now: Millis) {
         let mut gangs = BTreeSet::new();
-        for m in self.machines.values_mut().filter(|m| m.preempt_at.is_some()) {
+        for m in self.inventory.iter_mut().filter(|m| m.preempt_at.is_some()) {
             for run in m.runs.values_mut().filter(|r| r.phase == TaskPhase::Running) {
                 let Some(spec) = &run.spec else { continue };
                 if spec.checkpoint_s > 0.0 && run.stop.is_none() {
@@ -353,7 +375,7 @@
                     }
                     run.stop =
                         Some(StopRequest { grace_s: spec.save_s + STOP_GRACE_S, sent_at: None });
-                    self.dispatch_queue.insert(m.name.to_string());
+                    self.dispatcher.pending.insert(m.name.to_string());
                 }
             }
         }
@@ -365,7 +387,7 @@
     pub(super) fn terminate_idle_machines(&mut self, now: Millis) {
         let mut back = Vec::new();
         let probe_ms = self.policy.probe_ms();
-        for m in self.machines.values_mut().filter(|m| !m.termination_sent) {
+        for m in self.inventory.iter_mut().filter(|m| !m.termination_sent) {
             let no_runs = !m.runs.values().any(TaskRun::is_live);
             // A result that is not stored is lost with its machine.
             let owes = m.runs.values().any(|r| {
@@ -382,9 +404,9 @@
                     self.policy.on_demand_idle_timeout_ms
                 };
                 // Kept for tasks to come, for instance until the last machine of a gang is up.
-                let is_kept = self.held.contains_key(&m.name)
-                    || self.reserved_exclusively.contains(&m.name)
-                    || self.balancer.is_reserved(&m.name);
+                let is_kept = self.reservations.by_machine.contains_key(&m.name)
+                    || self.reservations.exclusive.contains(&m.name)
+                    || self.load_balancing.balancer.is_reserved(&m.name);
                 let is_idle = now.saturating_sub(since) >= wait && !is_kept;
                 if m.preempt_at.is_some() || m.is_slow() || is_idle {
                     m.to_terminate = true;
@@ -404,8 +426,14 @@
     }
 }
 
-pub(super) fn type_named<'a>(types: &'a [MachineType], kind: &str) -> Option<&'a MachineType> {
-    types.iter().find(|t| t.name == kind)
+/// A machine of the stored set, as a new leader finds it.
+pub(super) fn inherited_machine(stored: StoredMachine, now: Millis) -> Machine {
+    let mut machine = new_machine(&stored.name, &stored.kind, &stored.zone, stored.spot, now);
+    machine.addr = Some(stored.addr);
+    machine.persisted = true;
+    machine.inherited = true;
+    machine.heartbeat_expected_since = Some(now);
+    machine
 }
 
 pub(super) fn new_machine(name: &str, kind: &str, zone: &str, spot: bool, now: Millis) -> Machine {
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -19,6 +19,7 @@
 mod gang_reserves;
 mod gangs;
 mod heartbeats;
+mod inventory;
 mod machine_lifecycle;
 mod messages;
 mod moves;
@@ -30,32 +31,31 @@
 mod reservations;
 mod team_limits;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use latchtrack_balance::balancer::Balancer;
-use latchtrack_quota::{Amounts, Keeper};
-
 pub use gangs::AttemptState;
 pub use messages::*;
 pub use moves::BalanceSummary;
 pub use policy::*;
 
-use boot_tracking::BootTracker;
+use cell_quota::QuotaAccounting;
+use cycle::CycleTimer;
 use equivalence_classes::EquivalenceClasses;
-use gang_reserves::GangReserve;
-use heartbeats::stop_job_runs;
-use machine_lifecycle::new_machine;
-use moves::Balance;
-use persistence::load_result_shards;
-use queue::QueueEntry;
+use heartbeats::{stop_job_runs, CommandDispatcher};
+use inventory::MachineInventory;
+use machine_lifecycle::{inherited_machine, FailureDetector};
+use moves::LoadBalancing;
+use objectives::ImageLocality;
+use persistence::RecordPersistence;
+use provisioning::Provisioning;
+use queue::JobQueue;
+use reservations::Reservations;
 
 use crate::bitmap::Bitmap;
 use crate::constants::*;
 use crate::job::{Job, JobId, JobSpec};
 use crate::machine::*;
-use crate::placement::{Offer, Reservation};
-use crate::record_shards::RecordShards;
 use crate::Millis;
 
 /// Counts of the cluster.
@@ -77,95 +77,31 @@
     pub cpus_waiting: f64,
 }
 
-#[derive(Clone, Debug)]
-struct ProvisionRequest {
-    offer: Offer,
-    number: u32,
-}
-
-/// The cluster as its leader sees it.
+/// The scheduler: the state machine of a leader's term.
 #[derive(Clone)]
 pub struct Scheduler {
     policy: Policy,
     token: u64,
+    /// Jobs accepted from this revision on were never launched by an earlier leader.
     leaderless_since: u64,
-    types: Vec<MachineType>,
-    jobs: BTreeMap<JobId, Job>,
-    machines: BTreeMap<String, Machine>,
-    terminated: BTreeSet<String>,
-    terminated_order: VecDeque<String>,
-    pending_provisions: BTreeMap<String, ProvisionRequest>,
-    exhausted_offers: BTreeMap<Offer, Millis>,
-    next_attempt: u64,
-    next_hire: u64,
-    next_call: u64,
     term_started_at: Millis,
-    last_cycle_at: Option<Millis>,
-    cycles: u64,
-    cycle_requested: bool,
-    zone_rotation: usize,
-    listed_at: Option<Millis>,
-    completed_jobs: BTreeSet<JobId>,
-    boots: BootTracker,
-    balancer: Balancer,
-    balance: Balance,
-    /// This cell's part of the teams' limits, where cells share them.
-    cell_quota: Option<Keeper>,
-    /// What teams need for the first of their jobs that are to begin before all others.
-    next_of_team: BTreeMap<String, Amounts>,
-    /// What was launched of each team in this term.
-    started: BTreeMap<String, Amounts>,
-    /// Values of the machine set that can't be read: until every lease of before this term has run
-    /// out, tasks may be on machines that we do not know.
-    unreadable_machine_sets: Vec<(String, u64)>,
-    /// Most changes of the next batch for the state service.
-    max_batch_changes: usize,
-    machine_set_shards: RecordShards<String>,
-    result_shards: RecordShards<(JobId, u32)>,
+    next_attempt: u64,
+    jobs: BTreeMap<JobId, Job>,
+    inventory: MachineInventory,
+    failure_detector: FailureDetector,
+    dispatcher: CommandDispatcher,
+    provisioning: Provisioning,
+    persistence: RecordPersistence,
+    quota: QuotaAccounting,
+    queue: JobQueue,
     equivalence_classes: EquivalenceClasses,
-    /// Jobs with waiting tasks, in the order of the last round.
-    queue: Vec<QueueEntry>,
-    /// Jobs that are to begin before that order, and machines kept free for them.
-    starving: Vec<JobId>,
-    /// Gangs for which the last round found room for some tasks only: what comes free is kept for them.
-    gangs_lacking_capacity: HashSet<JobId>,
-    /// Room kept for gangs to come, by shape.
-    reserves: BTreeMap<usize, GangReserve>,
-    reserved_exclusively: HashSet<Arc<str>>,
-    /// Images that some machine holds, looked up once a second.
-    cached_images: HashSet<String>,
-    cached_images_at: Option<Millis>,
-    /// Machines whose room the last round holds for jobs of a shape.
-    held: HashMap<Arc<str>, Reservation>,
-    /// Machines for which there may be something to send now, or at the next tick.
-    dispatch_queue: BTreeSet<String>,
-    dispatch_next_tick: BTreeSet<String>,
-    /// Direct calls that are open, and whether each only asks.
-    calls: HashMap<u64, bool>,
-    probes_open: usize,
-    /// What was heard of each zone in this term.
-    zones: BTreeMap<Arc<str>, ZoneReachability>,
-    /// Zones of which nothing is heard, at the last tick.
-    unreachable_zones: BTreeSet<Arc<str>>,
-    /// Since when machines have spoken by way of other nodes, and none to this one itself.
-    relayed_since: Option<Millis>,
-    last_tick: Millis,
-    /// Since when we have listened without a pause of our own.
-    listening_since: Millis,
+    reservations: Reservations,
+    image_locality: ImageLocality,
+    cycle_timer: CycleTimer,
+    load_balancing: LoadBalancing,
     out: Vec<Effect>,
 }
 
-/// What is heard of a zone.
-#[derive(Clone, Debug, Default)]
-struct ZoneReachability {
-    /// When one of its machines was last heard holding our token.
-    last_heartbeat_at: Option<Millis>,
-    /// Direct calls into it without an answer since.
-    unanswered_calls: u32,
-    /// When it was last quiet no more.
-    back: Millis,
-}
-
 impl Scheduler {
     /// What a new leader begins with: `inherited` is the stored set of machines, `results` what is stored
     /// of jobs that are open.
@@ -178,78 +114,34 @@
         now: Millis,
     ) -> Self {
         let TermRevisions { token, leaderless_since } = revisions;
-        let most = (policy.value_bytes as f64 * VALUE_FILL_FACTOR) as usize;
-        let mut fleet = RecordShards::new(token, most, MACHINE_SET_WRITE_INTERVAL_MS);
-        let mut machines = BTreeMap::new();
-        let mut unreadable_machine_sets = Vec::new();
-        for f in inherited {
-            let Some(stored) = f.machines else {
-                unreadable_machine_sets.push((f.name, f.revision));
-                continue;
-            };
-            fleet.load(&f.name, f.revision, stored.iter().map(|s| (s.name.clone(), s.bytes())));
-            for s in stored {
-                let mut m = new_machine(&s.name, &s.kind, &s.zone, s.spot, now);
-                m.addr = Some(s.addr);
-                m.persisted = true;
-                m.inherited = true;
-                m.heartbeat_expected_since = Some(now);
-                machines.insert(s.name, m);
-            }
+        let max_bytes = (policy.value_bytes as f64 * VALUE_FILL_FACTOR) as usize;
+        let mut persistence = RecordPersistence::new(token, max_bytes);
+        let mut machines = MachineInventory::new(types);
+        for machine in persistence.load_machine_sets(inherited) {
+            machines.insert(inherited_machine(machine, now));
         }
-        let mut result_shards = RecordShards::new(token, most, RESULTS_WRITE_INTERVAL_MS);
-        for r in results {
-            load_result_shards(&mut result_shards, &r);
+        for stored in results {
+            persistence.load_results(&stored);
         }
         Scheduler {
             token,
             leaderless_since,
-            types,
-            jobs: BTreeMap::new(),
-            machines,
-            terminated: BTreeSet::new(),
-            terminated_order: VecDeque::new(),
-            pending_provisions: BTreeMap::new(),
-            exhausted_offers: BTreeMap::new(),
-            next_attempt: 0,
-            next_hire: 0,
-            next_call: 0,
             term_started_at: now,
-            last_cycle_at: None,
-            cycles: 0,
-            cycle_requested: true,
-            zone_rotation: token as usize,
-            listed_at: None,
-            completed_jobs: BTreeSet::new(),
-            boots: BootTracker::default(),
-            next_of_team: BTreeMap::new(),
-            started: BTreeMap::new(),
-            cell_quota: cell_quota::keeper(&policy, token),
-            balancer: Balancer::new(policy.balance.limits),
-            balance: Balance::default(),
-            policy,
-            unreadable_machine_sets,
-            max_batch_changes: usize::MAX,
-            machine_set_shards: fleet,
-            result_shards,
+            next_attempt: 0,
+            jobs: BTreeMap::new(),
+            inventory: machines,
+            failure_detector: FailureDetector::new(now),
+            dispatcher: CommandDispatcher::default(),
+            provisioning: Provisioning::new(token),
+            persistence,
+            quota: QuotaAccounting::new(&policy, token),
+            queue: JobQueue::default(),
             equivalence_classes: EquivalenceClasses::default(),
-            queue: Vec::new(),
-            starving: Vec::new(),
-            gangs_lacking_capacity: HashSet::new(),
-            reserves: BTreeMap::new(),
-            reserved_exclusively: HashSet::new(),
-            cached_images: HashSet::new(),
-            cached_images_at: None,
-            held: HashMap::new(),
-            dispatch_queue: BTreeSet::new(),
-            dispatch_next_tick: BTreeSet::new(),
-            calls: HashMap::new(),
-            probes_open: 0,
-            zones: BTreeMap::new(),
-            unreachable_zones: BTreeSet::new(),
-            relayed_since: None,
-            last_tick: now,
-            listening_since: now,
+            reservations: Reservations::default(),
+            image_locality: ImageLocality::default(),
+            cycle_timer: CycleTimer::default(),
+            load_balancing: LoadBalancing::new(policy.balance.limits),
+            policy,
             out: Vec::new(),
         }
     }
@@ -261,7 +153,7 @@
     /// Unfinished jobs with their counts of tasks done and running, for display.
     pub fn progress(&self) -> impl Iterator<Item = (JobId, u32, u32)> + '_ {
         let mut running: HashMap<JobId, u32> = HashMap::new();
-        for run in self.machines.values().flat_map(|m| m.runs.values()) {
+        for run in self.inventory.runs() {
             if matches!(run.phase, TaskPhase::Running | TaskPhase::Checkpointing) {
                 *running.entry(run.task.job).or_default() += 1;
             }
@@ -276,26 +168,26 @@
 
     /// Whether all that may be on machines is known: no earlier leader's command can still arrive.
     fn all_reconciled(&self) -> bool {
-        self.unreadable_machine_sets.is_empty()
-            && !self.machines.values().any(Machine::is_unreconciled)
+        self.persistence.unreadable_machine_sets.is_empty()
+            && !self.inventory.iter().any(Machine::is_unreconciled)
     }
 
     /// What the cluster looks like, for the log.
     pub fn summary(&self, now: Millis) -> SchedulerSummary {
         let mut s = SchedulerSummary {
             suspects: self.quarantined_jobs().count(),
-            unpersisted: self.completed_jobs.len(),
+            unpersisted: self.persistence.completed_jobs.len(),
             late: self.late_boots(now),
             ..SchedulerSummary::default()
         };
-        for m in self.machines.values() {
+        for m in self.inventory.iter() {
             s.unreconciled += usize::from(m.is_unreconciled());
             if !m.is_up() {
                 s.booting += 1;
                 continue;
             }
             s.up += 1;
-            s.cpus += self.type_of(&m.kind).map_or(0.0, |t| t.cpus);
+            s.cpus += self.inventory.type_named(&m.kind).map_or(0.0, |t| t.cpus);
             for run in m.runs.values() {
                 let cpus = run.spec.as_ref().map_or(0.0, |s| s.demand.cpus);
                 match run.phase {
@@ -319,8 +211,8 @@
     /// Machines whose reports are overdue: their workers may be able to reach another node.
     pub fn overdue(&self, now: Millis) -> Vec<String> {
         let mut bytes = 0;
-        self.machines
-            .values()
+        self.inventory
+            .iter()
             .filter(|m| !m.to_terminate)
             .filter(|m| match m.last_heartbeat_at {
                 Some(last_heartbeat_at) => now >= last_heartbeat_at + self.policy.overdue_ms(),
@@ -339,7 +231,7 @@
 
     /// The machines, for checks.
     pub fn machines(&self) -> &BTreeMap<String, Machine> {
-        &self.machines
+        self.inventory.by_name()
     }
 
     /// Jobs that have shown nothing but failures.
@@ -349,12 +241,12 @@
 
     /// Zones of which nothing is heard.
     pub fn unreachable_zones(&self) -> Vec<String> {
-        self.unreachable_zones.iter().map(|z| z.to_string()).collect()
+        self.failure_detector.unreachable_zones.iter().map(|z| z.to_string()).collect()
     }
 
     /// Rounds of placing in this term, for checks.
     pub fn cycles(&self) -> u64 {
-        self.cycles
+        self.cycle_timer.count
     }
 
     /// The unfinished jobs, for checks.
@@ -370,11 +262,11 @@
             }
             Event::JobClosed(job) => self.on_job_closed(now, job),
             Event::Heartbeat(report) => {
-                self.relayed_since = None;
+                self.failure_detector.relayed_since = None;
                 self.on_heartbeat(now, &report);
             }
             Event::RelayedHeartbeat(report) => {
-                self.relayed_since.get_or_insert(now);
+                self.failure_detector.relayed_since.get_or_insert(now);
                 self.on_heartbeat(now, &report);
             }
             Event::CallFinished { machine, call, outcome } => {
@@ -388,16 +280,16 @@
             Event::WritesFinished { writes, outcome } => {
                 self.on_writes_finished(now, writes, outcome)
             }
-            Event::MachineTypes(types) => self.types = types,
+            Event::MachineTypes(types) => self.inventory.set_types(types),
             Event::QuotaObserved(view) => self.on_quota_observed(now, view),
             Event::LedgerWriteFinished { write, outcome } => {
                 self.on_ledger_write_finished(now, &write, outcome)
             }
             Event::Tick => self.on_tick(now),
         }
-        if !self.completed_jobs.is_empty()
-            || self.machine_set_shards.due(now)
-            || self.result_shards.due(now)
+        if !self.persistence.completed_jobs.is_empty()
+            || self.persistence.machine_sets.due(now)
+            || self.persistence.results.due(now)
         {
             self.out.push(Effect::WritesReady);
         }
@@ -430,23 +322,23 @@
         job.equivalence_class = equivalence_class;
         self.jobs.insert(id, job);
         if completed_jobs {
-            self.completed_jobs.insert(id);
+            self.persistence.completed_jobs.insert(id);
         }
-        self.cycle_requested = true;
+        self.cycle_timer.requested = true;
     }
 
     fn on_job_closed(&mut self, now: Millis, id: JobId) {
         if self.jobs.remove(&id).is_none() {
             return;
         }
-        self.completed_jobs.remove(&id);
+        self.persistence.completed_jobs.remove(&id);
         self.forget_job_results(id);
-        for (name, m) in &mut self.machines {
+        for m in self.inventory.iter_mut() {
             if stop_job_runs(m, id) {
-                self.dispatch_queue.insert(name.clone());
+                self.dispatcher.pending.insert(m.name.to_string());
             }
         }
-        self.cycle_requested = true;
+        self.cycle_timer.requested = true;
         self.dispatch(now, None);
     }
 }
--- a/crates/latchtrack-core/src/scheduler/moves.rs
+++ b/crates/latchtrack-core/src/scheduler/moves.rs
@@ -8,7 +8,7 @@
 
 use latchtrack_balance::amounts::Amounts;
 use latchtrack_balance::arrivals::Arrivals;
-use latchtrack_balance::balancer::MoveCounts;
+use latchtrack_balance::balancer::{Balancer, Limits, MoveCounts};
 use latchtrack_balance::constants::MOVE_OVERHEAD_S;
 use latchtrack_balance::locality::{fetch_s, Place};
 use latchtrack_balance::moves::{Leg, Move, MoveEvent, Reason, Stage, UnitId};
@@ -24,9 +24,10 @@
 use crate::rules;
 use crate::Millis;
 
-/// What the leader keeps for load balancing beside the balancer itself.
-#[derive(Clone, Debug, Default)]
-pub(super) struct Balance {
+/// The state of load balancing.
+#[derive(Clone, Debug)]
+pub(super) struct LoadBalancing {
+    pub balancer: Balancer,
     pub arrivals: Arrivals,
     /// The pools seen so far, by what makes machines alike.
     pools: HashMap<(Arc<str>, Arc<str>, bool), u32>,
@@ -36,6 +37,19 @@
     invalid_types: BTreeSet<String>,
 }
 
+impl LoadBalancing {
+    pub fn new(limits: Limits) -> Self {
+        LoadBalancing {
+            balancer: Balancer::new(limits),
+            arrivals: Arrivals::default(),
+            pools: HashMap::new(),
+            observed_at: None,
+            logged_at: None,
+            invalid_types: BTreeSet::new(),
+        }
+    }
+}
+
 /// What there is to tell an operator of the balance of the cluster.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BalanceSummary {
@@ -56,34 +70,34 @@
         if !policy.observes() && !policy.teams {
             return None;
         }
-        let spreads = self.balancer.spreads().values().copied();
+        let spreads = self.load_balancing.balancer.spreads().values().copied();
         let worst = spreads.max_by(|a, b| a.ratio().total_cmp(&b.ratio()));
         Some(BalanceSummary {
             spread: worst.unwrap_or_default(),
-            over_bound: self.balancer.over_bound(),
-            hot_teams: self.balance.arrivals.hot_teams(),
-            moves: self.balancer.moves().iter().map(describe).collect(),
-            recent: self.balancer.recent().map(describe).collect(),
-            counts: self.balancer.counts(),
+            over_bound: self.load_balancing.balancer.over_bound(),
+            hot_teams: self.load_balancing.arrivals.hot_teams(),
+            moves: self.load_balancing.balancer.moves().iter().map(describe).collect(),
+            recent: self.load_balancing.balancer.recent().map(describe).collect(),
+            counts: self.load_balancing.balancer.counts(),
         })
     }
 
     /// The moves under way, for checks.
     pub fn moves(&self) -> &[Move] {
-        self.balancer.moves()
+        self.load_balancing.balancer.moves()
     }
 
     /// A job was submitted: counts for how much its team asks for.
     pub(super) fn note_arrival(&mut self, spec: &JobSpec, submitted_at: Millis) {
         if self.policy.balance.teams {
             let work = spec.demand.cpus * spec.estimate_s * f64::from(spec.tasks);
-            self.balance.arrivals.add(submitted_at, &spec.team, work);
+            self.load_balancing.arrivals.add(submitted_at, &spec.team, work);
         }
     }
 
     /// What moves keep free on a machine.
     pub(super) fn reserved_on(&self, machine: &str) -> Amounts {
-        self.balancer.reserved_on(machine)
+        self.load_balancing.balancer.reserved_on(machine)
     }
 
     /// What load balancing knows of a machine's room; None while it has no say in placing.
@@ -100,8 +114,8 @@
                 fetching.insert(&spec.image, spec.image_gb);
             }
         }
-        let pool = self.balance.pools.get(&(m.kind.clone(), m.zone.clone(), m.spot));
-        let spread = pool.and_then(|pool| self.balancer.spreads().get(pool));
+        let pool = self.load_balancing.pools.get(&(m.kind.clone(), m.zone.clone(), m.spot));
+        let spread = pool.and_then(|pool| self.load_balancing.balancer.spreads().get(pool));
         Some(LoadInfo {
             capacity: Demand { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
             mean_load: spread.map_or(0.0, |spread| spread.mean),
@@ -114,7 +128,7 @@
     pub(super) fn placement_cost(&self, spec: &JobSpec, room: &FreeCapacity) -> f64 {
         let is_cold = !room.images.contains(&spec.image);
         let Some(balance) = &room.balance else { return f64::from(u8::from(is_cold)) };
-        let speed = self.type_of(&room.kind).map_or(0.0, |t| t.fetch_gb_per_s);
+        let speed = self.inventory.type_named(&room.kind).map_or(0.0, |t| t.fetch_gb_per_s);
         let fetch_s = match is_cold {
             true => fetch_s(spec.image_gb, balance.fetching_gb, speed),
             false => 0.0,
@@ -141,14 +155,14 @@
         }
         self.log_balance(now);
         if !policy.observes()
-            || self.balance.observed_at.is_some_and(|at| now < at + BALANCE_INTERVAL_MS)
+            || self.load_balancing.observed_at.is_some_and(|at| now < at + BALANCE_INTERVAL_MS)
         {
             return;
         }
-        self.balance.observed_at = Some(now);
+        self.load_balancing.observed_at = Some(now);
         let input = self.plan_input(now);
         let holds_off = !policy.moves || !self.moves_allowed(now);
-        for begun in self.balancer.observe(now, input, holds_off) {
+        for begun in self.load_balancing.balancer.observe(now, input, holds_off) {
             let text = format!("a move begins: {}", describe(&begun));
             self.out.push(Effect::Log(text));
             self.begin_move(now, &begun);
@@ -158,8 +172,10 @@
     /// Whether tasks may be moved now: all is known and calm, and nobody waits for room.
     fn moves_allowed(&self, now: Millis) -> bool {
         let calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
-            && now >= self.listening_since.saturating_add(self.policy.probe_ms());
-        calm && self.all_reconciled() && self.unreachable_zones.is_empty() && !self.overloaded(now)
+            && now >= self.failure_detector.listening_since.saturating_add(self.policy.probe_ms());
+        calm && self.all_reconciled()
+            && self.failure_detector.unreachable_zones.is_empty()
+            && !self.overloaded(now)
     }
 
     /// Whether jobs that found no room for a while ask for a good part of the cluster: while a task saves,
@@ -171,8 +187,11 @@
         };
         let cpus = |job: &Job| job.spec.demand.cpus * f64::from(job.schedulable_tasks());
         let waiting: f64 = self.jobs.values().filter(short_of_room).map(cpus).sum();
-        let types =
-            self.machines.values().filter(|m| m.is_up()).filter_map(|m| self.type_of(&m.kind));
+        let types = self
+            .inventory
+            .iter()
+            .filter(|m| m.is_up())
+            .filter_map(|m| self.inventory.type_named(&m.kind));
         waiting > OVERLOAD_SHARE * types.map(|t| t.cpus).sum::<f64>()
     }
 
@@ -181,13 +200,13 @@
         let mut input = PlanInput::default();
         let mut gangs: BTreeMap<JobId, Vec<(u32, usize)>> = BTreeMap::new();
         let up: Vec<String> =
-            self.machines.values().filter(|m| m.is_up()).map(|m| m.name.to_string()).collect();
+            self.inventory.iter().filter(|m| m.is_up()).map(|m| m.name.to_string()).collect();
         for name in up {
             let Some(load) = self.load_of(now, &name) else { continue };
             let index = input.machines.len();
             let may_give = load.may_give;
             input.machines.push(load);
-            let runs = self.machines[&name].runs.values();
+            let runs = self.inventory[name.as_str()].runs.values();
             for run in runs.filter(|run| may_give && is_movable(run)) {
                 match run.spec.as_ref() {
                     Some(spec) if spec.gang => {
@@ -197,7 +216,7 @@
                         let unit = UnitId { job: spec.id.0, task: Some(run.task.index) };
                         let tasks = vec![(run.task.index, index)];
                         let since = run.running_since.unwrap_or(now);
-                        let kind = &self.machines[&name].kind;
+                        let kind = &self.inventory[name.as_str()].kind;
                         input.movables.push(self.movable(now, unit, spec, tasks, since, kind));
                     }
                     None => {}
@@ -211,7 +230,7 @@
                 continue;
             }
             let on = tasks.first().map(|(_, index)| input.machines[*index].name.to_string());
-            let Some(m) = on.and_then(|name| self.machines.get(&name)) else { continue };
+            let Some(m) = on.and_then(|name| self.inventory.get(&name)) else { continue };
             let since = self.latest_start(job).unwrap_or(now);
             let unit = UnitId { job: id.0, task: None };
             let movable = self.movable(now, unit, &job.spec, tasks, since, &m.kind);
@@ -224,32 +243,32 @@
     fn latest_start(&self, job: &Job) -> Option<Millis> {
         let starts = job.placed.iter().filter_map(|(index, place)| {
             let task = TaskId { job: job.spec.id, index: *index };
-            self.machines.get(&*place.machine)?.runs.get(&(task, place.attempt))?.running_since
+            self.inventory.get(&place.machine)?.runs.get(&(task, place.attempt))?.running_since
         });
         starts.max()
     }
 
     /// The load of a machine, unless its amounts are unknown or make no sense.
     fn load_of(&mut self, now: Millis, name: &str) -> Option<MachineLoad> {
-        let m = self.machines.get(name)?;
-        let t = self.type_of(&m.kind)?;
+        let m = self.inventory.get(name)?;
+        let t = self.inventory.type_named(&m.kind)?;
         let capacity = Amounts { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb };
         let used = amounts(&m.allocated()?)
-            .plus(&self.balancer.reserved_on(name))
-            .minus(&self.balancer.leaving_from(name));
+            .plus(&self.load_balancing.balancer.reserved_on(name))
+            .minus(&self.load_balancing.balancer.leaving_from(name));
         let is_well = self.accepts_moves(now, m);
         let pool = (m.kind.clone(), m.zone.clone(), m.spot);
         if !capacity.is_valid() || !used.is_valid() {
             let kind = m.kind.to_string();
-            if self.balance.invalid_types.insert(kind.clone()) {
+            if self.load_balancing.invalid_types.insert(kind.clone()) {
                 let text = format!("the loads of machines of type {kind} make no sense: {used:?}");
                 self.out.push(Effect::Log(text));
             }
             return None;
         }
         let name = m.name.clone();
-        let next = self.balance.pools.len() as u32;
-        let pool = *self.balance.pools.entry(pool).or_insert(next);
+        let next = self.load_balancing.pools.len() as u32;
+        let pool = *self.load_balancing.pools.entry(pool).or_insert(next);
         Some(MachineLoad {
             name,
             pool,
@@ -278,7 +297,7 @@
         kind: &str,
     ) -> Movable {
         let ran_ms = now.saturating_sub(since);
-        let speed = self.type_of(kind).map_or(0.0, |t| t.fetch_gb_per_s);
+        let speed = self.inventory.type_named(kind).map_or(0.0, |t| t.fetch_gb_per_s);
         let fetch_s = fetch_s(spec.image_gb, 0.0, speed);
         Movable {
             unit,
@@ -316,27 +335,28 @@
         };
         let key = (TaskId { job: id, index: leg.task }, place.attempt);
         let probe_ms = self.policy.probe_ms();
-        let Some(m) = self.machines.get_mut(&*leg.source) else { return false };
+        let Some(m) = self.inventory.get_mut(&leg.source) else { return false };
         if *place.machine != *leg.source || m.heartbeat_older_than(now, probe_ms) {
             return false;
         }
         let Some(run) = m.runs.get_mut(&key).filter(|run| is_movable(run)) else { return false };
         let save_s = run.spec.as_ref().map_or(0.0, |spec| spec.save_s);
         run.stop = Some(StopRequest { grace_s: save_s + STOP_GRACE_S, sent_at: None });
-        self.dispatch_queue.insert(leg.source.to_string());
+        self.dispatcher.pending.insert(leg.source.to_string());
         true
     }
 
     /// Carries on the moves under way, by what is known of their tasks and machines.
     pub(super) fn advance_moves(&mut self, now: Millis) {
-        if self.balancer.moves().is_empty() {
+        if self.load_balancing.balancer.moves().is_empty() {
             return;
         }
-        for under_way in self.balancer.moves().to_vec() {
+        for under_way in self.load_balancing.balancer.moves().to_vec() {
             for event in self.move_events(now, &under_way) {
                 self.advance_move(now, under_way.unit, event);
             }
-            let ready = self.balancer.moves().iter().find(|m| m.unit == under_way.unit);
+            let ready =
+                self.load_balancing.balancer.moves().iter().find(|m| m.unit == under_way.unit);
             if let Some(ready) = ready.filter(|m| m.stage == Stage::Ready).cloned() {
                 let event = match self.launch_on_targets(now, &ready) {
                     Ok(()) => MoveEvent::Launched,
@@ -349,10 +369,10 @@
     }
 
     fn advance_move(&mut self, now: Millis, unit: UnitId, event: MoveEvent) {
-        let Some(stage) = self.balancer.tell(now, unit, event) else { return };
+        let Some(stage) = self.load_balancing.balancer.tell(now, unit, event) else { return };
         if stage.is_final() {
             // What was reserved is free, or its task waits in the queue.
-            self.cycle_requested = true;
+            self.cycle_timer.requested = true;
             let text = format!("the move of {} is over: {stage}", describe_unit(unit));
             self.out.push(Effect::Log(text));
         }
@@ -381,7 +401,7 @@
                 Some(MoveEvent::Failed(Reason::JobOver))
             }
             Some(_) => {
-                let source = self.machines.get(&*leg.source);
+                let source = self.inventory.get(&leg.source);
                 let goes = source.is_none_or(|m| {
                     m.to_terminate || m.heartbeat_older_than(now, self.policy.probe_ms())
                 });
@@ -397,7 +417,7 @@
         let place = job.placed.get(&leg.task).filter(|place| place.machine == leg.target);
         let Some(place) = place else { return Some(MoveEvent::Failed(Reason::TargetLost)) };
         let key = (TaskId { job: job.spec.id, index: leg.task }, place.attempt);
-        let run = self.machines.get(&*leg.target)?.runs.get(&key)?;
+        let run = self.inventory.get(&leg.target)?.runs.get(&key)?;
         (run.phase == TaskPhase::Running).then_some(MoveEvent::Runs { task: leg.task })
     }
 
@@ -424,7 +444,7 @@
         let mut zones: Vec<Arc<str>> = self.zones_in_use(job);
         let mut taken: BTreeMap<&str, u32> = BTreeMap::new();
         for leg in &m.legs {
-            let target = self.machines.get(&*leg.target).ok_or(Reason::TargetLost)?;
+            let target = self.inventory.get(&leg.target).ok_or(Reason::TargetLost)?;
             let mut room = self.free_capacity_of(now, target).ok_or(Reason::TargetLost)?;
             if !self.accepts_moves(now, target) {
                 return Err(Reason::TargetLost);
@@ -451,10 +471,10 @@
 
     /// Sums up the balance in the log, once a minute.
     fn log_balance(&mut self, now: Millis) {
-        if self.balance.logged_at.is_some_and(|at| now < at + BALANCE_LOG_INTERVAL_MS) {
+        if self.load_balancing.logged_at.is_some_and(|at| now < at + BALANCE_LOG_INTERVAL_MS) {
             return;
         }
-        self.balance.logged_at = Some(now);
+        self.load_balancing.logged_at = Some(now);
         let Some(summary) = self.balance_summary() else { return };
         let (spread, counts) = (summary.spread, summary.counts);
         self.out.push(Effect::Log(format!(
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -1,6 +1,10 @@
 //! What has to be written to the state service.
 
-use super::messages::{BatchOutcome, Effect, RecordWrite, StoredMachine, StoredResults};
+use std::collections::BTreeSet;
+
+use super::messages::{
+    BatchOutcome, Effect, RecordWrite, StoredMachine, StoredMachineSet, StoredResults,
+};
 use super::Scheduler;
 use crate::bitmap::{all_chunks, is_large_chunk, small_chunks};
 use crate::constants::*;
@@ -54,14 +58,60 @@
     }
 }
 
+/// What is to be written to the state service.
+#[derive(Clone, Debug)]
+pub(super) struct RecordPersistence {
+    pub machine_sets: RecordShards<String>,
+    pub results: RecordShards<(JobId, u32)>,
+    /// Jobs whose record does not say yet that they are done.
+    pub completed_jobs: BTreeSet<JobId>,
+    /// Most changes of the next batch for the state service.
+    pub max_batch_changes: usize,
+    /// Values of the machine set that can't be read: until every lease of before this term has run
+    /// out, tasks may be on machines that we do not know.
+    pub unreadable_machine_sets: Vec<(String, u64)>,
+}
+
+impl RecordPersistence {
+    pub fn new(token: u64, max_bytes: usize) -> Self {
+        RecordPersistence {
+            machine_sets: RecordShards::new(token, max_bytes, MACHINE_SET_WRITE_INTERVAL_MS),
+            results: RecordShards::new(token, max_bytes, RESULTS_WRITE_INTERVAL_MS),
+            completed_jobs: BTreeSet::new(),
+            max_batch_changes: usize::MAX,
+            unreadable_machine_sets: Vec::new(),
+        }
+    }
+
+    /// Takes in the stored machine set; returns the machines in it.
+    pub fn load_machine_sets(&mut self, sets: Vec<StoredMachineSet>) -> Vec<StoredMachine> {
+        let mut machines = Vec::new();
+        for set in sets {
+            let Some(stored) = set.machines else {
+                self.unreadable_machine_sets.push((set.name, set.revision));
+                continue;
+            };
+            let entries = stored.iter().map(|machine| (machine.name.clone(), machine.bytes()));
+            self.machine_sets.load(&set.name, set.revision, entries);
+            machines.extend(stored);
+        }
+        machines
+    }
+
+    /// Takes in a stored value of results.
+    pub fn load_results(&mut self, stored: &StoredResults) {
+        load_result_shards(&mut self.results, stored);
+    }
+}
+
 impl Scheduler {
     /// The next batch for the state service, of at most `most` changes: first jobs that are done,
     /// then machines that wait to be used, then results and machines that went.
     pub fn next_writes(&mut self, now: Millis, most: usize) -> Vec<RecordWrite> {
         let mut out: Vec<RecordWrite> = Vec::new();
-        let most = most.min(self.max_batch_changes);
+        let most = most.min(self.persistence.max_batch_changes);
         while out.len() < most {
-            let Some(id) = self.completed_jobs.pop_first() else { break };
+            let Some(id) = self.persistence.completed_jobs.pop_first() else { break };
             if let Some(job) = self.jobs.get(&id).filter(|j| !j.closed_elsewhere) {
                 out.push(RecordWrite::JobDone {
                     job: id,
@@ -71,13 +121,13 @@
             }
         }
         while out.len() < most {
-            let Some(pack) = self.machine_set_shards.next(now) else { break };
-            let machines = pack.entries.iter().filter_map(|n| self.machines.get(n));
+            let Some(pack) = self.persistence.machine_sets.next(now) else { break };
+            let machines = pack.entries.iter().filter_map(|n| self.inventory.get(n));
             let machines = machines.map(stored_machine).collect();
             out.push(RecordWrite::MachineSet { pack, machines });
         }
         while out.len() < most {
-            let Some(pack) = self.result_shards.next(now) else { break };
+            let Some(pack) = self.persistence.results.next(now) else { break };
             let chunks = pack.entries.iter().filter_map(|(id, chunk)| {
                 let job = self.jobs.get(id)?;
                 Some((*id, *chunk, job.done.chunk(*chunk).to_vec()))
@@ -91,7 +141,7 @@
     /// A job is closed: what is stored of its results is of no use any more.
     pub(super) fn forget_job_results(&mut self, id: JobId) {
         for chunk in all_chunks() {
-            self.result_shards.remove(&(id, chunk));
+            self.persistence.results.remove(&(id, chunk));
         }
     }
 
@@ -99,9 +149,11 @@
     fn split_rejected_shard(&mut self, write: &RecordWrite) {
         let (name, given_up) = match write {
             RecordWrite::MachineSet { pack, .. } => {
-                (&pack.name, self.machine_set_shards.refused(pack))
+                (&pack.name, self.persistence.machine_sets.refused(pack))
+            }
+            RecordWrite::Results { pack, .. } => {
+                (&pack.name, self.persistence.results.refused(pack))
             }
-            RecordWrite::Results { pack, .. } => (&pack.name, self.result_shards.refused(pack)),
             RecordWrite::JobDone { .. } => return,
         };
         let what = if given_up { "given up, it can't be smaller" } else { "split" };
@@ -130,9 +182,10 @@
                 self.split_rejected_shard(write);
             }
             // Smaller batches show which value it is, or keep to a lower number of changes.
-            self.max_batch_changes = (writes.len() / 2).max(1);
+            self.persistence.max_batch_changes = (writes.len() / 2).max(1);
         } else if ok {
-            self.max_batch_changes = self.max_batch_changes.saturating_mul(2);
+            self.persistence.max_batch_changes =
+                self.persistence.max_batch_changes.saturating_mul(2);
         }
         let refused_alone = outcome == BatchOutcome::Rejected && writes.len() == 1;
         // An earlier write of a value that came late leaves its stamp in doubt, as one without an
@@ -147,18 +200,18 @@
             match write {
                 RecordWrite::MachineSet { .. } | RecordWrite::Results { .. } if refused_alone => {}
                 RecordWrite::MachineSet { pack, machines } => {
-                    self.machine_set_shards.wrote(&pack, wrote(&late_fleet, &pack.name));
+                    self.persistence.machine_sets.wrote(&pack, wrote(&late_fleet, &pack.name));
                     for s in machines.iter().filter(|_| ok) {
-                        let Some(m) = self.machines.get_mut(&s.name) else { continue };
+                        let Some(m) = self.inventory.get_mut(&s.name) else { continue };
                         if !m.persisted {
                             m.persisted = true;
                             self.backfill(now, &s.name);
                         }
                     }
-                    self.cycle_requested |= ok;
+                    self.cycle_timer.requested |= ok;
                 }
                 RecordWrite::Results { pack, chunks } => {
-                    self.result_shards.wrote(&pack, wrote(&late_results, &pack.name));
+                    self.persistence.results.wrote(&pack, wrote(&late_results, &pack.name));
                     for (id, chunk, bytes) in chunks.iter().filter(|_| ok) {
                         if let Some(job) = self.jobs.get_mut(id) {
                             job.persisted.merge_chunk(*chunk, bytes);
@@ -170,7 +223,7 @@
                         self.jobs.remove(&id);
                         self.forget_job_results(id);
                     } else if self.jobs.get(&id).is_some_and(|j| !j.closed_elsewhere) {
-                        self.completed_jobs.insert(id);
+                        self.persistence.completed_jobs.insert(id);
                     }
                 }
             }
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -1,10 +1,12 @@
 //! What is rented, and what machines on their way are counted for.
 
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use super::boot_tracking::BootTracker;
 use super::free_capacity::SchedulingCycle;
 use super::messages::Effect;
-use super::{ProvisionRequest, Scheduler};
+use super::Scheduler;
 use crate::constants::*;
 use crate::job::{Demand, JobSpec};
 use crate::machine::MachineType;
@@ -12,6 +14,33 @@
 use crate::placement::{FreeCapacity, Offer};
 use crate::Millis;
 
+/// Machines asked of the cloud, and what is known of its capacity.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Provisioning {
+    /// Requests without an outcome, by their id.
+    pub pending: BTreeMap<String, ProvisionRequest>,
+    /// Offers that had no machine, and until when they are left alone.
+    pub exhausted: BTreeMap<Offer, Millis>,
+    pub last_request_id: u64,
+    /// Turns the order of zones, so that machines spread over them.
+    pub zone_rotation: usize,
+    pub listed_at: Option<Millis>,
+    pub boots: BootTracker,
+}
+
+/// A request for machines.
+#[derive(Clone, Debug)]
+pub(super) struct ProvisionRequest {
+    pub offer: Offer,
+    pub number: u32,
+}
+
+impl Provisioning {
+    pub fn new(token: u64) -> Self {
+        Provisioning { zone_rotation: token as usize, ..Provisioning::default() }
+    }
+}
+
 impl Scheduler {
     /// Rents the first choice that is not known to be exhausted, in the zone alone in which the job must
     /// stay; returns for how many tasks.
@@ -24,10 +53,11 @@
         passed: Millis,
         cycle: &mut SchedulingCycle,
     ) -> u32 {
-        if self.pending_provisions.len() >= MAX_OPEN_PROVISIONS {
+        if self.provisioning.pending.len() >= MAX_OPEN_PROVISIONS {
             return 0;
         }
-        let offers = placement::offers(spec, &self.types, self.zone_rotation);
+        let offers =
+            placement::offers(spec, self.inventory.types(), self.provisioning.zone_rotation);
         let policy = &self.policy;
         let spare = self.is_best_effort(spec);
         let Some(offer) = offers.into_iter().find(|o| {
@@ -44,13 +74,13 @@
             };
             passed >= wait
                 && (cheapest || !spare)
-                && self.exhausted_offers.get(o).is_none_or(|until| *until <= now)
-                && !self.unreachable_zones.contains(o.zone.as_str())
+                && self.provisioning.exhausted.get(o).is_none_or(|until| *until <= now)
+                && !self.failure_detector.unreachable_zones.contains(o.zone.as_str())
                 && self.max_provisionable(now, o) > 0
         }) else {
             return 0;
         };
-        let Some(t) = self.type_of(&offer.kind).cloned() else { return 0 };
+        let Some(t) = self.inventory.type_named(&offer.kind).cloned() else { return 0 };
         let per_machine = t.holds(&spec.demand).max(1);
         // Like tasks are decided as a class: one call for all of this shape, not one a job. Team
         // limits are left to each job.
@@ -65,13 +95,14 @@
             .div_ceil(per_machine)
             .min(self.max_provisionable(now, &offer));
         self.rented(now, &offer);
-        self.next_hire += 1;
-        self.zone_rotation = self.zone_rotation.wrapping_add(1);
-        let request_id = format!("h-{}-{}", self.token, self.next_hire);
+        self.provisioning.last_request_id += 1;
+        self.provisioning.zone_rotation = self.provisioning.zone_rotation.wrapping_add(1);
+        let request_id = format!("h-{}-{}", self.token, self.provisioning.last_request_id);
         for _ in 0..number {
             cycle.rooms.push(pending_capacity(&offer, &t));
         }
-        self.pending_provisions
+        self.provisioning
+            .pending
             .insert(request_id.clone(), ProvisionRequest { offer: offer.clone(), number });
         self.out.push(Effect::Provision { request_id, offer, number });
         // What is left of the new machines is promised room for other shapes.
--- a/crates/latchtrack-core/src/scheduler/queue.rs
+++ b/crates/latchtrack-core/src/scheduler/queue.rs
@@ -18,6 +18,17 @@
     pub most: u32,
 }
 
+/// Jobs with waiting tasks, as the last scheduling cycle left them.
+#[derive(Clone, Debug, Default)]
+pub(super) struct JobQueue {
+    /// In the order of the cycle.
+    pub entries: Vec<QueueEntry>,
+    /// Jobs that go before that order, since nothing of them has begun for long.
+    pub starving: Vec<JobId>,
+    /// Gangs for which there was room for some tasks only: what comes free is kept for them.
+    pub gangs_lacking_capacity: HashSet<JobId>,
+}
+
 impl Scheduler {
     /// The jobs with waiting tasks that may be placed now, the first to be placed first.
     pub(super) fn order(
@@ -179,8 +190,8 @@
     fn defer_jobs(&self, now: Millis, order: &mut [(QueueRank, JobId)], total: &Demand) {
         // What runs now takes its room for half its estimate more, on average.
         let running: f64 = self
-            .machines
-            .values()
+            .inventory
+            .iter()
             .flat_map(|m| m.runs.values())
             .filter(|r| r.is_live())
             .filter_map(|r| r.spec.as_ref().map(|s| cpu_ms(s, 0.5)))
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -1,9 +1,11 @@
 //! Room that is kept for jobs that wait, from those that come after them in the queue.
 
+use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
 use super::cycle::zone_with_most_capacity;
 use super::free_capacity::SchedulingCycle;
+use super::gang_reserves::GangReserve;
 use super::Scheduler;
 use crate::job::{Demand, JobSpec};
 use crate::machine::fits;
@@ -11,6 +13,17 @@
 use crate::rules;
 use crate::Millis;
 
+/// Capacity that is kept for jobs.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Reservations {
+    /// Machines kept by the last cycle for jobs of an equivalence class.
+    pub by_machine: HashMap<Arc<str>, Reservation>,
+    /// Machines kept free for starving jobs, and for no other.
+    pub exclusive: HashSet<Arc<str>>,
+    /// Capacity kept for gangs to come, by equivalence class.
+    pub gang_reserves: BTreeMap<usize, GangReserve>,
+}
+
 impl Scheduler {
     /// Keeps the roomiest machines for a job that was passed over too long: those where a slice of its
     /// tasks may start once they have more room. One that has it already was open to the job and not
@@ -32,7 +45,7 @@
             .filter(|(_, r)| r.held.is_none() && r.holds(&spec.demand) < slice)
             .filter(|(_, r)| rules::may_start(spec, &r.kind, &r.zone, r.spot, zones()))
             .filter_map(|(i, r)| {
-                let per = self.type_of(&r.kind)?.holds(&spec.demand);
+                let per = self.inventory.type_named(&r.kind)?.holds(&spec.demand);
                 (per > 0).then_some((i, per))
             })
             .collect();
@@ -81,7 +94,7 @@
             self.reserve(now, &spec, equivalence_class, left, cycle);
         }
         if left > 0 {
-            self.gangs_lacking_capacity.insert(spec.id);
+            self.queue.gangs_lacking_capacity.insert(spec.id);
         }
     }
 
@@ -106,12 +119,12 @@
     /// can't use, which would stand idle. Part of it is in use by tasks that are small enough for it;
     /// larger ones must end in any case before a task of the job starts there.
     fn unusable_remainder(&self, spec: &JobSpec, per: u32, room: &FreeCapacity) -> Demand {
-        let Some(t) = self.type_of(&room.kind) else { return Demand::default() };
+        let Some(t) = self.inventory.type_named(&room.kind) else { return Demand::default() };
         let mut spare = Demand { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb };
         spare.take(&spec.demand, per);
         let base = spare;
         let name = room.machine.as_deref().unwrap_or_default();
-        let runs = self.machines.get(name).into_iter().flat_map(|m| m.runs.values());
+        let runs = self.inventory.get(name).into_iter().flat_map(|m| m.runs.values());
         let specs = runs.filter(|r| r.is_live()).filter_map(|r| r.spec.as_ref());
         for other in specs.filter(|s| s.demand != spec.demand) {
             let d = &other.demand;
--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -69,7 +69,7 @@
 impl Scheduler {
     /// The limit of a team at this moment: its allotment where teams are shared with other cells.
     fn limit_of(&self, team: &Team) -> Option<TeamLimit> {
-        let Some(keeper) = &self.cell_quota else { return TeamLimit::of_settings(team) };
+        let Some(keeper) = &self.quota.cell else { return TeamLimit::of_settings(team) };
         let limit = keeper.launch_limit(&team.name)?;
         let decimal = |milli: Option<u64>| {
             milli.map_or(f64::INFINITY, |amount| amount as f64 / latchtrack_quota::constants::MILLI)
@@ -101,7 +101,7 @@
     /// What all teams use, with a limit or without.
     pub(super) fn usage_of_all_teams(&self) -> UsageByTeam {
         let mut used = UsageByTeam::default();
-        for run in self.machines.values().flat_map(|m| m.runs.values()).filter(|r| r.is_live()) {
+        for run in self.inventory.runs().filter(|r| r.is_live()) {
             match &run.spec {
                 Some(spec) => used.add(spec, 1),
                 None => used.unknown_runs = true,
