--- a/crates/latchtrack-standins/examples/quota_report.rs
+++ b/crates/latchtrack-emulator/examples/quota_report.rs
@@ -1,7 +1,7 @@
 //! Runs races of cells for shared limits over many seeds, and writes an HTML report: what was used and allotted
 //! over time, how long requests waited, and a table against the numbers of cells and teams.
 //!
-//!     cargo run --release -p latchtrack-standins --example quota_report -- --out target/quota.html
+//!     cargo run --release -p latchtrack-emulator --example quota_report -- --out target/quota.html
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use latchtrack_standins::race::{run, RaceOptions, RaceOutcome, LIMIT};
+use latchtrack_emulator::race::{run, RaceOptions, RaceOutcome, LIMIT};
 use plotters::prelude::*;
 
 /// Races cells for the limits of the teams that they share, through real sockets on loopback.
--- a/crates/latchtrack-standins/examples/spread_report.rs
+++ b/crates/latchtrack-emulator/examples/spread_report.rs
@@ -1,14 +1,14 @@
 //! Runs a loopback fleet with moves off and on, and writes an HTML report with plots of the spread.
 //!
-//!     cargo run --release -p latchtrack-standins --example spread_report -- --out target/spread.html
+//!     cargo run --release -p latchtrack-emulator --example spread_report -- --out target/spread.html
 
 use std::error::Error;
 use std::path::PathBuf;
 
 use clap::Parser;
 use latchtrack::settings::BalanceTuning;
-use latchtrack_standins::history::LoadSample;
-use latchtrack_standins::spread::{run, SpreadOptions, SpreadOutcome, Troubles};
+use latchtrack_emulator::history::LoadSample;
+use latchtrack_emulator::spread::{run, SpreadOptions, SpreadOutcome, Troubles};
 use plotters::prelude::*;
 
 /// Runs a loopback fleet of stand-in workers through both hot cases, with moves off and on.
--- a/crates/latchtrack-standins/tests/history.rs
+++ b/crates/latchtrack-emulator/tests/history.rs
@@ -1,6 +1,6 @@
 //! The checker of recorded histories finds what it is meant to find.
 
-use latchtrack_standins::history::{Entry, Happened, History};
+use latchtrack_emulator::history::{Entry, Happened, History};
 
 fn history(entries: &[(&str, &str, u64, Happened)]) -> History {
     let entry =
--- a/crates/latchtrack-standins/tests/race.rs
+++ b/crates/latchtrack-emulator/tests/race.rs
@@ -1,8 +1,8 @@
 //! Cells that race for shared limits through real sockets, a few seeds; the documented command for more is
-//! `cargo run --release -p latchtrack-standins --example quota_report`.
+//! `cargo run --release -p latchtrack-emulator --example quota_report`.
 
-use latchtrack_standins::history::Happened;
-use latchtrack_standins::race::{run, RaceOptions, RaceOutcome, RUN_MOST_MS};
+use latchtrack_emulator::history::Happened;
+use latchtrack_emulator::race::{run, RaceOptions, RaceOutcome, RUN_MOST_MS};
 
 async fn race(seed: u64, troubles: bool) -> RaceOutcome {
     run(RaceOptions { seed, cells: 3, teams: 2, run_s: 8, troubles }).await
@@ -34,7 +34,7 @@
     assert_eq!(outcome.overshoots(), []);
     // One task for as long as all run, and as much as the limit, in another cell.
     let job = "req-planted".to_string();
-    outcome.jobs[0].insert(job, (0, latchtrack_standins::race::LIMIT));
+    outcome.jobs[0].insert(job, (0, latchtrack_emulator::race::LIMIT));
     let mut planted = outcome.entries[0][0].clone();
     (planted.task, planted.happened) = ("req-planted/0".into(), Happened::Started);
     outcome.entries[0].push(planted.clone());
--- a/crates/latchtrack-standins/tests/spread.rs
+++ b/crates/latchtrack-emulator/tests/spread.rs
@@ -1,8 +1,8 @@
 //! A loopback fleet behind real sockets through both hot cases, small enough for CI. The documented command
-//! for the full size is `cargo run --release -p latchtrack-standins --example spread_report`.
+//! for the full size is `cargo run --release -p latchtrack-emulator --example spread_report`.
 
 use latchtrack::settings::BalanceTuning;
-use latchtrack_standins::spread::{run, SpreadOptions, Troubles};
+use latchtrack_emulator::spread::{run, SpreadOptions, Troubles};
 
 fn options(moves: bool, troubles: Troubles) -> SpreadOptions {
     SpreadOptions {
--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -7,9 +7,9 @@
 use latchtrack::settings::{QuotaTuning, Tuning};
 use latchtrack::wire::quota::{campaign_changes, transaction, SharedKeys};
 use latchtrack::wire::store::{Change, Condition, Txn};
+use latchtrack_emulator::site::{site_at, Site};
+use latchtrack_emulator::until;
 use latchtrack_quota::{Account, Amounts, CellRecord, DeadCell, LedgerWrite, Limit, TeamLedger};
-use latchtrack_standins::site::{site_at, Site};
-use latchtrack_standins::until;
 use serde_json::json;
 use tokio::net::TcpListener;
 
@@ -83,7 +83,7 @@
     assert!(!keys.view(9).cells["east"].is_led);
 }
 
-fn cell_site(state: latchtrack_standins::Shared<latchtrack_standins::State>) -> Site {
+fn cell_site(state: latchtrack_emulator::Shared<latchtrack_emulator::State>) -> Site {
     let mut site = site_at(state);
     let quota = QuotaTuning { cell: "east".into(), cells: vec!["east".into(), "west".into()] };
     site.tuning = Tuning { quota: Some(quota), ..Tuning::default() };
--- a/crates/latchtrack/tests/integration/answers.rs
+++ b/crates/latchtrack/tests/integration/answers.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 
 use super::job;
-use latchtrack_standins::*;
+use latchtrack_emulator::*;
 
 const JOBS: u64 = 36;
 
--- a/crates/latchtrack/tests/integration/gangs.rs
+++ b/crates/latchtrack/tests/integration/gangs.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 
 use super::{job, leader, ready};
-use latchtrack_standins::*;
+use latchtrack_emulator::*;
 
 /// A gang of tasks that have a machine each.
 fn gang(id: &str, tasks: u32) -> Value {
--- a/crates/latchtrack/tests/integration/main.rs
+++ b/crates/latchtrack/tests/integration/main.rs
@@ -3,7 +3,7 @@
 mod answers;
 mod gangs;
 
-use latchtrack_standins::*;
+use latchtrack_emulator::*;
 use serde_json::{json, Value};
 
 fn job(id: &str) -> Value {
