--- a/crates/latchtrack-balance/src/arrivals.rs
+++ b/crates/latchtrack-balance/src/arrivals.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::constants::{BURST_HALF_LIFE_MS, HOT_ENTER, HOT_HALF_LIFE_MS, HOT_LEAVE};
+use crate::constants::{BURST_HALF_LIFE_MS, HOT_ENTER_FACTOR, HOT_EXIT_FACTOR, HOT_HALF_LIFE_MS};
 use crate::Millis;
 
 /// A rate that forgets: an arrival counts half after each half life.
@@ -42,9 +42,9 @@
 
 /// What a team's arrivals say of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heat {
+pub enum ArrivalLevel {
     /// It asks for no more than its share.
-    Calm,
+    Normal,
     /// It asks for more just now, but not for long.
     Burst,
     /// It has asked for more than its share for some time.
@@ -78,18 +78,18 @@
 
     /// Judges a team whose share of the cluster is so many CPUs. A hot team stays hot until it has cooled
     /// well below its share.
-    pub fn judge(&mut self, now: Millis, team: &str, share_cpus: f64) -> Heat {
-        let Some(rates) = self.teams.get_mut(team) else { return Heat::Calm };
+    pub fn classify(&mut self, now: Millis, team: &str, share_cpus: f64) -> ArrivalLevel {
+        let Some(rates) = self.teams.get_mut(team) else { return ArrivalLevel::Normal };
         if share_cpus <= 0.0 || share_cpus.is_nan() {
-            return Heat::Calm;
+            return ArrivalLevel::Normal;
         }
         let long = rates.long.per_second(now) / share_cpus;
-        rates.hot = long >= if rates.hot { HOT_LEAVE } else { HOT_ENTER };
-        let burst = rates.short.per_second(now) / share_cpus >= HOT_ENTER;
+        rates.hot = long >= if rates.hot { HOT_EXIT_FACTOR } else { HOT_ENTER_FACTOR };
+        let burst = rates.short.per_second(now) / share_cpus >= HOT_ENTER_FACTOR;
         match (rates.hot, burst) {
-            (true, _) => Heat::Hot,
-            (false, true) => Heat::Burst,
-            (false, false) => Heat::Calm,
+            (true, _) => ArrivalLevel::Hot,
+            (false, true) => ArrivalLevel::Burst,
+            (false, false) => ArrivalLevel::Normal,
         }
     }
 
--- a/crates/latchtrack-balance/src/balancer.rs
+++ b/crates/latchtrack-balance/src/balancer.rs
@@ -3,17 +3,17 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use crate::amounts::Amounts;
 use crate::constants::*;
-use crate::moves::{Move, MoveEvent, Reason, Side, Stage, UnitId};
-use crate::pacing::Pacing;
+use crate::moves::{AbandonReason, Move, MoveEvent, MoveStage, MoveUnit, Side};
 use crate::planner::{over_bound, plan, spreads, PlanInput, PlannedMove};
+use crate::resources::Resources;
 use crate::spread::Spread;
+use crate::throttle::MoveThrottle;
 use crate::Millis;
 
 /// How often and how soon tasks move.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
+pub struct MoveLimits {
     /// ms a machine must be over the bound first.
     pub over_bound_ms: Millis,
     /// ms a task must have run.
@@ -23,21 +23,21 @@
     /// The same for a machine.
     pub machine_gap_ms: Millis,
     /// ms for which a machine that was in the way of a move takes part in no other.
-    pub machine_rest_ms: Millis,
+    pub machine_cooldown_ms: Millis,
     /// Moves that may begin in a minute.
     pub moves_per_minute: u32,
     /// Times its cost that the remaining run time of a task must be.
     pub worth_factor: f64,
 }
 
-impl Default for Limits {
+impl Default for MoveLimits {
     fn default() -> Self {
-        Limits {
+        MoveLimits {
             over_bound_ms: OVER_BOUND_MS,
             min_run_ms: MIN_RUN_MS,
             task_cooldown_ms: TASK_COOLDOWN_MS,
             machine_gap_ms: MACHINE_GAP_MS,
-            machine_rest_ms: MACHINE_REST_MS,
+            machine_cooldown_ms: MACHINE_COOLDOWN_MS,
             moves_per_minute: MOVES_PER_MINUTE,
             worth_factor: WORTH_FACTOR,
         }
@@ -58,19 +58,19 @@
 /// What a leader knows of the balance of its cluster. Nothing of it is stored: a new leader begins anew.
 #[derive(Clone, Debug, Default)]
 pub struct Balancer {
-    limits: Limits,
+    limits: MoveLimits,
     /// Since when machines have been over their bound.
     over_since: BTreeMap<Arc<str>, Millis>,
     spreads: BTreeMap<u32, Spread>,
     moves: Vec<Move>,
     recent: VecDeque<Move>,
-    pacing: Pacing,
+    throttle: MoveThrottle,
     counts: MoveCounts,
 }
 
 impl Balancer {
     /// A balancer that has seen nothing.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: MoveLimits) -> Self {
         Balancer { limits, ..Balancer::default() }
     }
 
@@ -87,11 +87,11 @@
             .map(|name| (name.clone(), self.over_since.get(&name).copied().unwrap_or(now)))
             .collect();
         self.over_since = over;
-        self.pacing.forget(now, self.limits.task_cooldown_ms);
+        self.throttle.expire(now, self.limits.task_cooldown_ms);
         if unsettled {
             return Vec::new();
         }
-        input.budget = self.pacing.allowance(now, self.limits.moves_per_minute);
+        input.budget = self.throttle.remaining_budget(now, self.limits.moves_per_minute);
         input.once_per_machine = self.limits.machine_gap_ms > 0;
         self.restrict(now, &mut input);
         let planned = plan(&input).moves;
@@ -103,7 +103,7 @@
     fn restrict(&self, now: Millis, input: &mut PlanInput) {
         let limits = &self.limits;
         for machine in &mut input.machines {
-            let rests = self.pacing.machine_rests(now, &machine.name);
+            let rests = self.throttle.machine_in_cooldown(now, &machine.name);
             let over = self.over_since.get(&machine.name);
             let for_long = over.is_some_and(|at| now >= at.saturating_add(limits.over_bound_ms));
             machine.may_give &= !rests;
@@ -113,7 +113,8 @@
         input.movables.retain(|movable| {
             let moving = self.moves.iter().any(|m| m.unit == movable.unit);
             let ran = movable.ran_ms >= limits.min_run_ms;
-            ran && !moving && !self.pacing.unit_rests(now, movable.unit, limits.task_cooldown_ms)
+            ran && !moving
+                && !self.throttle.unit_in_cooldown(now, movable.unit, limits.task_cooldown_ms)
         });
     }
 
@@ -122,16 +123,16 @@
         let gap_ms = self.limits.machine_gap_ms;
         let begun = Move {
             unit: planned.unit,
-            legs: planned.legs,
-            stage: Stage::Reserved,
+            task_moves: planned.task_moves,
+            stage: MoveStage::Reserved,
             since: now,
             save_ms: (planned.save_s * 1000.0) as Millis,
             load: planned.load,
             bound: planned.bound,
         };
-        self.pacing.began(now, begun.unit);
+        self.throttle.record_start(now, begun.unit);
         for machine in begun.machines() {
-            self.pacing.rest(now, machine, gap_ms);
+            self.throttle.start_machine_cooldown(now, machine, gap_ms);
         }
         self.counts.begun += 1;
         self.moves.push(begun.clone());
@@ -139,16 +140,21 @@
     }
 
     /// Tells a move what happened to it; returns its stage if that changed.
-    pub fn tell(&mut self, now: Millis, unit: UnitId, event: MoveEvent) -> Option<Stage> {
+    pub fn handle_event(
+        &mut self,
+        now: Millis,
+        unit: MoveUnit,
+        event: MoveEvent,
+    ) -> Option<MoveStage> {
         let index = self.moves.iter().position(|m| m.unit == unit)?;
         let changed = self.moves[index].handle(now, event);
         let stage = self.moves[index].stage;
         if stage.is_final() {
             let over = self.moves.remove(index);
             match stage {
-                Stage::Abandoned(reason) => {
+                MoveStage::Abandoned(reason) => {
                     self.counts.abandoned += 1;
-                    self.rest_after(now, &over, reason);
+                    self.cool_down_after(now, &over, reason);
                 }
                 _ => self.counts.settled += 1,
             }
@@ -162,12 +168,16 @@
 
     /// A machine that was in the way of a move is left alone for a while: the next attempt would most likely
     /// end in the same way.
-    fn rest_after(&mut self, now: Millis, over: &Move, reason: Reason) {
-        let ms = self.limits.machine_rest_ms;
-        for leg in &over.legs {
+    fn cool_down_after(&mut self, now: Millis, over: &Move, reason: AbandonReason) {
+        let ms = self.limits.machine_cooldown_ms;
+        for task_move in &over.task_moves {
             match reason.side() {
-                Some(Side::Source) => self.pacing.rest(now, &leg.source, ms),
-                Some(Side::Target) => self.pacing.rest(now, &leg.target, ms),
+                Some(Side::Source) => {
+                    self.throttle.start_machine_cooldown(now, &task_move.source, ms)
+                }
+                Some(Side::Target) => {
+                    self.throttle.start_machine_cooldown(now, &task_move.target, ms)
+                }
                 None => {}
             }
         }
@@ -199,17 +209,17 @@
     }
 
     /// What moves keep free on a machine.
-    pub fn reserved_on(&self, machine: &str) -> Amounts {
-        self.moves.iter().fold(Amounts::default(), |sum, m| sum.plus(&m.reserved_on(machine)))
+    pub fn reserved_on(&self, machine: &str) -> Resources {
+        self.moves.iter().fold(Resources::default(), |sum, m| sum.plus(&m.reserved_on(machine)))
     }
 
     /// Whether room is kept on a machine, so that it is not idle.
     pub fn is_reserved(&self, machine: &str) -> bool {
-        self.reserved_on(machine) != Amounts::default()
+        self.reserved_on(machine) != Resources::default()
     }
 
     /// What moves will take off a machine.
-    pub fn leaving_from(&self, machine: &str) -> Amounts {
-        self.moves.iter().fold(Amounts::default(), |sum, m| sum.plus(&m.leaving_from(machine)))
+    pub fn leaving_from(&self, machine: &str) -> Resources {
+        self.moves.iter().fold(Resources::default(), |sum, m| sum.plus(&m.leaving_from(machine)))
     }
 }
--- a/crates/latchtrack-balance/src/constants.rs
+++ b/crates/latchtrack-balance/src/constants.rs
@@ -1,5 +1,5 @@
 //! Every constant of load balancing, each with its unit and its reason. Those that operators or tests
-//! may change are defaults of [`crate::balancer::Limits`].
+//! may change are defaults of [`crate::balancer::MoveLimits`].
 
 use crate::Millis;
 
@@ -18,24 +18,24 @@
 pub const MACHINE_GAP_MS: Millis = 10_000;
 /// ms for which a machine that was in the way of a move takes part in no other: a cut or a pause of some
 /// seconds is over by then, and one that is really ill has been given up.
-pub const MACHINE_REST_MS: Millis = 30_000;
+pub const MACHINE_COOLDOWN_MS: Millis = 30_000;
 /// Moves started per minute in the whole cluster.
 pub const MOVES_PER_MINUTE: u32 = 30;
 /// Times its own cost that the remaining run time of a task must be to be worth a move.
 pub const WORTH_FACTOR: f64 = 3.0;
 /// Machines with room that are compared as the target of a task: the least loaded ones, of which one is
 /// nearly always the best.
-pub const TARGETS_LOOKED: usize = 8;
+pub const MAX_TARGETS_COMPARED: usize = 8;
 /// s that a move costs beside saving and fetching: two reports, and the launch.
 pub const MOVE_OVERHEAD_S: f64 = 2.0;
 /// s that the fetch of an image is taken to last where its size or the rate is unknown.
 pub const UNKNOWN_FETCH_S: f64 = 10.0;
 /// ms a reserved target waits until the stop has been sent.
-pub const RESERVED_MOST_MS: Millis = 10_000;
+pub const RESERVATION_TIMEOUT_MS: Millis = 10_000;
 /// ms beyond the time to save after which a stop that has not ended is late, and the target is released.
-pub const STOP_LATE_MS: Millis = 30_000;
+pub const STOP_TIMEOUT_MARGIN_MS: Millis = 30_000;
 /// ms in which a moved task must be seen to run on its target.
-pub const LAUNCH_MOST_MS: Millis = 60_000;
+pub const LAUNCH_TIMEOUT_MS: Millis = 60_000;
 /// Ended moves that are kept for the operator.
 pub const RECENT_MOVES: usize = 32;
 
@@ -45,15 +45,15 @@
 pub const HOT_HALF_LIFE_MS: Millis = 60_000;
 /// Times its share of the cluster that a team must ask for to turn hot, and below which it has cooled:
 /// apart, so that a team at the edge does not change sides with every job.
-pub const HOT_ENTER: f64 = 1.2;
+pub const HOT_ENTER_FACTOR: f64 = 1.2;
 /// The part of its share below which it is not hot any more.
-pub const HOT_LEAVE: f64 = 0.8;
+pub const HOT_EXIT_FACTOR: f64 = 0.8;
 
 /// Most that the placement term adds to the score of a machine, in parts of the paper's score of an empty
 /// cluster. The term orders machines that all have room; it never opens or closes one.
-pub const PLACE_COST_MOST: f64 = 1.0;
+pub const MAX_PLACEMENT_COST: f64 = 1.0;
 /// Steps into which the placement term is divided: differences below one leave the order to the score.
-pub const PLACE_COST_STEPS: f64 = 10.0;
+pub const PLACEMENT_COST_STEPS: f64 = 10.0;
 /// Slack for sums of decimal amounts.
 pub const ROUNDING: f64 = 1e-6;
 /// ms in a minute, over which moves are counted.
--- a/crates/latchtrack-balance/src/lib.rs
+++ b/crates/latchtrack-balance/src/lib.rs
@@ -6,16 +6,16 @@
 
 #![deny(missing_docs)]
 
-pub mod amounts;
 pub mod arrivals;
 pub mod balancer;
 pub mod constants;
 pub mod fairness;
 pub mod locality;
 pub mod moves;
-pub mod pacing;
 pub mod planner;
+pub mod resources;
 pub mod spread;
+pub mod throttle;
 
 /// Milliseconds on the local steady clock.
 pub type Millis = u64;
--- a/crates/latchtrack-balance/src/locality.rs
+++ b/crates/latchtrack-balance/src/locality.rs
@@ -1,10 +1,10 @@
 //! What it costs to put a task where its data is not, against what it costs to crowd the machines that
 //! have it.
 
-use crate::constants::{PLACE_COST_MOST, PLACE_COST_STEPS, UNKNOWN_FETCH_S};
+use crate::constants::{MAX_PLACEMENT_COST, PLACEMENT_COST_STEPS, UNKNOWN_FETCH_S};
 
 /// s until an image is on a machine: its own size and what is being fetched there already, which shares
-/// the rate. Amounts that are no numbers count as unknown.
+/// the rate. Resources that are no numbers count as unknown.
 pub fn fetch_s(image_gb: f64, under_way_gb: f64, gb_per_s: f64) -> f64 {
     let valid = |amount: f64| amount.is_finite() && amount >= 0.0;
     if !valid(image_gb) || !valid(under_way_gb) || !gb_per_s.is_finite() || gb_per_s <= 0.0 {
@@ -15,7 +15,7 @@
 
 /// A place for a task, as far as balance is concerned.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct PlacementOption {
     /// s until its image is there; 0 where it is.
     pub fetch_s: f64,
     /// s that the task runs.
@@ -26,15 +26,16 @@
     pub bound: f64,
 }
 
-impl Place {
-    /// The placement term, from 0 to [`PLACE_COST_MOST`], in whole steps: the part of its stay that the
+impl PlacementOption {
+    /// The placement term, from 0 to [`MAX_PLACEMENT_COST`], in whole steps: the part of its stay that the
     /// task waits for its image, plus what it puts on the machine beyond the bound.
     pub fn cost(&self) -> f64 {
         let stay_s = self.fetch_s + self.run_s;
         let waiting = if stay_s > 0.0 { self.fetch_s / stay_s } else { 0.0 };
         let excess = (self.load_after - self.bound).max(0.0);
-        let cost = if (waiting + excess).is_finite() { waiting + excess } else { PLACE_COST_MOST };
-        let steps = (cost.min(PLACE_COST_MOST) * PLACE_COST_STEPS).round();
-        steps / PLACE_COST_STEPS
+        let cost =
+            if (waiting + excess).is_finite() { waiting + excess } else { MAX_PLACEMENT_COST };
+        let steps = (cost.min(MAX_PLACEMENT_COST) * PLACEMENT_COST_STEPS).round();
+        steps / PLACEMENT_COST_STEPS
     }
 }
--- a/crates/latchtrack-balance/src/moves.rs
+++ b/crates/latchtrack-balance/src/moves.rs
@@ -1,7 +1,7 @@
 //! The life of one move: from the reserved target to the task that runs there.
 //!
 //! ```text
-//! Reserved --stop sent--> Stopping --every leg ended--> Ready --launched--> Launching --runs--> Settled
+//! Reserved --stop sent--> Stopping --every task_move ended--> Ready --launched--> Launching --runs--> Settled
 //!     \_________________________\________________________\______________________\--> Abandoned
 //! ```
 //!
@@ -12,20 +12,20 @@
 use std::fmt;
 use std::sync::Arc;
 
-use crate::amounts::Amounts;
-use crate::constants::{LAUNCH_MOST_MS, RESERVED_MOST_MS, STOP_LATE_MS};
+use crate::constants::{LAUNCH_TIMEOUT_MS, RESERVATION_TIMEOUT_MS, STOP_TIMEOUT_MARGIN_MS};
+use crate::resources::Resources;
 use crate::Millis;
 
 /// What moves as one: a task of an array, or all tasks of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct UnitId {
+pub struct MoveUnit {
     /// The job.
     pub job: u64,
     /// None for a whole gang.
     pub task: Option<u32>,
 }
 
-impl UnitId {
+impl MoveUnit {
     /// Whether a task belongs to this unit.
     pub fn covers(&self, job: u64, task: u32) -> bool {
         self.job == job && self.task.is_none_or(|own| own == task)
@@ -34,7 +34,7 @@
 
 /// One task of a move.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Leg {
+pub struct TaskMove {
     /// Index of the task in its job.
     pub task: u32,
     /// The machine that it leaves.
@@ -42,7 +42,7 @@
     /// The machine that it goes to.
     pub target: Arc<str>,
     /// What it takes of either.
-    pub demand: Amounts,
+    pub demand: Resources,
     /// Off its source without a result.
     pub ended: bool,
     /// Seen to run on its target.
@@ -51,7 +51,7 @@
 
 /// Where a move stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum MoveStage {
     /// Room is kept on every target; nothing has been stopped.
     Reserved,
     /// The tasks were told to save and stop.
@@ -63,40 +63,40 @@
     /// They run there.
     Settled,
     /// The tasks go the ordinary way.
-    Abandoned(Reason),
+    Abandoned(AbandonReason),
 }
 
-impl Stage {
+impl MoveStage {
     /// Whether the move is over.
     pub fn is_final(self) -> bool {
-        matches!(self, Stage::Settled | Stage::Abandoned(_))
+        matches!(self, MoveStage::Settled | MoveStage::Abandoned(_))
     }
 
     /// Whether its targets must keep room: once the tasks are launched they take it themselves.
     fn keeps_room(self) -> bool {
-        matches!(self, Stage::Reserved | Stage::Stopping | Stage::Ready)
+        matches!(self, MoveStage::Reserved | MoveStage::Stopping | MoveStage::Ready)
     }
 }
 
 /// Why a move was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum AbandonReason {
     /// A target may take no tasks any more: lost, silent, deaf, slow, or to be taken back.
     TargetLost,
     /// A target has less room than was reserved.
     TargetFull,
     /// The job may not start there, by its zone, type or kind of machine.
-    NotAllowed,
+    ConstraintViolated,
     /// Its team's limit leaves no room.
     TeamLimit,
     /// A source fell silent or is to be given back, which ends its tasks in another way.
     SourceLost,
     /// The stop did not end in time.
-    StopLate,
+    StopTimedOut,
     /// The stop could not be sent.
-    NotStopped,
+    StopNotSent,
     /// The tasks were not seen to run in time.
-    NotStarted,
+    StartTimedOut,
     /// The job is over, or its tasks are placed already.
     JobOver,
     /// A task completed before it stopped.
@@ -112,43 +112,50 @@
     Target,
 }
 
-impl Reason {
+impl AbandonReason {
     /// At which end a machine was in the way; None if it was the job itself, or its team.
     pub fn side(self) -> Option<Side> {
         match self {
-            Reason::SourceLost | Reason::StopLate | Reason::NotStopped => Some(Side::Source),
-            Reason::TargetLost | Reason::TargetFull | Reason::NotStarted => Some(Side::Target),
-            Reason::NotAllowed | Reason::TeamLimit | Reason::JobOver | Reason::Completed => None,
+            AbandonReason::SourceLost
+            | AbandonReason::StopTimedOut
+            | AbandonReason::StopNotSent => Some(Side::Source),
+            AbandonReason::TargetLost
+            | AbandonReason::TargetFull
+            | AbandonReason::StartTimedOut => Some(Side::Target),
+            AbandonReason::ConstraintViolated
+            | AbandonReason::TeamLimit
+            | AbandonReason::JobOver
+            | AbandonReason::Completed => None,
         }
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for AbandonReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::TargetLost => "target lost",
-            Reason::TargetFull => "target full",
-            Reason::NotAllowed => "not allowed on the target",
-            Reason::TeamLimit => "team at its limit",
-            Reason::SourceLost => "source lost",
-            Reason::StopLate => "stop late",
-            Reason::NotStopped => "stop not sent",
-            Reason::NotStarted => "not seen to run",
-            Reason::JobOver => "job over",
-            Reason::Completed => "completed first",
+            AbandonReason::TargetLost => "target lost",
+            AbandonReason::TargetFull => "target full",
+            AbandonReason::ConstraintViolated => "not allowed on the target",
+            AbandonReason::TeamLimit => "team at its limit",
+            AbandonReason::SourceLost => "source lost",
+            AbandonReason::StopTimedOut => "stop late",
+            AbandonReason::StopNotSent => "stop not sent",
+            AbandonReason::StartTimedOut => "not seen to run",
+            AbandonReason::JobOver => "job over",
+            AbandonReason::Completed => "completed first",
         })
     }
 }
 
-impl fmt::Display for Stage {
+impl fmt::Display for MoveStage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Stage::Reserved => f.write_str("reserved"),
-            Stage::Stopping => f.write_str("stopping"),
-            Stage::Ready => f.write_str("ready"),
-            Stage::Launching => f.write_str("launching"),
-            Stage::Settled => f.write_str("settled"),
-            Stage::Abandoned(reason) => write!(f, "abandoned: {reason}"),
+            MoveStage::Reserved => f.write_str("reserved"),
+            MoveStage::Stopping => f.write_str("stopping"),
+            MoveStage::Ready => f.write_str("ready"),
+            MoveStage::Launching => f.write_str("launching"),
+            MoveStage::Settled => f.write_str("settled"),
+            MoveStage::Abandoned(reason) => write!(f, "abandoned: {reason}"),
         }
     }
 }
@@ -166,12 +173,12 @@
     /// All tasks were launched on their targets, under a new attempt.
     Launched,
     /// A task was seen to run on its target.
-    Runs {
+    Running {
         /// Its index.
         task: u32,
     },
     /// It can't go on.
-    Failed(Reason),
+    Failed(AbandonReason),
     /// Time passes.
     Tick,
 }
@@ -180,11 +187,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Move {
     /// What moves.
-    pub unit: UnitId,
+    pub unit: MoveUnit,
     /// Each of its tasks.
-    pub legs: Vec<Leg>,
+    pub task_moves: Vec<TaskMove>,
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: MoveStage,
     /// When it came into its stage.
     pub since: Millis,
     /// ms that its tasks take to save.
@@ -207,28 +214,32 @@
         self.stage != before
     }
 
-    fn next_stage(&mut self, now: Millis, event: MoveEvent) -> Stage {
+    fn next_stage(&mut self, now: Millis, event: MoveEvent) -> MoveStage {
         match (self.stage, event) {
             (stage, _) if stage.is_final() => stage,
-            (_, MoveEvent::Failed(reason)) => Stage::Abandoned(reason),
-            (Stage::Reserved, MoveEvent::StopSent) => Stage::Stopping,
-            (Stage::Stopping, MoveEvent::Ended { task }) => {
-                for leg in self.legs.iter_mut().filter(|leg| leg.task == task) {
-                    leg.ended = true;
+            (_, MoveEvent::Failed(reason)) => MoveStage::Abandoned(reason),
+            (MoveStage::Reserved, MoveEvent::StopSent) => MoveStage::Stopping,
+            (MoveStage::Stopping, MoveEvent::Ended { task }) => {
+                for task_move in
+                    self.task_moves.iter_mut().filter(|task_move| task_move.task == task)
+                {
+                    task_move.ended = true;
                 }
-                match self.legs.iter().all(|leg| leg.ended) {
-                    true => Stage::Ready,
-                    false => Stage::Stopping,
+                match self.task_moves.iter().all(|task_move| task_move.ended) {
+                    true => MoveStage::Ready,
+                    false => MoveStage::Stopping,
                 }
             }
-            (Stage::Ready, MoveEvent::Launched) => Stage::Launching,
-            (Stage::Launching, MoveEvent::Runs { task }) => {
-                for leg in self.legs.iter_mut().filter(|leg| leg.task == task) {
-                    leg.runs = true;
+            (MoveStage::Ready, MoveEvent::Launched) => MoveStage::Launching,
+            (MoveStage::Launching, MoveEvent::Running { task }) => {
+                for task_move in
+                    self.task_moves.iter_mut().filter(|task_move| task_move.task == task)
+                {
+                    task_move.runs = true;
                 }
-                match self.legs.iter().all(|leg| leg.runs) {
-                    true => Stage::Settled,
-                    false => Stage::Launching,
+                match self.task_moves.iter().all(|task_move| task_move.runs) {
+                    true => MoveStage::Settled,
+                    false => MoveStage::Launching,
                 }
             }
             (stage, MoveEvent::Tick) => self.overdue(now, stage),
@@ -236,40 +247,45 @@
         }
     }
 
-    fn overdue(&self, now: Millis, stage: Stage) -> Stage {
+    fn overdue(&self, now: Millis, stage: MoveStage) -> MoveStage {
         let (most_ms, reason) = match stage {
-            Stage::Reserved => (RESERVED_MOST_MS, Reason::NotStopped),
-            Stage::Stopping => (self.save_ms.saturating_add(STOP_LATE_MS), Reason::StopLate),
-            Stage::Ready => (RESERVED_MOST_MS, Reason::TargetFull),
-            Stage::Launching => (LAUNCH_MOST_MS, Reason::NotStarted),
-            Stage::Settled | Stage::Abandoned(_) => return stage,
+            MoveStage::Reserved => (RESERVATION_TIMEOUT_MS, AbandonReason::StopNotSent),
+            MoveStage::Stopping => {
+                (self.save_ms.saturating_add(STOP_TIMEOUT_MARGIN_MS), AbandonReason::StopTimedOut)
+            }
+            MoveStage::Ready => (RESERVATION_TIMEOUT_MS, AbandonReason::TargetFull),
+            MoveStage::Launching => (LAUNCH_TIMEOUT_MS, AbandonReason::StartTimedOut),
+            MoveStage::Settled | MoveStage::Abandoned(_) => return stage,
         };
         match now >= self.since.saturating_add(most_ms) {
-            true => Stage::Abandoned(reason),
+            true => MoveStage::Abandoned(reason),
             false => stage,
         }
     }
 
     /// What must be kept free on a machine for this move.
-    pub fn reserved_on(&self, machine: &str) -> Amounts {
+    pub fn reserved_on(&self, machine: &str) -> Resources {
         if !self.stage.keeps_room() {
-            return Amounts::default();
+            return Resources::default();
         }
-        let legs = self.legs.iter().filter(|leg| *leg.target == *machine);
-        legs.fold(Amounts::default(), |sum, leg| sum.plus(&leg.demand))
+        let task_moves = self.task_moves.iter().filter(|task_move| *task_move.target == *machine);
+        task_moves.fold(Resources::default(), |sum, task_move| sum.plus(&task_move.demand))
     }
 
     /// What will come free on a machine that is still in use there.
-    pub fn leaving_from(&self, machine: &str) -> Amounts {
-        if !matches!(self.stage, Stage::Reserved | Stage::Stopping) {
-            return Amounts::default();
+    pub fn leaving_from(&self, machine: &str) -> Resources {
+        if !matches!(self.stage, MoveStage::Reserved | MoveStage::Stopping) {
+            return Resources::default();
         }
-        let legs = self.legs.iter().filter(|leg| *leg.source == *machine && !leg.ended);
-        legs.fold(Amounts::default(), |sum, leg| sum.plus(&leg.demand))
+        let task_moves = self
+            .task_moves
+            .iter()
+            .filter(|task_move| *task_move.source == *machine && !task_move.ended);
+        task_moves.fold(Resources::default(), |sum, task_move| sum.plus(&task_move.demand))
     }
 
     /// The machines that take part.
     pub fn machines(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.legs.iter().flat_map(|leg| [&leg.source, &leg.target])
+        self.task_moves.iter().flat_map(|task_move| [&task_move.source, &task_move.target])
     }
 }
--- a/crates/latchtrack-balance/src/planner.rs
+++ b/crates/latchtrack-balance/src/planner.rs
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::Arc;
 
-use crate::amounts::Amounts;
-use crate::constants::{ROUNDING, TARGETS_LOOKED};
-use crate::moves::{Leg, UnitId};
+use crate::constants::{MAX_TARGETS_COMPARED, ROUNDING};
+use crate::moves::{MoveUnit, TaskMove};
+use crate::resources::Resources;
 use crate::spread::Spread;
 use crate::Millis;
 
@@ -22,9 +22,9 @@
     /// Machines of one pool are alike in all that a job may ask for: see [`crate::spread`].
     pub pool: u32,
     /// What it has.
-    pub capacity: Amounts,
+    pub capacity: Resources,
     /// What its tasks use and what is reserved on it, without what is about to leave.
-    pub used: Amounts,
+    pub used: Resources,
     /// Whether tasks may move to it.
     pub may_receive: bool,
     /// Whether tasks may move from it.
@@ -45,11 +45,11 @@
 #[derive(Clone, Debug)]
 pub struct Movable {
     /// What would move.
-    pub unit: UnitId,
+    pub unit: MoveUnit,
     /// Each task with the index of its machine in the input.
     pub tasks: Vec<(u32, usize)>,
     /// What one task takes.
-    pub demand: Amounts,
+    pub demand: Resources,
     /// s that a task takes to save.
     pub save_s: f64,
     /// s that the move takes in all.
@@ -79,9 +79,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedMove {
     /// What is to move.
-    pub unit: UnitId,
+    pub unit: MoveUnit,
     /// Each of its tasks.
-    pub legs: Vec<Leg>,
+    pub task_moves: Vec<TaskMove>,
     /// s that its tasks take to save.
     pub save_s: f64,
     /// The load of its busiest source, in parts of a machine.
@@ -184,7 +184,7 @@
     input: &'a PlanInput,
     valid: Vec<bool>,
     /// What each machine uses and carries by the plan so far.
-    used: Vec<Amounts>,
+    used: Vec<Resources>,
     loads: Vec<f64>,
     spreads: BTreeMap<u32, Spread>,
     /// Machines of each pool that may receive, the least loaded first.
@@ -274,7 +274,7 @@
     /// whose load has changed, none if there is no task whose move is an improvement.
     fn relieve(&mut self, machine: usize) -> Vec<usize> {
         let load = self.loads[machine];
-        let mut candidates: Vec<(f64, UnitId, usize)> = self
+        let mut candidates: Vec<(f64, MoveUnit, usize)> = self
             .movables_on(machine)
             .into_iter()
             .filter(|i| load > self.bound(machine, self.share(*i, machine)) + ROUNDING)
@@ -316,7 +316,7 @@
         let unit = &self.input.movables[movable];
         let sources: BTreeSet<usize> = machines_of(unit).into_iter().collect();
         let pool = self.input.machines[*sources.first()?].pool;
-        let mut extra: BTreeMap<usize, Amounts> = BTreeMap::new();
+        let mut extra: BTreeMap<usize, Resources> = BTreeMap::new();
         let mut chosen = Vec::new();
         for _ in &unit.tasks {
             let mut best: Option<LoadKey> = None;
@@ -325,7 +325,7 @@
             // resource everywhere; those that this unit has filled itself count with what it put there.
             for key in self.targets.get(&pool)? {
                 self.plan.steps += 1;
-                if looked >= TARGETS_LOOKED || key.load >= load {
+                if looked >= MAX_TARGETS_COMPARED || key.load >= load {
                     break;
                 }
                 if sources.contains(&key.machine) {
@@ -352,7 +352,7 @@
     fn commit(&mut self, movable: usize, source: usize, targets: &[usize]) {
         let unit = &self.input.movables[movable];
         let name = |machine: usize| self.input.machines[machine].name.clone();
-        let legs = unit.tasks.iter().zip(targets).map(|((task, from), to)| Leg {
+        let task_moves = unit.tasks.iter().zip(targets).map(|((task, from), to)| TaskMove {
             task: *task,
             source: name(*from),
             target: name(*to),
@@ -362,7 +362,7 @@
         });
         let planned = PlannedMove {
             unit: unit.unit,
-            legs: legs.collect(),
+            task_moves: task_moves.collect(),
             save_s: unit.save_s,
             load: self.loads[source],
             bound: self.bound(source, self.share(movable, source)),
@@ -376,7 +376,7 @@
     }
 
     /// Changes what a machine uses, and its place among the targets.
-    fn change(&mut self, machine: usize, with: impl Fn(Amounts) -> Amounts) {
+    fn change(&mut self, machine: usize, with: impl Fn(Resources) -> Resources) {
         let m = &self.input.machines[machine];
         let before = LoadKey { load: self.loads[machine], machine };
         self.used[machine] = with(self.used[machine]);
--- a/crates/latchtrack-balance/src/amounts.rs
+++ b/crates/latchtrack-balance/src/resources.rs
@@ -4,7 +4,7 @@
 
 /// An amount of each resource that machines offer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Amounts {
+pub struct Resources {
     /// CPUs.
     pub cpus: f64,
     /// GPUs.
@@ -13,7 +13,7 @@
     pub memory_gb: f64,
 }
 
-impl Amounts {
+impl Resources {
     /// Whether every amount is a finite number that is not negative. Others come from faulty reports and
     /// are left out of all sums.
     pub fn is_valid(&self) -> bool {
@@ -21,8 +21,8 @@
     }
 
     /// The sum of both.
-    pub fn plus(&self, other: &Amounts) -> Amounts {
-        Amounts {
+    pub fn plus(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus + other.cpus,
             gpus: self.gpus + other.gpus,
             memory_gb: self.memory_gb + other.memory_gb,
@@ -30,8 +30,8 @@
     }
 
     /// What is left without `other`, never below 0.
-    pub fn minus(&self, other: &Amounts) -> Amounts {
-        Amounts {
+    pub fn minus(&self, other: &Resources) -> Resources {
+        Resources {
             cpus: (self.cpus - other.cpus).max(0.0),
             gpus: (self.gpus - other.gpus).max(0.0),
             memory_gb: (self.memory_gb - other.memory_gb).max(0.0),
@@ -39,14 +39,14 @@
     }
 
     /// Whether all of this goes into `room`.
-    pub fn fits_in(&self, room: &Amounts) -> bool {
+    pub fn fits_in(&self, room: &Resources) -> bool {
         let pairs = self.each().into_iter().zip(room.each());
         pairs.into_iter().all(|(need, have)| need <= have + ROUNDING)
     }
 
     /// The dominant share: the largest part of `capacity` that this takes of any resource. What a machine
     /// lacks altogether does not count.
-    pub fn dominant_share(&self, capacity: &Amounts) -> f64 {
+    pub fn dominant_share(&self, capacity: &Resources) -> f64 {
         let pairs = self.each().into_iter().zip(capacity.each());
         let shares = pairs.map(|(used, all)| if all > 0.0 { used / all } else { 0.0 });
         shares.fold(0.0, f64::max)
--- a/crates/latchtrack-balance/tests/balancer.rs
+++ b/crates/latchtrack-balance/tests/balancer.rs
@@ -5,29 +5,29 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use latchtrack_balance::balancer::{Balancer, Limits};
-use latchtrack_balance::moves::{MoveEvent, Reason, Stage, UnitId};
+use latchtrack_balance::balancer::{Balancer, MoveLimits};
+use latchtrack_balance::moves::{AbandonReason, MoveEvent, MoveStage, MoveUnit};
 use latchtrack_balance::planner::PlanInput;
 
-const LIMITS: Limits = Limits {
+const LIMITS: MoveLimits = MoveLimits {
     over_bound_ms: 10_000,
     min_run_ms: 30_000,
     task_cooldown_ms: 120_000,
     machine_gap_ms: 10_000,
-    machine_rest_ms: 60_000,
+    machine_cooldown_ms: 60_000,
     moves_per_minute: 6,
     worth_factor: 2.0,
 };
 
 /// Machines of 16 CPUs and the tasks of one CPU that run on each.
 struct Fleet {
-    on: Vec<Vec<UnitId>>,
+    on: Vec<Vec<MoveUnit>>,
 }
 
 impl Fleet {
     fn new(loads: &[u32]) -> Fleet {
         let tasks = |(machine, n): (usize, &u32)| {
-            (0..*n).map(|task| UnitId { job: machine as u64, task: Some(task) }).collect()
+            (0..*n).map(|task| MoveUnit { job: machine as u64, task: Some(task) }).collect()
         };
         Fleet { on: loads.iter().enumerate().map(tasks).collect() }
     }
@@ -48,18 +48,18 @@
     fn look(&mut self, balancer: &mut Balancer, now: u64) -> usize {
         let begun = balancer.observe(now, self.input(), false);
         for m in &begun {
-            let leg = &m.legs[0];
+            let task_move = &m.task_moves[0];
             let index = |name: &str| (0..self.on.len()).find(|i| *common::name(*i) == *name);
-            let (from, to) = (index(&leg.source).unwrap(), index(&leg.target).unwrap());
+            let (from, to) = (index(&task_move.source).unwrap(), index(&task_move.target).unwrap());
             self.on[from].retain(|unit| *unit != m.unit);
             self.on[to].push(m.unit);
             for event in [
                 MoveEvent::StopSent,
-                MoveEvent::Ended { task: leg.task },
+                MoveEvent::Ended { task: task_move.task },
                 MoveEvent::Launched,
-                MoveEvent::Runs { task: leg.task },
+                MoveEvent::Running { task: task_move.task },
             ] {
-                balancer.tell(now, m.unit, event);
+                balancer.handle_event(now, m.unit, event);
             }
         }
         begun.len()
@@ -123,11 +123,11 @@
 fn load_that_comes_and_goes_moves_no_task_twice() {
     let mut fleet = Fleet::new(&[4; 8]);
     let mut balancer = Balancer::new(LIMITS);
-    let mut moved: BTreeMap<UnitId, Vec<u64>> = BTreeMap::new();
+    let mut moved: BTreeMap<MoveUnit, Vec<u64>> = BTreeMap::new();
     for now in (0..900_000u64).step_by(1_000) {
         if now % 100_000 == 50_000 {
             for machine in 0..2 {
-                let hot = |task| UnitId { job: 100 + now / 100_000, task: Some(task) };
+                let hot = |task| MoveUnit { job: 100 + now / 100_000, task: Some(task) };
                 fleet.on[machine].extend((0..10).map(|i| hot(machine as u32 * 10 + i)));
             }
         }
@@ -138,7 +138,7 @@
         }
         for m in balancer.observe(now, fleet.input(), false) {
             moved.entry(m.unit).or_default().push(now);
-            balancer.tell(now, m.unit, MoveEvent::Failed(Reason::TeamLimit));
+            balancer.handle_event(now, m.unit, MoveEvent::Failed(AbandonReason::TeamLimit));
         }
     }
     assert!(!moved.is_empty());
@@ -165,7 +165,7 @@
 /// A crowded machine that was relieved a moment ago does not use up the budget of another one.
 #[test]
 fn a_machine_that_rests_leaves_the_budget_to_others() {
-    let limits = Limits { machine_gap_ms: 60_000, moves_per_minute: 2, ..LIMITS };
+    let limits = MoveLimits { machine_gap_ms: 60_000, moves_per_minute: 2, ..LIMITS };
     let fleet = Fleet::new(&[16, 0, 0, 0, 0, 0, 0, 0]);
     let mut balancer = Balancer::new(limits);
     balancer.observe(0, fleet.input(), false);
@@ -174,13 +174,14 @@
     balancer.observe(11_000, fleet.input(), false);
     let begun = balancer.observe(21_000, fleet.input(), false);
     assert_eq!(begun.len(), 1);
-    assert_eq!(*begun[0].legs[0].source, *name(7));
+    assert_eq!(*begun[0].task_moves[0].source, *name(7));
 }
 
 /// Operators may set the cooldown to nothing.
 #[test]
 fn a_task_that_is_on_its_way_is_not_planned_again() {
-    let limits = Limits { task_cooldown_ms: 0, machine_gap_ms: 0, moves_per_minute: 600, ..LIMITS };
+    let limits =
+        MoveLimits { task_cooldown_ms: 0, machine_gap_ms: 0, moves_per_minute: 600, ..LIMITS };
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(limits);
     let mut units = std::collections::BTreeSet::new();
@@ -199,11 +200,11 @@
     let mut balancer = Balancer::new(LIMITS);
     balancer.observe(0, fleet.input(), false);
     let unit = balancer.observe(10_000, fleet.input(), false)[0].unit;
-    balancer.tell(20_000, unit, MoveEvent::Failed(Reason::StopLate));
-    for now in (20_000..20_000 + LIMITS.machine_rest_ms).step_by(1_000) {
+    balancer.handle_event(20_000, unit, MoveEvent::Failed(AbandonReason::StopTimedOut));
+    for now in (20_000..20_000 + LIMITS.machine_cooldown_ms).step_by(1_000) {
         assert_eq!(balancer.observe(now, fleet.input(), false), []);
     }
-    let after = 20_000 + LIMITS.machine_rest_ms;
+    let after = 20_000 + LIMITS.machine_cooldown_ms;
     assert_eq!(balancer.observe(after, fleet.input(), false).len(), 1);
 }
 
@@ -213,13 +214,13 @@
     let mut balancer = Balancer::new(LIMITS);
     balancer.observe(0, fleet.input(), false);
     let begun = balancer.observe(10_000, fleet.input(), false);
-    let (unit, target) = (begun[0].unit, begun[0].legs[0].target.clone());
+    let (unit, target) = (begun[0].unit, begun[0].task_moves[0].target.clone());
     assert!(balancer.is_reserved(&target));
     // The same task is not planned again while it is on its way; another one may be.
     assert!(balancer.observe(30_000, fleet.input(), false).iter().all(|m| m.unit != unit));
     let reserved = balancer.reserved_on(&target).cpus;
-    let failed = MoveEvent::Failed(Reason::TargetLost);
-    assert!(matches!(balancer.tell(31_000, unit, failed), Some(Stage::Abandoned(_))));
+    let failed = MoveEvent::Failed(AbandonReason::TargetLost);
+    assert!(matches!(balancer.handle_event(31_000, unit, failed), Some(MoveStage::Abandoned(_))));
     assert_eq!(balancer.reserved_on(&target).cpus, reserved - 1.0);
-    assert_eq!(balancer.tell(32_000, unit, failed), None, "it is over");
+    assert_eq!(balancer.handle_event(32_000, unit, failed), None, "it is over");
 }
--- a/crates/latchtrack-balance/tests/common/mod.rs
+++ b/crates/latchtrack-balance/tests/common/mod.rs
@@ -4,9 +4,9 @@
 
 use std::sync::Arc;
 
-use latchtrack_balance::amounts::Amounts;
-use latchtrack_balance::moves::{Leg, Move, Stage, UnitId};
+use latchtrack_balance::moves::{Move, MoveStage, MoveUnit, TaskMove};
 use latchtrack_balance::planner::{MachineLoad, Movable};
+use latchtrack_balance::resources::Resources;
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 
 /// The same cases in every run, so that CI has the same verdict each time; a thousand of each kind.
@@ -19,8 +19,8 @@
     }
 }
 
-pub fn amounts(cpus: f64) -> Amounts {
-    Amounts { cpus, gpus: 0.0, memory_gb: cpus }
+pub fn amounts(cpus: f64) -> Resources {
+    Resources { cpus, gpus: 0.0, memory_gb: cpus }
 }
 
 pub fn name(index: usize) -> Arc<str> {
@@ -40,7 +40,7 @@
 }
 
 /// Running tasks, each with the index of its machine, that are worth a move.
-pub fn movable(unit: UnitId, tasks: &[(u32, usize)], cpus: f64) -> Movable {
+pub fn movable(unit: MoveUnit, tasks: &[(u32, usize)], cpus: f64) -> Movable {
     Movable {
         unit,
         tasks: tasks.to_vec(),
@@ -53,8 +53,8 @@
 }
 
 /// A move of these tasks from machine 0 to machine 1.
-pub fn a_move(unit: UnitId, tasks: &[u32]) -> Move {
-    let leg = |task: &u32| Leg {
+pub fn a_move(unit: MoveUnit, tasks: &[u32]) -> Move {
+    let task_move = |task: &u32| TaskMove {
         task: *task,
         source: name(0),
         target: name(1),
@@ -64,8 +64,8 @@
     };
     Move {
         unit,
-        legs: tasks.iter().map(leg).collect(),
-        stage: Stage::Reserved,
+        task_moves: tasks.iter().map(task_move).collect(),
+        stage: MoveStage::Reserved,
         since: 0,
         save_ms: 2_000,
         load: 1.0,
--- a/crates/latchtrack-balance/tests/moves.rs
+++ b/crates/latchtrack-balance/tests/moves.rs
@@ -3,31 +3,31 @@
 mod common;
 
 use common::*;
-use latchtrack_balance::amounts::Amounts;
 use latchtrack_balance::constants::*;
-use latchtrack_balance::moves::{Move, MoveEvent, Reason, Stage, UnitId};
+use latchtrack_balance::moves::{AbandonReason, Move, MoveEvent, MoveStage, MoveUnit};
+use latchtrack_balance::resources::Resources;
 use proptest::prelude::*;
 
-const UNIT: UnitId = UnitId { job: 7, task: None };
+const UNIT: MoveUnit = MoveUnit { job: 7, task: None };
 
 fn event() -> impl Strategy<Value = MoveEvent> {
     prop_oneof![
         Just(MoveEvent::StopSent),
         (0u32..4).prop_map(|task| MoveEvent::Ended { task }),
         Just(MoveEvent::Launched),
-        (0u32..4).prop_map(|task| MoveEvent::Runs { task }),
+        (0u32..4).prop_map(|task| MoveEvent::Running { task }),
         Just(MoveEvent::Tick),
-        Just(MoveEvent::Failed(Reason::TargetLost)),
+        Just(MoveEvent::Failed(AbandonReason::TargetLost)),
     ]
 }
 
-fn rank(stage: Stage) -> u32 {
+fn rank(stage: MoveStage) -> u32 {
     match stage {
-        Stage::Reserved => 0,
-        Stage::Stopping => 1,
-        Stage::Ready => 2,
-        Stage::Launching => 3,
-        Stage::Settled | Stage::Abandoned(_) => 4,
+        MoveStage::Reserved => 0,
+        MoveStage::Stopping => 1,
+        MoveStage::Ready => 2,
+        MoveStage::Launching => 3,
+        MoveStage::Settled | MoveStage::Abandoned(_) => 4,
     }
 }
 
@@ -49,12 +49,12 @@
             if before.stage.is_final() {
                 prop_assert_eq!(&m, &before, "nothing happens to a move that is over");
             }
-            let keeps = matches!(m.stage, Stage::Reserved | Stage::Stopping | Stage::Ready);
-            let room = if keeps { amounts(6.0) } else { Amounts::default() };
+            let keeps = matches!(m.stage, MoveStage::Reserved | MoveStage::Stopping | MoveStage::Ready);
+            let room = if keeps { amounts(6.0) } else { Resources::default() };
             prop_assert_eq!(m.reserved_on("n-000001"), room);
-            prop_assert_eq!(m.reserved_on("n-000000"), Amounts::default());
-            if matches!(m.stage, Stage::Ready | Stage::Launching | Stage::Settled) {
-                prop_assert!(m.legs.iter().all(|leg| leg.ended), "every task is off its source");
+            prop_assert_eq!(m.reserved_on("n-000000"), Resources::default());
+            if matches!(m.stage, MoveStage::Ready | MoveStage::Launching | MoveStage::Settled) {
+                prop_assert!(m.task_moves.iter().all(|task_move| task_move.ended), "every task is off its source");
             }
         }
     }
@@ -66,7 +66,7 @@
         for event in events {
             m.handle(0, event);
         }
-        let most = RESERVED_MOST_MS * 2 + m.save_ms + STOP_LATE_MS + LAUNCH_MOST_MS;
+        let most = RESERVATION_TIMEOUT_MS * 2 + m.save_ms + STOP_TIMEOUT_MARGIN_MS + LAUNCH_TIMEOUT_MS;
         for now in (0..=most).step_by(1_000) {
             m.handle(now, MoveEvent::Tick);
         }
@@ -82,17 +82,17 @@
 
 #[test]
 fn a_task_goes_all_the_way() {
-    let mut m = a_move(UnitId { job: 7, task: Some(3) }, &[3]);
+    let mut m = a_move(MoveUnit { job: 7, task: Some(3) }, &[3]);
     assert_eq!(m.leaving_from("n-000000"), amounts(2.0));
     let events = [
         MoveEvent::StopSent,
         MoveEvent::Ended { task: 3 },
         MoveEvent::Launched,
-        MoveEvent::Runs { task: 3 },
+        MoveEvent::Running { task: 3 },
     ];
     through(&mut m, &events);
-    assert_eq!(m.stage, Stage::Settled);
-    assert_eq!(m.leaving_from("n-000000"), Amounts::default());
+    assert_eq!(m.stage, MoveStage::Settled);
+    assert_eq!(m.leaving_from("n-000000"), Resources::default());
 }
 
 #[test]
@@ -101,10 +101,10 @@
     m.handle(0, MoveEvent::StopSent);
     m.handle(0, MoveEvent::Ended { task: 0 });
     m.handle(0, MoveEvent::Ended { task: 0 });
-    assert_eq!(m.stage, Stage::Stopping, "a copy of the same news is not the other task's");
+    assert_eq!(m.stage, MoveStage::Stopping, "a copy of the same news is not the other task's");
     assert!(!m.handle(0, MoveEvent::Launched));
     m.handle(0, MoveEvent::Ended { task: 1 });
-    assert_eq!(m.stage, Stage::Ready);
+    assert_eq!(m.stage, MoveStage::Ready);
 }
 
 #[test]
@@ -113,15 +113,15 @@
     let ended = [MoveEvent::StopSent, MoveEvent::Ended { task: 0 }];
     let launched = [MoveEvent::StopSent, MoveEvent::Ended { task: 0 }, MoveEvent::Launched];
     for (events, ms, reason) in [
-        (&[][..], RESERVED_MOST_MS, Reason::NotStopped),
-        (&stop[..], 2_000 + STOP_LATE_MS, Reason::StopLate),
-        (&ended[..], RESERVED_MOST_MS, Reason::TargetFull),
-        (&launched[..], LAUNCH_MOST_MS, Reason::NotStarted),
+        (&[][..], RESERVATION_TIMEOUT_MS, AbandonReason::StopNotSent),
+        (&stop[..], 2_000 + STOP_TIMEOUT_MARGIN_MS, AbandonReason::StopTimedOut),
+        (&ended[..], RESERVATION_TIMEOUT_MS, AbandonReason::TargetFull),
+        (&launched[..], LAUNCH_TIMEOUT_MS, AbandonReason::StartTimedOut),
     ] {
         let mut m = a_move(UNIT, &[0]);
         through(&mut m, events);
         assert!(!m.handle(ms - 1, MoveEvent::Tick), "{reason}");
         assert!(m.handle(ms, MoveEvent::Tick));
-        assert_eq!(m.stage, Stage::Abandoned(reason));
+        assert_eq!(m.stage, MoveStage::Abandoned(reason));
     }
 }
--- a/crates/latchtrack-balance/tests/planner.rs
+++ b/crates/latchtrack-balance/tests/planner.rs
@@ -7,21 +7,25 @@
 use std::sync::Arc;
 
 use common::*;
-use latchtrack_balance::amounts::Amounts;
-use latchtrack_balance::moves::{Leg, UnitId};
+use latchtrack_balance::moves::{MoveUnit, TaskMove};
 use latchtrack_balance::planner::{
     over_bound, plan, spreads, MachineLoad, Movable, Plan, PlanInput,
 };
+use latchtrack_balance::resources::Resources;
 use proptest::prelude::*;
 
 /// Loads after the moves of a plan, by machine.
-fn loads_after(input: &PlanInput, plan: &Plan) -> BTreeMap<Arc<str>, Amounts> {
-    let mut used: BTreeMap<Arc<str>, Amounts> =
+fn loads_after(input: &PlanInput, plan: &Plan) -> BTreeMap<Arc<str>, Resources> {
+    let mut used: BTreeMap<Arc<str>, Resources> =
         input.machines.iter().map(|m| (m.name.clone(), m.used)).collect();
-    for leg in plan.moves.iter().flat_map(|m| &m.legs) {
-        for (machine, more) in [(&leg.source, false), (&leg.target, true)] {
+    for task_move in plan.moves.iter().flat_map(|m| &m.task_moves) {
+        for (machine, more) in [(&task_move.source, false), (&task_move.target, true)] {
             let amounts = used.get_mut(machine).expect("a machine of the input");
-            *amounts = if more { amounts.plus(&leg.demand) } else { amounts.minus(&leg.demand) };
+            *amounts = if more {
+                amounts.plus(&task_move.demand)
+            } else {
+                amounts.minus(&task_move.demand)
+            };
         }
     }
     used
@@ -35,7 +39,7 @@
         let mut input = PlanInput { budget, worth_factor: 2.0, ..PlanInput::default() };
         for (index, ((pool, tasks), healthy)) in machines.into_iter().enumerate() {
             let capacity = amounts(if pool == 0 { 8.0 } else { 16.0 });
-            let mut used = Amounts::default();
+            let mut used = Resources::default();
             for (position, (cpus, saves, remaining)) in tasks.into_iter().enumerate() {
                 let demand = amounts(f64::from(cpus));
                 if !used.plus(&demand).fits_in(&capacity) {
@@ -43,7 +47,7 @@
                 }
                 used = used.plus(&demand);
                 if saves {
-                    let unit = UnitId { job: index as u64, task: Some(position as u32) };
+                    let unit = MoveUnit { job: index as u64, task: Some(position as u32) };
                     let mut movable = movable(unit, &[(position as u32, index)], f64::from(cpus));
                     movable.remaining_s = f64::from(remaining);
                     input.movables.push(movable);
@@ -99,11 +103,11 @@
         let mut units = BTreeSet::new();
         for m in &plan.moves {
             prop_assert!(units.insert(m.unit), "a unit moves once");
-            let sources: BTreeSet<_> = m.legs.iter().map(|leg| &leg.source).collect();
-            for leg in &m.legs {
-                let (from, to) = (by_name[&leg.source], by_name[&leg.target]);
+            let sources: BTreeSet<_> = m.task_moves.iter().map(|task_move| &task_move.source).collect();
+            for task_move in &m.task_moves {
+                let (from, to) = (by_name[&task_move.source], by_name[&task_move.target]);
                 prop_assert_eq!(from.pool, to.pool);
-                prop_assert!(from.may_give && to.may_receive && !sources.contains(&leg.target));
+                prop_assert!(from.may_give && to.may_receive && !sources.contains(&task_move.target));
             }
         }
     }
@@ -139,7 +143,7 @@
         }
         let plan = plan(&input);
         let after = loads_after(&input, &plan);
-        let moved: BTreeSet<UnitId> = plan.moves.iter().map(|m| m.unit).collect();
+        let moved: BTreeSet<MoveUnit> = plan.moves.iter().map(|m| m.unit).collect();
         for machine in &mut input.machines {
             machine.used = after[&machine.name];
         }
@@ -165,8 +169,8 @@
         let plan = plan(&input);
         prop_assert!(plan.moves.iter().all(|m| Some(m.unit) != spoilt));
         let name = &input.machines[at].name;
-        for leg in plan.moves.iter().flat_map(|m| &m.legs) {
-            prop_assert!(leg.source != *name && leg.target != *name);
+        for task_move in plan.moves.iter().flat_map(|m| &m.task_moves) {
+            prop_assert!(task_move.source != *name && task_move.target != *name);
         }
     }
 }
@@ -179,13 +183,13 @@
     for (index, tasks) in [16u32, 6, 6, 4].into_iter().enumerate() {
         input.machines.push(machine(index, 16.0, f64::from(tasks)));
         for task in 0..tasks {
-            let unit = UnitId { job: index as u64, task: Some(task) };
+            let unit = MoveUnit { job: index as u64, task: Some(task) };
             input.movables.push(movable(unit, &[(task, index)], 1.0));
         }
     }
     let moves = plan(&input).moves;
     assert_eq!(moves.len(), 5, "down to eleven");
-    assert!(moves.iter().all(|m| *m.legs[0].source == *name(0)));
+    assert!(moves.iter().all(|m| *m.task_moves[0].source == *name(0)));
 }
 
 /// Two crowded machines, and a budget that would go to one of them alone.
@@ -197,7 +201,7 @@
     input.machines[0].used = amounts(14.0);
     let moves = plan(&input).moves;
     let machines: BTreeSet<&Arc<str>> =
-        moves.iter().flat_map(|m| [&m.legs[0].source, &m.legs[0].target]).collect();
+        moves.iter().flat_map(|m| [&m.task_moves[0].source, &m.task_moves[0].target]).collect();
     assert_eq!((moves.len(), machines.len()), (2, 4), "{moves:?}");
 }
 
@@ -225,8 +229,9 @@
     }
     let moves = latchtrack_balance::planner::plan(&input).moves;
     assert!(!moves.is_empty());
-    let from_full = |leg: &Leg| input.machines[4..].iter().any(|m| m.name == leg.source);
-    assert!(!moves.iter().flat_map(|m| &m.legs).any(from_full));
+    let from_full =
+        |task_move: &TaskMove| input.machines[4..].iter().any(|m| m.name == task_move.source);
+    assert!(!moves.iter().flat_map(|m| &m.task_moves).any(from_full));
 }
 
 /// A target that comes over the bound by what it receives gives of its own.
@@ -236,14 +241,14 @@
     for (index, used) in [16.0, 4.0, 4.0, 4.0].into_iter().enumerate() {
         input.machines.push(machine(index, 16.0, used));
     }
-    let task = |job, task| UnitId { job, task: Some(task) };
+    let task = |job, task| MoveUnit { job, task: Some(task) };
     let mut large = movable(task(0, 9), &[(9, 0)], 6.0);
     large.cost_s = 1.0;
     input.movables.push(large);
     input.movables.extend((0..4).map(|i| movable(task(1, i), &[(i, 1)], 1.0)));
     // Mean 0.4375: the large task takes machine 1 to 0.625, which is over 0.609.
     let sources: Vec<Arc<str>> =
-        plan(&input).moves.iter().map(|m| m.legs[0].source.clone()).collect();
+        plan(&input).moves.iter().map(|m| m.task_moves[0].source.clone()).collect();
     assert_eq!(sources, [name(0), name(1)]);
 }
 
@@ -254,9 +259,9 @@
     input.once_per_machine = true;
     input.machines[0].used = amounts(16.0);
     input.machines[1].used = amounts(15.0);
-    let mut cheap = movable(UnitId { job: 1, task: Some(0) }, &[(0, 0)], 1.0);
+    let mut cheap = movable(MoveUnit { job: 1, task: Some(0) }, &[(0, 0)], 1.0);
     cheap.cost_s = 1.0;
-    let gang = movable(UnitId { job: 2, task: None }, &[(0, 0), (1, 1)], 1.0);
+    let gang = movable(MoveUnit { job: 2, task: None }, &[(0, 0), (1, 1)], 1.0);
     input.movables = vec![cheap, gang];
     let moves = plan(&input).moves;
     assert_eq!((moves.len(), moves[0].unit.job), (1, 1), "{moves:?}");
@@ -270,7 +275,7 @@
     let mut input = PlanInput { budget: 10, worth_factor: 2.0, ..PlanInput::default() };
     input.machines = vec![machine(0, 8.0, 8.0), machine(1, 8.0, 1.0), machine(2, 8.0, 0.0)];
     input.machines[1].pool = 1;
-    input.movables = vec![movable(UnitId { job: 1, task: None }, &[(0, 0), (1, 1)], 1.0)];
+    input.movables = vec![movable(MoveUnit { job: 1, task: None }, &[(0, 0), (1, 1)], 1.0)];
     assert_eq!(plan(&input).moves, []);
     input.machines[1].pool = 0;
     assert_eq!(plan(&input).moves.len(), 1);
@@ -302,7 +307,7 @@
         let tasks = if index < busy { each } else { 0 };
         input.machines.push(machine(index, 16.0, f64::from(tasks)));
         for task in 0..tasks {
-            let unit = UnitId { job: index as u64, task: Some(task) };
+            let unit = MoveUnit { job: index as u64, task: Some(task) };
             input.movables.push(movable(unit, &[(task, index)], 1.0));
         }
     }
@@ -361,12 +366,12 @@
 fn a_gang_moves_whole_to_other_machines_or_not_at_all() {
     let mut input = PlanInput { budget: 10, worth_factor: 2.0, ..PlanInput::default() };
     input.machines = vec![machine(0, 8.0, 8.0), machine(1, 8.0, 0.0), machine(2, 8.0, 0.0)];
-    let gang = UnitId { job: 1, task: None };
+    let gang = MoveUnit { job: 1, task: None };
     input.movables = vec![movable(gang, &[(0, 0), (1, 0)], 1.0)];
     let moves = plan(&input).moves;
     assert_eq!(moves.len(), 1);
-    assert_eq!(moves[0].legs.len(), 2, "all of it");
-    assert!(moves[0].legs.iter().all(|leg| *leg.target != *name(0)));
+    assert_eq!(moves[0].task_moves.len(), 2, "all of it");
+    assert!(moves[0].task_moves.iter().all(|task_move| *task_move.target != *name(0)));
     // Room for one of the two only.
     input.machines[1].may_receive = false;
     input.machines[2].used = amounts(6.0);
--- a/crates/latchtrack-balance/tests/shares.rs
+++ b/crates/latchtrack-balance/tests/shares.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::config;
-use latchtrack_balance::arrivals::{Arrivals, DecayedRate, Heat};
+use latchtrack_balance::arrivals::{ArrivalLevel, Arrivals, DecayedRate};
 use latchtrack_balance::fairness::{shares, TeamDemand};
-use latchtrack_balance::locality::{fetch_s, Place};
+use latchtrack_balance::locality::{fetch_s, PlacementOption};
 use proptest::prelude::*;
 
 fn team(guarantee: f64, limit: f64, wanted: f64) -> TeamDemand {
@@ -65,7 +65,7 @@
 
     #[test]
     fn the_placement_term_is_bounded(fetch in any::<f64>(), run in any::<f64>(), load in any::<f64>(), bound in any::<f64>()) {
-        let cost = Place { fetch_s: fetch.abs(), run_s: run.abs(), load_after: load, bound }.cost();
+        let cost = PlacementOption { fetch_s: fetch.abs(), run_s: run.abs(), load_after: load, bound }.cost();
         prop_assert!((0.0..=1.0).contains(&cost), "{cost}");
     }
 }
@@ -102,34 +102,35 @@
     for second in 300..302u64 {
         arrivals.add(second * 1_000, "bursting", 100.0);
     }
-    assert_eq!(arrivals.judge(302_000, "steady", 10.0), Heat::Calm);
-    assert_eq!(arrivals.judge(302_000, "bursting", 10.0), Heat::Burst);
+    assert_eq!(arrivals.classify(302_000, "steady", 10.0), ArrivalLevel::Normal);
+    assert_eq!(arrivals.classify(302_000, "bursting", 10.0), ArrivalLevel::Burst);
     for second in 302..500u64 {
         arrivals.add(second * 1_000, "hot", 30.0);
     }
-    assert_eq!(arrivals.judge(500_000, "hot", 10.0), Heat::Hot);
+    assert_eq!(arrivals.classify(500_000, "hot", 10.0), ArrivalLevel::Hot);
     assert_eq!(arrivals.hot_teams(), ["hot"]);
     // At its share it stays hot, well below it has cooled.
     for second in 500..900u64 {
         arrivals.add(second * 1_000, "hot", 10.0);
     }
-    assert_eq!(arrivals.judge(900_000, "hot", 10.0), Heat::Hot);
+    assert_eq!(arrivals.classify(900_000, "hot", 10.0), ArrivalLevel::Hot);
     for second in 900..1_300u64 {
         arrivals.add(second * 1_000, "hot", 5.0);
     }
-    assert_eq!(arrivals.judge(1_300_000, "hot", 10.0), Heat::Calm);
-    assert_eq!(arrivals.judge(1_300_000, "unknown", 10.0), Heat::Calm);
-    assert_eq!(arrivals.judge(1_300_000, "hot", f64::NAN), Heat::Calm);
+    assert_eq!(arrivals.classify(1_300_000, "hot", 10.0), ArrivalLevel::Normal);
+    assert_eq!(arrivals.classify(1_300_000, "unknown", 10.0), ArrivalLevel::Normal);
+    assert_eq!(arrivals.classify(1_300_000, "hot", f64::NAN), ArrivalLevel::Normal);
 }
 
 #[test]
 fn a_warm_machine_is_preferred_until_it_is_crowded() {
-    let warm = |load_after| Place { fetch_s: 0.0, run_s: 20.0, load_after, bound: 0.6 }.cost();
-    let cold = Place { fetch_s: 5.0, run_s: 20.0, load_after: 0.1, bound: 0.6 }.cost();
+    let warm =
+        |load_after| PlacementOption { fetch_s: 0.0, run_s: 20.0, load_after, bound: 0.6 }.cost();
+    let cold = PlacementOption { fetch_s: 5.0, run_s: 20.0, load_after: 0.1, bound: 0.6 }.cost();
     assert!(warm(0.6) < cold, "within the bound");
     assert!(warm(1.0) > cold, "0.4 of a machine over it");
     // For a short task the fetch is what counts.
-    let short = Place { fetch_s: 20.0, run_s: 5.0, load_after: 0.1, bound: 0.6 }.cost();
+    let short = PlacementOption { fetch_s: 20.0, run_s: 5.0, load_after: 0.1, bound: 0.6 }.cost();
     assert!(warm(1.0) < short);
     assert!((fetch_s(2.0, 3.0, 0.5) - 10.0).abs() < 1e-9, "fetches share the rate");
 }
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use latchtrack_balance::arrivals::Heat;
+use latchtrack_balance::arrivals::ArrivalLevel;
 use latchtrack_balance::fairness::{shares, TeamDemand};
 
 use super::moves::amounts;
@@ -63,8 +63,8 @@
         let shares = shares(&demands);
         let mut hot = BTreeMap::new();
         for (team, share) in self.policy.teams.iter().zip(shares) {
-            let heat = self.load_balancing.arrivals.judge(now, &team.name, share * total.cpus);
-            if heat == Heat::Hot {
+            let heat = self.load_balancing.arrivals.classify(now, &team.name, share * total.cpus);
+            if heat == ArrivalLevel::Hot {
                 hot.insert(team.name.clone(), share);
             }
         }
--- a/crates/latchtrack-core/src/scheduler/moves.rs
+++ b/crates/latchtrack-core/src/scheduler/moves.rs
@@ -6,13 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use latchtrack_balance::amounts::Amounts;
 use latchtrack_balance::arrivals::Arrivals;
-use latchtrack_balance::balancer::{Balancer, Limits, MoveCounts};
+use latchtrack_balance::balancer::{Balancer, MoveCounts, MoveLimits};
 use latchtrack_balance::constants::MOVE_OVERHEAD_S;
-use latchtrack_balance::locality::{fetch_s, Place};
-use latchtrack_balance::moves::{Leg, Move, MoveEvent, Reason, Stage, UnitId};
+use latchtrack_balance::locality::{fetch_s, PlacementOption};
+use latchtrack_balance::moves::{AbandonReason, Move, MoveEvent, MoveStage, MoveUnit, TaskMove};
 use latchtrack_balance::planner::{MachineLoad, Movable, PlanInput};
+use latchtrack_balance::resources::Resources;
 use latchtrack_balance::spread::Spread;
 
 use super::messages::Effect;
@@ -38,7 +38,7 @@
 }
 
 impl LoadBalancing {
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: MoveLimits) -> Self {
         LoadBalancing {
             balancer: Balancer::new(limits),
             arrivals: Arrivals::default(),
@@ -96,7 +96,7 @@
     }
 
     /// What moves keep free on a machine.
-    pub(super) fn reserved_on(&self, machine: &str) -> Amounts {
+    pub(super) fn reserved_on(&self, machine: &str) -> Resources {
         self.load_balancing.balancer.reserved_on(machine)
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// What weighs against a place before its size and score: that the image is not there, or, with
-    /// balanced placement, the term of [`Place::cost`].
+    /// balanced placement, the term of [`PlacementOption::cost`].
     pub(super) fn placement_cost(&self, spec: &JobSpec, room: &FreeCapacity) -> f64 {
         let is_cold = !room.images.contains(&spec.image);
         let Some(balance) = &room.balance else { return f64::from(u8::from(is_cold)) };
@@ -137,7 +137,7 @@
         let demand = amounts(&spec.demand);
         let used = capacity.minus(&amounts(&room.free)).plus(&demand);
         let spread = Spread { mean: balance.mean_load, ..Spread::default() };
-        Place {
+        PlacementOption {
             fetch_s,
             run_s: spec.estimate_s,
             load_after: used.dominant_share(&capacity),
@@ -213,7 +213,7 @@
                         gangs.entry(spec.id).or_default().push((run.task.index, index));
                     }
                     Some(spec) => {
-                        let unit = UnitId { job: spec.id.0, task: Some(run.task.index) };
+                        let unit = MoveUnit { job: spec.id.0, task: Some(run.task.index) };
                         let tasks = vec![(run.task.index, index)];
                         let since = run.running_since.unwrap_or(now);
                         let kind = &self.inventory[name.as_str()].kind;
@@ -232,7 +232,7 @@
             let on = tasks.first().map(|(_, index)| input.machines[*index].name.to_string());
             let Some(m) = on.and_then(|name| self.inventory.get(&name)) else { continue };
             let since = self.latest_start(job).unwrap_or(now);
-            let unit = UnitId { job: id.0, task: None };
+            let unit = MoveUnit { job: id.0, task: None };
             let movable = self.movable(now, unit, &job.spec, tasks, since, &m.kind);
             input.movables.push(movable);
         }
@@ -252,7 +252,7 @@
     fn load_of(&mut self, now: Millis, name: &str) -> Option<MachineLoad> {
         let m = self.inventory.get(name)?;
         let t = self.inventory.type_named(&m.kind)?;
-        let capacity = Amounts { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb };
+        let capacity = Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb };
         let used = amounts(&m.allocated()?)
             .plus(&self.load_balancing.balancer.reserved_on(name))
             .minus(&self.load_balancing.balancer.leaving_from(name));
@@ -290,7 +290,7 @@
     fn movable(
         &self,
         now: Millis,
-        unit: UnitId,
+        unit: MoveUnit,
         spec: &JobSpec,
         tasks: Vec<(u32, usize)>,
         since: Millis,
@@ -315,11 +315,13 @@
         let id = JobId(begun.unit.job);
         let stopped = match begun.unit.task {
             None => self.stop_gang_to_move(now, id),
-            Some(_) => begun.legs.iter().all(|leg| self.stop_to_move(now, id, leg)),
+            Some(_) => {
+                begun.task_moves.iter().all(|task_move| self.stop_to_move(now, id, task_move))
+            }
         };
         let event = match stopped {
             true => MoveEvent::StopSent,
-            false => MoveEvent::Failed(Reason::NotStopped),
+            false => MoveEvent::Failed(AbandonReason::StopNotSent),
         };
         self.advance_move(now, begun.unit, event);
     }
@@ -329,20 +331,20 @@
         self.jobs.get(&id).is_some_and(|job| job.stop_is_under_way(self))
     }
 
-    fn stop_to_move(&mut self, now: Millis, id: JobId, leg: &Leg) -> bool {
-        let Some(place) = self.jobs.get(&id).and_then(|job| job.placed.get(&leg.task)) else {
+    fn stop_to_move(&mut self, now: Millis, id: JobId, task_move: &TaskMove) -> bool {
+        let Some(place) = self.jobs.get(&id).and_then(|job| job.placed.get(&task_move.task)) else {
             return false;
         };
-        let key = (TaskId { job: id, index: leg.task }, place.attempt);
+        let key = (TaskId { job: id, index: task_move.task }, place.attempt);
         let probe_ms = self.policy.probe_ms();
-        let Some(m) = self.inventory.get_mut(&leg.source) else { return false };
-        if *place.machine != *leg.source || m.heartbeat_older_than(now, probe_ms) {
+        let Some(m) = self.inventory.get_mut(&task_move.source) else { return false };
+        if *place.machine != *task_move.source || m.heartbeat_older_than(now, probe_ms) {
             return false;
         }
         let Some(run) = m.runs.get_mut(&key).filter(|run| is_movable(run)) else { return false };
         let save_s = run.spec.as_ref().map_or(0.0, |spec| spec.save_s);
         run.stop = Some(StopRequest { grace_s: save_s + STOP_GRACE_S, sent_at: None });
-        self.dispatcher.pending.insert(leg.source.to_string());
+        self.dispatcher.pending.insert(task_move.source.to_string());
         true
     }
 
@@ -357,7 +359,7 @@
             }
             let ready =
                 self.load_balancing.balancer.moves().iter().find(|m| m.unit == under_way.unit);
-            if let Some(ready) = ready.filter(|m| m.stage == Stage::Ready).cloned() {
+            if let Some(ready) = ready.filter(|m| m.stage == MoveStage::Ready).cloned() {
                 let event = match self.launch_on_targets(now, &ready) {
                     Ok(()) => MoveEvent::Launched,
                     Err(reason) => MoveEvent::Failed(reason),
@@ -368,8 +370,10 @@
         }
     }
 
-    fn advance_move(&mut self, now: Millis, unit: UnitId, event: MoveEvent) {
-        let Some(stage) = self.load_balancing.balancer.tell(now, unit, event) else { return };
+    fn advance_move(&mut self, now: Millis, unit: MoveUnit, event: MoveEvent) {
+        let Some(stage) = self.load_balancing.balancer.handle_event(now, unit, event) else {
+            return;
+        };
         if stage.is_final() {
             // What was reserved is free, or its task waits in the queue.
             self.cycle_timer.requested = true;
@@ -381,88 +385,90 @@
     /// What has happened to a move since it was last looked at.
     fn move_events(&self, now: Millis, m: &Move) -> Vec<MoveEvent> {
         let Some(job) = self.jobs.get(&JobId(m.unit.job)) else {
-            return vec![MoveEvent::Failed(Reason::JobOver)];
+            return vec![MoveEvent::Failed(AbandonReason::JobOver)];
         };
-        let events = m.legs.iter().filter_map(|leg| match m.stage {
-            Stage::Reserved | Stage::Stopping => self.stopping_event(now, job, leg),
-            Stage::Launching => self.launching_event(job, leg),
-            Stage::Ready | Stage::Settled | Stage::Abandoned(_) => None,
+        let events = m.task_moves.iter().filter_map(|task_move| match m.stage {
+            MoveStage::Reserved | MoveStage::Stopping => self.stopping_event(now, job, task_move),
+            MoveStage::Launching => self.launching_event(job, task_move),
+            MoveStage::Ready | MoveStage::Settled | MoveStage::Abandoned(_) => None,
         });
         events.collect()
     }
 
-    fn stopping_event(&self, now: Millis, job: &Job, leg: &Leg) -> Option<MoveEvent> {
-        if job.done.get(leg.task) {
-            return Some(MoveEvent::Failed(Reason::Completed));
+    fn stopping_event(&self, now: Millis, job: &Job, task_move: &TaskMove) -> Option<MoveEvent> {
+        if job.done.get(task_move.task) {
+            return Some(MoveEvent::Failed(AbandonReason::Completed));
         }
-        match job.placed.get(&leg.task) {
-            None => Some(MoveEvent::Ended { task: leg.task }),
-            Some(place) if *place.machine != *leg.source => {
-                Some(MoveEvent::Failed(Reason::JobOver))
+        match job.placed.get(&task_move.task) {
+            None => Some(MoveEvent::Ended { task: task_move.task }),
+            Some(place) if *place.machine != *task_move.source => {
+                Some(MoveEvent::Failed(AbandonReason::JobOver))
             }
             Some(_) => {
-                let source = self.inventory.get(&leg.source);
+                let source = self.inventory.get(&task_move.source);
                 let goes = source.is_none_or(|m| {
                     m.to_terminate || m.heartbeat_older_than(now, self.policy.probe_ms())
                 });
-                goes.then_some(MoveEvent::Failed(Reason::SourceLost))
+                goes.then_some(MoveEvent::Failed(AbandonReason::SourceLost))
             }
         }
     }
 
-    fn launching_event(&self, job: &Job, leg: &Leg) -> Option<MoveEvent> {
-        if job.done.get(leg.task) {
-            return Some(MoveEvent::Runs { task: leg.task });
+    fn launching_event(&self, job: &Job, task_move: &TaskMove) -> Option<MoveEvent> {
+        if job.done.get(task_move.task) {
+            return Some(MoveEvent::Running { task: task_move.task });
         }
-        let place = job.placed.get(&leg.task).filter(|place| place.machine == leg.target);
-        let Some(place) = place else { return Some(MoveEvent::Failed(Reason::TargetLost)) };
-        let key = (TaskId { job: job.spec.id, index: leg.task }, place.attempt);
-        let run = self.inventory.get(&leg.target)?.runs.get(&key)?;
-        (run.phase == TaskPhase::Running).then_some(MoveEvent::Runs { task: leg.task })
+        let place =
+            job.placed.get(&task_move.task).filter(|place| place.machine == task_move.target);
+        let Some(place) = place else { return Some(MoveEvent::Failed(AbandonReason::TargetLost)) };
+        let key = (TaskId { job: job.spec.id, index: task_move.task }, place.attempt);
+        let run = self.inventory.get(&task_move.target)?.runs.get(&key)?;
+        (run.phase == TaskPhase::Running).then_some(MoveEvent::Running { task: task_move.task })
     }
 
     /// Launches the tasks of a move on its targets, if every rule allows it now.
-    fn launch_on_targets(&mut self, now: Millis, m: &Move) -> Result<(), Reason> {
+    fn launch_on_targets(&mut self, now: Millis, m: &Move) -> Result<(), AbandonReason> {
         let id = JobId(m.unit.job);
         self.check_launch(now, id, m)?;
-        let Some(job) = self.jobs.get_mut(&id) else { return Err(Reason::JobOver) };
+        let Some(job) = self.jobs.get_mut(&id) else { return Err(AbandonReason::JobOver) };
         let spec = job.spec.clone();
-        let legs: Vec<&Leg> = m.legs.iter().filter(|leg| job.take_one(leg.task)).collect();
-        for leg in legs {
-            self.assign_tasks(id, &spec, &leg.target, &[leg.task]);
+        let task_moves: Vec<&TaskMove> =
+            m.task_moves.iter().filter(|task_move| job.take_one(task_move.task)).collect();
+        for task_move in task_moves {
+            self.assign_tasks(id, &spec, &task_move.target, &[task_move.task]);
         }
         Ok(())
     }
 
     /// The checks of any launch: what the job allows, its team's limit, and the room on each target.
-    fn check_launch(&self, now: Millis, id: JobId, m: &Move) -> Result<(), Reason> {
-        let job = self.jobs.get(&id).ok_or(Reason::JobOver)?;
+    fn check_launch(&self, now: Millis, id: JobId, m: &Move) -> Result<(), AbandonReason> {
+        let job = self.jobs.get(&id).ok_or(AbandonReason::JobOver)?;
         let spec = &job.spec;
-        if self.tasks_within_limit(spec, &self.limited_usage()) < m.legs.len() as u32 {
-            return Err(Reason::TeamLimit);
+        if self.tasks_within_limit(spec, &self.limited_usage()) < m.task_moves.len() as u32 {
+            return Err(AbandonReason::TeamLimit);
         }
         let mut zones: Vec<Arc<str>> = self.zones_in_use(job);
         let mut taken: BTreeMap<&str, u32> = BTreeMap::new();
-        for leg in &m.legs {
-            let target = self.inventory.get(&leg.target).ok_or(Reason::TargetLost)?;
-            let mut room = self.free_capacity_of(now, target).ok_or(Reason::TargetLost)?;
+        for task_move in &m.task_moves {
+            let target = self.inventory.get(&task_move.target).ok_or(AbandonReason::TargetLost)?;
+            let mut room = self.free_capacity_of(now, target).ok_or(AbandonReason::TargetLost)?;
             if !self.accepts_moves(now, target) {
-                return Err(Reason::TargetLost);
+                return Err(AbandonReason::TargetLost);
             }
             let others = zones.iter().map(|zone| &**zone);
             let may_start = rules::may_start(spec, &room.kind, &room.zone, room.spot, others);
-            if !may_start || self.avoids_machine(now, job, &leg.target) {
-                return Err(Reason::NotAllowed);
+            if !may_start || self.avoids_machine(now, job, &task_move.target) {
+                return Err(AbandonReason::ConstraintViolated);
             }
             // Its own reservation is taken off the room of a machine like any other.
-            let own = m.reserved_on(&leg.target);
+            let own = m.reserved_on(&task_move.target);
             room.free.cpus += own.cpus;
             room.free.gpus += own.gpus;
             room.free.memory_gb += own.memory_gb;
-            let here = taken.entry(&leg.target).or_default();
+            let here = taken.entry(&task_move.target).or_default();
             *here += 1;
             if room.holds(&spec.demand) < *here {
-                return Err(Reason::TargetFull);
+                return Err(AbandonReason::TargetFull);
             }
             zones.push(room.zone.clone());
         }
@@ -505,11 +511,11 @@
     run.phase == TaskPhase::Running && saves && run.stop.is_none()
 }
 
-pub(super) fn amounts(demand: &Demand) -> Amounts {
-    Amounts { cpus: demand.cpus, gpus: demand.gpus, memory_gb: demand.memory_gb }
+pub(super) fn amounts(demand: &Demand) -> Resources {
+    Resources { cpus: demand.cpus, gpus: demand.gpus, memory_gb: demand.memory_gb }
 }
 
-fn describe_unit(unit: UnitId) -> String {
+fn describe_unit(unit: MoveUnit) -> String {
     match unit.task {
         Some(index) => TaskId { job: JobId(unit.job), index }.to_string(),
         None => format!("gang {}", JobId(unit.job)),
@@ -518,12 +524,15 @@
 
 /// A move in one line.
 fn describe(m: &Move) -> String {
-    let legs: Vec<String> =
-        m.legs.iter().map(|leg| format!("{} to {}", leg.source, leg.target)).collect();
+    let task_moves: Vec<String> = m
+        .task_moves
+        .iter()
+        .map(|task_move| format!("{} to {}", task_move.source, task_move.target))
+        .collect();
     format!(
         "{} from {}, {} (load {:.2}, bound {:.2})",
         describe_unit(m.unit),
-        legs.join(", "),
+        task_moves.join(", "),
         m.stage,
         m.load,
         m.bound
--- a/crates/latchtrack-core/src/scheduler/policy.rs
+++ b/crates/latchtrack-core/src/scheduler/policy.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use latchtrack_balance::balancer::Limits;
+use latchtrack_balance::balancer::MoveLimits;
 
 use crate::constants::*;
 use crate::placement::ScoreWeights;
@@ -53,7 +53,7 @@
     pub teams: bool,
     /// Moves running tasks.
     pub moves: bool,
-    pub limits: Limits,
+    pub limits: MoveLimits,
     /// ms after a take-over in which nothing moves.
     pub calm_ms: Millis,
 }
@@ -64,7 +64,7 @@
             placement: false,
             teams: false,
             moves: false,
-            limits: Limits::default(),
+            limits: MoveLimits::default(),
             calm_ms: MOVES_DELAY_AFTER_FAILOVER_MS,
         }
     }
--- a/crates/latchtrack-core/tests/balance.rs
+++ b/crates/latchtrack-core/tests/balance.rs
@@ -7,19 +7,19 @@
 
 use common::site::*;
 use common::{name, policy, spec, LEASE};
-use latchtrack_balance::balancer::Limits;
-use latchtrack_balance::moves::Stage;
+use latchtrack_balance::balancer::MoveLimits;
+use latchtrack_balance::moves::MoveStage;
 use latchtrack_core::job::{Demand, JobId, JobSpec, TaskId};
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
 /// Quick enough for small cases; the order of the times is that of the defaults.
-const LIMITS: Limits = Limits {
+const LIMITS: MoveLimits = MoveLimits {
     over_bound_ms: 2_000,
     min_run_ms: 3_000,
     task_cooldown_ms: 20_000,
     machine_gap_ms: 1_000,
-    machine_rest_ms: 20_000,
+    machine_cooldown_ms: 20_000,
     moves_per_minute: 60,
     worth_factor: 3.0,
 };
@@ -95,16 +95,16 @@
 
 /// Passes time in small steps until a move is in this stage; its task, source and target.
 #[track_caller]
-fn until(site: &mut Site, stage: Stage) -> (TaskId, u64, u64) {
+fn until(site: &mut Site, stage: MoveStage) -> (TaskId, u64, u64) {
     for _ in 0..200 {
         if let Some(m) = site.leader.moves().iter().find(|m| m.stage == stage) {
-            let leg = &m.legs[0];
-            let task = TaskId { job: JobId(m.unit.job), index: leg.task };
-            return (task, number(&leg.source), number(&leg.target));
+            let task_move = &m.task_moves[0];
+            let task = TaskId { job: JobId(m.unit.job), index: task_move.task };
+            return (task, number(&task_move.source), number(&task_move.target));
         }
         let saving =
             site.tasks.values().flatten().any(|(_, phase)| *phase == TaskPhase::Checkpointing);
-        if saving && stage != Stage::Stopping {
+        if saving && stage != MoveStage::Stopping {
             work_saved(site);
         }
         site.pass(200);
@@ -189,7 +189,7 @@
 #[test]
 fn a_reserved_target_is_kept_from_others() {
     let mut site = crowded(moving());
-    let (_, source, target) = until(&mut site, Stage::Stopping);
+    let (_, source, target) = until(&mut site, MoveStage::Stopping);
     assert_eq!(source, 0);
     // As many tasks of one CPU as the zone has room for, but for the one that is reserved.
     site.submit(JobSpec { zone: Some("a".into()), ..saving(2, 16) });
@@ -206,7 +206,7 @@
 fn a_reserved_target_is_not_given_back_as_idle() {
     let mut site = crowded(Policy { on_demand_idle_timeout_ms: 12_000, ..moving() });
     site.deletes = true;
-    let (_, _, target) = until(&mut site, Stage::Stopping);
+    let (_, _, target) = until(&mut site, MoveStage::Stopping);
     // The tasks take their time to save.
     site.pass(15_000);
     assert!(!site.tasks.contains_key(&1), "an empty machine of the other zone has gone back");
@@ -265,7 +265,7 @@
 #[test]
 fn a_task_that_has_saved_goes_to_its_target_and_not_into_the_queue() {
     let mut site = crowded(moving());
-    let (task, source, target) = until(&mut site, Stage::Stopping);
+    let (task, source, target) = until(&mut site, MoveStage::Stopping);
     site.now += 150;
     work_saved(&mut site);
     site.report(source);
@@ -279,7 +279,7 @@
     let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 8.0, gpus: 0.0, gpus_max: 0.0 };
     let mut site = crowded(Policy { teams: vec![team], ..moving() });
     site.submit(saving(2, 1));
-    let (task, ..) = until(&mut site, Stage::Stopping);
+    let (task, ..) = until(&mut site, MoveStage::Stopping);
     let stray = (TaskId { job: JobId(2), index: 0 }, 1);
     site.tasks.get_mut(&5).unwrap().insert(stray, TaskPhase::Running);
     site.report(5);
@@ -304,7 +304,7 @@
     site.pass(400);
     work(&mut site);
     assert_eq!((load(&site, 0), site.live(1).len()), (8, 2), "two of four in zone a, none in b");
-    let (task, ..) = until(&mut site, Stage::Stopping);
+    let (task, ..) = until(&mut site, MoveStage::Stopping);
     let stray = (TaskId { job: JobId(1), index: 3 }, 1);
     site.tasks.get_mut(&4).unwrap().insert(stray, TaskPhase::Running);
     site.report(4);
@@ -359,7 +359,7 @@
         // Long enough for its silence to show.
         site.pass(5_000);
         work(&mut site);
-        let (.., target) = until(&mut site, Stage::Stopping);
+        let (.., target) = until(&mut site, MoveStage::Stopping);
         assert_eq!(target, 4, "{trouble:?}");
     }
 }
@@ -377,7 +377,7 @@
     let whole = JobSpec { demand: all, zone: Some("b".into()), checkpoint_s: 0.0, ..saving(2, 8) };
     site.submit(whole);
     site.pass(400);
-    let (task, _, target) = until(&mut site, Stage::Stopping);
+    let (task, _, target) = until(&mut site, MoveStage::Stopping);
     let stray = (TaskId { job: JobId(2), index: 7 }, 1);
     site.tasks.get_mut(&target).unwrap().insert(stray, TaskPhase::Running);
     site.report(target);
@@ -391,7 +391,7 @@
 #[test]
 fn a_moved_task_is_not_launched_on_a_target_that_is_silent() {
     let mut site = crowded(moving());
-    let (task, _, target) = until(&mut site, Stage::Stopping);
+    let (task, _, target) = until(&mut site, MoveStage::Stopping);
     site.silent.insert(target);
     site.pass(5_000);
     work_saved(&mut site);
@@ -408,7 +408,7 @@
     // The third machine of the zone has little room.
     site.submit(filler(10, 6, "a"));
     site.pass(400);
-    let (task, _, target) = until(&mut site, Stage::Launching);
+    let (task, _, target) = until(&mut site, MoveStage::Launching);
     assert_eq!(load(&site, target), 1, "the one that was empty");
     work(&mut site);
     site.pass(1_000);
@@ -432,11 +432,11 @@
 #[test]
 fn a_source_that_falls_silent_ends_the_move_before_the_stop_is_late() {
     let mut site = crowded(moving());
-    let (_, source, target) = until(&mut site, Stage::Stopping);
+    let (_, source, target) = until(&mut site, MoveStage::Stopping);
     site.silent.insert(source);
     site.pass(8_000);
     assert!(site.notes.iter().any(|n| n.contains("source lost")), "{:?}", site.notes);
-    assert!(site.leader.moves().iter().all(|m| *m.legs[0].target != *name(target)));
+    assert!(site.leader.moves().iter().all(|m| *m.task_moves[0].target != *name(target)));
 }
 
 /// A leader that stood still has heard nothing meanwhile: what it knows of the machines is old.
@@ -536,7 +536,7 @@
 
 #[test]
 fn whatever_befalls_target_or_source_at_whatever_stage_each_task_runs_once() {
-    for stage in [Stage::Stopping, Stage::Launching] {
+    for stage in [MoveStage::Stopping, MoveStage::Launching] {
         for at_target in [true, false] {
             for trouble in TROUBLES {
                 let what = format!(
@@ -567,7 +567,7 @@
 
 #[test]
 fn several_machines_that_fail_together_lose_and_repeat_nothing() {
-    for stage in [Stage::Stopping, Stage::Launching] {
+    for stage in [MoveStage::Stopping, MoveStage::Launching] {
         for troubles in TROUBLES.windows(2) {
             let mut site = crowded(moving());
             site.deletes = true;
@@ -584,7 +584,7 @@
 
 #[test]
 fn a_job_cancelled_at_any_stage_ends_its_move() {
-    for stage in [Stage::Stopping, Stage::Launching] {
+    for stage in [MoveStage::Stopping, MoveStage::Launching] {
         let mut site = crowded(moving());
         until(&mut site, stage);
         site.drive(Event::JobClosed(JobId(1)));
@@ -601,7 +601,7 @@
 /// The leader changes at each stage, to a version that moves or to one that knows no moves, and back.
 #[test]
 fn a_leader_change_at_any_stage_costs_a_place_in_the_queue_and_nothing_else() {
-    for stage in [Stage::Stopping, Stage::Launching] {
+    for stage in [MoveStage::Stopping, MoveStage::Launching] {
         for next_moves in [true, false] {
             let what = format!("while {stage}, the next moves: {next_moves}");
             let mut site = crowded(moving());
@@ -642,7 +642,7 @@
 #[test]
 fn a_stop_that_does_not_end_in_time_abandons_the_move_and_frees_the_target() {
     let mut site = crowded(moving());
-    let (task, source, target) = until(&mut site, Stage::Stopping);
+    let (task, source, target) = until(&mut site, MoveStage::Stopping);
     // What is told to save takes 40 s; the next one would be told to stop then.
     for _ in 0..40 {
         site.pass(1_000);
@@ -666,10 +666,10 @@
 #[test]
 fn a_late_copy_of_the_sources_report_brings_nothing_back() {
     let mut site = crowded(moving());
-    let (task, source, _) = until(&mut site, Stage::Stopping);
+    let (task, source, _) = until(&mut site, MoveStage::Stopping);
     let copy = site.report_of(source);
     site.report(source);
-    let (launched, ..) = until(&mut site, Stage::Launching);
+    let (launched, ..) = until(&mut site, MoveStage::Launching);
     assert_eq!(launched, task);
     site.drive(Event::Heartbeat(copy.clone()));
     go_on(&mut site, 3_000);
@@ -681,7 +681,7 @@
 #[test]
 fn a_task_that_completes_before_it_stops_is_done_and_not_moved() {
     let mut site = crowded(moving());
-    let (task, source, _) = until(&mut site, Stage::Stopping);
+    let (task, source, _) = until(&mut site, MoveStage::Stopping);
     let launches = site.launches.iter().filter(|(_, t, _)| *t == task).count();
     let tasks = site.tasks.get_mut(&source).unwrap();
     for ((t, _), phase) in tasks.iter_mut() {
@@ -725,7 +725,7 @@
     site.pass(400);
     work(&mut site);
     assert_eq!(load(&site, 0), 8);
-    until(&mut site, Stage::Stopping);
+    until(&mut site, MoveStage::Stopping);
     let first = site.live(1);
     // One has saved: its gang's progress is safe, and the other is told to go. The next attempt waits
     // for that.
@@ -900,7 +900,7 @@
         gpus_max: 0.0,
     };
     let balance = BalancePolicy { teams: true, ..moving().balance };
-    let limits = Limits { moves_per_minute: 12, ..LIMITS };
+    let limits = MoveLimits { moves_per_minute: 12, ..LIMITS };
     let balance = BalancePolicy { limits, ..balance };
     let teams = vec![team("bound", 6.0), team("free", 0.0)];
     let mut site = Site::new(12, Policy { balance, teams, ..moving() });
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use latchtrack_balance::balancer::{Limits, MoveCounts};
+use latchtrack_balance::balancer::{MoveCounts, MoveLimits};
 use latchtrack_core::bitmap::Bitmap;
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority, TaskId};
 use latchtrack_core::machine::*;
--- a/crates/latchtrack-core/tests/simulation/world/nodes.rs
+++ b/crates/latchtrack-core/tests/simulation/world/nodes.rs
@@ -96,12 +96,12 @@
         if !self.size.balance || token % 3 == 0 {
             return BalancePolicy::default();
         }
-        let limits = Limits {
+        let limits = MoveLimits {
             over_bound_ms: 500,
             min_run_ms: 500,
             task_cooldown_ms: 5_000,
             machine_gap_ms: 500,
-            machine_rest_ms: 5_000,
+            machine_cooldown_ms: 5_000,
             moves_per_minute: MOVES_A_MINUTE,
             worth_factor: 0.2,
         };
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -84,12 +84,12 @@
     /// What the core needs of them.
     pub(super) fn policy(&self) -> BalancePolicy {
         let ms = |s: f64| (s * 1000.0) as u64;
-        let limits = balancer::Limits {
+        let limits = balancer::MoveLimits {
             over_bound_ms: ms(self.over_bound_s),
             min_run_ms: ms(self.min_run_s),
             task_cooldown_ms: ms(self.task_cooldown_s),
             machine_gap_ms: ms(self.machine_gap_s),
-            machine_rest_ms: balance::MACHINE_REST_MS,
+            machine_cooldown_ms: balance::MACHINE_COOLDOWN_MS,
             moves_per_minute: self.moves_per_minute,
             worth_factor: balance::WORTH_FACTOR,
         };
