--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -5,7 +5,7 @@
 use latchtrack_balance::arrivals::ArrivalLevel;
 use latchtrack_balance::fairness::{shares, TeamDemand};
 
-use super::moves::amounts;
+use super::load_balancing::amounts;
 use super::policy::Team;
 use super::Scheduler;
 use crate::job::{Demand, JobId};
