--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -5,7 +5,7 @@
 use latchtrack_balance::arrivals::ArrivalLevel;
 use latchtrack_balance::fairness::{shares, TeamDemand};
 
-use super::load_balancing::amounts;
+use super::load_balancing::resources_of;
 use super::policy::Team;
 use super::Scheduler;
 use crate::job::{Demand, JobId};
@@ -43,7 +43,7 @@
             let Some(share) = hot.get(&job.spec.team) else { continue };
             let taken = taken.entry(job.spec.team.clone()).or_default();
             rank.beyond_share = u8::from(*taken >= *share);
-            *taken += amounts(&job.spec.demand).dominant_share(&amounts(total))
+            *taken += resources_of(&job.spec.demand).dominant_share(&resources_of(total))
                 * f64::from(job.schedulable_tasks());
         }
     }
@@ -63,7 +63,7 @@
         let shares = shares(&demands);
         let mut hot = BTreeMap::new();
         for (team, share) in self.policy.teams.iter().zip(shares) {
-            let heat = self.load_balancing.arrivals.classify(now, &team.name, share * total.cpus);
+            let heat = self.load_balancing.classify_arrivals(now, &team.name, share * total.cpus);
             if heat == ArrivalLevel::Hot {
                 hot.insert(team.name.clone(), share);
             }
@@ -76,13 +76,13 @@
         let runs = self.inventory.runs();
         for spec in runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref()) {
             used.entry(spec.team.clone()).or_default().running +=
-                amounts(&spec.demand).dominant_share(&amounts(total));
+                resources_of(&spec.demand).dominant_share(&resources_of(total));
         }
         // Each job stands in the order once.
         for job in order.iter().filter_map(|(_, id)| self.jobs.get(id)) {
-            used.entry(job.spec.team.clone()).or_default().waiting += amounts(&job.spec.demand)
-                .dominant_share(&amounts(total))
-                * f64::from(job.schedulable_tasks());
+            used.entry(job.spec.team.clone()).or_default().waiting +=
+                resources_of(&job.spec.demand).dominant_share(&resources_of(total))
+                    * f64::from(job.schedulable_tasks());
         }
         used
     }
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -34,7 +34,7 @@
         }
         let t = self.inventory.type_named(&m.kind)?;
         let used = m.allocated()?;
-        let reserved = self.reserved_on(&m.name);
+        let reserved = self.load_balancing.reserved_on(&m.name);
         // One on its way in a zone that is not heard will not be of use soon.
         let late = || self.is_late(now, m);
         if !m.is_up() && (self.failure_detector.unreachable_zones.contains(&m.zone) || late()) {
--- a/crates/latchtrack-core/src/scheduler/machine_lifecycle.rs
+++ b/crates/latchtrack-core/src/scheduler/machine_lifecycle.rs
@@ -406,7 +406,7 @@
                 // Kept for tasks to come, for instance until the last machine of a gang is up.
                 let is_kept = self.reservations.by_machine.contains_key(&m.name)
                     || self.reservations.exclusive.contains(&m.name)
-                    || self.load_balancing.balancer.is_reserved(&m.name);
+                    || self.load_balancing.is_reserved(&m.name);
                 let is_idle = now.saturating_sub(since) >= wait && !is_kept;
                 if m.preempt_at.is_some() || m.is_slow() || is_idle {
                     m.to_terminate = true;
