--- /dev/null
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -0,0 +1,204 @@
+//! Drives load balancing: feeds `latchtrack-balance` with the loads of the cluster and carries out the moves
+//! that it proposes.
+//!
+//! A move uses the same stop and launch, with the same checks, as any other task. It owns nothing but the
+//! capacity that it reserves on its targets: if anything is in its way, it is abandoned and its tasks go
+//! through the queue like others.
+
+mod move_execution;
+mod placement_cost;
+mod planner_input;
+mod summary;
+
+use std::collections::{BTreeSet, HashMap};
+use std::sync::Arc;
+
+use latchtrack_balance::arrivals::{ArrivalLevel, Arrivals};
+use latchtrack_balance::balancer::{Balancer, MoveLimits};
+use latchtrack_balance::moves::{Move, MoveEvent, MoveStage, MoveUnit};
+use latchtrack_balance::planner::PlanInput;
+use latchtrack_balance::resources::Resources;
+
+pub use summary::BalanceSummary;
+
+use super::Scheduler;
+use crate::constants::{BALANCE_INTERVAL_MS, BALANCE_LOG_INTERVAL_MS, OVERLOAD_SHARE};
+use crate::job::{Demand, Job, JobSpec};
+use crate::machine::Machine;
+use crate::Millis;
+
+/// What makes machines alike in all that a job may ask for: machines of one pool share a bound.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct PoolKey {
+    machine_type: Arc<str>,
+    zone: Arc<str>,
+    spot: bool,
+}
+
+impl PoolKey {
+    fn of(machine: &Machine) -> Self {
+        PoolKey {
+            machine_type: machine.kind.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+        }
+    }
+}
+
+/// The state of load balancing in one term. Nothing of it is stored.
+#[derive(Clone, Debug)]
+pub(super) struct LoadBalancing {
+    balancer: Balancer,
+    arrivals: Arrivals,
+    /// Numbers of the pools seen so far.
+    pools: HashMap<PoolKey, u32>,
+    observed_at: Option<Millis>,
+    summary_logged_at: Option<Millis>,
+    /// Machine types with invalid amounts, each of which is logged once.
+    invalid_types: BTreeSet<String>,
+}
+
+impl LoadBalancing {
+    /// The state at the start of a term.
+    pub(super) fn new(limits: MoveLimits) -> Self {
+        LoadBalancing {
+            balancer: Balancer::new(limits),
+            arrivals: Arrivals::default(),
+            pools: HashMap::new(),
+            observed_at: None,
+            summary_logged_at: None,
+            invalid_types: BTreeSet::new(),
+        }
+    }
+
+    /// How much a team with this share of the cluster, in CPUs, has lately asked for.
+    pub(super) fn classify_arrivals(
+        &mut self,
+        now: Millis,
+        team: &str,
+        share_cpus: f64,
+    ) -> ArrivalLevel {
+        self.arrivals.classify(now, team, share_cpus)
+    }
+
+    /// What moves keep free on a machine.
+    pub(super) fn reserved_on(&self, machine: &str) -> Resources {
+        self.balancer.reserved_on(machine)
+    }
+
+    /// Whether a move keeps anything free on a machine, so that it must not be given back as idle.
+    pub(super) fn is_reserved(&self, machine: &str) -> bool {
+        self.balancer.is_reserved(machine)
+    }
+
+    fn moves(&self) -> &[Move] {
+        self.balancer.moves()
+    }
+
+    fn active_move(&self, unit: MoveUnit) -> Option<&Move> {
+        self.balancer.moves().iter().find(|active| active.unit == unit)
+    }
+
+    /// Hands an event to the move of a unit; returns the stage of the move if that has changed.
+    fn handle_event(&mut self, now: Millis, unit: MoveUnit, event: MoveEvent) -> Option<MoveStage> {
+        self.balancer.handle_event(now, unit, event)
+    }
+
+    /// Whether the loads are to be looked at again; if so, the interval begins anew.
+    fn begin_observation(&mut self, now: Millis) -> bool {
+        begin_interval(&mut self.observed_at, now, BALANCE_INTERVAL_MS)
+    }
+
+    /// Whether the summary is to be logged again; if so, the interval begins anew.
+    fn begin_summary_log(&mut self, now: Millis) -> bool {
+        begin_interval(&mut self.summary_logged_at, now, BALANCE_LOG_INTERVAL_MS)
+    }
+
+    /// Takes in the loads; returns the moves that begin now, with their targets reserved.
+    fn observe(&mut self, now: Millis, input: PlanInput, moves_allowed: bool) -> Vec<Move> {
+        self.balancer.observe(now, input, !moves_allowed)
+    }
+
+    /// The number of a machine's pool, a new one for a pool that was not seen before.
+    fn pool_number(&mut self, machine_pool: PoolKey) -> u32 {
+        let next = self.pools.len() as u32;
+        *self.pools.entry(machine_pool).or_insert(next)
+    }
+
+    /// The mean load of a machine's pool as last observed, in parts of a machine; 0 if it was not.
+    fn mean_load(&self, machine: &Machine) -> f64 {
+        let pool = self.pools.get(&PoolKey::of(machine));
+        let spread = pool.and_then(|pool| self.balancer.spreads().get(pool));
+        spread.map_or(0.0, |spread| spread.mean)
+    }
+}
+
+/// Whether `interval_ms` have passed since `last`, which is then set to `now`.
+fn begin_interval(last: &mut Option<Millis>, now: Millis, interval_ms: Millis) -> bool {
+    if last.is_some_and(|at| now < at + interval_ms) {
+        return false;
+    }
+    *last = Some(now);
+    true
+}
+
+impl Scheduler {
+    /// Counts a submitted job towards what its team asks for.
+    pub(super) fn note_arrival(&mut self, spec: &JobSpec, submitted_at: Millis) {
+        if self.policy.balance.teams {
+            let cpu_seconds = spec.demand.cpus * spec.estimate_s * f64::from(spec.tasks);
+            self.load_balancing.arrivals.add(submitted_at, &spec.team, cpu_seconds);
+        }
+    }
+
+    /// Carries on the moves under way, observes the loads and begins moves.
+    pub(super) fn balance_load(&mut self, now: Millis) {
+        self.advance_moves(now);
+        let policy = self.policy.balance;
+        if !policy.observes() && !policy.teams {
+            return;
+        }
+        self.log_balance_summary(now);
+        if !policy.observes() || !self.load_balancing.begin_observation(now) {
+            return;
+        }
+        let input = self.plan_input(now);
+        let moves_allowed = policy.moves && self.moves_allowed(now);
+        for begun in self.load_balancing.observe(now, input, moves_allowed) {
+            self.log_move_begun(&begun);
+            self.begin_move(now, &begun);
+        }
+    }
+
+    /// Whether moves may begin: the leader knows its machines, no zone is unreachable, and no jobs wait for
+    /// much of the cluster.
+    fn moves_allowed(&self, now: Millis) -> bool {
+        let calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
+            && now >= self.failure_detector.listening_since.saturating_add(self.policy.probe_ms());
+        calm && self.all_reconciled()
+            && self.failure_detector.unreachable_zones.is_empty()
+            && !self.is_overloaded(now)
+    }
+
+    /// Whether jobs that found no capacity for a while ask for a good part of the cluster. A move takes
+    /// capacity twice while its task saves, and waiting jobs have better use for it.
+    fn is_overloaded(&self, now: Millis) -> bool {
+        let is_unschedulable = |job: &&Job| {
+            job.unschedulable_since
+                .is_some_and(|at| now >= at.saturating_add(self.policy.reserve_after_ms))
+        };
+        let cpus = |job: &Job| job.spec.demand.cpus * f64::from(job.schedulable_tasks());
+        let waiting: f64 = self.jobs.values().filter(is_unschedulable).map(cpus).sum();
+        let up_types = self
+            .inventory
+            .iter()
+            .filter(|machine| machine.is_up())
+            .filter_map(|machine| self.inventory.type_named(&machine.kind));
+        waiting > OVERLOAD_SHARE * up_types.map(|machine_type| machine_type.cpus).sum::<f64>()
+    }
+}
+
+/// A demand in the terms of `latchtrack-balance`.
+pub(super) fn resources_of(demand: &Demand) -> Resources {
+    Resources { cpus: demand.cpus, gpus: demand.gpus, memory_gb: demand.memory_gb }
+}
