--- a/crates/latchtrack-core/src/scheduler/inventory.rs
+++ b/crates/latchtrack-core/src/scheduler/inventory.rs
@@ -3,9 +3,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Index;
+use std::sync::Arc;
 
+use super::messages::StoredMachine;
 use crate::constants::MAX_TERMINATED_NAMES;
 use crate::machine::{Machine, MachineType, TaskRun};
+use crate::Millis;
 
 /// Every machine that the scheduler knows, by name.
 #[derive(Clone, Debug, Default)]
@@ -104,3 +107,43 @@
         &self.machines[name]
     }
 }
+
+/// A machine of the stored set, as a new leader finds it.
+pub(super) fn inherited_machine(stored: StoredMachine, now: Millis) -> Machine {
+    let mut machine = new_machine(&stored.name, &stored.kind, &stored.zone, stored.spot, now);
+    machine.addr = Some(stored.addr);
+    machine.persisted = true;
+    machine.inherited = true;
+    machine.heartbeat_expected_since = Some(now);
+    machine
+}
+
+pub(super) fn new_machine(name: &str, kind: &str, zone: &str, spot: bool, now: Millis) -> Machine {
+    Machine {
+        name: name.into(),
+        kind: kind.into(),
+        zone: zone.into(),
+        spot,
+        addr: None,
+        rented_at: now,
+        listed_as_running: false,
+        persisted: false,
+        inherited: false,
+        latest_message: (0, 0),
+        last_heartbeat_at: None,
+        heartbeat_expected_since: None,
+        unanswered_calls: 0,
+        preempt_at: None,
+        runs: BTreeMap::new(),
+        open_call: None,
+        next_call_at: 0,
+        slow_votes: 0,
+        to_terminate: false,
+        termination_sent: false,
+        idle_since: None,
+        failed_jobs: BTreeSet::new(),
+        quarantined_until: 0,
+        proven: false,
+        images: Arc::default(),
+    }
+}
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -12,15 +12,18 @@
 mod boot_tracking;
 mod cell_quota;
 mod cycle;
+mod direct_calls;
+mod dispatcher;
 mod equivalence_classes;
 mod failure_attribution;
+mod failure_detector;
 mod fair_share;
 mod free_capacity;
 mod gang_reserves;
 mod gangs;
 mod heartbeats;
 mod inventory;
-mod machine_lifecycle;
+mod machine_list;
 mod messages;
 mod moves;
 mod objectives;
@@ -29,54 +32,40 @@
 mod provisioning;
 mod queue;
 mod reservations;
+mod summary;
+mod task_runs;
 mod team_limits;
+mod termination;
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
 pub use gangs::AttemptState;
 pub use messages::*;
 pub use moves::BalanceSummary;
 pub use policy::*;
+pub use summary::SchedulerSummary;
 
 use cell_quota::QuotaAccounting;
 use cycle::CycleTimer;
+use dispatcher::CommandDispatcher;
 use equivalence_classes::EquivalenceClasses;
-use heartbeats::{stop_job_runs, CommandDispatcher};
-use inventory::MachineInventory;
-use machine_lifecycle::{inherited_machine, FailureDetector};
+use failure_detector::FailureDetector;
+use inventory::{inherited_machine, MachineInventory};
 use moves::LoadBalancing;
 use objectives::ImageLocality;
 use persistence::RecordPersistence;
 use provisioning::Provisioning;
 use queue::JobQueue;
 use reservations::Reservations;
+use task_runs::stop_job_runs;
 
 use crate::bitmap::Bitmap;
-use crate::constants::*;
+use crate::constants::{MAX_TICK_GAP_MS, VALUE_FILL_FACTOR};
 use crate::job::{Job, JobId, JobSpec};
-use crate::machine::*;
+use crate::machine::{Machine, MachineType};
 use crate::Millis;
 
-/// Counts of the cluster.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct SchedulerSummary {
-    pub up: usize,
-    pub booting: usize,
-    /// Not up though it should be.
-    pub late: usize,
-    pub unreconciled: usize,
-    /// Suspect jobs, and done ones of which the record does not say so yet.
-    pub suspects: usize,
-    pub unpersisted: usize,
-    pub waiting: u64,
-    pub cpus: f64,
-    pub cpus_assigned: f64,
-    pub cpus_fetching: f64,
-    pub cpus_running: f64,
-    pub cpus_waiting: f64,
-}
-
 /// The scheduler: the state machine of a leader's term.
 #[derive(Clone)]
 pub struct Scheduler {
@@ -150,85 +139,12 @@
         self.token
     }
 
-    /// Unfinished jobs with their counts of tasks done and running, for display.
-    pub fn progress(&self) -> impl Iterator<Item = (JobId, u32, u32)> + '_ {
-        let mut running: HashMap<JobId, u32> = HashMap::new();
-        for run in self.inventory.runs() {
-            if matches!(run.phase, TaskPhase::Running | TaskPhase::Checkpointing) {
-                *running.entry(run.task.job).or_default() += 1;
-            }
-        }
-        self.jobs.iter().map(move |(id, job)| {
-            let running = running.get(id).copied().unwrap_or(0);
-            // A gang has started when all its tasks run.
-            let started = !job.spec.gang || running == job.spec.tasks;
-            (*id, job.done.ones(), if started { running } else { 0 })
-        })
-    }
-
     /// Whether all that may be on machines is known: no earlier leader's command can still arrive.
     fn all_reconciled(&self) -> bool {
         self.persistence.unreadable_machine_sets.is_empty()
             && !self.inventory.iter().any(Machine::is_unreconciled)
     }
 
-    /// What the cluster looks like, for the log.
-    pub fn summary(&self, now: Millis) -> SchedulerSummary {
-        let mut s = SchedulerSummary {
-            suspects: self.quarantined_jobs().count(),
-            unpersisted: self.persistence.completed_jobs.len(),
-            late: self.late_boots(now),
-            ..SchedulerSummary::default()
-        };
-        for m in self.inventory.iter() {
-            s.unreconciled += usize::from(m.is_unreconciled());
-            if !m.is_up() {
-                s.booting += 1;
-                continue;
-            }
-            s.up += 1;
-            s.cpus += self.inventory.type_named(&m.kind).map_or(0.0, |t| t.cpus);
-            for run in m.runs.values() {
-                let cpus = run.spec.as_ref().map_or(0.0, |s| s.demand.cpus);
-                match run.phase {
-                    TaskPhase::Assigned => s.cpus_assigned += cpus,
-                    TaskPhase::Fetching | TaskPhase::Waiting | TaskPhase::Unrecognised => {
-                        s.cpus_fetching += cpus;
-                    }
-                    TaskPhase::Running | TaskPhase::Checkpointing => s.cpus_running += cpus,
-                    TaskPhase::Ended(_) => {}
-                }
-            }
-        }
-        for j in self.jobs.values() {
-            let waiting = j.waiting();
-            s.waiting += u64::from(waiting);
-            s.cpus_waiting += f64::from(waiting) * j.spec.demand.cpus;
-        }
-        s
-    }
-
-    /// Machines whose reports are overdue: their workers may be able to reach another node.
-    pub fn overdue(&self, now: Millis) -> Vec<String> {
-        let mut bytes = 0;
-        self.inventory
-            .iter()
-            .filter(|m| !m.to_terminate)
-            .filter(|m| match m.last_heartbeat_at {
-                Some(last_heartbeat_at) => now >= last_heartbeat_at + self.policy.overdue_ms(),
-                // Asked directly at the take-over, it should have answered by now.
-                None => {
-                    m.is_unreconciled() && now >= self.term_started_at + UNRECONCILED_OVERDUE_MS
-                }
-            })
-            .map(|m| m.name.to_string())
-            .take_while(|name| {
-                bytes += name.len() + OVERDUE_NAME_BYTES;
-                bytes <= MAX_OVERDUE_BYTES
-            })
-            .collect()
-    }
-
     /// The machines, for checks.
     pub fn machines(&self) -> &BTreeMap<String, Machine> {
         self.inventory.by_name()
@@ -296,6 +212,31 @@
         std::mem::take(&mut self.out)
     }
 
+    fn on_tick(&mut self, now: Millis) {
+        self.provisioning.exhausted.retain(|_, until| *until > now);
+        // Not leading for a while, or standing still: the machines spoke, and nobody listened.
+        if now > self.failure_detector.last_tick_at.saturating_add(MAX_TICK_GAP_MS) {
+            self.failure_detector.listening_since = now;
+        }
+        self.failure_detector.last_tick_at = now;
+        self.request_machine_list(now);
+        self.detect_silent_machines(now);
+        self.stop_preempted_tasks(now);
+        self.end_broken_gang_attempts(now);
+        self.track_boots(now);
+        self.terminate_idle_machines(now);
+        self.detect_ignored_launches(now);
+        self.restore_healthy_jobs(now);
+        self.balance_load(now);
+        self.step_cell_quota(now);
+        self.probe_silent_machines(now);
+        self.dispatcher.pending.append(&mut self.dispatcher.next_tick);
+        if self.cycle_due(now) {
+            self.run_cycle(now);
+        }
+        self.dispatch(now, None);
+    }
+
     fn on_job_opened(
         &mut self,
         spec: Arc<JobSpec>,
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -5,7 +5,8 @@
 
 use super::boot_tracking::BootTracker;
 use super::free_capacity::SchedulingCycle;
-use super::messages::Effect;
+use super::inventory::new_machine;
+use super::messages::{Effect, ProvisionOutcome};
 use super::Scheduler;
 use crate::constants::*;
 use crate::job::{Demand, JobSpec};
@@ -42,6 +43,44 @@
 }
 
 impl Scheduler {
+    pub(super) fn on_provision_finished(
+        &mut self,
+        now: Millis,
+        request_id: &str,
+        outcome: ProvisionOutcome,
+    ) {
+        let Some(h) = self.provisioning.pending.remove(request_id) else { return };
+        match outcome {
+            ProvisionOutcome::Provisioned(names) => {
+                if (names.len() as u32) < h.number {
+                    self.provisioning.exhausted.insert(h.offer.clone(), now + OFFER_EXHAUSTED_MS);
+                }
+                for name in names {
+                    if self.inventory.was_terminated(&name) || self.inventory.contains(&name) {
+                        continue;
+                    }
+                    let o = &h.offer;
+                    self.inventory.insert(new_machine(&name, &o.kind, &o.zone, o.spot, now));
+                }
+            }
+            ProvisionOutcome::NoCapacity => {
+                self.provisioning.exhausted.insert(h.offer, now + OFFER_EXHAUSTED_MS);
+            }
+            ProvisionOutcome::NotExecuted => {}
+            ProvisionOutcome::Unknown => {
+                // The name must not be used for anything else, and may have rented machines:
+                // asked again, it names them or rents them now.
+                self.out.push(Effect::Provision {
+                    request_id: request_id.to_string(),
+                    offer: h.offer.clone(),
+                    number: h.number,
+                });
+                self.provisioning.pending.insert(request_id.to_string(), h);
+            }
+        }
+        self.cycle_timer.requested = true;
+    }
+
     /// Rents the first choice that is not known to be exhausted, in the zone alone in which the job must
     /// stay; returns for how many tasks.
     pub(super) fn provision(
