--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -8,6 +8,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use super::log_events::LogEvent;
 use super::messages::Effect;
 use super::Scheduler;
 use crate::constants::*;
@@ -124,8 +125,8 @@
                 continue;
             }
             if !before.contains_key(&class) {
-                let (kind, zone) = &class;
-                self.out.push(Effect::Log(format!("boots of {kind} in {zone} are late")));
+                let (machine_type, zone) = class.clone();
+                self.out.push(Effect::Log(LogEvent::BootsLate { machine_type, zone }));
             }
             let trials = before.get(&class).copied().unwrap_or_default();
             self.provisioning.boots.late.insert(class, trials);
@@ -133,7 +134,10 @@
         for (kind, zone) in
             before.keys().filter(|class| !self.provisioning.boots.late.contains_key(class))
         {
-            self.out.push(Effect::Log(format!("boots of {kind} in {zone} are not late any more")));
+            self.out.push(Effect::Log(LogEvent::BootsRecovered {
+                machine_type: kind.clone(),
+                zone: zone.clone(),
+            }));
         }
     }
 
@@ -166,7 +170,7 @@
             if let Some(m) = self.inventory.get_mut(&name) {
                 m.to_terminate = true;
             }
-            self.out.push(Effect::Log(format!("machine {name} never came up")));
+            self.out.push(Effect::Log(LogEvent::MachineNeverJoined { machine: name }));
         }
     }
 
--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -8,6 +8,7 @@
     WriteOutcome,
 };
 
+use super::log_events::LogEvent;
 use super::messages::Effect;
 use super::policy::{Policy, Team};
 use super::team_limits::TeamUsage;
@@ -109,7 +110,7 @@
         let Some(keeper) = self.quota.cell.as_mut() else { return };
         let notices = keeper.take_notices();
         self.cycle_timer.requested |= !notices.is_empty();
-        self.out.extend(notices.into_iter().map(|notice| Effect::Log(notice.to_string())));
+        self.out.extend(notices.into_iter().map(|notice| Effect::Log(LogEvent::Quota(notice))));
     }
 
     /// What each team uses and waits for in this cell.
--- a/crates/latchtrack-core/src/scheduler/cycle.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle.rs
@@ -5,6 +5,7 @@
 
 use super::equivalence_classes::KEPT;
 use super::free_capacity::SchedulingCycle;
+use super::log_events::LogEvent;
 use super::messages::Effect;
 use super::provisioning::place_on_pending;
 use super::queue::QueueEntry;
@@ -418,7 +419,7 @@
         }
         let age = now.saturating_sub(job.submitted_at);
         if age > STARVATION_MS && job.never_started() {
-            self.out.push(Effect::Log(format!("job {id} begins after {age} ms")));
+            self.out.push(Effect::Log(LogEvent::StarvingJobStarted { job: id, age_ms: age }));
         }
         let tasks = job.take(n);
         self.assign_tasks(id, spec, machine, &tasks);
--- a/crates/latchtrack-core/src/scheduler/direct_calls.rs
+++ b/crates/latchtrack-core/src/scheduler/direct_calls.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use super::log_events::ResignReason;
 use super::messages::{CallOutcome, Effect};
 use super::Scheduler;
 use crate::constants::{MAX_OPEN_PROBES, MAX_PROBES_PER_UNREACHABLE_ZONE, ZONE_UNANSWERED_CALLS};
@@ -107,7 +108,7 @@
             }
             CallOutcome::Rejected(r) => {
                 if r.token > self.token {
-                    self.out.push(Effect::Resign("a machine holds a higher token"));
+                    self.out.push(Effect::Resign(ResignReason::HigherToken));
                     return;
                 }
                 // Not executed: the launches in it go again with the next answer.
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -7,6 +7,7 @@
 //! first success, or a task that runs for longer than the failed ones did, restores it whole, and then
 //! its failures speak against the machines after all.
 
+use super::log_events::LogEvent;
 use super::messages::Effect;
 use super::Scheduler;
 use crate::constants::*;
@@ -58,9 +59,7 @@
         job.is_quarantined = true;
         job.unschedulable_since = None;
         let n = job.failed_on.len();
-        self.out.push(Effect::Log(format!(
-            "job {id} fails everywhere ({n} machines): one task at a time from now on"
-        )));
+        self.out.push(Effect::Log(LogEvent::JobQuarantined { job: id, failed_machines: n }));
         // It was no fault of theirs.
         for name in job.failed_on.keys() {
             let Some(m) = self.inventory.get_mut(name) else { continue };
@@ -80,7 +79,7 @@
         if !std::mem::take(&mut job.is_quarantined) {
             return;
         }
-        self.out.push(Effect::Log(format!("job {id} does not fail everywhere")));
+        self.out.push(Effect::Log(LogEvent::JobRestored { job: id }));
         let names: Vec<String> = job.failed_on.keys().cloned().collect();
         for name in names {
             self.blame_machine(now, &name, id);
@@ -96,7 +95,7 @@
         m.quarantined_until = now + MACHINE_PROBATION_MS;
         if m.failed_jobs.len() >= MACHINE_QUARANTINE_JOBS && !m.to_terminate {
             m.to_terminate = true;
-            self.out.push(Effect::Log(format!("machine {machine} fails every job")));
+            self.out.push(Effect::Log(LogEvent::MachineFailsJobs { machine: machine.to_string() }));
         }
     }
 
--- a/crates/latchtrack-core/src/scheduler/failure_detector.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_detector.rs
@@ -3,6 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+use super::log_events::{LogEvent, ResignReason};
 use super::messages::Effect;
 use super::Scheduler;
 use crate::constants::*;
@@ -72,11 +73,11 @@
         let zones = known.len();
         let quiet: BTreeSet<Arc<str>> = known.into_iter().filter_map(quiet).collect();
         for zone in quiet.difference(&self.failure_detector.unreachable_zones) {
-            self.out.push(Effect::Log(format!("nothing is heard of zone {zone}")));
+            self.out.push(Effect::Log(LogEvent::ZoneUnreachable { zone: zone.clone() }));
         }
         for zone in self.failure_detector.unreachable_zones.difference(&quiet) {
             self.failure_detector.zones.entry(zone.clone()).or_default().back = now;
-            self.out.push(Effect::Log(format!("zone {zone} is not quiet any more")));
+            self.out.push(Effect::Log(LogEvent::ZoneReachable { zone: zone.clone() }));
         }
         self.failure_detector.unreachable_zones = quiet;
         // A machine heard in this term shows that we were heard once. A new leader that hears none
@@ -85,7 +86,7 @@
             && self.failure_detector.unreachable_zones.len() == zones
             && self.inventory.iter().any(Machine::is_up)
         {
-            self.out.push(Effect::Resign("no machine is heard any more"));
+            self.out.push(Effect::Resign(ResignReason::NoZoneReachable));
         }
         // Starts would wait for the next report of each machine; another node can call them.
         let since = self
@@ -93,7 +94,7 @@
             .relayed_since
             .map(|at| at.max(self.failure_detector.listening_since));
         if since.is_some_and(|at| now >= at.saturating_add(self.policy.probe_ms())) {
-            self.out.push(Effect::Resign("machines are heard by way of other nodes only"));
+            self.out.push(Effect::Resign(ResignReason::HeartbeatsOnlyRelayed));
         }
     }
 
@@ -145,7 +146,10 @@
         for (name, s) in given_up {
             if let Some(m) = self.inventory.get_mut(&name) {
                 m.to_terminate = true;
-                self.out.push(Effect::Log(format!("machine {name} silent for {s} ms, given up")));
+                self.out.push(Effect::Log(LogEvent::MachineUnreachable {
+                    machine: name,
+                    silent_ms: s,
+                }));
             }
         }
         self.expire_worker_leases(now);
@@ -172,7 +176,10 @@
             m.idle_since = None;
             let runs = std::mem::take(&mut m.runs);
             let n = runs.len();
-            self.out.push(Effect::Log(format!("machine {name}: the lease of {n} runs is over")));
+            self.out.push(Effect::Log(LogEvent::WorkerLeaseExpired {
+                machine: name.clone(),
+                task_runs: n,
+            }));
             for run in runs.values() {
                 self.release_run(now, &name, run);
             }
@@ -192,7 +199,10 @@
             m.to_terminate = true;
             self.cycle_timer.requested = true;
             let ms = now.saturating_sub(self.term_started_at);
-            self.out.push(Effect::Log(format!("machine {} outlasted its lease, {ms} ms", m.name)));
+            self.out.push(Effect::Log(LogEvent::UnreconciledMachineExpired {
+                machine: m.name.to_string(),
+                term_ms: ms,
+            }));
         }
     }
 
@@ -207,8 +217,8 @@
             });
             if deaf {
                 m.to_terminate = true;
-                let name = &m.name;
-                self.out.push(Effect::Log(format!("machine {name} takes no commands, given up")));
+                let machine = m.name.to_string();
+                self.out.push(Effect::Log(LogEvent::LaunchesIgnored { machine }));
             }
         }
     }
--- a/crates/latchtrack-core/src/scheduler/heartbeats.rs
+++ b/crates/latchtrack-core/src/scheduler/heartbeats.rs
@@ -5,6 +5,7 @@
 use std::sync::Arc;
 
 use super::inventory::new_machine;
+use super::log_events::{AdoptionSource, LogEvent, ResignReason};
 use super::messages::Effect;
 use super::persistence::stored_machine;
 use super::task_runs::adopt_run;
@@ -17,7 +18,7 @@
 impl Scheduler {
     pub(super) fn on_heartbeat(&mut self, now: Millis, r: &Heartbeat) {
         if r.token > self.token {
-            self.out.push(Effect::Resign("a machine holds a higher token"));
+            self.out.push(Effect::Resign(ResignReason::HigherToken));
             return;
         }
         if !self.inventory.was_terminated(&r.machine) {
@@ -47,7 +48,10 @@
         }
         let m = new_machine(&r.machine, &r.kind, &r.zone, r.spot, now);
         self.inventory.insert(m);
-        self.out.push(Effect::Log(format!("machine {} adopted from its report", r.machine)));
+        self.out.push(Effect::Log(LogEvent::MachineAdopted {
+            machine: r.machine.clone(),
+            source: AdoptionSource::Heartbeat,
+        }));
     }
 
     /// Takes in what a machine says; false if it is old news or proves nothing.
@@ -86,11 +90,10 @@
             // The worker's lease ran out: it has killed and forgotten everything, and late
             // commands for the old session are void.
             let runs = std::mem::take(&mut m.runs);
-            self.out.push(Effect::Log(format!(
-                "machine {} lost {} runs with its lease",
-                r.machine,
-                runs.len()
-            )));
+            self.out.push(Effect::Log(LogEvent::AgentEpochAdvanced {
+                machine: r.machine.clone(),
+                task_runs: runs.len(),
+            }));
             for run in runs.into_values() {
                 self.release_run(now, &r.machine, &run);
             }
@@ -136,10 +139,10 @@
         }
         run.phase = t.phase;
         if t.phase == TaskPhase::Unrecognised {
-            self.out.push(Effect::Log(format!(
-                "{} on machine {machine} is in a state that this version does not know",
-                t.task
-            )));
+            self.out.push(Effect::Log(LogEvent::UnrecognisedPhase {
+                machine: machine.to_string(),
+                task: t.task,
+            }));
         }
         if t.phase == TaskPhase::Running {
             run.running_since.get_or_insert(now);
--- a/crates/latchtrack-core/src/scheduler/machine_list.rs
+++ b/crates/latchtrack-core/src/scheduler/machine_list.rs
@@ -3,6 +3,7 @@
 use std::collections::HashSet;
 
 use super::inventory::new_machine;
+use super::log_events::{AdoptionSource, LogEvent};
 use super::messages::{Effect, ListedMachine};
 use super::Scheduler;
 use crate::constants::{LIST_INTERVAL_MS, LIST_INTERVAL_WHILE_SILENT_MS};
@@ -20,7 +21,7 @@
                     m.listed_as_running |= l.running;
                     if l.failed && !m.to_terminate {
                         m.to_terminate = true;
-                        self.out.push(Effect::Log(format!("machine {} failed", l.name)));
+                        self.out.push(Effect::Log(LogEvent::MachineFailed { machine: l.name }));
                     }
                 }
                 None => {
@@ -31,7 +32,10 @@
                     m.listed_as_running = l.running;
                     self.inventory.insert(m);
                     self.cycle_timer.requested = true;
-                    self.out.push(Effect::Log(format!("machine {} adopted from the list", l.name)));
+                    self.out.push(Effect::Log(LogEvent::MachineAdopted {
+                        machine: l.name,
+                        source: AdoptionSource::CloudList,
+                    }));
                 }
             }
         }
@@ -50,7 +54,8 @@
             let silent = m.presumed_lost(now, probe_ms) || (!m.is_up() && !m.is_unreconciled());
             if sure && silent && !names.contains(&*m.name) {
                 m.to_terminate = true;
-                self.out.push(Effect::Log(format!("machine {} taken back", m.name)));
+                self.out
+                    .push(Effect::Log(LogEvent::MachineUnlisted { machine: m.name.to_string() }));
             }
         }
     }
--- a/crates/latchtrack-core/src/scheduler/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -4,6 +4,7 @@
 
 use latchtrack_quota::{LedgerWrite, View, WriteOutcome};
 
+use super::log_events::{LogEvent, ResignReason};
 use crate::bitmap::Bitmap;
 use crate::job::{JobId, JobSpec};
 use crate::machine::{Command, Heartbeat, MachineType};
@@ -181,7 +182,7 @@
     /// A change of what the cells share.
     WriteLedger(LedgerWrite),
     /// A higher token has been seen, or our workers hear us no more: stop leading.
-    Resign(&'static str),
+    Resign(ResignReason),
     /// For the log, once each.
-    Log(String),
+    Log(LogEvent),
 }
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -23,6 +23,7 @@
 mod gangs;
 mod heartbeats;
 mod inventory;
+mod log_events;
 mod machine_list;
 mod messages;
 mod moves;
@@ -41,6 +42,7 @@
 use std::sync::Arc;
 
 pub use gangs::AttemptState;
+pub use log_events::{AdoptionSource, LogEvent, RejectedShard, ResignReason};
 pub use messages::*;
 pub use moves::BalanceSummary;
 pub use policy::*;
--- a/crates/latchtrack-core/src/scheduler/moves.rs
+++ b/crates/latchtrack-core/src/scheduler/moves.rs
@@ -15,6 +15,7 @@
 use latchtrack_balance::planner::{MachineLoad, Movable, PlanInput};
 use latchtrack_balance::spread::Spread;
 
+use super::log_events::LogEvent;
 use super::messages::Effect;
 use super::Scheduler;
 use crate::constants::*;
@@ -163,8 +164,8 @@
         let input = self.plan_input(now);
         let holds_off = !policy.moves || !self.moves_allowed(now);
         for begun in self.load_balancing.balancer.observe(now, input, holds_off) {
-            let text = format!("a move begins: {}", describe(&begun));
-            self.out.push(Effect::Log(text));
+            let description = describe(&begun);
+            self.out.push(Effect::Log(LogEvent::MoveStarted { description }));
             self.begin_move(now, &begun);
         }
     }
@@ -261,8 +262,7 @@
         if !capacity.is_valid() || !used.is_valid() {
             let kind = m.kind.to_string();
             if self.load_balancing.invalid_types.insert(kind.clone()) {
-                let text = format!("the loads of machines of type {kind} make no sense: {used:?}");
-                self.out.push(Effect::Log(text));
+                self.out.push(Effect::Log(LogEvent::InvalidLoad { machine_type: kind, used }));
             }
             return None;
         }
@@ -373,8 +373,8 @@
         if stage.is_final() {
             // What was reserved is free, or its task waits in the queue.
             self.cycle_timer.requested = true;
-            let text = format!("the move of {} is over: {stage}", describe_unit(unit));
-            self.out.push(Effect::Log(text));
+            let unit = describe_unit(unit);
+            self.out.push(Effect::Log(LogEvent::MoveEnded { unit, stage }));
         }
     }
 
@@ -476,19 +476,7 @@
         }
         self.load_balancing.logged_at = Some(now);
         let Some(summary) = self.balance_summary() else { return };
-        let (spread, counts) = (summary.spread, summary.counts);
-        self.out.push(Effect::Log(format!(
-            "balance: spread {:.2} (greatest load {:.2}, mean {:.2}), {} over the bound, hot teams \
-             [{}], moves begun {} settled {} abandoned {}",
-            spread.ratio(),
-            spread.greatest,
-            spread.mean,
-            summary.over_bound,
-            summary.hot_teams.join(", "),
-            counts.begun,
-            counts.settled,
-            counts.abandoned
-        )));
+        self.out.push(Effect::Log(LogEvent::Balance(Box::new(summary))));
     }
 }
 
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeSet;
 
+use super::log_events::{LogEvent, RejectedShard};
 use super::messages::{
     BatchOutcome, Effect, RecordWrite, StoredMachine, StoredMachineSet, StoredResults,
 };
@@ -156,8 +157,9 @@
             }
             RecordWrite::JobDone { .. } => return,
         };
-        let what = if given_up { "given up, it can't be smaller" } else { "split" };
-        self.out.push(Effect::Log(format!("the value {name} was refused and is {what}")));
+        let action = if given_up { RejectedShard::Abandoned } else { RejectedShard::Split };
+        let shard = name.clone();
+        self.out.push(Effect::Log(LogEvent::RecordShardRejected { shard, action }));
     }
 
     pub(super) fn on_writes_finished(
--- a/crates/latchtrack-core/src/scheduler/task_runs.rs
+++ b/crates/latchtrack-core/src/scheduler/task_runs.rs
@@ -1,5 +1,6 @@
 //! What becomes of task runs: adopted from a heartbeat, ended, released, stopped with their job.
 
+use super::log_events::LogEvent;
 use super::messages::Effect;
 use super::persistence::result_entry_bytes;
 use super::Scheduler;
@@ -41,7 +42,9 @@
                     } else if !m.is_slow() {
                         m.slow_votes += 1;
                         if m.is_slow() {
-                            self.out.push(Effect::Log(format!("machine {machine} is slow")));
+                            self.out.push(Effect::Log(LogEvent::MachineSlow {
+                                machine: machine.to_string(),
+                            }));
                         }
                     }
                 }
@@ -77,9 +80,10 @@
             ExitCause::Stopped | ExitCause::GangPeerLost => {}
             ExitCause::Unrecognised => {
                 let task = run.task;
-                self.out.push(Effect::Log(format!(
-                    "{task} ended on machine {machine} for a cause that this version does not know"
-                )));
+                self.out.push(Effect::Log(LogEvent::UnrecognisedExitCause {
+                    machine: machine.to_string(),
+                    task,
+                }));
             }
         }
         self.release_run(now, machine, run);
--- a/crates/latchtrack-core/tests/balance.rs
+++ b/crates/latchtrack-core/tests/balance.rs
@@ -780,7 +780,7 @@
     (odd.memory_gb, odd.fetch_gb_per_s) = (f64::NAN, -3.0);
     site.drive(Event::MachineTypes(vec![odd]));
     go_on(&mut site, 20_000);
-    assert_eq!(site.notes.iter().filter(|n| n.contains("make no sense")).count(), 1);
+    assert_eq!(site.notes.iter().filter(|n| n.contains("invalid amounts")).count(), 1);
     assert_eq!(site.stops, []);
 }
 
--- a/crates/latchtrack-core/tests/common/site.rs
+++ b/crates/latchtrack-core/tests/common/site.rs
@@ -138,7 +138,7 @@
                     }
                     self.drive(Event::TerminateFinished { names, ok: true });
                 }
-                Effect::Log(text) => self.notes.push(text),
+                Effect::Log(event) => self.notes.push(event.to_string()),
                 _ => {}
             }
         }
--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -102,8 +102,8 @@
             effects.extend(c.handle(now, Event::Heartbeat(r)));
         }
         for e in &effects {
-            if let Effect::Log(text) = e {
-                gone.extend(text.contains("fails every job").then(|| text.clone()));
+            if let Effect::Log(LogEvent::MachineFailsJobs { machine }) = e {
+                gone.push(machine.clone());
             }
         }
     }
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -39,9 +39,9 @@
     agent_epoch: BTreeMap<u64, u64>,
     /// Open calls into the silence: when each ends, machine and number.
     calls: Vec<(u64, String, u64)>,
-    notes: Vec<String>,
+    notes: Vec<LogEvent>,
     returned: Vec<u64>,
-    resigned: Vec<&'static str>,
+    resigned: Vec<ResignReason>,
     provisions: Vec<String>,
     asked: BTreeMap<String, u32>,
     /// Machines that don't answer may be heard by way of other nodes, and be given tasks.
@@ -193,7 +193,7 @@
     f.run(3_000, |_| false);
     assert_eq!(f.returned, Vec::<u64>::new());
     assert_eq!(f.c.summary(0).up, 3 * PER_ZONE as usize);
-    assert!(f.notes.iter().any(|n| n == "zone b is not quiet any more"), "{:?}", f.notes);
+    assert!(f.notes.contains(&LogEvent::ZoneReachable { zone: "b".into() }), "{:?}", f.notes);
 }
 
 /// What was sent before the lease ran out and held back speaks of a session that is over.
@@ -233,7 +233,7 @@
 fn a_leader_that_hears_no_zone_resigns_and_a_new_one_waits_for_the_lease() {
     let mut f = Fleet::settled();
     f.run(12_000, |_| true);
-    assert!(f.resigned.contains(&"no machine is heard any more"));
+    assert!(f.resigned.contains(&ResignReason::NoZoneReachable));
     assert_eq!(f.returned, Vec::<u64>::new());
     let mut f = Fleet::inherited();
     f.run(LEASE, |_| true);
@@ -295,19 +295,19 @@
         let effects = f.c.handle(f.now, Event::RelayedHeartbeat(r));
         f.take(effects, &|i| i != 0);
     }
-    assert_eq!(f.resigned, Vec::<&str>::new(), "one speaks to it: the others are cut off");
+    assert_eq!(f.resigned, Vec::<ResignReason>::new(), "one speaks to it: the others are cut off");
     // Recorded day inc-16b6: nobody had spoken for a minute, then one by way of another node.
     f.now += 60_000;
     let r = f.report(3);
     let effects = f.c.handle(f.now, Event::RelayedHeartbeat(r));
     f.take(effects, &|_| false);
     f.run(2_000, |_| false);
-    assert_eq!(f.resigned, Vec::<&str>::new(), "one report by way of another says nothing");
+    assert_eq!(f.resigned, Vec::<ResignReason>::new(), "one report by way of another says nothing");
     for _ in 0..20 {
         f.run(400, |_| true);
         let r = f.report(3);
         let effects = f.c.handle(f.now, Event::RelayedHeartbeat(r));
         f.take(effects, &|_| true);
     }
-    assert!(f.resigned.contains(&"machines are heard by way of other nodes only"));
+    assert!(f.resigned.contains(&ResignReason::HeartbeatsOnlyRelayed));
 }
--- a/crates/latchtrack/src/actors/leader.rs
+++ b/crates/latchtrack/src/actors/leader.rs
@@ -255,10 +255,10 @@
                 Effect::WritesReady => self.save(ctx),
                 Effect::Resign(why) => {
                     if let Some(e) = &self.election {
-                        e.do_send(Resign(why));
+                        e.do_send(Resign(why.as_str()));
                     }
                 }
-                Effect::Log(text) => tracing::info!("{text}"),
+                Effect::Log(event) => tracing::info!("{event}"),
                 Effect::WriteLedger(write) => match &self.quota {
                     Some(quota) if may_act => quota.do_send(quota::Change { token, write }),
                     _ => self.put_off(
