--- a/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
@@ -5,6 +5,7 @@
 use latchtrack_balance::resources::Resources;
 use latchtrack_balance::spread::Spread;
 
+use super::super::log_events::LogEvent;
 use super::super::messages::Effect;
 use super::super::Scheduler;
 use crate::job::{JobId, TaskId};
@@ -53,39 +54,26 @@
             return;
         }
         let Some(summary) = self.balance_summary() else { return };
-        let (spread, counts) = (summary.spread, summary.counts);
-        self.out.push(Effect::Log(format!(
-            "balance: spread {:.2} (greatest load {:.2}, mean {:.2}), {} over the bound, hot teams \
-             [{}], moves begun {} settled {} abandoned {}",
-            spread.ratio(),
-            spread.greatest,
-            spread.mean,
-            summary.over_bound,
-            summary.hot_teams.join(", "),
-            counts.begun,
-            counts.settled,
-            counts.abandoned
-        )));
+        self.out.push(Effect::Log(LogEvent::Balance(Box::new(summary))));
     }
 
     /// Logs that a move begins.
     pub(super) fn log_move_begun(&mut self, begun: &Move) {
-        let text = format!("a move begins: {}", describe_move(begun));
-        self.out.push(Effect::Log(text));
+        let description = describe_move(begun);
+        self.out.push(Effect::Log(LogEvent::MoveStarted { description }));
     }
 
     /// Logs that a move is over, with its last stage.
     pub(super) fn log_move_over(&mut self, unit: MoveUnit, stage: MoveStage) {
-        let text = format!("the move of {} is over: {stage}", describe_unit(unit));
-        self.out.push(Effect::Log(text));
+        let unit = describe_unit(unit);
+        self.out.push(Effect::Log(LogEvent::MoveEnded { unit, stage }));
     }
 
     /// Logs a machine type whose machines have invalid amounts, once in a term.
     pub(super) fn log_invalid_type(&mut self, machine_type: String, used: &Resources) {
         if self.load_balancing.invalid_types.insert(machine_type.clone()) {
-            let text =
-                format!("the loads of machines of type {machine_type} make no sense: {used:?}");
-            self.out.push(Effect::Log(text));
+            let used = *used;
+            self.out.push(Effect::Log(LogEvent::InvalidLoad { machine_type, used }));
         }
     }
 }
