--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -93,18 +93,6 @@
         self.quota.cell.as_ref().map(Keeper::summary)
     }
 
-    /// A team's guarantee here: the cell's part of it where teams are shared.
-    pub(super) fn guarantee_of(&self, team: &Team) -> TeamUsage {
-        let shared = self.quota.cell.as_ref().and_then(|keeper| keeper.guarantee(&team.name));
-        match shared {
-            Some(part) => {
-                let (cpus, gpus) = part.decimal();
-                TeamUsage { cpus, gpus }
-            }
-            None => TeamUsage { cpus: team.cpus, gpus: team.gpus },
-        }
-    }
-
     fn after_quota(&mut self) {
         let Some(keeper) = self.quota.cell.as_mut() else { return };
         let notices = keeper.take_notices();
--- a/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
+++ b/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
@@ -2,6 +2,7 @@
 
 use std::collections::HashMap;
 
+use super::cycle_state::ClassSearch;
 use crate::job::JobSpec;
 
 /// What makes two jobs alike for placing: decided once, as a class, in each round.
@@ -41,17 +42,3 @@
 
 /// Instead of a shape: held for a job that is to begin, and for no other.
 pub(super) const KEPT: usize = usize::MAX;
-
-/// What one round found of a shape.
-#[derive(Clone, Copy, Default)]
-pub(super) struct ClassSearch {
-    /// No ready room, no promised room, nothing to rent; room is held for it.
-    pub no_ready: bool,
-    pub no_pending: bool,
-    pub no_offer: bool,
-    pub held: bool,
-    /// No room is left that is kept for others either.
-    pub no_reserved: bool,
-    /// Waiting tasks of the jobs not yet looked at.
-    pub to_come: u32,
-}
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -7,9 +7,9 @@
 
 use super::moves::amounts;
 use super::policy::Team;
+use super::queue_order::QueueRank;
 use super::Scheduler;
 use crate::job::{Demand, JobId};
-use crate::placement::QueueRank;
 use crate::Millis;
 
 /// What a team uses and asks for, in dominant shares of the cluster.
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -1,25 +1,12 @@
-//! What a round of placing begins with: the room of each machine, and what the teams use.
+//! What a round of placing begins with: the room of each machine.
 
-use super::equivalence_classes::ClassSearch;
 use super::provisioning::pending_capacity;
-use super::team_limits::UsageByTeam;
 use super::Scheduler;
 use crate::job::Demand;
 use crate::machine::Machine;
 use crate::placement::FreeCapacity;
 use crate::Millis;
 
-/// What one round of placing carries from job to job.
-pub(super) struct SchedulingCycle {
-    pub rooms: Vec<FreeCapacity>,
-    pub total: Demand,
-    pub searches: Vec<ClassSearch>,
-    /// What teams use, if any has a limit.
-    pub used: UsageByTeam,
-    /// The same with what this round counts on machines that are on their way.
-    pub expected: UsageByTeam,
-}
-
 impl Scheduler {
     /// The room of a machine, if it may be counted on; up ones take no more tasks when they get
     /// silent, and still count as running.
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -9,15 +9,18 @@
 //!   forgotten in that session.
 
 mod backfill;
+mod best_effort;
 mod boot_tracking;
 mod cell_quota;
 mod cycle;
+mod cycle_state;
+mod deferral;
 mod equivalence_classes;
 mod failure_attribution;
 mod fair_share;
 mod free_capacity;
-mod gang_reserves;
 mod gangs;
+mod guarantees;
 mod heartbeats;
 mod inventory;
 mod machine_lifecycle;
@@ -28,7 +31,9 @@
 mod policy;
 mod provisioning;
 mod queue;
+mod queue_order;
 mod reservations;
+mod task_placement;
 mod team_limits;
 
 use std::collections::{BTreeMap, HashMap};
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::boot_tracking::BootTracker;
-use super::free_capacity::SchedulingCycle;
+use super::cycle_state::SchedulingCycle;
 use super::messages::Effect;
 use super::Scheduler;
 use crate::constants::*;
--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::free_capacity::SchedulingCycle;
+use super::cycle_state::SchedulingCycle;
 use super::policy::Team;
 use super::Scheduler;
 use crate::job::JobSpec;
