--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -9,9 +9,12 @@
 //!   forgotten in that session.
 
 mod backfill;
+mod best_effort;
 mod boot_tracking;
 mod cell_quota;
 mod cycle;
+mod cycle_state;
+mod deferral;
 mod direct_calls;
 mod dispatcher;
 mod equivalence_classes;
@@ -19,8 +22,8 @@
 mod failure_detector;
 mod fair_share;
 mod free_capacity;
-mod gang_reserves;
 mod gangs;
+mod guarantees;
 mod heartbeats;
 mod inventory;
 mod load_balancing;
@@ -32,8 +35,10 @@
 mod policy;
 mod provisioning;
 mod queue;
+mod queue_order;
 mod reservations;
 mod summary;
+mod task_placement;
 mod task_runs;
 mod team_limits;
 mod termination;
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::boot_tracking::BootTracker;
-use super::free_capacity::SchedulingCycle;
+use super::cycle_state::SchedulingCycle;
 use super::inventory::new_machine;
 use super::messages::{Effect, ProvisionOutcome};
 use super::Scheduler;
