--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -10,7 +10,7 @@
 use latchtrack::wire::records::*;
 use latchtrack::wire::status::NodeView;
 use latchtrack_core::bitmap::Bitmap;
-use latchtrack_core::constants::{ATTEMPT_BITS, CHUNK_TASKS};
+use latchtrack_core::constants::{ATTEMPT_BITS, LEGACY_CHUNK_TASKS};
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
@@ -111,7 +111,7 @@
     assert_eq!(results(&chunks).unwrap().get(), text);
     assert_eq!(read_results("41-1", text), Some(chunks));
     // Chunk 3 begins at task 49,152, lowest bit first.
-    assert_eq!(CHUNK_TASKS, 16_384);
+    assert_eq!(LEGACY_CHUNK_TASKS, 16_384);
     let mut done = Bitmap::new(100_000);
     done.merge_chunk(3, &[1, 0, 255]);
     let set: Vec<u32> = (0..100_000).filter(|i| done.get(*i)).collect();
