--- /dev/null
+++ b/crates/latchtrack/src/actors/admission/feasibility.rs
@@ -0,0 +1,45 @@
+//! Whether a job can ever run on this cluster.
+
+use std::collections::HashSet;
+
+use latchtrack_core::job::JobSpec;
+use latchtrack_core::machine::MachineType;
+use latchtrack_core::placement;
+use latchtrack_core::scheduler::Team;
+
+use crate::actors::messages::admission::InfeasibleJob;
+
+/// How far above a team's limit a demand may be by rounding, in CPUs or GPUs.
+const ROUNDING: f64 = 1e-6;
+
+/// Refuses a job that can never run, by the teams' limits and the machine types.
+pub(super) fn check_feasible(
+    spec: &JobSpec,
+    teams: &[Team],
+    types: &[MachineType],
+) -> Result<(), InfeasibleJob> {
+    let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
+        return Err(InfeasibleJob::UnknownTeam(spec.team.clone()));
+    };
+    let offers = placement::offers(spec, types, 0);
+    if offers.is_empty() {
+        return Err(InfeasibleJob::NoMachineType);
+    }
+    // All tasks of a gang run at the same time.
+    let tasks_at_once = if spec.gang { f64::from(spec.tasks) } else { 1.0 };
+    let is_over = |need: f64, limit: f64| limit > 0.0 && need * tasks_at_once > limit + ROUNDING;
+    if is_over(spec.demand.cpus, team.cpus_max) || is_over(spec.demand.gpus, team.gpus_max) {
+        let team = team.name.clone();
+        return Err(if spec.gang {
+            InfeasibleJob::GangAboveTeamLimit(team)
+        } else {
+            InfeasibleJob::TaskAboveTeamLimit(team)
+        });
+    }
+    let zones: HashSet<&str> = offers.iter().map(|offer| offer.zone.as_str()).collect();
+    // At most half of a spread gang may be in one zone, and all of it runs at the same time.
+    if spec.gang && spec.spread && spec.tasks > 1 && (spec.one_zone || zones.len() < 2) {
+        return Err(InfeasibleJob::SpreadGangInOneZone);
+    }
+    Ok(())
+}
--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -1,4 +1,8 @@
-//! The client of the cloud, within its call rate.
+//! The client of the cloud. It keeps to the cloud's call rate, and carries requests out only while
+//! the term that sent them lasts.
+
+mod budget;
+mod requests;
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,313 +12,264 @@
 use latchtrack_core::placement::Offer;
 use latchtrack_core::scheduler::{Event, ListedMachine, ProvisionOutcome};
 
-use super::intake::{Intake, Types};
-use super::leader::{Came, Leader, LeaderTerm, Leadership};
-use super::store::{self, Answered, Class, Reply, Store, StoreRequest};
+use self::budget::CallBudget;
+use self::requests::{CloudApi, ListedPage};
+use super::messages::cloud::{CloudRequest, ConnectCloud, MachineTypesUpdate};
+use super::messages::scheduler::{LeaderTerm, Leadership, SchedulerEvent};
+use super::messages::store::{Reply, RequestClass, StoreAnswer, StoreRequest};
+use super::store::{self, Store};
 use crate::clock::now_ms;
-use crate::constants::*;
-use crate::net::{finish, http_client, CallError};
+use crate::constants::{
+    CLOUD_RETRY_MS, CLOUD_TIMEOUT, MACHINE_TYPES_INTERVAL_MS, MAILBOX, TERMINATE_BATCH,
+    USABLE_LIMIT_FRACTION,
+};
 use crate::settings::Settings;
-use crate::wire::cloud::*;
 use crate::wire::records::{read_types, TYPES};
 
-/// Something to do at the cloud, in the term of a token.
-#[derive(Message, Debug)]
-#[rtype(result = "()")]
-pub enum CloudRequest {
-    Hire {
-        token: u64,
-        request_id: String,
-        offer: Offer,
-        number: u32,
-    },
-    Return {
-        token: u64,
-        names: Vec<String>,
-    },
-    List {
-        token: u64,
-    },
-    /// The next page of a list.
-    Page {
-        token: u64,
-        listed: Vec<ListedMachine>,
-    },
-    /// Types and prices, which every node needs.
-    Types,
-}
-
-/// Whom to tell.
-#[derive(Message)]
-#[rtype(result = "()")]
-pub struct Customers {
-    pub intake: Addr<Intake>,
-    pub leader: Addr<Leader>,
-}
-
+/// The actor that speaks to the cloud.
 pub struct Cloud {
     store: Addr<Store>,
-    client: awc::Client,
-    base: String,
-    rate: f64,
-    budget: f64,
-    filled_at: u64,
+    api: CloudApi,
+    budget: CallBudget,
     queue: VecDeque<CloudRequest>,
-    waking: bool,
-    customers: Option<Customers>,
-    typed: bool,
-    /// The leader's term and until when it surely stands, as the leader has it.
+    is_wakeup_set: bool,
+    listeners: Option<ConnectCloud>,
+    /// Whether the cloud itself has told the machine types.
+    has_types: bool,
+    /// The term and until when its lease is valid, as the scheduler driver knows it.
     term: Option<LeaderTerm>,
 }
 
 impl Cloud {
+    /// A client that asks nothing until it knows its listeners.
     pub fn new(store: Addr<Store>, settings: &Settings) -> Self {
-        let rate = settings.platform.params.cloud.rps * LIMIT_USED;
+        let platform = &settings.platform;
         Cloud {
             store,
-            client: http_client(8),
-            base: format!("http://{}", settings.platform.services.cloud),
-            rate,
-            budget: rate,
-            filled_at: now_ms(),
+            api: CloudApi::new(platform.services.cloud),
+            budget: CallBudget::new(platform.params.cloud.rps * USABLE_LIMIT_FRACTION, now_ms()),
             queue: VecDeque::new(),
-            waking: false,
-            customers: None,
-            typed: false,
+            is_wakeup_set: false,
+            listeners: None,
+            has_types: false,
             term: None,
         }
     }
 
-    fn pump(&mut self, ctx: &mut Context<Self>) {
+    /// Sends as many of the waiting requests as the budget allows.
+    fn send_ready(&mut self, ctx: &mut Context<Self>) {
         let now = now_ms();
-        let gone = now.saturating_sub(self.filled_at) as f64 / 1000.0;
-        // Bursts of two seconds are allowed; the other nodes may want part of it.
-        self.budget = (self.budget + gone * self.rate).min((1.5 * self.rate).max(1.0));
-        self.filled_at = now;
-        while self.budget >= 1.0 {
+        self.budget.refill(now);
+        while self.budget.allows_call() {
             let Some(request) = self.queue.pop_front() else { return };
-            let Some(request) = self.still_good(request, now, ctx) else { continue };
-            self.budget -= 1.0;
-            self.run(request, ctx);
+            let Some(request) = self.check_term(request, now, ctx) else { continue };
+            self.budget.take_call();
+            self.send(request, ctx);
         }
-        if !self.queue.is_empty() && !self.waking {
-            self.waking = true;
-            let ms = ((1.0 - self.budget) / self.rate * 1000.0) as u64 + 1;
-            ctx.run_later(Duration::from_millis(ms), |act, ctx| {
-                act.waking = false;
-                act.pump(ctx);
+        if !self.queue.is_empty() && !self.is_wakeup_set {
+            self.is_wakeup_set = true;
+            let wait = Duration::from_millis(self.budget.wait_ms());
+            ctx.run_later(wait, |act, ctx| {
+                act.is_wakeup_set = false;
+                act.send_ready(ctx);
             });
         }
     }
 
-    /// A request that waited is carried out only while the term that sent it stands: a node that
-    /// stood still would return machines that its successor uses. None if it was answered for.
-    fn still_good(
+    /// A request that waited is carried out only while the term that sent it lasts: a node that
+    /// stood still would terminate machines that its successor uses. None if the request is
+    /// declined, and answered as far as the scheduler waits for it.
+    fn check_term(
         &self,
         request: CloudRequest,
         now: u64,
         ctx: &mut Context<Self>,
     ) -> Option<CloudRequest> {
-        let of = match &request {
-            CloudRequest::Types => return Some(request),
-            CloudRequest::Hire { token, .. }
-            | CloudRequest::Return { token, .. }
-            | CloudRequest::List { token }
-            | CloudRequest::Page { token, .. } => *token,
+        let token_of_request = match &request {
+            CloudRequest::ReadMachineTypes => return Some(request),
+            CloudRequest::Provision { token, .. }
+            | CloudRequest::Terminate { token, .. }
+            | CloudRequest::ListMachines { token }
+            | CloudRequest::ListNextPage { token, .. } => *token,
         };
-        if self.term.is_some_and(|term| term.token == of && now < term.valid_until) {
+        let lasts = |term: LeaderTerm| term.token == token_of_request && now < term.valid_until;
+        if self.term.is_some_and(lasts) {
             return Some(request);
         }
         match request {
-            CloudRequest::Hire { token, request_id, .. } => {
+            CloudRequest::Provision { token, request_id, .. } => {
                 let outcome = ProvisionOutcome::NotExecuted;
-                self.tell(
-                    token,
-                    Event::ProvisionFinished { request_id, outcome },
-                    CLOUD_RETRY_MS,
-                    ctx,
-                );
+                let event = Event::ProvisionFinished { request_id, outcome };
+                self.report(token, event, CLOUD_RETRY_MS, ctx);
             }
-            CloudRequest::Return { token, names } => {
-                self.tell(
-                    token,
-                    Event::TerminateFinished { names, ok: false },
-                    CLOUD_RETRY_MS,
-                    ctx,
-                );
+            CloudRequest::Terminate { token, names } => {
+                let event = Event::TerminateFinished { names, ok: false };
+                self.report(token, event, CLOUD_RETRY_MS, ctx);
             }
-            // The leader asks for a list again by itself.
-            _ => {}
+            // The scheduler asks for a list again by itself.
+            CloudRequest::ReadMachineTypes
+            | CloudRequest::ListMachines { .. }
+            | CloudRequest::ListNextPage { .. } => {}
         }
         None
     }
 
-    fn run(&mut self, request: CloudRequest, ctx: &mut Context<Self>) {
-        let client = self.client.clone();
-        let base = self.base.clone();
+    /// Sends a request, whose outcome goes to the scheduler.
+    fn send(&mut self, request: CloudRequest, ctx: &mut Context<Self>) {
         match request {
-            CloudRequest::Types => {
-                let work = async move { types(&client, &base).await };
-                ctx.spawn(work.into_actor(self).map(|types, act, ctx| {
-                    let wait = match types {
-                        Some(types) => {
-                            act.have_types(types);
-                            TYPES_MS
-                        }
-                        None if act.typed => TYPES_MS,
-                        None => CLOUD_RETRY_MS,
-                    };
-                    ctx.run_later(Duration::from_millis(wait), |act, ctx| {
-                        act.queue.push_back(CloudRequest::Types);
-                        act.pump(ctx);
-                    });
-                }));
+            CloudRequest::ReadMachineTypes => self.read_machine_types(ctx),
+            CloudRequest::Provision { token, request_id, offer, number } => {
+                self.provision(token, request_id, offer, number, ctx);
             }
-            CloudRequest::Hire { token, request_id, offer, number } => {
-                let work = async move {
-                    let outcome = rent(&client, &base, &request_id, &offer, number).await;
-                    (request_id, outcome)
-                };
-                ctx.spawn(work.into_actor(self).map(move |(request_id, outcome), act, ctx| {
-                    let wait = match outcome {
-                        ProvisionOutcome::NotExecuted | ProvisionOutcome::Unknown => CLOUD_RETRY_MS,
-                        _ => 0,
-                    };
-                    act.tell(token, Event::ProvisionFinished { request_id, outcome }, wait, ctx);
-                }));
-            }
-            CloudRequest::Return { token, names } => {
-                let work = async move {
-                    let ok = delete(&client, &base, &names).await;
-                    (names, ok)
-                };
-                ctx.spawn(work.into_actor(self).map(move |(names, ok), act, ctx| {
-                    let wait = if ok { 0 } else { CLOUD_RETRY_MS };
-                    act.tell(token, Event::TerminateFinished { names, ok }, wait, ctx);
-                }));
-            }
-            CloudRequest::List { token } => {
-                self.run(CloudRequest::Page { token, listed: Vec::new() }, ctx)
+            CloudRequest::Terminate { token, names } => self.terminate(token, names, ctx),
+            CloudRequest::ListMachines { token } => self.list_page(token, Vec::new(), ctx),
+            CloudRequest::ListNextPage { token, listed } => self.list_page(token, listed, ctx),
+        }
+    }
+
+    fn read_machine_types(&mut self, ctx: &mut Context<Self>) {
+        let types = self.api.machine_types();
+        ctx.spawn(types.into_actor(self).map(|types, act, ctx| {
+            let wait_ms = match types {
+                Some(types) => {
+                    act.apply_machine_types(types);
+                    MACHINE_TYPES_INTERVAL_MS
+                }
+                None if act.has_types => MACHINE_TYPES_INTERVAL_MS,
+                None => CLOUD_RETRY_MS,
+            };
+            ctx.run_later(Duration::from_millis(wait_ms), |act, ctx| {
+                act.queue.push_back(CloudRequest::ReadMachineTypes);
+                act.send_ready(ctx);
+            });
+        }));
+    }
+
+    fn provision(
+        &mut self,
+        token: u64,
+        request_id: String,
+        offer: Offer,
+        number: u32,
+        ctx: &mut Context<Self>,
+    ) {
+        let outcome = self.api.provision(request_id.clone(), offer, number);
+        ctx.spawn(outcome.into_actor(self).map(move |outcome, act, ctx| {
+            let wait_ms = match outcome {
+                ProvisionOutcome::NotExecuted | ProvisionOutcome::Unknown => CLOUD_RETRY_MS,
+                _ => 0,
+            };
+            act.report(token, Event::ProvisionFinished { request_id, outcome }, wait_ms, ctx);
+        }));
+    }
+
+    fn terminate(&mut self, token: u64, names: Vec<String>, ctx: &mut Context<Self>) {
+        let terminated = self.api.terminate(names.clone());
+        ctx.spawn(terminated.into_actor(self).map(move |ok, act, ctx| {
+            let wait_ms = if ok { 0 } else { CLOUD_RETRY_MS };
+            act.report(token, Event::TerminateFinished { names, ok }, wait_ms, ctx);
+        }));
+    }
+
+    fn list_page(&mut self, token: u64, listed: Vec<ListedMachine>, ctx: &mut Context<Self>) {
+        let page = self.api.list_page(listed);
+        ctx.spawn(page.into_actor(self).map(move |page, act, ctx| match page {
+            // Each page is a call that counts against the rate.
+            Some(ListedPage::MoreToCome(listed)) => {
+                act.queue.push_front(CloudRequest::ListNextPage { token, listed });
+                act.send_ready(ctx);
             }
-            CloudRequest::Page { token, listed } => {
-                let work = async move { page(&client, &base, listed).await };
-                ctx.spawn(work.into_actor(self).map(move |answer, act, ctx| match answer {
-                    // Each page is a call that has its turn.
-                    Some((listed, true)) => {
-                        act.queue.push_front(CloudRequest::Page { token, listed });
-                        act.pump(ctx);
-                    }
-                    Some((listed, false)) => act.tell(token, Event::MachinesListed(listed), 0, ctx),
-                    None => {}
-                }));
+            Some(ListedPage::Last(listed)) => {
+                act.report(token, Event::MachinesListed(listed), 0, ctx);
             }
-        }
+            None => {}
+        }));
     }
 
-    fn tell(&self, token: u64, event: Event, wait_ms: u64, ctx: &mut Context<Self>) {
-        let Some(c) = &self.customers else { return };
+    /// Tells the scheduler an outcome, after a pause of so many ms if that is not 0.
+    fn report(&self, token: u64, event: Event, wait_ms: u64, ctx: &mut Context<Self>) {
+        let Some(listeners) = &self.listeners else { return };
         if wait_ms == 0 {
-            c.leader.do_send(Came { token, event });
+            listeners.scheduler_events.do_send(SchedulerEvent { token, event });
             return;
         }
-        let leader = c.leader.clone();
+        let scheduler = listeners.scheduler_events.clone();
         ctx.run_later(Duration::from_millis(wait_ms), move |_, _| {
-            leader.do_send(Came { token, event });
+            scheduler.do_send(SchedulerEvent { token, event });
         });
     }
 
-    fn have_types(&mut self, types: Vec<MachineType>) {
-        if !self.typed {
-            tracing::info!("{} machine types known", types.len());
+    fn apply_machine_types(&mut self, types: Vec<MachineType>) {
+        if !self.has_types {
+            tracing::info!(types = types.len(), source = "cloud", "machine types known");
         }
-        self.typed = true;
-        self.pass_types(types);
+        self.has_types = true;
+        self.publish_machine_types(types);
     }
 
-    fn pass_types(&self, types: Vec<MachineType>) {
-        if let Some(c) = &self.customers {
-            c.intake.do_send(Types(types.clone()));
-            c.leader.do_send(Types(types));
+    fn publish_machine_types(&self, types: Vec<MachineType>) {
+        if let Some(listeners) = &self.listeners {
+            listeners.admission_types.do_send(MachineTypesUpdate(types.clone()));
+            listeners.scheduler_types.do_send(MachineTypesUpdate(types));
         }
     }
-}
-
-async fn types(client: &awc::Client, base: &str) -> Option<Vec<MachineType>> {
-    let sent = client.get(format!("{base}/machine_types")).timeout(CLOUD_TIMEOUT).send();
-    let (status, body) = finish(sent).await.ok()?;
-    if status.as_u16() != 200 {
-        return None;
-    }
-    let answer: TypesAnswer = serde_json::from_slice(&body)
-        .map_err(|e| tracing::error!("the machine types are garbled: {e}"))
-        .ok()?;
-    Some(answer.types.into_iter().map(MachineType::from).collect())
-}
 
-async fn rent(
-    client: &awc::Client,
-    base: &str,
-    request_id: &str,
-    offer: &Offer,
-    number: u32,
-) -> ProvisionOutcome {
-    let body = RentRequest {
-        request: request_id,
-        kind: &offer.kind,
-        zone: &offer.zone,
-        spot: offer.spot,
-        number,
-    };
-    let sent = client.post(format!("{base}/rentals")).timeout(CLOUD_TIMEOUT).send_json(&body);
-    match finish(sent).await {
-        Err(CallError::NotSent) => ProvisionOutcome::NotExecuted,
-        Err(CallError::Lost) => ProvisionOutcome::Unknown,
-        Ok((status, body)) => match status.as_u16() {
-            200 => match serde_json::from_slice::<Names>(&body) {
-                Ok(n) => ProvisionOutcome::Provisioned(n.machines),
-                Err(_) => ProvisionOutcome::Unknown,
-            },
-            503 => {
-                let e: ErrorAnswer = serde_json::from_slice(&body).unwrap_or_default();
-                if e.error == "no capacity" {
-                    ProvisionOutcome::NoCapacity
-                } else {
-                    ProvisionOutcome::NotExecuted
+    /// Reads the types that a leader has stored. Until the cloud can be asked, they will do: without
+    /// the types no node takes a job and none can lead.
+    fn read_stored_types(&mut self, ctx: &mut Context<Self>) {
+        let store = self.store.clone();
+        let request = async move {
+            let get = StoreRequest::Get { key: TYPES.into() };
+            let wait_ms = CLOUD_TIMEOUT.as_millis() as u64;
+            store::request(&store, RequestClass::Read, get, wait_ms).await
+        };
+        ctx.spawn(request.into_actor(self).map(|answer, act, _| {
+            let Ok(StoreAnswer { reply: Reply::Item(item), .. }) = answer else { return };
+            match read_types(item.value.get()) {
+                Some(types) if !act.has_types => {
+                    let source = "state service";
+                    tracing::info!(types = types.len(), source, "machine types known");
+                    act.publish_machine_types(types);
                 }
+                Some(_) => {}
+                None => tracing::error!(
+                    key = TYPES,
+                    "stored machine types can't be parsed and are not used"
+                ),
             }
-            429 => ProvisionOutcome::NotExecuted,
-            other => {
-                tracing::error!("the cloud refused a rental with {other}");
-                ProvisionOutcome::NoCapacity
-            }
-        },
+        }));
     }
-}
 
-async fn delete(client: &awc::Client, base: &str, names: &[String]) -> bool {
-    let body = Names { machines: names.to_vec() };
-    let sent =
-        client.post(format!("{base}/rentals/delete")).timeout(CLOUD_TIMEOUT).send_json(&body);
-    matches!(finish(sent).await, Ok((status, _)) if status.as_u16() == 200)
-}
+    /// Queues machines to terminate: with others that wait in one call, up to what one may name.
+    fn queue_terminate(&mut self, token: u64, mut names: Vec<String>) {
+        let waiting = self.queue.iter_mut().find_map(|request| match request {
+            CloudRequest::Terminate { token: other, names: queued }
+                if *other == token && queued.len() + names.len() <= TERMINATE_BATCH =>
+            {
+                Some(queued)
+            }
+            _ => None,
+        });
+        if let Some(queued) = waiting {
+            queued.append(&mut names);
+            return;
+        }
+        for batch in names.chunks(TERMINATE_BATCH) {
+            let names = batch.to_vec();
+            self.queue.push_back(CloudRequest::Terminate { token, names });
+        }
+    }
 
-/// One more page of the list; whether there are others.
-async fn page(
-    client: &awc::Client,
-    base: &str,
-    mut listed: Vec<ListedMachine>,
-) -> Option<(Vec<ListedMachine>, bool)> {
-    let from = listed.last().map(|l| format!("&from={}", l.name)).unwrap_or_default();
-    let url = format!("{base}/rentals?most={LIST_PAGE}{from}");
-    let sent = client.get(url).timeout(CLOUD_TIMEOUT).send();
-    let (status, body) = finish(sent).await.ok()?;
-    if status.as_u16() != 200 {
-        return None;
+    /// Queues a list in place of those that wait: one answers all that want one.
+    fn queue_list(&mut self, token: u64) {
+        self.queue.retain(|request| {
+            !matches!(
+                request,
+                CloudRequest::ListMachines { .. } | CloudRequest::ListNextPage { .. }
+            )
+        });
+        self.queue.push_back(CloudRequest::ListMachines { token });
     }
-    let page: ListAnswer = serde_json::from_slice(&body).ok()?;
-    let more = page.truncated.unwrap_or(false) && !page.machines.is_empty();
-    listed.extend(page.machines.into_iter().map(ListedMachine::from));
-    Some((listed, more))
 }
 
 impl Actor for Cloud {
@@ -325,29 +280,12 @@
     }
 }
 
-impl Handler<Customers> for Cloud {
+impl Handler<ConnectCloud> for Cloud {
     type Result = ();
-    fn handle(&mut self, msg: Customers, ctx: &mut Self::Context) {
-        self.customers = Some(msg);
-        ctx.address().do_send(CloudRequest::Types);
-        // While the cloud can't be asked, what it last told a leader will do: without the types no
-        // node takes a job and nobody can lead.
-        let store = self.store.clone();
-        let work = async move {
-            let ask = StoreRequest::Get { key: TYPES.into() };
-            store::request(&store, Class::Read, ask, CLOUD_TIMEOUT.as_millis() as u64).await
-        };
-        ctx.spawn(work.into_actor(self).map(|answer, act, _| {
-            let Ok(Answered { reply: Reply::Item(item), .. }) = answer else { return };
-            match read_types(item.value.get()) {
-                Some(types) if !act.typed => {
-                    tracing::info!("{} machine types known from the state service", types.len());
-                    act.pass_types(types);
-                }
-                Some(_) => {}
-                None => tracing::error!("the stored machine types are garbled and not used"),
-            }
-        }));
+    fn handle(&mut self, msg: ConnectCloud, ctx: &mut Self::Context) {
+        self.listeners = Some(msg);
+        ctx.address().do_send(CloudRequest::ReadMachineTypes);
+        self.read_stored_types(ctx);
     }
 }
 
@@ -362,36 +300,10 @@
     type Result = ();
     fn handle(&mut self, msg: CloudRequest, ctx: &mut Self::Context) {
         match msg {
-            CloudRequest::Return { token, mut names } => {
-                // Deletes that wait for their turn go in one call.
-                let waiting = self.queue.iter_mut().find_map(|e| match e {
-                    CloudRequest::Return { token: t, names: n }
-                        if *t == token && n.len() + names.len() <= DELETE_MOST =>
-                    {
-                        Some(n)
-                    }
-                    _ => None,
-                });
-                match waiting {
-                    Some(n) => n.append(&mut names),
-                    None => {
-                        for part in names.chunks(DELETE_MOST) {
-                            let names = part.to_vec();
-                            self.queue.push_back(CloudRequest::Return { token, names });
-                        }
-                    }
-                }
-            }
-            // One list tells all who want one.
-            CloudRequest::List { token } => {
-                let lists = |e: &CloudRequest| {
-                    matches!(e, CloudRequest::List { .. } | CloudRequest::Page { .. })
-                };
-                self.queue.retain(|e| !lists(e));
-                self.queue.push_back(CloudRequest::List { token });
-            }
+            CloudRequest::Terminate { token, names } => self.queue_terminate(token, names),
+            CloudRequest::ListMachines { token } => self.queue_list(token),
             other => self.queue.push_back(other),
         }
-        self.pump(ctx);
+        self.send_ready(ctx);
     }
 }
--- /dev/null
+++ b/crates/latchtrack/src/actors/election/campaign.rs
@@ -0,0 +1,101 @@
+//! One campaign for the leader key.
+
+use actix::Addr;
+
+use super::cell::Cell;
+use super::lease::{lease_valid_until, HeldTerm};
+use crate::actors::messages::store::{Reply, RequestClass, StoreAnswer, StoreRequest};
+use crate::actors::store::{self, Store, StoreError};
+use crate::constants::ELECTION_REQUEST_WAIT_MS;
+use crate::wire::quota::{campaign_changes, term_key};
+use crate::wire::records::{LeaderRecord, LEADER};
+use crate::wire::store::{Change, Condition, Txn};
+
+/// Who campaigns.
+#[derive(Clone, Debug)]
+pub(super) struct Candidate {
+    /// This node.
+    pub(super) node: String,
+    /// Tells the runs of this node apart.
+    pub(super) run: u64,
+    /// ms that the lease lasts.
+    pub(super) ttl_ms: u64,
+    /// The cell that is to be led, where several share teams.
+    pub(super) cell: Option<Cell>,
+}
+
+/// How a campaign ended.
+pub(super) enum CampaignOutcome {
+    /// This node leads.
+    Won(HeldTerm),
+    /// The key exists, or the state service refused the transaction.
+    Lost,
+    /// The key may still come under this lease.
+    Unknown {
+        /// The lease.
+        lease: u64,
+    },
+    /// Nothing was written.
+    Failed,
+}
+
+/// Takes a lease, then the leader key under it if there is none. A cell's records go with it.
+pub(super) async fn run_campaign(store: &Addr<Store>, candidate: Candidate) -> CampaignOutcome {
+    let cell_condition = match &candidate.cell {
+        Some(cell) => match cell.stored_revision(store).await {
+            Ok(revision) => Some(Condition { key: term_key(&cell.name), revision }),
+            Err(error) => {
+                tracing::error!(cell = cell.name, %error, "not campaigning for the cell");
+                return CampaignOutcome::Failed;
+            }
+        },
+        None => None,
+    };
+    let ttl_ms = candidate.ttl_ms;
+    let granted = request(store, RequestClass::Lease, StoreRequest::Grant { ttl_ms }).await;
+    let Ok(StoreAnswer { reply: Reply::Lease(lease), sent_at }) = granted else {
+        return CampaignOutcome::Failed;
+    };
+    let Ok(txn) = campaign_txn(candidate, cell_condition, lease) else {
+        return CampaignOutcome::Failed;
+    };
+    match request(store, RequestClass::Lease, StoreRequest::Txn(txn)).await {
+        Ok(StoreAnswer { reply: Reply::Applied(token), .. }) => {
+            let valid_until = lease_valid_until(ttl_ms, sent_at);
+            CampaignOutcome::Won(HeldTerm { token, lease, valid_until })
+        }
+        Err(StoreError::Unknown) => CampaignOutcome::Unknown { lease },
+        Ok(_) | Err(_) => {
+            // If this fails, the unused lease expires by itself.
+            let _ = request(store, RequestClass::Progress, StoreRequest::End { lease }).await;
+            CampaignOutcome::Lost
+        }
+    }
+}
+
+async fn request(
+    store: &Addr<Store>,
+    class: RequestClass,
+    request: StoreRequest,
+) -> Result<StoreAnswer, StoreError> {
+    store::request(store, class, request, ELECTION_REQUEST_WAIT_MS).await
+}
+
+/// The transaction that creates the leader key, if no node has it.
+fn campaign_txn(
+    candidate: Candidate,
+    cell_condition: Option<Condition>,
+    lease: u64,
+) -> serde_json::Result<Txn> {
+    let Candidate { node, run, cell, .. } = candidate;
+    let value = serde_json::value::to_raw_value(&LeaderRecord { node, run, lease })?;
+    let mut txn = Txn {
+        conditions: vec![Condition { key: LEADER.into(), revision: 0 }],
+        changes: vec![Change::Put { key: LEADER.into(), value, lease: Some(lease) }],
+    };
+    txn.conditions.extend(cell_condition);
+    if let Some(cell) = &cell {
+        txn.changes.extend(campaign_changes(&cell.name, &cell.record, lease)?);
+    }
+    Ok(txn)
+}
--- /dev/null
+++ b/crates/latchtrack/src/actors/messages/mod.rs
@@ -0,0 +1,22 @@
+//! The messages of the actors, one module for each receiving service.
+//!
+//! They stand apart from the actors so that two actors that speak to each other don't import each
+//! other: where an actor is told of its listeners, it gets a [`actix::Recipient`] of one message.
+
+pub mod admission;
+pub mod cloud;
+pub mod election;
+pub mod job_cache;
+pub mod peers;
+pub mod quota;
+pub mod scheduler;
+pub mod store;
+
+/// What this node is in the current term.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NodeRole {
+    /// It holds the leader key.
+    Leader,
+    /// Another node does, or none.
+    Follower,
+}
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -1,4 +1,4 @@
-//! Reads what cells share for the leader of this one, and writes what it wants changed.
+//! Reads the ledgers that cells share for the leader of this one, and writes the changes it wants.
 
 use std::time::Duration;
 
@@ -6,81 +6,74 @@
 use latchtrack_core::scheduler::Event;
 use latchtrack_quota::{Amounts, LedgerWrite, WriteOutcome};
 
-use super::leader::{Came, Leader};
-use super::store::{self, Answered, Class, Reply, Store, StoreError, StoreRequest};
+use super::messages::quota::{ChangeLedger, QuotaTerm};
+use super::messages::scheduler::SchedulerEvent;
+use super::messages::store::{Reply, RequestClass, StoreAnswer, StoreRequest};
+use super::store::reads::{observe, Snapshot};
+use super::store::{self, NotExecutedReason, Store, StoreError};
 use crate::clock::{now_ms, wall_ms};
-use crate::constants::*;
+use crate::constants::{
+    LEDGER_WRITE_WAIT_MS, MAILBOX, QUOTA_FULL_READ_INTERVAL_MS, QUOTA_REFRESH_INTERVAL_MS,
+};
 use crate::settings::Settings;
 use crate::wire::quota::{transaction, SharedKeys, SHARED};
-use crate::wire::store::Item;
-
-/// The term that this node leads in, if it does.
-#[derive(Message)]
-#[rtype(result = "()")]
-pub struct QuotaTerm(pub Option<u64>);
-
-/// A change that the leader of this term wants.
-#[derive(Message)]
-#[rtype(result = "()")]
-pub struct Change {
-    pub token: u64,
-    pub write: LedgerWrite,
-}
-
-/// What a look brought.
-enum Looked {
-    All { items: Vec<Item>, revision: u64 },
-    Changes(crate::wire::store::WatchAnswer),
-}
+use crate::wire::store::{KeyChange, Txn};
 
+/// The actor that reads and writes the ledgers while this node leads.
 pub struct Quota {
     store: Addr<Store>,
-    leader: Addr<Leader>,
+    scheduler: Recipient<SchedulerEvent>,
+    /// The name of this cell.
     cell: String,
+    /// Bytes of the largest value that the state service takes.
     value_bytes: usize,
+    /// Fencing token of the term, if this node leads.
     term: Option<u64>,
     keys: SharedKeys,
     /// Up to which revision the keys are known; None to read them all.
     revision: Option<u64>,
-    read_all_at: u64,
-    is_looking: bool,
+    /// When all keys were last read, in ms of the steady clock.
+    full_read_at: u64,
+    is_refreshing: bool,
 }
 
 impl Quota {
+    /// An actor that waits for a term.
     pub fn new(
         store: Addr<Store>,
-        leader: Addr<Leader>,
+        scheduler: Recipient<SchedulerEvent>,
         cell: String,
         settings: &Settings,
     ) -> Self {
         Quota {
             store,
-            leader,
+            scheduler,
             cell,
             value_bytes: settings.platform.params.state.value_bytes(),
             term: None,
             keys: SharedKeys::default(),
             revision: None,
-            read_all_at: 0,
-            is_looking: false,
+            full_read_at: 0,
+            is_refreshing: false,
         }
     }
 
-    fn look(&mut self, ctx: &mut Context<Self>) {
-        let Some(token) = self.term.filter(|_| !self.is_looking) else { return };
-        self.is_looking = true;
-        if now_ms() >= self.read_all_at + QUOTA_FULL_MS {
+    /// Reads what has changed, if this node leads and no read is under way.
+    fn refresh(&mut self, ctx: &mut Context<Self>) {
+        let Some(token) = self.term.filter(|_| !self.is_refreshing) else { return };
+        self.is_refreshing = true;
+        if now_ms() >= self.full_read_at + QUOTA_FULL_READ_INTERVAL_MS {
             self.revision = None;
         }
         let (store, revision) = (self.store.clone(), self.revision);
-        let work = async move { look_at(&store, revision).await };
-        ctx.spawn(work.into_actor(self).map(move |looked, act, _| {
-            act.is_looking = false;
-            match looked {
-                Ok(looked) => act.take_in(token, looked),
-                Err(e) => {
-                    tracing::debug!("look at what cells share failed: {e}");
-                    if e == StoreError::TooOld {
+        let read = async move { observe(&store, SHARED, revision).await };
+        ctx.spawn(read.into_actor(self).map(move |result, act, _| {
+            act.is_refreshing = false;
+            match result {
+                Ok(observation) => act.apply(token, observation.snapshot),
+                Err(error) => {
+                    tracing::debug!(token, %error, "refresh of the ledgers failed");
+                    if error == StoreError::TooOld {
                         act.revision = None;
                     }
                 }
@@ -88,37 +81,39 @@
         }));
     }
 
-    fn take_in(&mut self, token: u64, looked: Looked) {
-        let revision = match looked {
-            Looked::All { items, revision } => {
+    /// Takes in a read that began in the term of this token, and shows it to the scheduler.
+    fn apply(&mut self, token: u64, snapshot: Snapshot) {
+        let revision = match snapshot {
+            Snapshot::All { items, revision } => {
                 self.keys.clear();
                 for item in items {
-                    self.keys.put(item.key, item.version, item.value);
+                    self.keys.put(item.key, item.revision, item.value);
                 }
-                self.read_all_at = now_ms();
+                self.full_read_at = now_ms();
                 revision
             }
-            Looked::Changes(answer) => {
-                for event in answer.events {
-                    match (event.put, event.delete, event.value) {
-                        (Some(key), _, Some(value)) => self.keys.put(key, event.version, value),
-                        (_, Some(key), _) => self.keys.delete(&key, event.version),
-                        _ => {}
+            Snapshot::Changes(answer) => {
+                for change in answer.events.into_iter().filter_map(|event| event.into_change()) {
+                    match change {
+                        KeyChange::Put(item) => {
+                            self.keys.put(item.key, item.revision, item.value);
+                        }
+                        KeyChange::Delete { key, revision } => self.keys.delete(&key, revision),
                     }
                 }
                 answer.revision
             }
         };
         self.revision = Some(revision);
-        // The keeper leaves out what is older than its term.
+        // The scheduler leaves out what is older than its term.
         if self.term == Some(token) {
             let event = Event::QuotaObserved(self.keys.view(revision));
-            self.leader.do_send(Came { token, event });
+            self.scheduler.do_send(SchedulerEvent { token, event });
         }
     }
 
-    /// The time of day of a change of this cell's allotment, for operators.
-    fn date(&self, write: &mut LedgerWrite) {
+    /// Enters the time of day of a change of this cell's allotment, for operators.
+    fn date_allotment(&self, write: &mut LedgerWrite) {
         let view = self.keys.view(0);
         let known = view.teams.get(&write.team).and_then(|seen| seen.ledger.as_ref().ok());
         let before = known.map_or(Amounts::NONE, |ledger| ledger.allotted_to(&self.cell));
@@ -129,36 +124,42 @@
         }
     }
 
-    fn write(&mut self, token: u64, mut write: LedgerWrite, ctx: &mut Context<Self>) {
-        self.date(&mut write);
-        let txn = transaction(token, &write).ok().filter(|txn| {
-            let most = self.value_bytes;
-            let fits = txn.changes.iter().all(|change| change.bytes() <= most);
-            if !fits {
-                tracing::error!("the value of team {} is above {most} bytes", write.team);
-            }
-            fits
-        });
+    /// The transaction of a change, None if it can't be serialized or its value is too large.
+    fn ledger_txn(&self, token: u64, write: &LedgerWrite) -> Option<Txn> {
+        let txn = transaction(token, write).ok()?;
+        let max_bytes = self.value_bytes;
+        if txn.changes.iter().all(|change| change.bytes() <= max_bytes) {
+            return Some(txn);
+        }
+        tracing::error!(team = write.team, max_bytes, "ledger too large to be stored");
+        None
+    }
+
+    fn write_ledger(&mut self, token: u64, mut write: LedgerWrite, ctx: &mut Context<Self>) {
+        self.date_allotment(&mut write);
+        let txn = self.ledger_txn(token, &write);
         let store = self.store.clone();
-        let work = async move {
-            let Some(txn) = txn else { return Err(StoreError::NotExecuted("no value")) };
+        let request = async move {
+            let Some(txn) = txn else {
+                return Err(StoreError::NotExecuted(NotExecutedReason::NoValue));
+            };
             let request = StoreRequest::Txn(txn);
-            store::request(&store, Class::Progress, request, QUOTA_WAIT_MS).await
+            store::request(&store, RequestClass::Progress, request, LEDGER_WRITE_WAIT_MS).await
         };
-        ctx.spawn(work.into_actor(self).map(move |result, act, ctx| {
-            let outcome = outcome_of(result);
+        ctx.spawn(request.into_actor(self).map(move |result, act, ctx| {
+            let outcome = write_outcome(result);
             if outcome == WriteOutcome::NotStored {
-                // Somebody else has changed something, most likely.
-                act.look(ctx);
+                // Most likely another cell has changed something.
+                act.refresh(ctx);
             }
             let event = Event::LedgerWriteFinished { write, outcome };
-            act.leader.do_send(Came { token, event });
+            act.scheduler.do_send(SchedulerEvent { token, event });
         }));
     }
 }
 
-fn outcome_of(result: Result<Answered, StoreError>) -> WriteOutcome {
-    match result.map(|answered| answered.reply) {
+fn write_outcome(result: Result<StoreAnswer, StoreError>) -> WriteOutcome {
+    match result.map(|answer| answer.reply) {
         Ok(Reply::Applied(revision)) => WriteOutcome::Stored(revision),
         Ok(Reply::Failed(_)) | Err(StoreError::NotExecuted(_) | StoreError::Refused(_)) => {
             WriteOutcome::NotStored
@@ -167,25 +168,13 @@
     }
 }
 
-async fn look_at(store: &Addr<Store>, revision: Option<u64>) -> Result<Looked, StoreError> {
-    let Some(from) = revision else {
-        let (items, revision) = store::read_all(store, SHARED).await?;
-        return Ok(Looked::All { items, revision });
-    };
-    let request = StoreRequest::Changes { prefix: SHARED, from };
-    let wait_ms = READ_TIMEOUT.as_millis() as u64;
-    match store::request(store, Class::Read, request, wait_ms).await?.reply {
-        Reply::Changes(answer) => Ok(Looked::Changes(answer)),
-        _ => Err(StoreError::Unknown),
-    }
-}
-
 impl Actor for Quota {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
         ctx.set_mailbox_capacity(MAILBOX);
-        ctx.run_interval(Duration::from_millis(QUOTA_LOOK_MS), |act, ctx| act.look(ctx));
+        let interval = Duration::from_millis(QUOTA_REFRESH_INTERVAL_MS);
+        ctx.run_interval(interval, |act, ctx| act.refresh(ctx));
     }
 }
 
@@ -195,14 +184,14 @@
         if self.term != msg.0 {
             self.term = msg.0;
             self.revision = None;
-            self.look(ctx);
+            self.refresh(ctx);
         }
     }
 }
 
-impl Handler<Change> for Quota {
+impl Handler<ChangeLedger> for Quota {
     type Result = ();
-    fn handle(&mut self, msg: Change, ctx: &mut Self::Context) {
-        self.write(msg.token, msg.write, ctx);
+    fn handle(&mut self, msg: ChangeLedger, ctx: &mut Self::Context) {
+        self.write_ledger(msg.token, msg.write, ctx);
     }
 }
--- /dev/null
+++ b/crates/latchtrack/src/actors/scheduler_driver/effects.rs
@@ -0,0 +1,113 @@
+//! Hands events to the scheduler and carries out its effects.
+
+use std::time::Duration;
+
+use actix::prelude::*;
+use latchtrack_core::machine::Command;
+use latchtrack_core::scheduler::{CallOutcome, Effect, Event, ProvisionOutcome};
+use latchtrack_quota::{LedgerWrite, WriteOutcome};
+
+use super::SchedulerDriver;
+use crate::actors::messages::cloud::CloudRequest;
+use crate::actors::messages::election::Resign;
+use crate::actors::messages::quota::ChangeLedger;
+use crate::actors::messages::scheduler::SchedulerEvent;
+use crate::clock::now_ms;
+use crate::constants::NOT_DONE_DELAY_MS;
+
+impl SchedulerDriver {
+    /// Hands an event to the scheduler and carries out what it wants; returns the commands for the
+    /// worker if the event was a heartbeat that is answered.
+    pub(super) fn handle_event(
+        &mut self,
+        event: Event,
+        ctx: &mut Context<Self>,
+    ) -> Option<Vec<Command>> {
+        let effects = self.scheduler.as_mut()?.handle(now_ms(), event);
+        // Events of all kinds come in while the lease is in doubt; nothing goes out then.
+        let may_act = self.may_act();
+        let mut response = None;
+        for effect in effects {
+            match effect {
+                Effect::Respond(commands) => response = Some(commands),
+                effect if may_act => self.execute(effect, ctx),
+                effect => self.decline(effect, ctx),
+            }
+        }
+        response
+    }
+
+    /// Carries out an effect.
+    fn execute(&mut self, effect: Effect, ctx: &mut Context<Self>) {
+        let token = self.term.token();
+        match effect {
+            Effect::CallWorker { machine, addr, agent_epoch, call, commands } => {
+                self.call_worker(machine, &addr, agent_epoch, call, &commands, ctx);
+            }
+            Effect::Provision { request_id, offer, number } => {
+                self.cloud.do_send(CloudRequest::Provision { token, request_id, offer, number });
+            }
+            Effect::Terminate(names) => {
+                self.cloud.do_send(CloudRequest::Terminate { token, names });
+            }
+            Effect::WriteLedger(write) => match &self.quota {
+                Some(quota) => quota.changes.do_send(ChangeLedger { token, write }),
+                None => self.report_ledger_not_stored(write, ctx),
+            },
+            effect => self.execute_without_lease(effect, ctx),
+        }
+    }
+
+    /// Answers an effect that may not be carried out for want of a valid lease.
+    fn decline(&mut self, effect: Effect, ctx: &mut Context<Self>) {
+        match effect {
+            Effect::CallWorker { machine, call, .. } => {
+                let outcome = CallOutcome::NotSent;
+                self.report_later(Event::CallFinished { machine, call, outcome }, ctx);
+            }
+            Effect::Provision { request_id, .. } => {
+                let outcome = ProvisionOutcome::NotExecuted;
+                self.report_later(Event::ProvisionFinished { request_id, outcome }, ctx);
+            }
+            Effect::Terminate(names) => {
+                self.report_later(Event::TerminateFinished { names, ok: false }, ctx);
+            }
+            Effect::WriteLedger(write) => self.report_ledger_not_stored(write, ctx),
+            effect => self.execute_without_lease(effect, ctx),
+        }
+    }
+
+    /// Carries out an effect that needs no valid lease: writes are fenced by the leader key, and
+    /// the rest changes nothing outside of this node.
+    fn execute_without_lease(&mut self, effect: Effect, ctx: &mut Context<Self>) {
+        match effect {
+            Effect::ListMachines => {
+                self.cloud.do_send(CloudRequest::ListMachines { token: self.term.token() });
+            }
+            Effect::WritesReady => self.write_records(ctx),
+            Effect::Resign(reason) => {
+                if let Some(election) = &self.election {
+                    election.resign.do_send(Resign { reason: reason.to_string() });
+                }
+            }
+            Effect::Log(text) => tracing::info!("{text}"),
+            // Answered before, by the callers.
+            Effect::Respond(_)
+            | Effect::CallWorker { .. }
+            | Effect::Provision { .. }
+            | Effect::Terminate(_)
+            | Effect::WriteLedger(_) => {}
+        }
+    }
+
+    fn report_ledger_not_stored(&self, write: LedgerWrite, ctx: &mut Context<Self>) {
+        let outcome = WriteOutcome::NotStored;
+        self.report_later(Event::LedgerWriteFinished { write, outcome }, ctx);
+    }
+
+    /// Tells the scheduler a little later that something was not done.
+    fn report_later(&self, event: Event, ctx: &mut Context<Self>) {
+        let token = self.term.token();
+        ctx.notify_later(SchedulerEvent { token, event }, Duration::from_millis(NOT_DONE_DELAY_MS));
+    }
+}
--- /dev/null
+++ b/crates/latchtrack/src/actors/scheduler_driver/writes.rs
@@ -0,0 +1,155 @@
+//! Writes the scheduler's records, and the machine types, to the state service.
+
+use std::time::Duration;
+
+use actix::prelude::*;
+use latchtrack_core::scheduler::{BatchOutcome, Event, RecordWrite};
+
+use super::write_state::AfterWrite;
+use super::SchedulerDriver;
+use crate::actors::messages::election::LeaderKeyLost;
+use crate::actors::messages::job_cache::ApplyRecord;
+use crate::actors::messages::store::{Reply, RequestClass, StoreAnswer, StoreRequest};
+use crate::actors::store;
+use crate::actors::store::error::{NotExecutedReason, StoreError};
+use crate::actors::stored::{conflict_outcome, record_transaction};
+use crate::clock::now_ms;
+use crate::constants::{RECORD_WRITE_WAIT_MS, REFRESH_RETRY_MS};
+use crate::wire::records::{same_types, types as types_record, Record, LEADER, TYPES};
+use crate::wire::store::{Change, Condition, Txn};
+
+impl SchedulerDriver {
+    /// Writes everything that has changed, unless a write is under way.
+    pub(super) fn write_records(&mut self, ctx: &mut Context<Self>) {
+        if !self.write_state.may_begin() {
+            return;
+        }
+        let Some(scheduler) = self.scheduler.as_mut() else { return };
+        let writes = scheduler.next_writes(now_ms(), self.txn_ops);
+        if writes.is_empty() {
+            return;
+        }
+        self.write_state.begin();
+        let token = self.term.token();
+        let txn = record_transaction(token, &writes);
+        let keys: Vec<String> = txn
+            .iter()
+            .flat_map(|txn| &txn.changes)
+            .map(|change| change.key().to_string())
+            .collect();
+        let store = self.store.clone();
+        let request = async move {
+            let Some(txn) = txn else {
+                return Err(StoreError::NotExecuted(NotExecutedReason::NoRecord));
+            };
+            let request = StoreRequest::Txn(txn);
+            store::request(&store, RequestClass::Progress, request, RECORD_WRITE_WAIT_MS).await
+        };
+        ctx.spawn(request.into_actor(self).map(move |result, act, ctx| {
+            let after = act.write_state.finish();
+            if act.term.token() == token && act.scheduler.is_some() {
+                let outcome = act.batch_outcome(token, &writes, &keys, result);
+                act.finish_write(token, writes, outcome, after, ctx);
+            }
+        }));
+    }
+
+    /// What the answer to a write means, told to the job cache or the election if it concerns them.
+    fn batch_outcome(
+        &self,
+        token: u64,
+        writes: &[RecordWrite],
+        keys: &[String],
+        result: Result<StoreAnswer, StoreError>,
+    ) -> BatchOutcome {
+        match result.map(|answer| answer.reply) {
+            Ok(Reply::Applied(revision)) => {
+                for write in writes {
+                    if let RecordWrite::JobDone { job, tasks, .. } = write {
+                        let record = Record::Done { tasks: *tasks };
+                        self.cache.do_send(ApplyRecord { id: *job, record, revision });
+                    }
+                }
+                BatchOutcome::Committed(revision)
+            }
+            Ok(Reply::Failed(keys)) => {
+                if keys.iter().any(|key| key == LEADER) {
+                    if let Some(election) = &self.election {
+                        election.key_lost.do_send(LeaderKeyLost { token });
+                    }
+                }
+                conflict_outcome(&keys)
+            }
+            Ok(_) | Err(StoreError::Unknown) => BatchOutcome::Unknown,
+            Err(StoreError::Refused(reason)) => {
+                let keys = keys.join(", ");
+                tracing::error!(token, keys, reason, "record write refused by the state service");
+                BatchOutcome::Rejected
+            }
+            Err(error) => {
+                tracing::debug!(token, %error, "record write failed");
+                BatchOutcome::NotExecuted
+            }
+        }
+    }
+
+    /// Tells the scheduler how a write ended; one that failed, after a backoff.
+    fn finish_write(
+        &mut self,
+        token: u64,
+        writes: Vec<RecordWrite>,
+        outcome: BatchOutcome,
+        after: AfterWrite,
+        ctx: &mut Context<Self>,
+    ) {
+        let has_failed = matches!(
+            outcome,
+            BatchOutcome::NotExecuted | BatchOutcome::Unknown | BatchOutcome::Rejected
+        );
+        if has_failed {
+            self.write_state.back_off();
+            ctx.run_later(Duration::from_millis(REFRESH_RETRY_MS), move |act, ctx| {
+                act.write_state.finish();
+                if act.term.token() == token {
+                    // The scheduler asks for the next write if there is one.
+                    act.handle_event(Event::WritesFinished { writes, outcome }, ctx);
+                }
+            });
+            return;
+        }
+        self.handle_event(Event::WritesFinished { writes, outcome }, ctx);
+        if after == AfterWrite::MoreWaiting {
+            self.write_records(ctx);
+        }
+    }
+
+    /// Stores the machine types for nodes that start while the cloud can't be asked.
+    pub(super) fn store_machine_types(&mut self, ctx: &mut Context<Self>) {
+        if self.scheduler.is_none() || same_types(&self.stored_types, &self.types) {
+            return;
+        }
+        let types = self.types.clone();
+        let Ok(value) = types_record(&types) else { return };
+        let (bytes, max_bytes) = (value.get().len(), self.value_bytes);
+        if bytes > max_bytes {
+            tracing::error!(key = TYPES, bytes, max_bytes, "machine types too large to be stored");
+            self.stored_types = types;
+            return;
+        }
+        let txn = Txn {
+            conditions: vec![Condition { key: LEADER.into(), revision: self.term.token() }],
+            changes: vec![Change::Put { key: TYPES.into(), value, lease: None }],
+        };
+        let store = self.store.clone();
+        let request = async move {
+            let request = StoreRequest::Txn(txn);
+            store::request(&store, RequestClass::Progress, request, RECORD_WRITE_WAIT_MS).await
+        };
+        ctx.spawn(request.into_actor(self).map(move |result, act, _| {
+            // If it failed, it is tried again when the cloud is next asked.
+            if matches!(result.map(|answer| answer.reply), Ok(Reply::Applied(_))) {
+                act.stored_types = types;
+            }
+        }));
+    }
+}
--- a/crates/latchtrack/src/actors/store/client.rs
+++ b/crates/latchtrack/src/actors/store/client.rs
@@ -1,387 +1,189 @@
 //! The one client of the state service. It paces itself: each node keeps to its share of the
-//! request and write limits ([`super::pacing`]), leases go before submissions, those before the leader's
-//! progress.
+//! request and write limits ([`super::pacing`]). Leases go before submissions, those before reads
+//! and the leader's progress.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use actix::prelude::*;
-use actix_web::http::StatusCode;
-use futures_util::future::LocalBoxFuture;
-use serde::de::DeserializeOwned;
-use serde::Serialize;
 use tokio::sync::oneshot;
 
-use super::namespace::Namespace;
-use super::pacing::{Bucket, WriteLimits, WriteShare};
+use super::error::{NotExecutedReason, StoreError, OVER_LIMIT};
+use super::http::HttpClient;
+use super::pacing::{TokenBucket, WriteLimits, WriteShare};
+use crate::actors::messages::store::{
+    PacedRequest, RequestClass, SetStoreShare, StoreAnswer, StoreRequest,
+};
+use crate::actors::messages::NodeRole;
 use crate::clock::now_ms;
-use crate::constants::*;
-use crate::net::{http_client, CallError};
+use crate::constants::{
+    MAILBOX, MAX_STORE_CALLS, MAX_STORE_WAKEUP_MS, OVER_LIMIT_RETRY_MS, STORE_QUEUE,
+    USABLE_LIMIT_FRACTION,
+};
 use crate::settings::Settings;
-use crate::wire::store::*;
 
-/// How a request failed.
-#[derive(Debug, Clone, thiserror::Error, PartialEq, Eq)]
-pub enum StoreError {
-    /// Surely not executed: refused, over a limit, or never sent.
-    #[error("not executed: {0}")]
-    NotExecuted(&'static str),
-    /// May have been executed, or may be later.
-    #[error("outcome unknown")]
-    Unknown,
-    /// The lease or the key does not exist.
-    #[error("not found")]
-    NotFound,
-    /// The watch asked for changes that are no longer kept.
-    #[error("too old")]
-    TooOld,
-    /// A request the service does not take; our own mistake, or a lease that has ended.
-    #[error("refused: {0}")]
-    Refused(String),
+/// A request in a queue, and where its answer goes.
+struct QueuedRequest {
+    request: PacedRequest,
+    answer: oneshot::Sender<Result<StoreAnswer, StoreError>>,
 }
 
-/// Over a limit of the state service.
-const OVER: StoreError = StoreError::NotExecuted("over the limit");
-
-/// Which requests go first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Class {
-    Lease = 0,
-    Accept = 1,
-    Read = 2,
-    Progress = 3,
-}
-
-/// What the state service can be asked.
-#[derive(Clone, Debug)]
-pub enum StoreRequest {
-    List { prefix: &'static str, from: Option<String> },
-    Txn(Txn),
-    Grant { ttl_ms: u64 },
-    Renew { lease: u64 },
-    End { lease: u64 },
-    Changes { prefix: &'static str, from: u64 },
-    Get { key: String },
-}
-
-impl StoreRequest {
-    fn writes(&self) -> f64 {
-        match self {
-            StoreRequest::Txn(txn) => txn.changes.len() as f64,
-            _ => 0.0,
-        }
-    }
-
-    fn timeout(&self) -> Duration {
-        match self {
-            StoreRequest::Renew { .. } | StoreRequest::Grant { .. } | StoreRequest::End { .. } => {
-                RENEW_TIMEOUT
-            }
-            StoreRequest::Txn(_) => WRITE_TIMEOUT,
-            _ => READ_TIMEOUT,
-        }
-    }
-}
-
-/// What it answers.
-#[derive(Debug)]
-pub enum Reply {
-    Page(Page),
-    /// The revision of a transaction that took effect.
-    Applied(u64),
-    /// Keys whose conditions did not hold.
-    Failed(Vec<String>),
-    Lease(u64),
-    Done,
-    Changes(WatchAnswer),
-    Item(Item),
-}
-
-/// A request, of a class, that is of no use after `deadline` (steady ms).
-#[derive(Message, Debug)]
-#[rtype(result = "Result<Answered, StoreError>")]
-pub struct Request {
-    pub class: Class,
-    pub request: StoreRequest,
-    pub deadline: u64,
-}
-
-/// An answer, and when its request was sent on the steady clock.
-#[derive(Debug)]
-pub struct Answered {
-    pub reply: Reply,
-    pub sent_at: u64,
-}
-
-/// Whether this node leads, which decides its share of the limits.
-#[derive(Message)]
-#[rtype(result = "()")]
-pub struct Share {
-    pub leading: bool,
-}
-
-struct Waiting {
-    request: Request,
-    answer: oneshot::Sender<Result<Answered, StoreError>>,
+/// What may be sent next.
+enum NextRequest {
+    /// The first request of this class, with so many writes.
+    Ready { class: usize, writes: f64 },
+    /// Only writes wait, and the budget allows the first in so many ms.
+    WaitForWrites(u64),
+    /// Nothing waits.
+    Nothing,
 }
 
+/// The actor that sends the requests of this node to the state service.
 pub struct Store {
-    client: awc::Client,
-    base: String,
-    namespace: Namespace,
-    rps: f64,
+    http: HttpClient,
+    /// Requests a second that the service takes from all nodes of this cell.
+    requests_per_s: f64,
+    /// Nodes of this cell.
     nodes: f64,
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
     write_share: WriteShare,
-    queues: [VecDeque<Waiting>; 4],
+    /// By class, the first going first.
+    queues: [VecDeque<QueuedRequest>; RequestClass::COUNT],
     open: usize,
-    /// A wake-up is set.
-    waking: bool,
+    is_wakeup_set: bool,
 }
 
 impl Store {
+    /// A client with the share of a follower.
     pub fn new(settings: &Settings) -> Self {
-        let p = &settings.platform;
-        let state = &p.params.state;
-        // Nothing that is lost by it needs more reads than the lower limit allows.
+        let platform = &settings.platform;
+        let state = &platform.params.state;
+        // Reads keep to the lower limit from the start: nothing is lost by it.
         let cells = settings.cells() as f64;
-        let rps = state.lower_rps() / cells;
+        let requests_per_s = state.lower_rps() / cells;
         let limits =
             WriteLimits { now: state.write_rps / cells, lower: state.lower_write_rps() / cells };
         let nodes = settings.nodes() as f64;
-        let share = LIMIT_USED / (nodes + 1.0);
+        let share = USABLE_LIMIT_FRACTION / (nodes + 1.0);
         let now = now_ms();
         let write_share = WriteShare::new(limits, share, now);
         Store {
-            client: http_client(STORE_OPEN),
-            base: format!("http://{}", p.services.state),
-            namespace: Namespace::new(settings.key_prefix()),
-            rps,
+            http: HttpClient::new(platform.services.state, settings.key_prefix()),
+            requests_per_s,
             nodes,
-            requests: Bucket::new(rps * share, rps * share, now),
-            writes: Bucket::new(write_share.usual_rate(), write_share.burst(), now),
+            requests: TokenBucket::new(requests_per_s * share, requests_per_s * share, now),
+            writes: TokenBucket::new(write_share.usual_rate(), write_share.burst(), now),
             write_share,
             queues: Default::default(),
             open: 0,
-            waking: false,
+            is_wakeup_set: false,
         }
     }
 
-    /// Sends what its turn and the budgets allow.
-    fn pump(&mut self, ctx: &mut Context<Self>) {
+    /// Sends as many of the waiting requests as their order and the budgets allow.
+    fn send_ready(&mut self, ctx: &mut Context<Self>) {
         let now = now_ms();
-        self.requests.fill(now);
-        self.writes.fill(now);
-        self.writes.set(self.write_share.rate(now), self.write_share.burst());
-        while self.open < STORE_OPEN {
-            let now = now_ms();
-            for q in &mut self.queues {
-                while q.front().is_some_and(|w| w.request.deadline <= now) {
-                    if let Some(w) = q.pop_front() {
-                        let _ = w.answer.send(Err(StoreError::NotExecuted("no turn in time")));
-                    }
-                }
-            }
-            // The first class that has something; a write that must wait for its budget lets
-            // reads pass, never other writes.
-            let mut wait = None;
-            let mut pick = None;
-            for (i, q) in self.queues.iter().enumerate() {
-                let Some(w) = q.front() else { continue };
-                let writes = w.request.request.writes();
-                if writes > 0.0 {
-                    if wait.is_some() {
-                        continue;
-                    }
-                    if let Some(ms) = self.writes.wait_ms(writes) {
-                        self.write_share.waited();
-                        wait = Some(ms);
-                        continue;
-                    }
-                }
-                pick = Some((i, writes));
-                break;
-            }
-            let Some((i, writes)) = pick else {
-                if let Some(ms) = wait {
-                    self.wake(ms, ctx);
-                }
-                return;
+        self.requests.refill(now);
+        self.writes.refill(now);
+        self.writes.set_rate(self.write_share.rate(now), self.write_share.burst());
+        while self.open < MAX_STORE_CALLS {
+            self.drop_expired(now_ms());
+            let (class, writes) = match self.next_request() {
+                NextRequest::Ready { class, writes } => (class, writes),
+                NextRequest::WaitForWrites(ms) => return self.set_wakeup(ms, ctx),
+                NextRequest::Nothing => return,
             };
             if let Some(ms) = self.requests.wait_ms(1.0) {
-                self.wake(ms, ctx);
-                return;
+                return self.set_wakeup(ms, ctx);
             }
             self.requests.take(1.0);
             self.writes.take(writes);
-            if let Some(w) = self.queues[i].pop_front() {
-                self.send(w, ctx);
+            if let Some(queued) = self.queues[class].pop_front() {
+                self.send(queued, ctx);
             }
         }
     }
 
-    fn wake(&mut self, ms: u64, ctx: &mut Context<Self>) {
-        if !self.waking {
-            self.waking = true;
-            ctx.run_later(Duration::from_millis(ms.clamp(1, 1_000)), |act, ctx| {
-                act.waking = false;
-                act.pump(ctx);
-            });
-        }
-    }
-
-    fn send(&mut self, w: Waiting, ctx: &mut Context<Self>) {
-        self.open += 1;
-        let sent_at = now_ms();
-        let call = self.call(&w.request.request);
-        ctx.spawn(call.into_actor(self).map(move |result, act, ctx| {
-            act.open -= 1;
-            let result = result.map(|reply| act.namespace.inner_reply(reply));
-            // Others burst too: it was surely not executed, and has its turn again if there is time.
-            let over = matches!(&result, Err(e) if *e == OVER);
-            if over && now_ms() + OVER_WAIT_MS < w.request.deadline {
-                if w.request.request.writes() > 0.0 {
-                    act.write_share.refused();
-                    act.writes.empty();
+    /// Answers requests at the heads of the queues of which the deadline has passed.
+    fn drop_expired(&mut self, now: u64) {
+        for queue in &mut self.queues {
+            while queue.front().is_some_and(|queued| queued.request.deadline <= now) {
+                if let Some(queued) = queue.pop_front() {
+                    let error = StoreError::NotExecuted(NotExecutedReason::TimedOutInQueue);
+                    let _ = queued.answer.send(Err(error));
                 }
-                let class = w.request.class as usize;
-                ctx.run_later(Duration::from_millis(OVER_WAIT_MS), move |act, ctx| {
-                    act.queues[class].push_front(w);
-                    act.pump(ctx);
-                });
-                act.pump(ctx);
-                return;
             }
-            let _ = w.answer.send(result.map(|reply| Answered { reply, sent_at }));
-            act.pump(ctx);
-        }));
+        }
     }
 
-    fn call(&self, request: &StoreRequest) -> LocalBoxFuture<'static, Result<Reply, StoreError>> {
-        let client = self.client.clone();
-        let timeout = request.timeout();
-        let base = &self.base;
-        let key = self.namespace.outer_of(request).unwrap_or_default();
-        match request.clone() {
-            StoreRequest::List { from, .. } => {
-                let prefix = key;
-                let from = from.map(|from| self.namespace.outer(&from));
-                let mut url = format!("{base}/store?prefix={prefix}&most=1000");
-                if let Some(from) = from {
-                    url.push_str("&from=");
-                    url.push_str(&from);
+    /// The first class that has something; a write that must wait for its budget lets reads pass,
+    /// never other writes.
+    fn next_request(&mut self) -> NextRequest {
+        let mut wait_ms = None;
+        for (class, queue) in self.queues.iter().enumerate() {
+            let Some(queued) = queue.front() else { continue };
+            let writes = queued.request.request.write_count();
+            if writes > 0.0 {
+                if wait_ms.is_some() {
+                    continue;
+                }
+                if let Some(ms) = self.writes.wait_ms(writes) {
+                    self.write_share.record_wait();
+                    wait_ms = Some(ms);
+                    continue;
                 }
-                Box::pin(async move {
-                    let (status, body) = get(&client, &url, timeout).await?;
-                    read(status, &body).map(Reply::Page)
-                })
-            }
-            StoreRequest::Get { .. } => {
-                let url = format!("{base}/store/{key}");
-                Box::pin(async move {
-                    let (status, body) = get(&client, &url, timeout).await?;
-                    read(status, &body).map(Reply::Item)
-                })
-            }
-            StoreRequest::Changes { from, .. } => {
-                let url = format!("{base}/watch?prefix={key}&from={from}&wait_ms=0");
-                Box::pin(async move {
-                    let (status, body) = get(&client, &url, timeout).await?;
-                    read(status, &body).map(Reply::Changes)
-                })
-            }
-            StoreRequest::Txn(txn) => {
-                let url = format!("{base}/txn");
-                let txn = self.namespace.outer_txn(txn);
-                Box::pin(async move {
-                    let (status, body) = post(&client, &url, &txn, timeout).await?;
-                    if status == StatusCode::CONFLICT {
-                        let a: TxnAnswer =
-                            serde_json::from_slice(&body).map_err(|_| StoreError::Unknown)?;
-                        return Ok(Reply::Failed(a.failed.unwrap_or_default()));
-                    }
-                    read(status, &body).map(|a: TxnAnswer| Reply::Applied(a.revision))
-                })
-            }
-            StoreRequest::Grant { ttl_ms } => {
-                let url = format!("{base}/grants");
-                Box::pin(async move {
-                    let (status, body) =
-                        post(&client, &url, &LeaseRequest { ttl_ms }, timeout).await?;
-                    read(status, &body).map(|a: LeaseAnswer| Reply::Lease(a.lease))
-                })
-            }
-            StoreRequest::Renew { lease } => {
-                let url = format!("{base}/grants/{lease}/renew");
-                Box::pin(async move {
-                    let (status, body) = post(&client, &url, &(), timeout).await?;
-                    done(status, &body)
-                })
-            }
-            StoreRequest::End { lease } => {
-                let url = format!("{base}/grants/{lease}");
-                Box::pin(async move {
-                    let sent = client.delete(&url).timeout(timeout).send();
-                    let (status, body) = crate::net::finish(sent).await?;
-                    done(status, &body)
-                })
             }
+            return NextRequest::Ready { class, writes };
         }
+        wait_ms.map_or(NextRequest::Nothing, NextRequest::WaitForWrites)
     }
-}
-
-async fn get(
-    client: &awc::Client,
-    url: &str,
-    timeout: Duration,
-) -> Result<(StatusCode, Vec<u8>), StoreError> {
-    Ok(crate::net::finish(client.get(url).timeout(timeout).send()).await?)
-}
 
-async fn post<T: Serialize>(
-    client: &awc::Client,
-    url: &str,
-    body: &T,
-    timeout: Duration,
-) -> Result<(StatusCode, Vec<u8>), StoreError> {
-    Ok(crate::net::finish(client.post(url).timeout(timeout).send_json(body)).await?)
-}
-
-impl From<CallError> for StoreError {
-    fn from(e: CallError) -> Self {
-        match e {
-            CallError::NotSent => StoreError::NotExecuted("can't connect"),
-            CallError::Lost => StoreError::Unknown,
+    /// Looks at the queues again in so many ms, unless that is set already.
+    fn set_wakeup(&mut self, ms: u64, ctx: &mut Context<Self>) {
+        if self.is_wakeup_set {
+            return;
         }
+        self.is_wakeup_set = true;
+        let wait = Duration::from_millis(ms.clamp(1, MAX_STORE_WAKEUP_MS));
+        ctx.run_later(wait, |act, ctx| {
+            act.is_wakeup_set = false;
+            act.send_ready(ctx);
+        });
     }
-}
 
-fn check(status: StatusCode, body: &[u8]) -> Result<(), StoreError> {
-    match status.as_u16() {
-        200..=299 => Ok(()),
-        404 => Err(StoreError::NotFound),
-        410 => Err(StoreError::TooOld),
-        429 => Err(OVER),
-        503 => Err(StoreError::NotExecuted("out of service")),
-        400..=499 => {
-            let text = String::from_utf8_lossy(&body[..body.len().min(200)]);
-            Err(StoreError::Refused(text.into_owned()))
-        }
-        _ => Err(StoreError::Unknown),
+    /// Sends a request, and answers it when its outcome is known.
+    fn send(&mut self, queued: QueuedRequest, ctx: &mut Context<Self>) {
+        self.open += 1;
+        let sent_at = now_ms();
+        let call = self.http.send(&queued.request.request);
+        ctx.spawn(call.into_actor(self).map(move |result, act, ctx| {
+            act.open -= 1;
+            let result = result.map(|reply| act.http.localize(reply));
+            // Other nodes have bursts too: it was surely not executed, and is sent again if there
+            // is time.
+            let is_over_limit = matches!(&result, Err(e) if *e == OVER_LIMIT);
+            if is_over_limit && now_ms() + OVER_LIMIT_RETRY_MS < queued.request.deadline {
+                act.retry_over_limit(queued, ctx);
+            } else {
+                let _ = queued.answer.send(result.map(|reply| StoreAnswer { reply, sent_at }));
+            }
+            act.send_ready(ctx);
+        }));
     }
-}
-
-fn read<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, StoreError> {
-    check(status, body)?;
-    serde_json::from_slice(body).map_err(|e| {
-        tracing::error!("an answer of the state service is garbled: {e}");
-        StoreError::Unknown
-    })
-}
 
-fn done(status: StatusCode, body: &[u8]) -> Result<Reply, StoreError> {
-    check(status, body).map(|()| Reply::Done)
+    /// Queues a request again, as the first of its class, after a pause.
+    fn retry_over_limit(&mut self, queued: QueuedRequest, ctx: &mut Context<Self>) {
+        if queued.request.request.write_count() > 0.0 {
+            self.write_share.record_refusal();
+            self.writes.drain();
+        }
+        let class = queued.request.class as usize;
+        ctx.run_later(Duration::from_millis(OVER_LIMIT_RETRY_MS), move |act, ctx| {
+            act.queues[class].push_front(queued);
+            act.send_ready(ctx);
+        });
+    }
 }
 
 impl Actor for Store {
@@ -392,64 +194,48 @@
     }
 }
 
-impl Handler<Request> for Store {
-    type Result = ResponseFuture<Result<Answered, StoreError>>;
+impl Handler<PacedRequest> for Store {
+    type Result = ResponseFuture<Result<StoreAnswer, StoreError>>;
 
-    fn handle(&mut self, request: Request, ctx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, request: PacedRequest, ctx: &mut Self::Context) -> Self::Result {
         let queue = &mut self.queues[request.class as usize];
         if queue.len() >= STORE_QUEUE {
-            return Box::pin(async { Err(StoreError::NotExecuted("queue full")) });
+            return Box::pin(async { Err(StoreError::NotExecuted(NotExecutedReason::QueueFull)) });
         }
         let (answer, result) = oneshot::channel();
-        queue.push_back(Waiting { request, answer });
-        self.pump(ctx);
+        queue.push_back(QueuedRequest { request, answer });
+        self.send_ready(ctx);
         Box::pin(async { result.await.unwrap_or(Err(StoreError::Unknown)) })
     }
 }
 
-impl Handler<Share> for Store {
+impl Handler<SetStoreShare> for Store {
     type Result = ();
 
-    fn handle(&mut self, msg: Share, _: &mut Self::Context) {
+    fn handle(&mut self, msg: SetStoreShare, _: &mut Self::Context) {
         // The leader has two shares of n + 1, each other node one.
-        let share = LIMIT_USED / (self.nodes + 1.0) * if msg.leading { 2.0 } else { 1.0 };
-        self.requests.set(self.rps * share, self.rps * share);
+        let shares = match msg.0 {
+            NodeRole::Leader => 2.0,
+            NodeRole::Follower => 1.0,
+        };
+        let share = USABLE_LIMIT_FRACTION / (self.nodes + 1.0) * shares;
+        self.requests.set_rate(self.requests_per_s * share, self.requests_per_s * share);
         self.write_share.set_part(share, now_ms());
-        self.writes.set(self.write_share.usual_rate(), self.write_share.burst());
+        self.writes.set_rate(self.write_share.usual_rate(), self.write_share.burst());
     }
 }
 
-/// Asks the store; a full mailbox or a stopped actor counts as not executed.
+/// Sends a request that is of no use after `wait_ms`. A full mailbox or a stopped actor counts as
+/// not executed.
 pub async fn request(
     store: &Addr<Store>,
-    class: Class,
+    class: RequestClass,
     request: StoreRequest,
     wait_ms: u64,
-) -> Result<Answered, StoreError> {
+) -> Result<StoreAnswer, StoreError> {
     let deadline = now_ms() + wait_ms;
-    match store.send(Request { class, request, deadline }).await {
+    match store.send(PacedRequest { class, request, deadline }).await {
         Ok(result) => result,
-        Err(_) => Err(StoreError::NotExecuted("queue full")),
-    }
-}
-
-/// Reads every item under a prefix.
-pub async fn read_all(
-    store: &Addr<Store>,
-    prefix: &'static str,
-) -> Result<(Vec<Item>, u64), StoreError> {
-    let mut items = Vec::new();
-    let mut first = None;
-    loop {
-        let from = items.last().map(|i: &Item| i.key.clone());
-        let a = request(store, Class::Read, StoreRequest::List { prefix, from }, 5_000).await?;
-        let Reply::Page(page) = a.reply else { return Err(StoreError::Unknown) };
-        // Changes after the first page are seen again by a watch from its revision.
-        let revision = *first.get_or_insert(page.revision);
-        let more = page.truncated.unwrap_or(false) && !page.items.is_empty();
-        items.extend(page.items);
-        if !more {
-            return Ok((items, revision));
-        }
+        Err(_) => Err(StoreError::NotExecuted(NotExecutedReason::QueueFull)),
     }
 }
--- a/crates/latchtrack/src/actors/store/namespace.rs
+++ b/crates/latchtrack/src/actors/store/namespace.rs
@@ -1,10 +1,11 @@
-//! The keys of this deployment in the state service: its own under a prefix, those that cells share as they are.
+//! The keys of this deployment in the state service: its own under a prefix, those that cells share
+//! as they are.
 
-use super::store::{Reply, StoreRequest};
+use crate::actors::messages::store::{Reply, StoreRequest};
 use crate::wire::quota::SHARED;
 use crate::wire::store::{Change, Txn};
 
-/// Where the keys of a deployment lie.
+/// Maps the keys of a deployment to those of the state service and back.
 #[derive(Clone, Debug)]
 pub struct Namespace {
     prefix: String,
@@ -18,9 +19,10 @@
 
     /// A key as the state service has it.
     pub fn outer(&self, key: &str) -> String {
-        match key.starts_with(SHARED) {
-            true => key.to_string(),
-            false => format!("{}{key}", self.prefix),
+        if key.starts_with(SHARED) {
+            key.to_string()
+        } else {
+            format!("{}{key}", self.prefix)
         }
     }
 
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -7,100 +7,118 @@
 use latchtrack_core::scheduler::{BatchOutcome, RecordWrite, StoredMachineSet, StoredResults};
 use serde_json::value::RawValue;
 
-use super::job_cache::{Inheritance, JobCache, OpenJob, OpenJobs};
+use super::job_cache::JobCache;
+use super::messages::job_cache::{ListOpenJobs, OpenJob, OpenJobsSnapshot};
 use super::store::{self, Store};
-use crate::wire::records::*;
-use crate::wire::store::{Change, Condition, Txn};
+use crate::wire::records::{
+    fleet, fleet_key, job_key, read_fleet, read_results, results, results_key, Record, FLEET, JOBS,
+    LEADER, RESULTS,
+};
+use crate::wire::store::{Change, Condition, Item, Txn};
 
 /// All that a new leader reads.
 pub struct StoredState {
+    /// The open jobs.
     pub jobs: Vec<OpenJob>,
-    pub vacant: Option<u64>,
-    pub fleet: Vec<StoredMachineSet>,
+    /// The revision with which the last leader's key went, if that was seen.
+    pub leaderless_since: Option<u64>,
+    /// The machines of earlier leaders.
+    pub machine_sets: Vec<StoredMachineSet>,
+    /// Which tasks of the open jobs are done.
     pub results: Vec<StoredResults>,
 }
 
-/// The transaction of a batch: fenced by the leader key; for a job that becomes done by the stamp
-/// of its record, which a cancellation would have changed; for a packed value by its own, which a
-/// late write of ours would have.
-pub fn transaction(token: u64, writes: &[RecordWrite]) -> Option<Txn> {
-    let mut conditions = vec![Condition { key: LEADER.into(), version: token }];
+/// What a write makes of a record shard.
+enum ShardValue {
+    Put(Box<RawValue>),
+    Delete,
+}
+
+impl ShardValue {
+    /// A shard without records is deleted.
+    fn new(
+        is_empty: bool,
+        value: impl FnOnce() -> serde_json::Result<Box<RawValue>>,
+    ) -> Option<ShardValue> {
+        if is_empty {
+            return Some(ShardValue::Delete);
+        }
+        value().ok().map(ShardValue::Put)
+    }
+}
+
+/// The transaction of a batch, None if a record can't be serialized. It is fenced by the leader
+/// key; for a job that becomes done by the revision of its record, which a cancellation would have
+/// changed; for a record shard by its own, which a late write of this leader would have.
+pub fn record_transaction(token: u64, writes: &[RecordWrite]) -> Option<Txn> {
+    let mut conditions = vec![Condition { key: LEADER.into(), revision: token }];
     let mut changes = Vec::new();
-    let put = |key, value| Change::Put { key, value, lease: None };
-    for w in writes {
-        let (key, expect, value) = match w {
+    for write in writes {
+        let (key, expect, value) = match write {
             RecordWrite::MachineSet { pack, machines } => (
                 fleet_key(&pack.name),
                 pack.expect,
-                packed(machines.is_empty(), || fleet(machines))?,
+                ShardValue::new(machines.is_empty(), || fleet(machines))?,
             ),
             RecordWrite::Results { pack, chunks } => (
                 results_key(&pack.name),
                 pack.expect,
-                packed(chunks.is_empty(), || results(chunks))?,
+                ShardValue::new(chunks.is_empty(), || results(chunks))?,
             ),
             RecordWrite::JobDone { job, revision, tasks } => {
                 let value = Record::Done { tasks: *tasks }.to_json().ok()?;
-                (job_key(*job), Some(*revision), Some(value))
+                (job_key(*job), Some(*revision), ShardValue::Put(value))
             }
         };
-        if let Some(version) = expect {
-            conditions.push(Condition { key: key.clone(), version });
+        if let Some(revision) = expect {
+            conditions.push(Condition { key: key.clone(), revision });
         }
         changes.push(match value {
-            Some(value) => put(key, value),
-            None => Change::Delete { key },
+            ShardValue::Put(value) => Change::Put { key, value, lease: None },
+            ShardValue::Delete => Change::Delete { key },
         });
     }
     Some(Txn { conditions, changes })
 }
 
-/// A packed value; Some(None) is a drop.
-#[allow(clippy::option_option)]
-fn packed(
-    empty: bool,
-    value: impl FnOnce() -> serde_json::Result<Box<RawValue>>,
-) -> Option<Option<Box<RawValue>>> {
-    if empty {
-        return Some(None);
-    }
-    value().ok().map(Some)
-}
-
-/// What stood in the way of a write.
-pub fn conflict(keys: &[String]) -> BatchOutcome {
+/// The outcome of a write of which the conditions on these keys did not hold.
+pub fn conflict_outcome(keys: &[String]) -> BatchOutcome {
     let under = |prefix: &str| -> Vec<String> {
-        keys.iter().filter_map(|k| k.strip_prefix(prefix)).map(str::to_string).collect()
+        keys.iter().filter_map(|key| key.strip_prefix(prefix)).map(str::to_string).collect()
     };
-    let jobs = under(JOBS).iter().filter_map(|t| t.parse().ok()).collect();
+    let jobs = under(JOBS).iter().filter_map(|id| id.parse().ok()).collect();
     BatchOutcome::Conflict { jobs, fleet: under(FLEET), results: under(RESULTS) }
 }
 
 /// Reads open jobs, results and machine set; None if the state service can't be asked. All of it
 /// is as new as this term, since an earlier leader's writes are fenced.
 pub async fn read_stored_state(store: &Addr<Store>, cache: &Addr<JobCache>) -> Option<StoredState> {
-    let (stored, _) = store::read_all(store, FLEET).await.ok()?;
-    let (chunks, _) = store::read_all(store, RESULTS).await.ok()?;
-    let Inheritance { jobs, vacant } = cache.send(OpenJobs).await.ok()?.ok()?;
-    let mut fleet = Vec::new();
-    for item in stored {
-        let Some(name) = item.key.strip_prefix(FLEET) else { continue };
-        let machines = read_fleet(name, item.value.get())
-            .map_err(|e| tracing::error!("the machines under {name} are garbled: {e}"))
-            .ok();
-        fleet.push(StoredMachineSet { name: name.to_string(), revision: item.version, machines });
-    }
-    let open: HashSet<JobId> = jobs.iter().map(|(spec, ..)| spec.id).collect();
-    let mut results = Vec::new();
-    for item in chunks {
-        let Some(name) = item.key.strip_prefix(RESULTS) else { continue };
-        let mut chunks = read_results(name, item.value.get()).unwrap_or_else(|| {
-            // Its tasks run again; their results were kept by nobody else.
-            tracing::error!("the results under {name} are garbled");
-            Vec::new()
-        });
-        chunks.retain(|(id, ..)| open.contains(id));
-        results.push(StoredResults { name: name.to_string(), revision: item.version, chunks });
-    }
-    Some(StoredState { jobs, vacant, fleet, results })
+    let (machine_sets, _) = store::read_all(store, FLEET).await.ok()?;
+    let (results, _) = store::read_all(store, RESULTS).await.ok()?;
+    let OpenJobsSnapshot { jobs, leaderless_since } = cache.send(ListOpenJobs).await.ok()?.ok()?;
+    let machine_sets = machine_sets.iter().filter_map(parse_machine_set).collect();
+    let open: HashSet<JobId> = jobs.iter().map(|job| job.spec.id).collect();
+    let results = results.iter().filter_map(|item| parse_results(item, &open)).collect();
+    Some(StoredState { jobs, leaderless_since, machine_sets, results })
+}
+
+fn parse_machine_set(item: &Item) -> Option<StoredMachineSet> {
+    let name = item.key.strip_prefix(FLEET)?;
+    let machines = read_fleet(name, item.value.get())
+        .map_err(|error| {
+            tracing::error!(key = item.key, %error, "stored machines can't be parsed");
+        })
+        .ok();
+    Some(StoredMachineSet { name: name.to_string(), revision: item.revision, machines })
+}
+
+fn parse_results(item: &Item, open: &HashSet<JobId>) -> Option<StoredResults> {
+    let name = item.key.strip_prefix(RESULTS)?;
+    let mut chunks = read_results(name, item.value.get()).unwrap_or_else(|| {
+        // Its tasks run again; their results were kept nowhere else.
+        tracing::error!(key = item.key, "stored results can't be parsed");
+        Vec::new()
+    });
+    chunks.retain(|(id, ..)| open.contains(id));
+    Some(StoredResults { name: name.to_string(), revision: item.revision, chunks })
 }
--- a/crates/latchtrack/src/clock.rs
+++ b/crates/latchtrack/src/clock.rs
@@ -5,26 +5,26 @@
 
 static START: OnceLock<Instant> = OnceLock::new();
 
-/// ms at which the steady clock starts: what happened up to ten days before a process began still
-/// has a time of its own on it, and 0 can stand for "never".
+/// ms at which the steady clock starts. What happened up to ten days before the process began has a
+/// time of its own on it, and 0 can stand for "never".
 const START_MS: u64 = 10 * 24 * 3_600 * 1_000;
 
-/// ms on the steady clock, which starts with the process.
+/// Now in ms of the steady clock, which starts with the process and never goes back.
 pub fn now_ms() -> u64 {
     START_MS + START.get_or_init(Instant::now).elapsed().as_millis() as u64
 }
 
-/// ms of the time of day, which is off by up to the bound in the settings.
+/// Now in ms of the time of day (Unix time), which may differ between machines.
 pub fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// The time on the steady clock that was this time of day; now at the latest.
+/// The time on the steady clock, in ms, that was this time of day; now at the latest.
 pub fn steady_of(wall: u64) -> u64 {
     steady_at(now_ms(), wall_ms(), wall)
 }
 
-/// The same, given both clocks as they stand now.
+/// As [`steady_of`], given both clocks as they stand now.
 pub fn steady_at(now: u64, wall_now: u64, wall: u64) -> u64 {
     now.saturating_sub(wall_now.saturating_sub(wall))
 }
--- a/crates/latchtrack/src/http/server.rs
+++ b/crates/latchtrack/src/http/server.rs
@@ -14,68 +14,70 @@
 
 use super::{routes, AppState};
 use crate::constants::{
-    KEEP_ALIVE_S, REFUSALS_OPEN, REFUSAL_LINGER, REFUSAL_TIMEOUT, RETRY_AFTER_S,
+    ACCEPT_RETRY, KEEP_ALIVE_S, MAX_OPEN_REFUSALS, REFUSAL_LINGER, REFUSAL_READ_BYTES,
+    REFUSAL_TIMEOUT, REQUEST_HEAD_TIMEOUT, RETRY_AFTER_S,
 };
 
-/// Accepts until the process ends. Beyond the bound a connection is told so at once and closed: left
-/// to wait for a place, which nobody may leave, users and workers would learn nothing.
-pub async fn serve(listener: TcpListener, app: AppState, most: usize) {
+/// Accepts until the process ends. Beyond `max_connections` a connection is refused at once and
+/// closed: if it were left to wait until another one is closed, users and workers would learn
+/// nothing.
+pub async fn serve(listener: TcpListener, app: AppState, max_connections: usize) {
     let app = App::new().app_data(web::Data::new(app)).configure(routes);
     let factory = HttpService::build()
         .keep_alive(KeepAlive::Timeout(Duration::from_secs(KEEP_ALIVE_S)))
-        .client_request_timeout(Duration::from_secs(5))
+        .client_request_timeout(REQUEST_HEAD_TIMEOUT)
         .h1(map_config(app.into_factory(), |()| AppConfig::default()))
         .tcp();
     let Ok(service) = factory.new_service(()).await else {
-        tracing::error!("the HTTP service can't be made");
+        tracing::error!("HTTP service can't be created");
         return;
     };
     let service = Rc::new(service);
-    let free = Arc::new(Semaphore::new(most));
-    let refusing = Arc::new(Semaphore::new(REFUSALS_OPEN));
+    let free = Arc::new(Semaphore::new(max_connections));
+    let refusing = Arc::new(Semaphore::new(MAX_OPEN_REFUSALS));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                let Ok(place) = free.clone().try_acquire_owned() else {
-                    let Ok(turn) = refusing.clone().acquire_owned().await else { return };
+                let Ok(permit) = free.clone().try_acquire_owned() else {
+                    let Ok(permit) = refusing.clone().acquire_owned().await else { return };
                     actix_rt::spawn(async move {
                         refuse(stream).await;
-                        drop(turn);
+                        drop(permit);
                     });
                     continue;
                 };
                 let service = service.clone();
                 actix_rt::spawn(async move {
-                    if let Err(e) = service.call(stream).await {
-                        tracing::debug!("a connection ended: {e:?}");
+                    if let Err(error) = service.call(stream).await {
+                        tracing::debug!(?error, "connection ended");
                     }
-                    drop(place);
+                    drop(permit);
                 });
             }
-            Err(e) => {
-                tracing::debug!("accept failed: {e}");
-                tokio::time::sleep(Duration::from_millis(50)).await;
+            Err(error) => {
+                tracing::debug!(%error, "accept failed");
+                tokio::time::sleep(ACCEPT_RETRY).await;
             }
         }
     }
 }
 
-/// Answers whatever is asked with 503 and closes; reads first, so that the answer is not lost with
-/// what was not read.
+/// Answers any request with 503 and closes the connection. It reads first, so that the answer is not
+/// lost with what was not read.
 async fn refuse(mut stream: TcpStream) {
     let answer = format!(
         "HTTP/1.1 503 Service Unavailable\r\nRetry-After: {RETRY_AFTER_S}\r\nContent-Length: 0\r\n\
          Connection: close\r\n\r\n"
     );
-    let mut some = [0; 1024];
-    let told = async {
-        let _ = stream.read(&mut some).await;
+    let mut buffer = [0; REFUSAL_READ_BYTES];
+    let refused = async {
+        let _ = stream.read(&mut buffer).await;
         let _ = stream.write_all(answer.as_bytes()).await;
         let _ = stream.shutdown().await;
     };
-    if tokio::time::timeout(REFUSAL_TIMEOUT, told).await.is_ok() {
-        let rest = async { while matches!(stream.read(&mut some).await, Ok(n) if n > 0) {} };
+    if tokio::time::timeout(REFUSAL_TIMEOUT, refused).await.is_ok() {
+        let rest = async { while matches!(stream.read(&mut buffer).await, Ok(n) if n > 0) {} };
         let _ = tokio::time::timeout(REFUSAL_LINGER, rest).await;
     }
 }
--- a/crates/latchtrack/src/http/users.rs
+++ b/crates/latchtrack/src/http/users.rs
@@ -1,149 +1,166 @@
-//! Submit, query, withdraw, ready.
+//! Requests of users: submit, query, cancel; and readiness.
 
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpResponse};
 use latchtrack_core::job::JobId;
 
-use super::{body, later, pass_on, refuse, AppState};
-use crate::actors::intake::{Able, Submit, Submitted, Withdraw, Withdrawn};
-use crate::actors::job_cache::{Loaded, Look, Served, View};
-use crate::actors::peers::Company;
+use super::{error_response, forward, read_body, unavailable, AppState, Deployment};
+use crate::actors::messages::admission::{
+    CancelJob, CancelOutcome, IsReady, SubmitJob, SubmitOutcome,
+};
+use crate::actors::messages::job_cache::{Freshness, IsLoaded, IsServed, JobView, LookUpJob};
+use crate::actors::messages::peers::{ForwardTarget, HasConnectedPeers};
 use crate::wire::peers::PeerRequest;
 use crate::wire::records::Record;
-use crate::wire::users::{parse_id, parse_job, JobAnswer, State};
-
-fn state(view: &View) -> State {
-    match view.record {
-        Record::Done { .. } => State::Done,
-        Record::Cancelled { .. } => State::Cancelled,
-        Record::Open { .. } if view.running > 0 => State::Running,
-        Record::Open { .. } => State::Queued,
-    }
-}
-
-/// Looks a job up; Err is the answer when the state service can't be asked.
-async fn look(app: &AppState, id: JobId, fresh: bool) -> Result<Option<View>, HttpResponse> {
-    match app.cache.send(Look { id, fresh }).await {
-        Ok(Ok(view)) => Ok(view),
-        _ => Err(later("the state service can't be asked")),
-    }
-}
+use crate::wire::users::{parse_id, parse_job, BadSubmission, JobAnswer, JobState};
 
+/// `POST /api/jobs`: 201 for a new job, 200 with its state for one that is known.
 pub async fn submit(app: web::Data<AppState>, payload: web::Payload) -> HttpResponse {
-    match body(payload).await {
+    match read_body(payload).await {
         Ok(bytes) => answer(&app, PeerRequest::Submit(bytes)).await,
-        Err(answer) => answer,
+        Err(response) => response,
     }
 }
 
+/// `GET /api/jobs/{id}`: the state of a job and how many of its tasks are done and run.
 pub async fn query(app: web::Data<AppState>, id: web::Path<String>) -> HttpResponse {
     answer(&app, PeerRequest::Query(id.into_inner())).await
 }
 
-pub async fn withdraw(app: web::Data<AppState>, id: web::Path<String>) -> HttpResponse {
+/// `POST /api/jobs/{id}/withdraw`: cancels a job, unless it is done.
+pub async fn cancel(app: web::Data<AppState>, id: web::Path<String>) -> HttpResponse {
     answer(&app, PeerRequest::Withdraw(id.into_inner())).await
 }
 
-/// Answers here, or, where the state service does not serve this node alone, by another node.
-async fn answer(app: &AppState, request: PeerRequest) -> HttpResponse {
-    if !served(app).await {
-        if let Some(answer) = pass_on(app, None, request.clone()).await {
-            return answer;
-        }
-        // All lack it, or nobody is there: what can be said here is said at once.
+/// `GET /ready`: whether requests may be sent to this node.
+pub async fn ready(app: web::Data<AppState>) -> HttpResponse {
+    let is_loaded = app.cache.send(IsLoaded).await.unwrap_or(false);
+    let is_admitting = app.admission.send(IsReady).await.unwrap_or(false);
+    // A node that is not served by the state service and has no other node to forward requests to
+    // is left to its peers to replace. If none is served, they hear each other and stay.
+    let is_useful = is_served(&app).await
+        || app.peers.send(HasConnectedPeers).await.unwrap_or(false)
+        || app.deployment == Deployment::SingleNode;
+    if is_loaded && is_admitting && is_useful {
+        HttpResponse::Ok().finish()
+    } else {
+        unavailable("starting")
     }
-    answer_here(app, request).await
 }
 
-pub(super) async fn served(app: &AppState) -> bool {
-    app.cache.send(Served).await.unwrap_or(false)
+/// Whether the state service serves this node.
+pub(super) async fn is_served(app: &AppState) -> bool {
+    app.cache.send(IsServed).await.unwrap_or(false)
 }
 
-pub async fn answer_here(app: &AppState, request: PeerRequest) -> HttpResponse {
-    match request {
-        PeerRequest::Submit(bytes) => {
-            submit_body(app, &bytes).await.unwrap_or_else(|answer| answer)
+/// Answers here, or has another node answer if the state service does not serve this one.
+async fn answer(app: &AppState, request: PeerRequest) -> HttpResponse {
+    if !is_served(app).await {
+        if let Some(answer) = forward(app, ForwardTarget::AnyServed, request.clone()).await {
+            return answer;
         }
-        PeerRequest::Query(id) => query_id(app, &id).await,
-        PeerRequest::Withdraw(id) => withdraw_id(app, &id).await,
+        // No node is served, or none is there: what can be said here is said at once.
+    }
+    answer_locally(app, request).await
+}
+
+/// Answers a user's request by this node alone.
+pub async fn answer_locally(app: &AppState, request: PeerRequest) -> HttpResponse {
+    let response = match request {
+        PeerRequest::Submit(bytes) => submit_locally(app, &bytes).await,
+        PeerRequest::Query(id) => query_locally(app, &id).await,
+        PeerRequest::Withdraw(id) => cancel_locally(app, &id).await,
         PeerRequest::Heartbeat(_) | PeerRequest::Status => {
-            refuse(StatusCode::BAD_REQUEST, "not a user's request")
+            Err(error_response(StatusCode::BAD_REQUEST, "not a user's request"))
         }
+    };
+    response.unwrap_or_else(|refusal| refusal)
+}
+
+fn job_state(view: &JobView) -> JobState {
+    match view.record {
+        Record::Done { .. } => JobState::Done,
+        Record::Cancelled { .. } => JobState::Cancelled,
+        Record::Open { .. } if view.running > 0 => JobState::Running,
+        Record::Open { .. } => JobState::Queued,
     }
 }
 
-async fn submit_body(app: &AppState, bytes: &[u8]) -> Result<HttpResponse, HttpResponse> {
-    let (id, map) = match parse_id(bytes) {
-        Ok(parsed) => parsed,
-        Err(e) => return Err(refuse(StatusCode::BAD_REQUEST, &e.to_string())),
-    };
-    let known = |view: View| HttpResponse::Ok().json(JobAnswer::state(id, state(&view)));
+/// Looks a job up; Err is the answer when the state service can't be asked.
+async fn look_up(
+    app: &AppState,
+    id: JobId,
+    freshness: Freshness,
+) -> Result<Option<JobView>, HttpResponse> {
+    match app.cache.send(LookUpJob { id, freshness }).await {
+        Ok(Ok(view)) => Ok(view),
+        _ => Err(unavailable("the state service can't be asked")),
+    }
+}
+
+fn no_such_job() -> HttpResponse {
+    error_response(StatusCode::NOT_FOUND, "no such job")
+}
+
+fn known_job(id: JobId, view: &JobView) -> HttpResponse {
+    HttpResponse::Ok().json(JobAnswer::state(id, job_state(view)))
+}
+
+async fn submit_locally(app: &AppState, bytes: &[u8]) -> Result<HttpResponse, HttpResponse> {
+    let (id, fields) = parse_id(bytes)
+        .map_err(|error| error_response(StatusCode::BAD_REQUEST, &error.to_string()))?;
     // A known id is answered with its state, whatever else the body says.
-    if look(app, id, false).await?.is_some() {
-        if let Some(view) = look(app, id, true).await? {
-            return Ok(known(view));
+    if look_up(app, id, Freshness::Cached).await?.is_some() {
+        if let Some(view) = look_up(app, id, Freshness::Current).await? {
+            return Ok(known_job(id, &view));
         }
     }
-    let (status, why) = match parse_job(id, &map) {
-        Err(e) => (StatusCode::BAD_REQUEST, e.to_string()),
-        Ok(spec) => match app.intake.send(Submit(spec)).await {
-            Ok(Submitted::Created) => {
-                return Ok(HttpResponse::Created().json(JobAnswer::state(id, State::Queued)));
+    let (status, reason) = match parse_job(id, &fields) {
+        Err(error) => (StatusCode::BAD_REQUEST, error.to_string()),
+        Ok(spec) => match app.admission.send(SubmitJob(spec)).await {
+            Ok(SubmitOutcome::Created) => {
+                return Ok(HttpResponse::Created().json(JobAnswer::state(id, JobState::Queued)));
             }
-            Ok(Submitted::Exists) => {
-                return match look(app, id, true).await? {
-                    Some(view) => Ok(known(view)),
-                    None => Err(later("the job is not readable yet")),
+            Ok(SubmitOutcome::Exists) => {
+                return match look_up(app, id, Freshness::Current).await? {
+                    Some(view) => Ok(known_job(id, &view)),
+                    None => Err(unavailable("the job is not readable yet")),
                 };
             }
-            Ok(Submitted::Impossible(why)) => (StatusCode::UNPROCESSABLE_ENTITY, why),
-            Ok(Submitted::TooLarge(size, most)) => {
-                let e = crate::wire::users::BadSubmission::TooLarge(size, most);
-                (StatusCode::BAD_REQUEST, e.to_string())
+            Ok(SubmitOutcome::Infeasible(reason)) => {
+                (StatusCode::UNPROCESSABLE_ENTITY, reason.to_string())
             }
-            Ok(Submitted::Busy(why)) => return Err(later(why)),
-            Err(_) => return Err(later("too many requests")),
+            Ok(SubmitOutcome::TooLarge { bytes, max_bytes }) => {
+                let error = BadSubmission::TooLarge(bytes, max_bytes);
+                (StatusCode::BAD_REQUEST, error.to_string())
+            }
+            Ok(SubmitOutcome::Busy(reason)) => return Err(unavailable(&reason.to_string())),
+            Err(_) => return Err(unavailable("too many requests")),
         },
     };
     // Refused only if no node has accepted it before.
-    match look(app, id, true).await? {
-        Some(view) => Ok(known(view)),
-        None => Err(refuse(status, &why)),
+    match look_up(app, id, Freshness::Current).await? {
+        Some(view) => Ok(known_job(id, &view)),
+        None => Err(error_response(status, &reason)),
     }
 }
 
-async fn query_id(app: &AppState, id: &str) -> HttpResponse {
-    let Ok(id) = id.parse::<JobId>() else {
-        return refuse(StatusCode::NOT_FOUND, "no such job");
-    };
-    match look(app, id, true).await {
-        Ok(Some(v)) => HttpResponse::Ok().json(JobAnswer::counts(id, state(&v), v.done, v.running)),
-        Ok(None) => refuse(StatusCode::NOT_FOUND, "no such job"),
-        Err(answer) => answer,
-    }
+async fn query_locally(app: &AppState, id: &str) -> Result<HttpResponse, HttpResponse> {
+    let id = id.parse().map_err(|_| no_such_job())?;
+    let view = look_up(app, id, Freshness::Current).await?.ok_or_else(no_such_job)?;
+    let answer = JobAnswer::counts(id, job_state(&view), view.done, view.running);
+    Ok(HttpResponse::Ok().json(answer))
 }
 
-async fn withdraw_id(app: &AppState, id: &str) -> HttpResponse {
-    let Ok(id) = id.parse::<JobId>() else {
-        return refuse(StatusCode::NOT_FOUND, "no such job");
+async fn cancel_locally(app: &AppState, id: &str) -> Result<HttpResponse, HttpResponse> {
+    let id = id.parse().map_err(|_| no_such_job())?;
+    let state = match app.admission.send(CancelJob(id)).await {
+        Ok(CancelOutcome::Cancelled) => JobState::Cancelled,
+        Ok(CancelOutcome::Done) => JobState::Done,
+        Ok(CancelOutcome::Unknown) => return Err(no_such_job()),
+        Ok(CancelOutcome::Busy) | Err(_) => {
+            return Err(unavailable("the state service does not answer"));
+        }
     };
-    match app.intake.send(Withdraw(id)).await {
-        Ok(Withdrawn::Cancelled) => HttpResponse::Ok().json(JobAnswer::state(id, State::Cancelled)),
-        Ok(Withdrawn::Done) => HttpResponse::Ok().json(JobAnswer::state(id, State::Done)),
-        Ok(Withdrawn::Unknown) => refuse(StatusCode::NOT_FOUND, "no such job"),
-        _ => later("the state service does not answer"),
-    }
-}
-
-pub async fn ready(app: web::Data<AppState>) -> HttpResponse {
-    let loaded = app.cache.send(Loaded).await.unwrap_or(false);
-    let able = app.intake.send(Able).await.unwrap_or(false);
-    // Alone without the state service and without another node to pass requests on to: others
-    // will do better. If all lack it they hear each other and stay.
-    let useful = served(&app).await || app.peers.send(Company).await.unwrap_or(false) || app.alone;
-    if loaded && able && useful {
-        HttpResponse::Ok().finish()
-    } else {
-        later("starting")
-    }
+    Ok(HttpResponse::Ok().json(JobAnswer::state(id, state)))
 }
--- a/crates/latchtrack/src/http/workers.rs
+++ b/crates/latchtrack/src/http/workers.rs
@@ -1,54 +1,70 @@
-//! Reports of workers.
+//! Heartbeats of workers.
 
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpResponse};
 
-use super::{body, later, pass_on, refuse, AppState};
-use crate::actors::leader::{Answer, WorkerReport};
+use super::{error_response, forward, read_body, unavailable, AppState};
+use crate::actors::messages::peers::ForwardTarget;
+use crate::actors::messages::scheduler::{HeartbeatReceived, HeartbeatResponse, HeartbeatRoute};
 use crate::wire::peers::PeerRequest;
-use crate::wire::workers::{parse_report, CommandDto, Elsewhere, Orders};
+use crate::wire::workers::{parse_heartbeat, CommandDto, HeartbeatAnswer, Redirect};
 
-pub async fn report(app: web::Data<AppState>, payload: web::Payload) -> HttpResponse {
-    let bytes = match body(payload).await {
-        Ok(b) => b,
-        Err(answer) => return answer,
+/// `POST /v1/report`: a worker's heartbeat. The leader answers with commands; another node with 421
+/// and the leader's name, or has the heartbeat forwarded for a worker that can't reach the leader.
+pub async fn heartbeat(app: web::Data<AppState>, payload: web::Payload) -> HttpResponse {
+    let bytes = match read_body(payload).await {
+        Ok(bytes) => bytes,
+        Err(response) => return response,
     };
-    let answer = judge(&app, &bytes, false).await;
-    // A worker that was sent to the leader and is back can't reach it: its report is passed on, and
-    // an answer with the leader's token counts from any node.
-    if let Ok(Answer::Relay(leader)) = &answer {
-        let passed = pass_on(&app, Some(leader.clone()), PeerRequest::Heartbeat(bytes)).await;
-        return passed.unwrap_or_else(|| elsewhere(None));
+    let response = match handle_heartbeat(&app, &bytes, HeartbeatRoute::Direct).await {
+        Ok(response) => response,
+        Err(refusal) => return refusal,
+    };
+    // An answer with the leader's token counts from any node.
+    if let HeartbeatResponse::ForwardTo(leader) = response {
+        let target = ForwardTarget::Node(leader);
+        let answer = forward(&app, target, PeerRequest::Heartbeat(bytes)).await;
+        return answer.unwrap_or_else(|| redirect(None));
     }
-    say(answer)
+    http_response(response)
 }
 
-/// Answers at this node only what another has passed on.
-pub async fn answer_here(app: &AppState, bytes: &[u8]) -> HttpResponse {
-    say(judge(app, bytes, true).await)
+/// Answers a heartbeat that another node has forwarded.
+pub async fn answer_forwarded(app: &AppState, bytes: &[u8]) -> HttpResponse {
+    match handle_heartbeat(app, bytes, HeartbeatRoute::Forwarded).await {
+        Ok(response) => http_response(response),
+        Err(refusal) => refusal,
+    }
 }
 
-/// What the leader says to a report, or the refusal of one that is of no use.
-async fn judge(app: &AppState, bytes: &[u8], relayed: bool) -> Result<Answer, HttpResponse> {
-    let report = parse_report(bytes).map_err(|e| {
-        tracing::debug!("a report is of no use: {e}");
-        refuse(StatusCode::BAD_REQUEST, &e.to_string())
+/// What the scheduler driver says to a heartbeat, or the refusal of one that can't be parsed.
+async fn handle_heartbeat(
+    app: &AppState,
+    bytes: &[u8],
+    route: HeartbeatRoute,
+) -> Result<HeartbeatResponse, HttpResponse> {
+    let heartbeat = parse_heartbeat(bytes).map_err(|error| {
+        tracing::debug!(%error, "heartbeat refused");
+        error_response(StatusCode::BAD_REQUEST, &error.to_string())
     })?;
-    Ok(app.leader.send(WorkerReport { report, relayed }).await.unwrap_or(Answer::NotNow))
+    let response = app.scheduler.send(HeartbeatReceived { heartbeat, route }).await;
+    Ok(response.unwrap_or(HeartbeatResponse::NotReady))
 }
 
-fn say(answer: Result<Answer, HttpResponse>) -> HttpResponse {
-    match answer {
-        Err(refusal) => refusal,
-        Ok(Answer::Orders { token, commands }) => HttpResponse::Ok()
-            .json(Orders { token, commands: commands.iter().map(CommandDto::from).collect() }),
-        Ok(Answer::Elsewhere(node)) => elsewhere(node.as_deref()),
-        // Passed on once already, or in vain.
-        Ok(Answer::Relay(_)) => elsewhere(None),
-        Ok(Answer::NotNow) => later("not entitled to act now"),
+fn http_response(response: HeartbeatResponse) -> HttpResponse {
+    match response {
+        HeartbeatResponse::Commands { token, commands } => {
+            let commands = commands.iter().map(CommandDto::from).collect();
+            HttpResponse::Ok().json(HeartbeatAnswer { token, commands })
+        }
+        HeartbeatResponse::LeaderElsewhere(leader) => redirect(leader.as_deref()),
+        // It was forwarded once already.
+        HeartbeatResponse::ForwardTo(_) => redirect(None),
+        HeartbeatResponse::NotReady => unavailable("not entitled to act now"),
     }
 }
 
-fn elsewhere(report_to: Option<&str>) -> HttpResponse {
-    HttpResponse::build(StatusCode::MISDIRECTED_REQUEST).json(Elsewhere { report_to })
+/// 421: another node leads.
+fn redirect(leader: Option<&str>) -> HttpResponse {
+    HttpResponse::build(StatusCode::MISDIRECTED_REQUEST).json(Redirect { leader })
 }
--- a/crates/latchtrack/src/limit.rs
+++ b/crates/latchtrack/src/limit.rs
@@ -1,4 +1,5 @@
-//! `latchtrack limit`: shows what cells share of a team, and changes its stored limit and guarantee.
+//! `latchtrack limit`: shows the ledger that cells share of a team, and changes its limit and
+//! guarantee.
 
 use std::collections::BTreeMap;
 
@@ -7,55 +8,72 @@
 use serde::Serialize;
 use serde_json::value::to_raw_value;
 
-use crate::actors::store::{self, Class, Reply, Store, StoreError, StoreRequest};
-use crate::constants::{LIMIT_TRIES, QUOTA_WAIT_MS};
+use crate::actors::messages::store::{Reply, RequestClass, StoreAnswer, StoreRequest};
+use crate::actors::store::{self, Store, StoreError};
+use crate::constants::{LEDGER_WRITE_WAIT_MS, LIMIT_CHANGE_ATTEMPTS};
 use crate::settings::Settings;
 use crate::wire::quota::team_key;
 use crate::wire::status::{AccountView, AmountsView};
 use crate::wire::store::{Change, Condition, Txn};
 
-/// What is to be changed; None leaves it as it is, a limit of 0 is none.
+/// A new limit and guarantee. What is None stays as it is; a limit of 0 is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct NewTerms {
+pub struct TeamTerms {
+    /// CPUs of the limit.
     pub cpus_max: Option<f64>,
+    /// GPUs of the limit.
     pub gpus_max: Option<f64>,
+    /// CPUs of the guarantee.
     pub cpus: Option<f64>,
+    /// GPUs of the guarantee.
     pub gpus: Option<f64>,
 }
 
-/// What cells share of a team.
+/// The ledger of a team, as it is shown.
 #[derive(Debug, Serialize)]
 pub struct SharedTeam {
+    /// Name of the team.
     pub team: String,
+    /// What all cells together may use.
     pub limit: AmountsView,
+    /// What the team gets in any case.
     pub guarantee: AmountsView,
+    /// The allotment of each cell.
     pub cells: BTreeMap<String, AccountView>,
 }
 
 /// Why a limit was not shown or changed.
 #[derive(Debug, thiserror::Error)]
 pub enum LimitError {
+    /// No cells share teams.
     #[error("the operators' file names no quota.cell")]
     NotShared,
+    /// The state service can't be asked.
     #[error("the state service: {0}")]
     Store(#[from] StoreError),
+    /// There is no ledger of this team.
     #[error("no cell has stored anything of team {0}")]
     Unknown(String),
+    /// The ledger of this team can't be used.
     #[error("the value of team {0} {1}; it is left alone")]
     Unusable(String, LedgerError),
+    /// The option of this name has a number that makes no sense.
     #[error("{0} is {1}, must be a number of 0 or more")]
     Number(&'static str, f64),
+    /// The guarantee would not fit into the limit.
     #[error("the limit is below the guarantee")]
     BelowGuarantee,
+    /// Cells have changed the ledger at each attempt.
     #[error("the value was changed by others again and again; try once more")]
     Contended,
+    /// The ledger can't be serialized.
     #[error("the value can't be written: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-impl NewTerms {
+impl TeamTerms {
     fn is_empty(&self) -> bool {
-        *self == NewTerms::default()
+        *self == TeamTerms::default()
     }
 
     fn check(&self) -> Result<(), LimitError> {
@@ -73,8 +91,8 @@
         Ok(())
     }
 
-    /// Changes a value's limit and guarantee. What is allotted stays, and cells give back what is beyond; but for
-    /// a resource that had no limit they enter first what they use of it.
+    /// Changes a ledger's limit and guarantee. Allotments stay, and cells give back what is beyond
+    /// the limit; but for a resource that had no limit they enter first what they use of it.
     pub fn apply(&self, ledger: &mut TeamLedger) -> Result<(), LimitError> {
         self.check()?;
         let before = ledger.limit;
@@ -99,62 +117,76 @@
             ledger.guarantee.milligpus = new.milligpus;
         }
         let counted = ledger.limit.counted(ledger.guarantee);
-        match counted.fits_in(ledger.limit.total()) {
-            true => Ok(()),
-            false => Err(LimitError::BelowGuarantee),
+        if counted.fits_in(ledger.limit.total()) {
+            Ok(())
+        } else {
+            Err(LimitError::BelowGuarantee)
         }
     }
 }
 
-/// Shows a team, after the change if there is one.
+/// Shows a team's ledger, after the change if there is one. A change is tried again while cells write
+/// the ledger, [`LIMIT_CHANGE_ATTEMPTS`] times at most.
 pub async fn limit(
     settings: &Settings,
     team: &str,
-    terms: NewTerms,
+    terms: TeamTerms,
 ) -> Result<SharedTeam, LimitError> {
     if settings.tuning.quota.is_none() {
         return Err(LimitError::NotShared);
     }
     let store = Store::new(settings).start();
-    for _ in 0..LIMIT_TRIES {
-        let (revision, mut ledger) = read(&store, team).await?;
+    for _ in 0..LIMIT_CHANGE_ATTEMPTS {
+        let (revision, mut ledger) = read_ledger(&store, team).await?;
         terms.apply(&mut ledger)?;
-        if terms.is_empty() || write(&store, team, revision, &ledger).await? {
+        if terms.is_empty() {
             return Ok(shown(team, ledger));
         }
+        match write_ledger(&store, team, revision, &ledger).await? {
+            LedgerWriteResult::Written => return Ok(shown(team, ledger)),
+            LedgerWriteResult::Conflict => {}
+        }
     }
     Err(LimitError::Contended)
 }
 
-async fn read(store: &Addr<Store>, team: &str) -> Result<(u64, TeamLedger), LimitError> {
-    let request = StoreRequest::Get { key: team_key(team) };
-    let item = match store::request(store, Class::Accept, request, QUOTA_WAIT_MS).await {
-        Ok(store::Answered { reply: Reply::Item(item), .. }) => item,
+async fn read_ledger(store: &Addr<Store>, team: &str) -> Result<(u64, TeamLedger), LimitError> {
+    let get = StoreRequest::Get { key: team_key(team) };
+    let answer = store::request(store, RequestClass::Admission, get, LEDGER_WRITE_WAIT_MS).await;
+    let item = match answer {
+        Ok(StoreAnswer { reply: Reply::Item(item), .. }) => item,
         Err(StoreError::NotFound) => return Err(LimitError::Unknown(team.into())),
-        Err(e) => return Err(e.into()),
+        Err(error) => return Err(error.into()),
         Ok(_) => return Err(StoreError::Unknown.into()),
     };
-    let ledger = TeamLedger::parse(item.value.get());
-    Ok((item.version, ledger.map_err(|e| LimitError::Unusable(team.into(), e))?))
+    let ledger = TeamLedger::parse(item.value.get())
+        .map_err(|error| LimitError::Unusable(team.into(), error))?;
+    Ok((item.revision, ledger))
+}
+
+/// What became of a write.
+enum LedgerWriteResult {
+    Written,
+    /// The ledger has another revision by now.
+    Conflict,
 }
 
-/// Whether it was written; if not, somebody else has changed the value.
-async fn write(
+async fn write_ledger(
     store: &Addr<Store>,
     team: &str,
     revision: u64,
     ledger: &TeamLedger,
-) -> Result<bool, LimitError> {
+) -> Result<LedgerWriteResult, LimitError> {
     let key = team_key(team);
     let value = to_raw_value(ledger)?;
-    let txn = Txn {
-        conditions: vec![Condition { key: key.clone(), version: revision }],
+    let request = StoreRequest::Txn(Txn {
+        conditions: vec![Condition { key: key.clone(), revision }],
         changes: vec![Change::Put { key, value, lease: None }],
-    };
-    let request = StoreRequest::Txn(txn);
-    match store::request(store, Class::Accept, request, QUOTA_WAIT_MS).await?.reply {
-        Reply::Applied(_) => Ok(true),
-        Reply::Failed(_) => Ok(false),
+    });
+    let answer = store::request(store, RequestClass::Admission, request, LEDGER_WRITE_WAIT_MS);
+    match answer.await?.reply {
+        Reply::Applied(_) => Ok(LedgerWriteResult::Written),
+        Reply::Failed(_) => Ok(LedgerWriteResult::Conflict),
         _ => Err(StoreError::Unknown.into()),
     }
 }
--- a/crates/latchtrack/src/main.rs
+++ b/crates/latchtrack/src/main.rs
@@ -5,9 +5,26 @@
 
 use clap::Parser;
 use latchtrack::cli::{Cli, Command, Files, LimitArgs};
-use latchtrack::limit::NewTerms;
-use latchtrack::node;
-use latchtrack::settings::Settings;
+use latchtrack::limit::{LimitError, TeamTerms};
+use latchtrack::node::{self, StartError};
+use latchtrack::settings::{BadSettings, Settings};
+
+/// Why a command has failed. The texts are what the user sees.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Settings(#[from] BadSettings),
+    #[error(transparent)]
+    Start(#[from] StartError),
+    #[error(transparent)]
+    Limit(#[from] LimitError),
+    #[error(transparent)]
+    Yaml(#[from] serde_yaml_ng::Error),
+    #[error("nobody answers")]
+    NoAnswer,
+    #[error("LOG_LEVEL: {0} is no level")]
+    LogLevel(String),
+}
 
 fn main() -> ExitCode {
     let result = match Cli::parse().command {
@@ -18,60 +35,64 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("latchtrack: {e}");
+        Err(error) => {
+            eprintln!("latchtrack: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn load(files: &Files) -> Result<Settings, Box<dyn std::error::Error>> {
-    Ok(Settings::load(&files.config, files.operator.as_deref())?)
+fn load(files: &Files) -> Result<Settings, BadSettings> {
+    Settings::load(&files.config, files.operator.as_deref())
 }
 
-fn check(files: &Files) -> Result<(), Box<dyn std::error::Error>> {
+fn check(files: &Files) -> Result<(), CommandError> {
     let settings = load(files)?;
     print!("{}", serde_yaml_ng::to_string(&settings)?);
     print!("{}", serde_yaml_ng::to_string(&BTreeMap::from([("derived", settings.derived())]))?);
     Ok(())
 }
 
-fn status(files: &Files) -> Result<(), Box<dyn std::error::Error>> {
+fn status(files: &Files) -> Result<(), CommandError> {
     let settings = load(files)?;
     let status = actix::System::new().block_on(latchtrack::status::ask(&settings));
     print!("{}", serde_yaml_ng::to_string(&status)?);
-    match status.heard() {
-        true => Ok(()),
-        false => Err("nobody answers".into()),
+    if status.has_answer() {
+        Ok(())
+    } else {
+        Err(CommandError::NoAnswer)
     }
 }
 
-fn limit(args: &LimitArgs) -> Result<(), Box<dyn std::error::Error>> {
+fn limit(args: &LimitArgs) -> Result<(), CommandError> {
     let settings = load(&args.files)?;
-    let terms = NewTerms {
+    let terms = TeamTerms {
         cpus_max: args.cpus_max,
         gpus_max: args.gpus_max,
         cpus: args.cpus,
         gpus: args.gpus,
     };
-    let shown =
-        actix::System::new().block_on(latchtrack::limit::limit(&settings, &args.team, terms))?;
+    let limit = latchtrack::limit::limit(&settings, &args.team, terms);
+    let shown = actix::System::new().block_on(limit)?;
     print!("{}", serde_yaml_ng::to_string(&shown)?);
     Ok(())
 }
 
-fn serve(files: &Files) -> Result<(), Box<dyn std::error::Error>> {
+fn serve(files: &Files) -> Result<(), CommandError> {
     let settings = load(files)?;
-    log_level()?;
+    init_log()?;
     actix::System::new().block_on(node::run(settings))?;
     Ok(())
 }
 
 /// Logs to standard error at the level that `LOG_LEVEL` names; `error` if it is not set.
-fn log_level() -> Result<(), String> {
+fn init_log() -> Result<(), CommandError> {
     let level = match std::env::var("LOG_LEVEL") {
         Err(_) => tracing::Level::ERROR,
-        Ok(text) => text.parse().map_err(|_| format!("LOG_LEVEL: {text} is no level"))?,
+        Ok(text) => match text.parse() {
+            Ok(level) => level,
+            Err(_) => return Err(CommandError::LogLevel(text)),
+        },
     };
     tracing_subscriber::fmt()
         .with_max_level(level)
--- a/crates/latchtrack/src/net.rs
+++ b/crates/latchtrack/src/net.rs
@@ -1,13 +1,14 @@
-//! The HTTP client that all calls share the manner of.
+//! The HTTP client of this program: how calls are made, and how they can fail.
 
 use std::future::Future;
-use std::time::Duration;
 
 use actix_web::http::StatusCode;
 use awc::error::{ConnectError, SendRequestError};
 use awc::{Client, Connector};
 
-use crate::constants::{ANSWER_BYTES, CONNECT_TIMEOUT};
+use crate::constants::{
+    CLIENT_CONNECTION_LIFETIME, CLIENT_KEEP_ALIVE, CONNECT_TIMEOUT, MAX_RESPONSE_BYTES,
+};
 
 /// How a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,28 +19,28 @@
     Lost,
 }
 
-/// A client with at most `open` connections.
-pub fn http_client(open: usize) -> Client {
+/// A client with at most `max_connections` connections.
+pub fn http_client(max_connections: usize) -> Client {
     let connector = Connector::new()
         .timeout(CONNECT_TIMEOUT)
-        .limit(open)
-        .conn_keep_alive(Duration::from_secs(30))
-        .conn_lifetime(Duration::from_secs(3_600));
+        .limit(max_connections)
+        .conn_keep_alive(CLIENT_KEEP_ALIVE)
+        .conn_lifetime(CLIENT_CONNECTION_LIFETIME);
     Client::builder().connector(connector).disable_redirects().finish()
 }
 
-/// Waits for an answer and reads it whole.
+/// Waits for an answer and reads its body, up to [`MAX_RESPONSE_BYTES`].
 pub async fn finish<R, S>(sent: R) -> Result<(StatusCode, Vec<u8>), CallError>
 where
     R: Future<Output = Result<awc::ClientResponse<S>, SendRequestError>>,
     S: futures_util::Stream<Item = Result<actix_web::web::Bytes, awc::error::PayloadError>> + Unpin,
 {
-    let mut response = sent.await.map_err(|e| match e {
+    let mut response = sent.await.map_err(|error| match error {
         SendRequestError::Connect(ConnectError::Disconnected) => CallError::Lost,
         SendRequestError::Connect(_) => CallError::NotSent,
         _ => CallError::Lost,
     })?;
     let status = response.status();
-    let body = response.body().limit(ANSWER_BYTES).await.map_err(|_| CallError::Lost)?;
+    let body = response.body().limit(MAX_RESPONSE_BYTES).await.map_err(|_| CallError::Lost)?;
     Ok((status, body.to_vec()))
 }
--- a/crates/latchtrack/src/node.rs
+++ b/crates/latchtrack/src/node.rs
@@ -1,36 +1,49 @@
-//! One node: starts the actors and tells them of each other.
+//! One node: starts the actors and connects them.
+
+use std::sync::Arc;
 
 use actix::prelude::*;
 use tokio::net::TcpListener;
 
-use crate::actors::cloud::{Cloud, Customers};
-use crate::actors::election::{Cell, Election, NotThisCell};
-use crate::actors::intake::Intake;
-use crate::actors::job_cache::{JobCache, Listeners};
-use crate::actors::leader::{ElectionAt, Leader, QuotaAt};
-use crate::actors::peers::{Peers, Receive};
+use crate::actors::admission::Admission;
+use crate::actors::cloud::Cloud;
+use crate::actors::election::{Cell, CellError, Election};
+use crate::actors::job_cache::JobCache;
+use crate::actors::messages::cloud::ConnectCloud;
+use crate::actors::messages::job_cache::ConnectJobCache;
+use crate::actors::messages::peers::{ForwardedRequestHandler, ServePeers};
+use crate::actors::messages::scheduler::{ConnectElection, ConnectQuota};
+use crate::actors::peers::Peers;
 use crate::actors::quota::Quota;
+use crate::actors::scheduler_driver::SchedulerDriver;
 use crate::actors::store::Store;
-use crate::http::{server, AppState};
+use crate::http::{answer_forwarded, server, AppState, Deployment};
 use crate::settings::Settings;
 
 /// Why a node can't be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
+    /// A socket can't be bound.
     #[error("{0}")]
     Socket(#[from] std::io::Error),
-    #[error("quota.cell: {0}: {1}")]
-    Cell(String, NotThisCell),
+    /// The node may not lead the cell that its settings name.
+    #[error("quota.cell: {cell}: {source}")]
+    Cell {
+        /// Name of the cell.
+        cell: String,
+        /// Why not.
+        source: CellError,
+    },
 }
 
-/// Refuses a cell's name that another cloud's controllers use. Whether a state service that can't be asked
-/// knows it is looked at again before each campaign.
+/// Refuses a cell's name that another cloud's controllers use. If the state service can't be asked,
+/// that is left to the check before each campaign.
 async fn check_cell(settings: &Settings) -> Result<(), StartError> {
     let Some(cell) = Cell::of(settings) else { return Ok(()) };
     let store = Store::new(settings).start();
-    match cell.known_term(&store).await {
-        Ok(_) | Err(NotThisCell::Store(_)) => Ok(()),
-        Err(why) => Err(StartError::Cell(cell.name, why)),
+    match cell.stored_revision(&store).await {
+        Ok(_) | Err(CellError::Store(_)) => Ok(()),
+        Err(source) => Err(StartError::Cell { cell: cell.name, source }),
     }
 }
 
@@ -43,34 +56,68 @@
     Ok(())
 }
 
-/// The same on sockets that are bound already.
+/// Runs a node on sockets that are bound already, until the process ends.
 pub async fn serve(settings: Settings, users: TcpListener, peers: TcpListener) {
-    tracing::info!("node {} serves", settings.platform.node_name);
-    let store = Store::new(&settings).start();
+    tracing::info!(node = settings.platform.node_name, "node serving");
+    let app = start_actors(&settings, peers);
+    server::serve(users, app, settings.connections()).await;
+}
+
+/// Starts the actors and connects them.
+fn start_actors(settings: &Settings, peers: TcpListener) -> AppState {
+    let store = Store::new(settings).start();
     let cache = JobCache::new(store.clone()).start();
-    let cloud = Cloud::new(store.clone(), &settings).start();
-    let peers = Peers::new(&settings, peers, cache.clone()).start();
-    let intake = Intake::new(store.clone(), cache.clone(), &settings).start();
-    let leader =
-        Leader::new(store.clone(), cache.clone(), cloud.clone(), peers.clone(), &settings).start();
-    if let Some(cell) = Cell::of(&settings) {
-        let quota = Quota::new(store.clone(), leader.clone(), cell.name, &settings).start();
-        leader.do_send(QuotaAt(quota));
+    let cloud = Cloud::new(store.clone(), settings).start();
+    let peers = Peers::new(settings, peers, cache.clone()).start();
+    let admission = Admission::new(store.clone(), cache.clone(), settings).start();
+    let scheduler =
+        SchedulerDriver::new(store.clone(), cache.clone(), cloud.clone(), peers.clone(), settings)
+            .start();
+    let cell = Cell::of(settings);
+    if let Some(cell) = &cell {
+        let events = scheduler.clone().recipient();
+        let quota = Quota::new(store.clone(), events, cell.name.clone(), settings).start();
+        let (term, changes) = (quota.clone().recipient(), quota.recipient());
+        scheduler.do_send(ConnectQuota { term, changes });
     }
     let election = Election::new(
         store,
         cache.clone(),
-        leader.clone(),
+        scheduler.clone().recipient(),
         settings.platform.node_name.clone(),
         settings.leader_ttl_ms(),
-        Cell::of(&settings),
+        cell,
     )
     .start();
-    leader.do_send(ElectionAt(election.clone()));
-    cache.do_send(Listeners { election, leader: leader.clone() });
-    cloud.do_send(Customers { intake: intake.clone(), leader: leader.clone() });
-    let alone = settings.platform.peers.is_empty();
-    let app = AppState { cache, intake, leader, peers: peers.clone(), alone };
-    peers.do_send(Receive(app.clone()));
-    server::serve(users, app, settings.connections()).await;
+    scheduler.do_send(ConnectElection {
+        resign: election.clone().recipient(),
+        key_lost: election.clone().recipient(),
+    });
+    cache.do_send(ConnectJobCache {
+        election: election.recipient(),
+        scheduler: scheduler.clone().recipient(),
+    });
+    cloud.do_send(ConnectCloud {
+        admission_types: admission.clone().recipient(),
+        scheduler_types: scheduler.clone().recipient(),
+        scheduler_events: scheduler.clone().recipient(),
+    });
+    let deployment = if settings.platform.peers.is_empty() {
+        Deployment::SingleNode
+    } else {
+        Deployment::ManyNodes
+    };
+    let app = AppState { cache, admission, scheduler, peers, deployment };
+    app.peers.do_send(ServePeers {
+        handler: forwarded_request_handler(app.clone()),
+        scheduler: app.scheduler.clone().recipient(),
+    });
+    app
+}
+
+fn forwarded_request_handler(app: AppState) -> ForwardedRequestHandler {
+    Arc::new(move |request| {
+        let app = app.clone();
+        Box::pin(async move { answer_forwarded(&app, request).await })
+    })
 }
--- a/crates/latchtrack/src/settings/check.rs
+++ b/crates/latchtrack/src/settings/check.rs
@@ -114,7 +114,7 @@
         within("silence_s", self.silence_s(), asked_first, 3_600.0)?;
         within("settle_s", t.settle_s, 3.0, 3_600.0)?;
         let moves = f64::from(t.balance.moves_per_minute);
-        within("balance.moves_per_minute", moves, 1.0, c::MOVES_PER_MINUTE_MOST)?;
+        within("balance.moves_per_minute", moves, 1.0, c::MAX_MOVES_PER_MINUTE)?;
         for (name, value) in [
             ("balance.over_bound_s", t.balance.over_bound_s),
             ("balance.min_run_s", t.balance.min_run_s),
@@ -130,7 +130,7 @@
     /// A cancelled task must have ended in time, whatever becomes of the leader.
     fn check_leases(&self) -> Result<(), BadSettings> {
         let lease_s = self.leader_lease_s();
-        within("leader_lease_s", lease_s, c::LEADER_TTL_LEAST_MS as f64 / 1000.0, 600.0)?;
+        within("leader_lease_s", lease_s, c::MIN_LEADER_TTL_MS as f64 / 1000.0, 600.0)?;
         let (end, cancel_s) =
             (lease_s + self.stopped_within_s(), self.platform.params.workers.cancel_s);
         if end >= cancel_s {
--- a/crates/latchtrack/src/settings/mod.rs
+++ b/crates/latchtrack/src/settings/mod.rs
@@ -135,14 +135,15 @@
 
     /// Direct calls open at once: half of the sockets that users and workers leave us.
     fn max_open_calls(&self) -> usize {
-        let ours = self.platform.params.limits.max_sockets as f64 * (1.0 - c::SOCKETS_USED);
-        ((ours / 2.0) as usize).clamp(1, c::CALLS_MOST)
+        let ours =
+            self.platform.params.limits.max_sockets as f64 * (1.0 - c::CLIENT_SOCKET_FRACTION);
+        ((ours / 2.0) as usize).clamp(1, c::MAX_DIRECT_CALLS)
     }
 
     /// s the leader's lease lasts.
     pub fn leader_lease_s(&self) -> f64 {
         let left = self.platform.params.workers.cancel_s - self.stopped_within_s();
-        let [usual, least] = [c::LEADER_TTL_MS, c::LEADER_TTL_LEAST_MS].map(|ms| ms as f64 / 1e3);
+        let [usual, least] = [c::LEADER_TTL_MS, c::MIN_LEADER_TTL_MS].map(|ms| ms as f64 / 1e3);
         self.tuning.leader_lease_s.unwrap_or_else(|| usual.min(left * 0.9).max(least))
     }
 
@@ -155,7 +156,7 @@
 
     /// Connections of users and workers that are served at once.
     pub fn connections(&self) -> usize {
-        (self.platform.params.limits.max_sockets as f64 * c::SOCKETS_USED) as usize
+        (self.platform.params.limits.max_sockets as f64 * c::CLIENT_SOCKET_FRACTION) as usize
     }
 
     /// What follows from the settings.
--- a/crates/latchtrack/src/status.rs
+++ b/crates/latchtrack/src/status.rs
@@ -1,5 +1,5 @@
-//! `latchtrack status`: what runs where, as the nodes tell it, or, when no leader answers, as the state
-//! service and the workers do. It only reads.
+//! `latchtrack status`: what runs where, as the nodes tell it, or, when no leader answers, as the
+//! state service and the workers do. It only reads.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +10,14 @@
 
 use crate::actors::peers;
 use crate::actors::store::{self, Store, StoreError};
-use crate::constants::*;
+use crate::constants::{CALL_TIMEOUT, MAX_STATUS_CALLS};
 use crate::net::{finish, http_client};
 use crate::settings::Settings;
 use crate::wire::peers::PeerRequest;
 use crate::wire::records::{read_fleet, Record, FLEET, JOBS, LEADER, LIVE};
 use crate::wire::status::NodeView;
-use crate::wire::workers::parse_report;
+use crate::wire::store::Item;
+use crate::wire::workers::parse_heartbeat;
 
 /// What could be learnt.
 #[derive(Serialize, Debug)]
@@ -25,25 +26,27 @@
     pub nodes: BTreeMap<String, Option<NodeView>>,
     /// Only if no node answered as the leader.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub without_leader: Option<Stored>,
+    pub without_leader: Option<StoredStatus>,
     /// Why the state service told nothing, if it was asked in vain.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub trouble: Option<String>,
 }
 
 impl Status {
-    /// Whether anybody answered at all.
-    pub fn heard(&self) -> bool {
+    /// Whether anything answered at all.
+    pub fn has_answer(&self) -> bool {
         self.without_leader.is_some() || self.nodes.values().any(Option::is_some)
     }
 }
 
 /// What the state service and the workers say.
 #[derive(Serialize, Debug, Default)]
-pub struct Stored {
-    /// The leader's key, if there is one.
+pub struct StoredStatus {
+    /// The leader key's value, if there is one.
     pub leader: Option<String>,
+    /// Jobs that are neither done nor cancelled.
     pub jobs_open: usize,
+    /// Machines of the stored set.
     pub machines: usize,
     /// Machines of which the worker did not answer.
     pub silent: usize,
@@ -51,62 +54,80 @@
     pub running: BTreeMap<String, usize>,
 }
 
-/// Asks everybody.
+/// Asks all nodes, and without a leader the state service and the workers.
 pub async fn ask(settings: &Settings) -> Status {
-    let p = &settings.platform;
-    let own = std::iter::once((p.node_name.clone(), p.peer_bind));
-    let all = own.chain(p.peers.iter().map(|peer| (peer.node_name.clone(), peer.addr)));
-    let mut nodes = BTreeMap::new();
-    for (name, addr) in all {
-        let answer = peers::request_once(addr, PeerRequest::Status).await;
-        let view = answer.and_then(|a| serde_json::from_slice::<NodeView>(&a.body).ok());
-        nodes.insert(name, view);
-    }
-    let led = nodes.values().flatten().any(|n| n.cluster.is_some());
+    let nodes = ask_nodes(settings).await;
+    let is_led = nodes.values().flatten().any(|node| node.cluster.is_some());
     let (mut without_leader, mut trouble) = (None, None);
-    if !led {
-        match stored(settings).await {
-            Ok(found) => without_leader = Some(found),
-            Err(e) => trouble = Some(format!("the state service: {e}")),
+    if !is_led {
+        match ask_store_and_workers(settings).await {
+            Ok(status) => without_leader = Some(status),
+            Err(error) => trouble = Some(format!("the state service: {error}")),
         }
     }
     Status { nodes, without_leader, trouble }
 }
 
-async fn stored(settings: &Settings) -> Result<Stored, StoreError> {
+async fn ask_nodes(settings: &Settings) -> BTreeMap<String, Option<NodeView>> {
+    let platform = &settings.platform;
+    let own = std::iter::once((platform.node_name.clone(), platform.peer_bind));
+    let others = platform.peers.iter().map(|peer| (peer.node_name.clone(), peer.addr));
+    let mut nodes = BTreeMap::new();
+    for (name, addr) in own.chain(others) {
+        let answer = peers::request_once(addr, PeerRequest::Status).await;
+        let view = answer.and_then(|answer| serde_json::from_slice::<NodeView>(&answer.body).ok());
+        nodes.insert(name, view);
+    }
+    nodes
+}
+
+async fn ask_store_and_workers(settings: &Settings) -> Result<StoredStatus, StoreError> {
     let store = Store::new(settings).start();
     let (live, _) = store::read_all(&store, LIVE).await?;
-    let (fleet, _) = store::read_all(&store, FLEET).await?;
-    let mut found = Stored::default();
+    let (machine_sets, _) = store::read_all(&store, FLEET).await?;
+    let mut status = StoredStatus::default();
+    count_records(&live, &mut status);
+    let mut addrs = Vec::new();
+    for item in machine_sets {
+        let name = item.key.strip_prefix(FLEET).unwrap_or_default();
+        let machines = read_fleet(name, item.value.get()).unwrap_or_default();
+        addrs.extend(machines.into_iter().map(|machine| machine.addr));
+    }
+    status.machines = addrs.len();
+    ask_workers(addrs, &mut status).await;
+    Ok(status)
+}
+
+/// Enters the leader and the number of open jobs.
+fn count_records(live: &[Item], status: &mut StoredStatus) {
     for item in live {
         if item.key == LEADER {
-            found.leader = Some(item.value.get().to_string());
+            status.leader = Some(item.value.get().to_string());
         } else if let Some(id) = item.key.strip_prefix(JOBS).and_then(|id| id.parse().ok()) {
             let record = Record::parse(id, item.value.get());
-            found.jobs_open += usize::from(matches!(record, Ok(Record::Open { .. })));
+            status.jobs_open += usize::from(matches!(record, Ok(Record::Open { .. })));
         }
     }
-    let mut addrs = Vec::new();
-    for item in fleet {
-        let name = item.key.strip_prefix(FLEET).unwrap_or_default();
-        let machines = read_fleet(name, item.value.get()).unwrap_or_default();
-        addrs.extend(machines.into_iter().map(|m| m.addr));
-    }
-    found.machines = addrs.len();
-    let client = http_client(STATUS_OPEN);
-    let asked = futures_util::stream::iter(addrs).map(|addr| {
+}
+
+/// Enters the running tasks of the workers at these addresses, and how many do not answer.
+async fn ask_workers(addrs: Vec<String>, status: &mut StoredStatus) {
+    let client = http_client(MAX_STATUS_CALLS);
+    let calls = futures_util::stream::iter(addrs).map(|addr| {
         let request = client.get(format!("http://{addr}/status")).force_close();
         finish(request.timeout(CALL_TIMEOUT).send())
     });
-    let mut answers = asked.buffer_unordered(STATUS_OPEN);
+    let mut answers = calls.buffer_unordered(MAX_STATUS_CALLS);
     while let Some(answer) = answers.next().await {
-        let Some(report) = answer.ok().and_then(|(_, body)| parse_report(&body).ok()) else {
-            found.silent += 1;
+        let heartbeat = answer.ok().and_then(|(_, body)| parse_heartbeat(&body).ok());
+        let Some(heartbeat) = heartbeat else {
+            status.silent += 1;
             continue;
         };
-        for task in report.tasks.iter().filter(|t| matches!(t.phase, TaskPhase::Running)) {
-            *found.running.entry(task.task.job.to_string()).or_default() += 1;
+        for task in &heartbeat.tasks {
+            if matches!(task.phase, TaskPhase::Running) {
+                *status.running.entry(task.task.job.to_string()).or_default() += 1;
+            }
         }
     }
-    Ok(found)
 }
--- a/crates/latchtrack/src/wire/quota.rs
+++ b/crates/latchtrack/src/wire/quota.rs
@@ -49,12 +49,12 @@
 pub fn transaction(token: u64, write: &LedgerWrite) -> serde_json::Result<Txn> {
     let key = team_key(&write.team);
     let mut conditions = vec![
-        Condition { key: LEADER.into(), version: token },
-        Condition { key: key.clone(), version: write.expect },
+        Condition { key: LEADER.into(), revision: token },
+        Condition { key: key.clone(), revision: write.expect },
     ];
     for dead in &write.dead {
-        conditions.push(Condition { key: live_key(&dead.cell), version: 0 });
-        conditions.push(Condition { key: term_key(&dead.cell), version: dead.term_revision });
+        conditions.push(Condition { key: live_key(&dead.cell), revision: 0 });
+        conditions.push(Condition { key: term_key(&dead.cell), revision: dead.term_revision });
     }
     let value = to_raw_value(&write.ledger)?;
     Ok(Txn { conditions, changes: vec![Change::Put { key, value, lease: None }] })
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::constants::NAME_CHARS;
+use crate::constants::NAME_BYTES;
 
 /// Why a submission is malformed; names the field.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 
 fn text<'a>(map: &'a Map<String, Value>, name: &'static str) -> Result<&'a str, BadSubmission> {
     let s = get(map, name).ok_or(Missing(name))?.as_str().ok_or(Invalid(name, "not a string"))?;
-    if s.is_empty() || s.len() > NAME_CHARS {
+    if s.is_empty() || s.len() > NAME_BYTES {
         return Err(Invalid(name, "empty or too long"));
     }
     Ok(s)
@@ -123,20 +123,20 @@
 
 /// How a job stands.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum State {
+pub enum JobState {
     Queued,
     Running,
     Done,
     Cancelled,
 }
 
-impl State {
+impl JobState {
     fn word(self) -> &'static str {
         match self {
-            State::Queued => "pending",
-            State::Running => "running",
-            State::Done => "done",
-            State::Cancelled => "aborted",
+            JobState::Queued => "pending",
+            JobState::Running => "running",
+            JobState::Done => "done",
+            JobState::Cancelled => "aborted",
         }
     }
 }
@@ -153,11 +153,11 @@
 }
 
 impl JobAnswer {
-    pub fn state(id: JobId, state: State) -> Self {
+    pub fn state(id: JobId, state: JobState) -> Self {
         JobAnswer { name_id: id.to_string(), status: state.word(), done: None, running: None }
     }
 
-    pub fn counts(id: JobId, state: State, done: u32, running: u32) -> Self {
+    pub fn counts(id: JobId, state: JobState, done: u32, running: u32) -> Self {
         JobAnswer { done: Some(done), running: Some(running), ..Self::state(id, state) }
     }
 }
--- a/crates/latchtrack/src/wire/workers.rs
+++ b/crates/latchtrack/src/wire/workers.rs
@@ -3,19 +3,22 @@
 use latchtrack_core::machine::{Command, ExitCause, Heartbeat, TaskPhase, TaskStatus};
 use serde::{Deserialize, Serialize};
 
-/// Why a report is of no use.
+/// Why a heartbeat can't be used. The texts are part of the answer to the worker.
 #[derive(Debug, thiserror::Error)]
-pub enum BadReport {
+pub enum HeartbeatError {
+    /// Not JSON, or a field is missing or of another kind.
     #[error("not a report: {0}")]
     Json(#[from] serde_json::Error),
+    /// A task's id can't be parsed.
     #[error("task {0}: {1}")]
     Task(String, &'static str),
+    /// The number in this field is out of range.
     #[error("{0} is out of range")]
     Range(&'static str),
 }
 
 #[derive(Deserialize)]
-struct ReportDto {
+struct HeartbeatDto {
     host: String,
     addr: String,
     #[serde(rename = "build")]
@@ -25,9 +28,9 @@
     #[serde(rename = "loaners", default)]
     spot: Option<bool>,
     #[serde(rename = "shift")]
-    session: u64,
+    agent_epoch: u64,
     #[serde(rename = "tally")]
-    seq: u64,
+    sequence: u64,
     #[serde(rename = "baton", default)]
     token: Option<u64>,
     #[serde(rename = "recall_s", default)]
@@ -47,10 +50,10 @@
     cause: Option<String>,
 }
 
-/// What a state means. One that this version does not know is no reason to lose a machine with all that
-/// is on it.
-fn phase(state: &str) -> TaskPhase {
-    match state {
+/// The phase of a task that has not ended. One that this version does not know is no reason to lose
+/// a machine with all that is on it.
+fn parse_phase(status: &str) -> TaskPhase {
+    match status {
         "pulling" => TaskPhase::Fetching,
         "waiting" => TaskPhase::Waiting,
         "running" => TaskPhase::Running,
@@ -59,8 +62,8 @@
     }
 }
 
-/// What the cause of an end means.
-fn cause(cause: Option<&str>) -> ExitCause {
+/// Why a task has ended.
+fn parse_cause(cause: Option<&str>) -> ExitCause {
     match cause {
         Some("done") => ExitCause::Done,
         Some("halted") => ExitCause::Stopped,
@@ -74,24 +77,26 @@
     }
 }
 
-/// Reads a report; also the body of a direct call's answer.
-pub fn parse_report(body: &[u8]) -> Result<Heartbeat, BadReport> {
-    let dto: ReportDto = serde_json::from_slice(body)?;
+/// Reads a heartbeat; also the body of a direct call's answer.
+pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, HeartbeatError> {
+    let dto: HeartbeatDto = serde_json::from_slice(body)?;
     let mut tasks = Vec::new();
-    for t in dto.tasks.unwrap_or_default() {
-        let Ok(task) = t.task.parse() else { return Err(BadReport::Task(t.task, "no task id")) };
-        let phase = match t.status.as_str() {
-            "ended" => TaskPhase::Ended(cause(t.cause.as_deref())),
-            state => phase(state),
+    for status in dto.tasks.unwrap_or_default() {
+        let Ok(task) = status.task.parse() else {
+            return Err(HeartbeatError::Task(status.task, "no task id"));
         };
-        tasks.push(TaskStatus { task, attempt: t.attempt, phase });
+        let phase = match status.status.as_str() {
+            "ended" => TaskPhase::Ended(parse_cause(status.cause.as_deref())),
+            other => parse_phase(other),
+        };
+        tasks.push(TaskStatus { task, attempt: status.attempt, phase });
     }
     if dto.notice_s.is_some_and(|n| !n.is_finite()) {
-        return Err(BadReport::Range("recall_s"));
+        return Err(HeartbeatError::Range("recall_s"));
     }
-    // Sessions start at 1; 0 stands for a machine that was never heard.
-    if dto.session == 0 {
-        return Err(BadReport::Range("shift"));
+    // Agent epochs start at 1; 0 stands for a machine that was never heard.
+    if dto.agent_epoch == 0 {
+        return Err(HeartbeatError::Range("shift"));
     }
     Ok(Heartbeat {
         machine: dto.host,
@@ -99,14 +104,15 @@
         kind: dto.kind,
         zone: dto.zone,
         spot: dto.spot.unwrap_or(false),
-        agent_epoch: dto.session,
-        sequence: dto.seq,
+        agent_epoch: dto.agent_epoch,
+        sequence: dto.sequence,
         token: dto.token.unwrap_or(0),
         notice_s: dto.notice_s,
         tasks,
     })
 }
 
+/// A command for a worker.
 #[derive(Serialize)]
 pub struct CommandDto {
     #[serde(rename = "verb")]
@@ -120,8 +126,8 @@
 }
 
 impl From<&Command> for CommandDto {
-    fn from(c: &Command) -> Self {
-        let (op, task, attempt, grace_s) = match c {
+    fn from(command: &Command) -> Self {
+        let (op, task, attempt, grace_s) = match command {
             Command::Launch { task, attempt } => ("launch", task, attempt, None),
             Command::Stop { task, attempt, grace_s } => ("stop", task, attempt, Some(*grace_s)),
             Command::Forget { task, attempt } => ("forget", task, attempt, None),
@@ -130,29 +136,35 @@
     }
 }
 
-/// The answer to a report.
+/// The leader's answer to a heartbeat.
 #[derive(Serialize)]
-pub struct Orders {
+pub struct HeartbeatAnswer {
+    /// Fencing token of the leader's term.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// What the worker is to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<CommandDto>,
 }
 
 /// A direct call.
 #[derive(Serialize)]
-pub struct Call {
+pub struct DirectCall {
+    /// Fencing token of the leader's term.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// The agent epoch that the commands are for; a worker in another one refuses them.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
+    /// What the worker is to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<CommandDto>,
 }
 
-/// The answer of a node that is not the leader.
+/// The answer to a heartbeat of a node that is not the leader.
 #[derive(Serialize)]
-pub struct Elsewhere<'a> {
+pub struct Redirect<'a> {
+    /// The leader's node, if it is known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<&'a str>,
+    pub leader: Option<&'a str>,
 }
--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -1,8 +1,8 @@
 //! Cells at one state service: whose keys are whose, and a name that is in use with another cloud.
 
-use latchtrack::actors::namespace::Namespace;
-use latchtrack::actors::store::StoreRequest;
-use latchtrack::limit::{limit, LimitError, NewTerms};
+use latchtrack::actors::messages::store::StoreRequest;
+use latchtrack::actors::store::namespace::Namespace;
+use latchtrack::limit::{limit, LimitError, TeamTerms};
 use latchtrack::node::{self, StartError};
 use latchtrack::settings::{QuotaTuning, Tuning};
 use latchtrack::wire::quota::{campaign_changes, transaction, SharedKeys};
@@ -27,7 +27,7 @@
     let get = StoreRequest::Get { key: "site/types".into() };
     assert_eq!(east.outer_of(&get).unwrap(), "cells/east/site/types");
     let txn = Txn {
-        conditions: vec![Condition { key: "live/leader".into(), version: 7 }],
+        conditions: vec![Condition { key: "live/leader".into(), revision: 7 }],
         changes: vec![Change::Delete { key: "quota/team/t".into() }],
     };
     let text = serde_json::to_string(&east.outer_txn(txn)).unwrap();
@@ -55,7 +55,7 @@
     let write = LedgerWrite { team: "t".into(), expect: 12, ledger, dead };
     let txn = transaction(5, &write).unwrap();
     let conditions: Vec<(&str, u64)> =
-        txn.conditions.iter().map(|c| (c.key.as_str(), c.version)).collect();
+        txn.conditions.iter().map(|c| (c.key.as_str(), c.revision)).collect();
     let expected =
         [("live/leader", 5), ("quota/team/t", 12), ("quota/live/west", 0), ("quota/term/west", 9)];
     assert_eq!(conditions, expected);
@@ -108,17 +108,17 @@
     let settings = second.settings("two", 0, &users, &peers, &[]);
     drop((users, peers));
     let error = node::run(settings).await.unwrap_err();
-    assert!(matches!(error, StartError::Cell(..)), "{error}");
+    assert!(matches!(error, StartError::Cell { .. }), "{error}");
     assert!(error.to_string().starts_with("quota.cell: east: "), "{error}");
 }
 
 #[test]
 fn new_terms_change_what_they_name_and_refuse_what_makes_no_sense() {
     let mut ledger = TeamLedger::new(Limit::of(8.0, 2.0), Amounts::covering(4.0, 0.0));
-    let raised = NewTerms { cpus_max: Some(16.0), ..NewTerms::default() };
+    let raised = TeamTerms { cpus_max: Some(16.0), ..TeamTerms::default() };
     raised.apply(&mut ledger).unwrap();
     assert_eq!(ledger.limit, Limit::of(16.0, 2.0));
-    let none = NewTerms { gpus_max: Some(0.0), ..NewTerms::default() };
+    let none = TeamTerms { gpus_max: Some(0.0), ..TeamTerms::default() };
     none.apply(&mut ledger).unwrap();
     assert_eq!(ledger.limit, Limit::of(16.0, 0.0));
     // What cells use of a resource without a limit stands in no account.
@@ -126,12 +126,12 @@
     ledger.cells.insert("east".into(), Account::default());
     raised.apply(&mut ledger).unwrap();
     assert!(ledger.complete && ledger.cells.len() == 1);
-    NewTerms { gpus_max: Some(2.0), ..NewTerms::default() }.apply(&mut ledger).unwrap();
+    TeamTerms { gpus_max: Some(2.0), ..TeamTerms::default() }.apply(&mut ledger).unwrap();
     assert!(!ledger.complete && ledger.cells.is_empty());
-    let below = NewTerms { cpus_max: Some(2.0), ..NewTerms::default() };
+    let below = TeamTerms { cpus_max: Some(2.0), ..TeamTerms::default() };
     assert!(matches!(below.apply(&mut ledger), Err(LimitError::BelowGuarantee)));
     for number in [f64::NAN, -1.0, f64::INFINITY] {
-        let bad = NewTerms { cpus: Some(number), ..NewTerms::default() };
+        let bad = TeamTerms { cpus: Some(number), ..TeamTerms::default() };
         assert!(matches!(bad.apply(&mut ledger), Err(LimitError::Number("cpus", _))));
     }
 }
@@ -142,9 +142,9 @@
     let mut site = cell_site(Default::default());
     site.teams = json!([{"name": "small", "cpus_max": 2.0}]);
     let (_, settings) = site.trio_with_settings().await;
-    let unknown = limit(&settings, "nobody", NewTerms::default()).await;
+    let unknown = limit(&settings, "nobody", TeamTerms::default()).await;
     assert!(matches!(unknown, Err(LimitError::Unknown(_))));
-    let lowered = NewTerms { cpus_max: Some(1.0), ..NewTerms::default() };
+    let lowered = TeamTerms { cpus_max: Some(1.0), ..TeamTerms::default() };
     for _ in 0..200 {
         // Until the cell has stored the value.
         if let Ok(shown) = limit(&settings, "small", lowered).await {
--- a/crates/latchtrack/tests/heartbeats.rs
+++ b/crates/latchtrack/tests/heartbeats.rs
@@ -1,6 +1,6 @@
 //! What a worker's report must say, and what is made of words that are new.
 
-use latchtrack::wire::workers::parse_report;
+use latchtrack::wire::workers::parse_heartbeat;
 use latchtrack_core::machine::{ExitCause, TaskPhase};
 
 const GOOD: &str = r#"{"host":"n-1","addr":"1.2.3.4:9","build":"g","yard":"a","loaners":true,
@@ -10,7 +10,7 @@
 
 #[test]
 fn reads_a_report_and_refuses_nonsense() {
-    let r = parse_report(GOOD.as_bytes()).unwrap();
+    let r = parse_heartbeat(GOOD.as_bytes()).unwrap();
     assert_eq!((r.agent_epoch, r.sequence, r.token, r.tasks.len()), (1, 88, 41, 2));
     assert_eq!(r.tasks[0].phase, TaskPhase::Ended(ExitCause::Done));
     for (from, to) in [
@@ -23,7 +23,7 @@
     ] {
         let text = GOOD.replace(from, to);
         assert_ne!(text, GOOD);
-        assert!(parse_report(text.as_bytes()).is_err(), "{from} -> {to}");
+        assert!(parse_heartbeat(text.as_bytes()).is_err(), "{from} -> {to}");
     }
 }
 
@@ -36,7 +36,7 @@
         ("\"cause\":\"done\"", "\"cause\":\"moved\"", TaskPhase::Ended(ExitCause::Unrecognised)),
         (",\"cause\":\"done\"", "", TaskPhase::Ended(ExitCause::Unrecognised)),
     ] {
-        let r = parse_report(GOOD.replace(from, to).as_bytes()).unwrap();
+        let r = parse_heartbeat(GOOD.replace(from, to).as_bytes()).unwrap();
         assert_eq!(r.tasks[0].phase, phase, "{from} -> {to}");
         assert_eq!((r.tasks[1].phase, r.tasks.len()), (TaskPhase::Running, 2));
     }
--- a/crates/latchtrack/tests/integration/main.rs
+++ b/crates/latchtrack/tests/integration/main.rs
@@ -430,11 +430,13 @@
 #[actix_web::test]
 async fn requests_of_a_term_that_is_over_are_not_run() {
     use actix::Actor;
-    use latchtrack::actors::cloud::{Cloud, CloudRequest, Customers};
-    use latchtrack::actors::intake::Intake;
+    use latchtrack::actors::admission::Admission;
+    use latchtrack::actors::cloud::Cloud;
     use latchtrack::actors::job_cache::JobCache;
-    use latchtrack::actors::leader::{Leader, LeaderTerm, Leadership};
+    use latchtrack::actors::messages::cloud::{CloudRequest, ConnectCloud};
+    use latchtrack::actors::messages::scheduler::{LeaderTerm, Leadership};
     use latchtrack::actors::peers::Peers;
+    use latchtrack::actors::scheduler_driver::SchedulerDriver;
     use latchtrack::actors::store::Store;
     use latchtrack::clock::now_ms;
     let site = site();
@@ -444,21 +446,25 @@
     let cache = JobCache::new(store.clone()).start();
     let peers = Peers::new(&settings, listener, cache.clone()).start();
     let cloud = Cloud::new(store.clone(), &settings).start();
-    let intake = Intake::new(store.clone(), cache.clone(), &settings).start();
-    let leader = Leader::new(store, cache, cloud.clone(), peers, &settings).start();
-    cloud.do_send(Customers { intake, leader });
-    let back = |token, name: &str| CloudRequest::Return { token, names: vec![name.into()] };
+    let admission = Admission::new(store.clone(), cache.clone(), &settings).start();
+    let scheduler = SchedulerDriver::new(store, cache, cloud.clone(), peers, &settings).start();
+    cloud.do_send(ConnectCloud {
+        admission_types: admission.recipient(),
+        scheduler_types: scheduler.clone().recipient(),
+        scheduler_events: scheduler.recipient(),
+    });
+    let terminate = |token, name: &str| CloudRequest::Terminate { token, names: vec![name.into()] };
     let later = now_ms() + 600_000;
     let term = |token, valid_until| Some(LeaderTerm { token, valid_until });
     cloud.do_send(Leadership(term(7, later)));
-    cloud.do_send(back(7, "n-000001"));
+    cloud.do_send(terminate(7, "n-000001"));
     cloud.do_send(Leadership(term(7, now_ms())));
-    cloud.do_send(back(7, "n-000002"));
+    cloud.do_send(terminate(7, "n-000002"));
     cloud.do_send(Leadership(None));
-    cloud.do_send(back(7, "n-000003"));
+    cloud.do_send(terminate(7, "n-000003"));
     cloud.do_send(Leadership(term(9, later)));
-    cloud.do_send(back(7, "n-000004"));
-    cloud.do_send(back(9, "n-000005"));
+    cloud.do_send(terminate(7, "n-000004"));
+    cloud.do_send(terminate(9, "n-000005"));
     for _ in 0..600 {
         let deleted = site.cloud.lock().unwrap().deleted.clone();
         if deleted.iter().any(|n| n == "n-000005") && deleted.iter().any(|n| n == "n-000001") {
@@ -539,7 +545,7 @@
     let mut lost = settings.clone();
     lost.platform.services.state = "127.0.0.1:9".parse().unwrap();
     let nobody = latchtrack::status::ask(&lost).await;
-    assert!(!nobody.heard() && nobody.trouble.is_some());
+    assert!(!nobody.has_answer() && nobody.trouble.is_some());
 }
 
 /// Users asking many times as often, for open, finished and unknown jobs alike: whatever can't be answered
--- a/crates/latchtrack/tests/pacing.rs
+++ b/crates/latchtrack/tests/pacing.rs
@@ -1,7 +1,7 @@
 //! How nodes share the limits of the state service, also when these are lowered without notice.
 
-use latchtrack::actors::pacing::{Bucket, WriteLimits, WriteShare};
-use latchtrack::constants::LIMIT_USED;
+use latchtrack::actors::store::pacing::{TokenBucket, WriteLimits, WriteShare};
+use latchtrack::constants::USABLE_LIMIT_FRACTION;
 
 /// Writes made and refused in a run.
 struct Outcome {
@@ -20,7 +20,7 @@
     let mut nodes: Vec<(WriteShare, f64, f64)> = (0..5)
         .map(|n| {
             let parts = if n == 0 { 2.0 } else { 1.0 };
-            (WriteShare::new(limits, LIMIT_USED * parts / 6.0, 0), 0.0, 0.0)
+            (WriteShare::new(limits, USABLE_LIMIT_FRACTION * parts / 6.0, 0), 0.0, 0.0)
         })
         .collect();
     let mut service = limits.now;
@@ -36,14 +36,14 @@
                 continue;
             }
             if *have < 1.0 {
-                write_share.waited();
+                write_share.record_wait();
             } else if service >= 1.0 {
                 service -= 1.0;
                 *have -= 1.0;
                 *queue -= 1.0;
                 outcome.made[n] += u32::from(counts);
             } else {
-                write_share.refused();
+                write_share.record_refusal();
                 *have = 0.0;
                 outcome.refused += u32::from(counts);
             }
@@ -92,13 +92,13 @@
 
 #[test]
 fn a_bucket_never_gives_more_than_its_rate() {
-    let mut bucket = Bucket::new(10.0, 10.0, 0);
+    let mut bucket = TokenBucket::new(10.0, 10.0, 0);
     for _ in 0..10 {
         assert_eq!(bucket.wait_ms(1.0), None);
         bucket.take(1.0);
     }
     assert_eq!(bucket.wait_ms(1.0), Some(101));
-    bucket.fill(1_000);
+    bucket.refill(1_000);
     // A batch larger than the bucket passes when it is full, and is paid back after.
     assert_eq!(bucket.wait_ms(12.0), None);
     bucket.take(12.0);
--- a/crates/latchtrack/tests/parsers.rs
+++ b/crates/latchtrack/tests/parsers.rs
@@ -3,7 +3,7 @@
 use latchtrack::settings::{parse_tuning, Platform, Settings, Tuning};
 use latchtrack::wire::records::{read_fleet, read_results, Record};
 use latchtrack::wire::users::{parse_id, parse_job};
-use latchtrack::wire::workers::parse_report;
+use latchtrack::wire::workers::parse_heartbeat;
 use latchtrack_core::job::JobId;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -99,7 +99,7 @@
     let text = r#"{"host":"n-1","addr":"1.2.3.4:9","build":"g","yard":"a","loaners":true,"shift":1,
         "tally":88,"baton":41,"recall_s":12.5,
         "pieces":[{"piece":"req-000412/3","try":2,"status":"ended","cause":"done"}]}"#;
-    fuzz(text, 2, |bytes| match parse_report(bytes) {
+    fuzz(text, 2, |bytes| match parse_heartbeat(bytes) {
         Ok(r) => {
             assert!(r.agent_epoch > 0 && r.notice_s.is_none_or(f64::is_finite));
             true
--- a/crates/latchtrack/tests/settings.rs
+++ b/crates/latchtrack/tests/settings.rs
@@ -51,7 +51,8 @@
             let d = s.derived();
             // What we open ourselves: calls, state service, cloud, refusals, both ways to each
             // node, what listens.
-            let ours = d.direct_calls + c::STORE_OPEN + 8 + c::REFUSALS_OPEN + 2 * nodes + 2;
+            let ours =
+                d.direct_calls + c::MAX_STORE_CALLS + 8 + c::MAX_OPEN_REFUSALS + 2 * nodes + 2;
             assert!(d.connections + ours <= s.platform.params.limits.max_sockets);
         }
     }
--- a/crates/latchtrack/tests/stored.rs
+++ b/crates/latchtrack/tests/stored.rs
@@ -1,6 +1,6 @@
 //! What the leader writes, and what it learns from a refusal.
 
-use latchtrack::actors::stored::{conflict, transaction};
+use latchtrack::actors::stored::{conflict_outcome, record_transaction};
 use latchtrack::wire::records::LEADER;
 use latchtrack::wire::store::Change;
 use latchtrack_core::job::JobId;
@@ -18,13 +18,13 @@
         },
         RecordWrite::JobDone { job: JobId(5), revision: 9, tasks: 2 },
     ];
-    let txn = transaction(41, &writes).unwrap();
+    let txn = record_transaction(41, &writes).unwrap();
     let fences: Vec<(&str, u64)> =
-        txn.conditions.iter().map(|c| (c.key.as_str(), c.version)).collect();
+        txn.conditions.iter().map(|c| (c.key.as_str(), c.revision)).collect();
     assert_eq!(fences, [(LEADER, 41), ("fleet/41-1", 7), ("live/job/req-000005", 9)]);
     assert_eq!(txn.changes.len(), 3);
     assert!(matches!(&txn.changes[0], Change::Delete { key } if key == "fleet/41-1"));
     let failed = ["fleet/41-1".to_string(), "live/job/req-000005".to_string()];
-    let BatchOutcome::Conflict { jobs, fleet, .. } = conflict(&failed) else { panic!() };
+    let BatchOutcome::Conflict { jobs, fleet, .. } = conflict_outcome(&failed) else { panic!() };
     assert_eq!((jobs, fleet), (vec![JobId(5)], vec!["41-1".to_string()]));
 }
