--- a/crates/latchtrack/src/cli.rs
+++ b/crates/latchtrack/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line. Comments here are the texts of `--help`.
 
 use std::path::PathBuf;
 
@@ -8,24 +8,29 @@
 #[derive(Parser, Debug)]
 #[command(version, about, arg_required_else_help = true)]
 pub struct Cli {
+    /// What is to be done.
     #[command(subcommand)]
     pub command: Command,
 }
 
+/// What is to be done.
 #[derive(Subcommand, Debug)]
 pub enum Command {
     /// Run one node of the service until it is killed
     Serve(Files),
     /// Check the settings and print them as they take effect
     Check(Files),
-    /// Tell what runs where, as the nodes see it, or without a leader as the state service and the workers do
+    /// Tell what runs where, as the nodes see it, or without a leader as the state service and the
+    /// workers do
     Status(Files),
     /// Show what cells share of a team, or change its stored limit and guarantee while they run
     Limit(LimitArgs),
 }
 
+/// Arguments of `latchtrack limit`.
 #[derive(Args, Debug)]
 pub struct LimitArgs {
+    /// The settings.
     #[command(flatten)]
     pub files: Files,
     /// The team
@@ -44,6 +49,7 @@
     pub gpus: Option<f64>,
 }
 
+/// The files with the settings.
 #[derive(Args, Debug)]
 pub struct Files {
     /// The platform's settings (JSON)
--- a/crates/latchtrack/src/constants.rs
+++ b/crates/latchtrack/src/constants.rs
@@ -34,6 +34,13 @@
 /// ms for which a node that has resigned does not campaign.
 pub const RESIGNED_DELAY_MS: u64 = 20_000;
 
+/// Fraction of the time for a cancellation, after the worker lease, that the leader's lease may take.
+pub const USED_CANCEL_FRACTION: f64 = 0.9;
+/// By this factor a worker's lease may last longer by the local clock, for the drift of the clocks.
+pub const CLOCK_DRIFT_FACTOR: f64 = 1.001;
+/// s that a worker may take to kill its tasks when its lease ends.
+pub const TASK_KILL_S: f64 = 0.5;
+
 // The job cache.
 
 /// ms between two refreshes while leading: a submission waits this long at most before it is placed.
@@ -137,6 +144,9 @@
 /// leader with a fraction of a core can follow beside its heartbeats.
 pub const MAX_MOVES_PER_MINUTE: f64 = 600.0;
 
+/// s of the longest time that an operator or the platform may set: a day.
+pub const MAX_SETTING_S: f64 = 86_400.0;
+
 // Between nodes.
 
 /// ms between two messages about the counts of tasks to the other nodes.
--- a/crates/latchtrack/src/settings/mod.rs
+++ b/crates/latchtrack/src/settings/mod.rs
@@ -14,7 +14,10 @@
 use serde::Serialize;
 
 pub use check::BadSettings;
-pub use platform::*;
+pub use platform::{
+    CloudParams, Limits, NextStateParams, Objective, Params, Peer, Platform, Services, StateParams,
+    TeamParams, Workers,
+};
 pub use quota::QuotaTuning;
 pub use tuning::{parse_tuning, BalanceTuning, Tuning};
 
@@ -23,7 +26,9 @@
 /// Both files, checked.
 #[derive(Clone, Debug, Serialize)]
 pub struct Settings {
+    /// What the platform hands over.
     pub platform: Platform,
+    /// What operators tune.
     pub tuning: Tuning,
 }
 
@@ -34,7 +39,8 @@
     pub connections: usize,
     /// Direct calls of workers open at once.
     pub direct_calls: usize,
-    /// ms within which the tasks of a class are to start, where a fetch of their image would miss it.
+    /// Start objectives: ms within which the tasks of a class are to start, where that is less than
+    /// the fetch of an image takes.
     pub prompt_ms: BTreeMap<String, u64>,
 }
 
@@ -60,7 +66,7 @@
         Ok(settings)
     }
 
-    /// What the core needs of them.
+    /// What the scheduler needs of them.
     pub fn policy(&self) -> Policy {
         let t = &self.tuning;
         let ms = |s: f64| (s * 1000.0) as u64;
@@ -79,7 +85,7 @@
             list_lag_ms: ms(self.platform.params.cloud.list_lag_s),
             max_open_calls: self.max_open_calls(),
             value_bytes: self.platform.params.state.value_bytes(),
-            start_objectives: self.prompt(),
+            start_objectives: self.start_objectives(),
             balance: t.balance.policy(),
             quota_cell: t.quota.as_ref().map(|quota| quota.cell.clone()),
             classes_with_objectives: self
@@ -94,7 +100,7 @@
                 .params
                 .objectives
                 .iter()
-                .filter_map(Objective::aim)
+                .filter_map(Objective::completion_objective)
                 .collect(),
             teams: self
                 .platform
@@ -112,46 +118,51 @@
         }
     }
 
-    /// Classes whose tasks are to start so soon that a fetch of their image would miss it, each by
-    /// its tightest aim; aims of minutes say something else.
-    fn prompt(&self) -> Vec<(String, u64)> {
+    /// Start objectives, in ms by class: of classes whose tasks are to start so soon that a fetch of
+    /// their image would miss it, each by its tightest objective. Objectives of minutes concern the
+    /// wait for machines, and are left out.
+    fn start_objectives(&self) -> Vec<(String, u64)> {
         let mut tightest: BTreeMap<&str, u64> = BTreeMap::new();
-        for o in &self.platform.params.objectives {
-            let Some(ms) = o.wait_ms().filter(|ms| *ms <= core::MAX_START_OBJECTIVE_MS) else {
+        for objective in &self.platform.params.objectives {
+            let start_ms = objective.start_within_ms();
+            let Some(ms) = start_ms.filter(|ms| *ms <= core::MAX_START_OBJECTIVE_MS) else {
                 continue;
             };
-            let least = tightest.entry(&o.class).or_insert(ms);
+            let least = tightest.entry(&objective.class).or_insert(ms);
             *least = ms.min(*least);
         }
         tightest.into_iter().map(|(class, ms)| (class.to_string(), ms)).collect()
     }
 
-    /// s of silence after which a machine is given up.
+    /// Heartbeat timeout in s: silence after which a machine is given up.
     pub fn silence_s(&self) -> f64 {
         let report_ms = (self.platform.params.workers.report_s * 1000.0) as u64;
         let derived = || Policy::default_heartbeat_timeout_ms(report_ms) as f64 / 1000.0;
         self.tuning.silence_s.unwrap_or_else(derived)
     }
 
-    /// Direct calls open at once: half of the sockets that users and workers leave us.
+    /// Direct calls open at once: half of the sockets that users and workers leave.
     fn max_open_calls(&self) -> usize {
-        let ours =
+        let free =
             self.platform.params.limits.max_sockets as f64 * (1.0 - c::CLIENT_SOCKET_FRACTION);
-        ((ours / 2.0) as usize).clamp(1, c::MAX_DIRECT_CALLS)
+        ((free / 2.0) as usize).clamp(1, c::MAX_DIRECT_CALLS)
     }
 
-    /// s the leader's lease lasts.
+    /// s that the leader's lease lasts: as usual, or what the worker lease leaves of the time for a
+    /// cancellation, with some of it to spare.
     pub fn leader_lease_s(&self) -> f64 {
         let left = self.platform.params.workers.cancel_s - self.stopped_within_s();
         let [usual, least] = [c::LEADER_TTL_MS, c::MIN_LEADER_TTL_MS].map(|ms| ms as f64 / 1e3);
-        self.tuning.leader_lease_s.unwrap_or_else(|| usual.min(left * 0.9).max(least))
+        self.tuning
+            .leader_lease_s
+            .unwrap_or_else(|| usual.min(left * c::USED_CANCEL_FRACTION).max(least))
     }
 
-    /// s until a task has surely ended after the last report that a leader answered. A leader that
-    /// can't see cancellations answers reports for its lease at most, and the tasks then run for the
-    /// workers' lease at most.
+    /// s until a task has surely ended after the last heartbeat that a leader answered. A leader that
+    /// can't see cancellations answers heartbeats for its lease at most, and the tasks then run for
+    /// the worker lease at most.
     fn stopped_within_s(&self) -> f64 {
-        self.platform.params.workers.lease_s * 1.001 + 0.5
+        self.platform.params.workers.lease_s * c::CLOCK_DRIFT_FACTOR + c::TASK_KILL_S
     }
 
     /// Connections of users and workers that are served at once.
@@ -164,10 +175,11 @@
         Derived {
             connections: self.connections(),
             direct_calls: self.max_open_calls(),
-            prompt_ms: self.prompt().into_iter().collect(),
+            prompt_ms: self.start_objectives().into_iter().collect(),
         }
     }
 
+    /// ms that the leader's lease lasts.
     pub fn leader_ttl_ms(&self) -> u64 {
         (self.leader_lease_s() * 1000.0) as u64
     }
--- a/crates/latchtrack/src/settings/platform.rs
+++ b/crates/latchtrack/src/settings/platform.rs
@@ -1,84 +1,117 @@
-//! What the platform hands over.
+//! What the platform hands over: the JSON file. Fields without a name of their own in the file have
+//! their Rust name there.
 
 use std::net::SocketAddr;
 
 use latchtrack_core::scheduler::{CompletionObjective, Due};
 use serde::{Deserialize, Serialize};
 
-/// The platform's file. Fields that we do not know are ignored.
+/// The platform's file. Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Platform {
+    /// Name of this node.
     pub node_name: String,
+    /// Zone of this node.
     #[serde(rename = "domain")]
     pub zone: String,
+    /// Where users and workers connect.
     pub bind: SocketAddr,
+    /// Where other nodes connect.
     pub peer_bind: SocketAddr,
+    /// The other nodes.
     #[serde(rename = "others")]
     pub peers: Vec<Peer>,
+    /// The services that this one needs.
     #[serde(rename = "external")]
     pub services: Services,
+    /// Parameters of the deployment.
     pub params: Params,
 }
 
+/// Another node.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Peer {
+    /// Its name.
     pub node_name: String,
+    /// Where it accepts connections of nodes.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
 
+/// Addresses of the services.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Services {
+    /// The cloud.
     pub cloud: SocketAddr,
+    /// The state service.
     pub state: SocketAddr,
 }
 
+/// Parameters of the deployment.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Params {
+    /// Zones in which machines may be provisioned.
     pub zones: Vec<String>,
+    /// The teams that may submit jobs.
     pub teams: Vec<TeamParams>,
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// Times of the workers.
     pub workers: Workers,
+    /// Limits of the state service.
     pub state: StateParams,
+    /// Limits of the cloud.
     pub cloud: CloudParams,
+    /// What this node may use.
     #[serde(rename = "machine_limits")]
     pub limits: Limits,
 }
 
+/// A team. What is left out is 0; a limit of 0 is none.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TeamParams {
+    /// Its name.
     pub name: String,
+    /// CPUs of its guarantee.
     #[serde(default)]
     pub cpus: f64,
+    /// CPUs of its limit.
     #[serde(default)]
     pub cpus_max: f64,
+    /// GPUs of its guarantee.
     #[serde(default)]
     pub gpus: f64,
+    /// GPUs of its limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim of the users; kinds that we do not know are ignored.
+/// A service-level objective; those of unknown kinds are ignored.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Objective {
+    /// `wait`, `finished` or `deadline`.
     pub kind: String,
+    /// The workload class that it is for.
     #[serde(default)]
     pub class: String,
+    /// s within which tasks are to start (`wait`) or jobs to be done (`finished`).
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// Multiple of its estimated time within which a job is to be done (`deadline`).
     #[serde(default)]
     pub times: Option<f64>,
 }
 
 impl Objective {
-    /// Within how many ms the tasks of its class are to start, if that is what it says.
-    pub(super) fn wait_ms(&self) -> Option<u64> {
+    /// Within how many ms the tasks of its class are to start, if it is of this kind.
+    pub(super) fn start_within_ms(&self) -> Option<u64> {
         let s = self.within_s.filter(|s| self.kind == "wait" && *s > 0.0)?;
         Some((s * 1000.0) as u64)
     }
 
-    pub(super) fn aim(&self) -> Option<CompletionObjective> {
+    /// By when the jobs of its class are to be done, if it is of such a kind.
+    pub(super) fn completion_objective(&self) -> Option<CompletionObjective> {
         let due = match (self.kind.as_str(), self.within_s, self.times) {
             ("finished", Some(s), _) if s > 0.0 => Due::Within((s * 1000.0) as u64),
             ("deadline", _, Some(t)) if t > 0.0 => Due::Times(t),
@@ -88,10 +121,14 @@
     }
 }
 
+/// Times of the workers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Workers {
+    /// s between two heartbeats.
     pub report_s: f64,
+    /// s of the worker lease.
     pub lease_s: f64,
+    /// s within which the tasks of a cancelled job must have ended.
     pub cancel_s: f64,
     /// s a task of a gang waits for the other tasks of its attempt.
     #[serde(default)]
@@ -104,9 +141,13 @@
 /// The limits of the state service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StateParams {
+    /// Requests a second.
     pub rps: f64,
+    /// Changes a second.
     pub write_rps: f64,
+    /// KiB of a value.
     pub value_kb: f64,
+    /// Changes of a transaction.
     pub txn_ops: usize,
     /// The limits that it will have from some moment on, without notice.
     #[serde(default)]
@@ -117,9 +158,13 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct NextStateParams {
+    /// Requests a second.
     pub rps: Option<f64>,
+    /// Changes a second.
     pub write_rps: Option<f64>,
+    /// KiB of a value.
     pub value_kb: Option<f64>,
+    /// Changes of a transaction.
     pub txn_ops: Option<usize>,
 }
 
@@ -154,15 +199,22 @@
     }
 }
 
+/// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct CloudParams {
+    /// Calls a second.
     pub rps: f64,
+    /// s by which its list of machines may be behind.
     pub list_lag_s: f64,
 }
 
+/// What this node may use.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Limits {
+    /// CPUs.
     pub cpu: f64,
+    /// MB of memory.
     pub mem_mb: f64,
+    /// Open sockets.
     pub max_sockets: usize,
 }
--- a/crates/latchtrack/src/settings/quota.rs
+++ b/crates/latchtrack/src/settings/quota.rs
@@ -1,10 +1,10 @@
-//! Which cell this is, where several share the teams' limits.
+//! Which cell this deployment is, where several share the teams' limits.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-use super::check::{bad, BadSettings};
+use super::check::{refuse, BadSettings};
 use super::Settings;
 use crate::constants as c;
 
@@ -19,9 +19,9 @@
 }
 
 /// Whether a name can be part of a key of the state service.
-fn is_key_part(name: &str, most: usize) -> bool {
+fn is_key_part(name: &str, max_bytes: usize) -> bool {
     !name.is_empty()
-        && name.len() <= most
+        && name.len() <= max_bytes
         && name.chars().all(|c| !c.is_whitespace() && !c.is_control() && c != '/')
 }
 
@@ -46,7 +46,7 @@
             .chain(quota.cells.iter().map(|name| ("quota.cells", name)))
         {
             if !is_key_part(name, c::CELL_NAME_BYTES) {
-                return bad(
+                return refuse(
                     field,
                     format!("{name:?} must be 1 to 64 bytes without spaces and slashes"),
                 );
@@ -54,20 +54,20 @@
         }
         let names: BTreeSet<&String> = quota.cells.iter().collect();
         if names.len() != quota.cells.len() {
-            return bad("quota.cells", "names a cell twice");
+            return refuse("quota.cells", "names a cell twice");
         }
         if !names.contains(&quota.cell) {
-            return bad("quota.cells", format!("lacks this cell, {}", quota.cell));
+            return refuse("quota.cells", format!("lacks this cell, {}", quota.cell));
         }
         let state = &self.platform.params.state;
         if state.txn_ops() < c::CAMPAIGN_CHANGES {
-            return bad("params.state.txn_ops", "must be at least 3 where cells share teams");
+            return refuse("params.state.txn_ops", "must be at least 3 where cells share teams");
         }
         let accounts = quota.cells.iter().map(|name| name.len() + c::ACCOUNT_BYTES);
         let bytes = c::LEDGER_BYTES + accounts.sum::<usize>();
         if bytes > state.value_bytes() {
             let most = state.value_bytes();
-            return bad(
+            return refuse(
                 "quota.cells",
                 format!("a team's value may take {bytes} bytes, {most} at most"),
             );
@@ -79,11 +79,14 @@
         for team in &self.platform.params.teams {
             let name = &team.name;
             if !is_key_part(name, c::TEAM_NAME_BYTES) {
-                return bad("params.teams", format!("{name:?} can't be part of a key"));
+                return refuse("params.teams", format!("{name:?} can't be part of a key"));
             }
             let is_below = |limit: f64, guarantee: f64| limit > 0.0 && limit < guarantee;
             if is_below(team.cpus_max, team.cpus) || is_below(team.gpus_max, team.gpus) {
-                return bad("params.teams", format!("the limit of {name} is below its guarantee"));
+                return refuse(
+                    "params.teams",
+                    format!("the limit of {name} is below its guarantee"),
+                );
             }
         }
         Ok(())
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -17,25 +17,25 @@
     pub gamma: f64,
     /// Tasks of a job that start together.
     pub slice: u32,
-    /// s an empty machine is kept.
+    /// s after which an idle spot machine is terminated.
     pub idle_wait_s: f64,
-    /// The same for an ordinary machine, which is dearer.
+    /// s after which an idle on-demand machine, which is dearer, is terminated.
     pub ordinary_idle_wait_s: f64,
-    /// s a job may be passed over before smaller ones stop taking its room.
+    /// s for which a job may find no capacity before capacity is reserved for it.
     pub pass_over_s: f64,
-    /// s a job finds no room before a spot machine is rented for it.
+    /// s for which a job must find no capacity before a spot machine is provisioned for it.
     pub spot_after_s: f64,
-    /// The same for an ordinary machine.
+    /// s for which a job must find no capacity before an on-demand machine is provisioned for it.
     pub ordinary_after_s: f64,
-    /// s of silence after which a machine is given up; derived from `report_s` if not set.
+    /// Heartbeat timeout in s; derived from `report_s` if not set.
     pub silence_s: Option<f64>,
-    /// s a new leader waits for a machine of its predecessor.
+    /// s that a new leader waits for an unreconciled machine.
     pub settle_s: f64,
-    /// s the leader's lease lasts; if not set 3, or what the workers' lease leaves of `cancel_s`.
+    /// s that the leader's lease lasts; if not set 3, or what the worker lease leaves of `cancel_s`.
     pub leader_lease_s: Option<f64>,
     /// Load balancing.
     pub balance: BalanceTuning,
-    /// The cells that share the teams' limits; without it this deployment has them alone.
+    /// The cells that share the teams' limits; without it this deployment shares them with none.
     pub quota: Option<QuotaTuning>,
 }
 
@@ -43,11 +43,11 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BalanceTuning {
-    /// Weighs the fetch of an image against a crowded machine when a task is placed.
+    /// Weighs the fetch of an image against a loaded machine when a task is placed.
     pub placement: bool,
-    /// Puts jobs of a hot team that are beyond its share behind those of others.
+    /// Puts jobs of a team that uses more than its share behind those of others.
     pub teams: bool,
-    /// Moves running tasks that save off crowded machines.
+    /// Moves running tasks that save checkpoints off loaded machines.
     pub moves: bool,
     /// Moves that may begin in a minute.
     pub moves_per_minute: u32,
@@ -59,7 +59,7 @@
     pub task_cooldown_s: f64,
     /// s between two moves from or to the same machine.
     pub machine_gap_s: f64,
-    /// s after a change of leader in which nothing moves.
+    /// s after a failover in which nothing moves.
     pub calm_s: f64,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl BalanceTuning {
-    /// What the core needs of them.
+    /// What the scheduler needs of them.
     pub(super) fn policy(&self) -> BalancePolicy {
         let ms = |s: f64| (s * 1000.0) as u64;
         let limits = balancer::Limits {
--- a/crates/latchtrack/src/wire/mod.rs
+++ b/crates/latchtrack/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The messages of the protocol. Its own words live only here, by serde rename; everywhere else
-//! the usual terms stand: job, task, attempt, machine, token, lease.
+//! The messages of the protocol, and the values in the state service. The protocol's own words are
+//! mapped to the terms of `docs/glossary.md` here, by serde rename, and nowhere else.
 
 pub mod cloud;
 pub mod peers;
--- a/crates/latchtrack/src/wire/peers.rs
+++ b/crates/latchtrack/src/wire/peers.rs
@@ -1,51 +1,78 @@
 //! Frames between the nodes, in bincode.
 //!
-//! A published format (`tests/published_formats.rs`): nodes of two versions speak to each other during an
-//! upgrade. Variants and fields are told apart by their order alone, which never changes, and a node that
-//! can't decode a frame drops the connection, so a new variant may go only to a peer known to read it.
+//! A published format (`tests/published_formats.rs`): nodes of two versions speak to each other
+//! during an upgrade. Variants and fields are told apart by their order alone, which never changes,
+//! and a node that can't decode a frame drops the connection, so a new variant may go only to a peer
+//! known to read it.
 
 use bincode::{Decode, Encode};
 
 /// What one node says to another.
 #[derive(Encode, Decode, Debug, PartialEq, Clone)]
 pub enum Frame {
-    /// The leader's counts of tasks done and running, for display, and the machines it misses.
-    Progress { token: u64, jobs: Vec<(u64, u32, u32)>, overdue: Vec<String> },
-    /// Whether the sender is served by the state service.
-    Health { store: bool },
-    /// A user's request, passed on by a node that the state service does not serve.
-    Request { id: u64, request: PeerRequest },
-    /// Its answer.
-    Answer { id: u64, answer: Answer },
+    /// What the leader tells all nodes.
+    Progress {
+        /// Fencing token of its term.
+        token: u64,
+        /// For display, of each job its number, and how many of its tasks are done and run.
+        jobs: Vec<(u64, u32, u32)>,
+        /// Machines of which it waits for a heartbeat.
+        overdue: Vec<String>,
+    },
+    /// The health of the sender.
+    Health {
+        /// Whether the state service serves it.
+        store: bool,
+    },
+    /// A forwarded request.
+    Request {
+        /// Tells the requests on a connection apart.
+        id: u64,
+        /// The request.
+        request: PeerRequest,
+    },
+    /// The answer to a forwarded request.
+    Answer {
+        /// Id of the request.
+        id: u64,
+        /// The answer.
+        answer: Answer,
+    },
 }
 
-/// A user's request, or a worker's.
+/// A request of a user, a worker or an operator that one node forwards to another.
 #[derive(Encode, Decode, Debug, PartialEq, Clone)]
 pub enum PeerRequest {
+    /// A submission: the body as the user sent it.
     Submit(Vec<u8>),
+    /// A query of a job: its id as the user sent it.
     Query(String),
+    /// A cancellation of a job: its id as the user sent it.
     Withdraw(String),
-    /// A report of a worker that can't reach the leader itself.
+    /// A heartbeat of a worker that can't reach the leader itself: the body as it was sent.
     Heartbeat(Vec<u8>),
-    /// An operator's question: see [`super::status::NodeView`].
+    /// An operator's request for what the node sees: see [`super::status::NodeView`].
     Status,
 }
 
-/// The answer to a user's request.
+/// The HTTP answer to a forwarded request.
 #[derive(Encode, Decode, Debug, PartialEq, Clone)]
 pub struct Answer {
+    /// HTTP status.
     pub status: u16,
-    /// s to wait before the next try.
+    /// s to wait before the next attempt.
     pub retry_after: Option<u64>,
+    /// Body, JSON.
     pub body: Vec<u8>,
 }
 
-/// Writes a frame.
+/// Encodes a frame.
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, bincode::error::EncodeError> {
     bincode::encode_to_vec(frame, bincode::config::standard())
 }
 
-/// Reads a frame; nothing may be left over, and lengths are bounded before memory is taken.
+/// Decodes a frame; None for any other bytes. Nothing may be left over, and lengths are checked
+/// before memory is allocated.
 pub fn decode(bytes: &[u8]) -> Option<Frame> {
     let config = bincode::config::standard().with_limit::<{ crate::constants::FRAME_BYTES }>();
     match bincode::decode_from_slice(bytes, config) {
--- a/crates/latchtrack/src/wire/quota.rs
+++ b/crates/latchtrack/src/wire/quota.rs
@@ -1,4 +1,4 @@
-//! What cells share in the state service: keys, and the values under them. A published format.
+//! The keys that cells share in the state service, and the values under them. A published format.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,14 @@
 use super::records::LEADER;
 use super::store::{Change, Condition, Txn};
 
-/// Prefix of all that cells share.
+/// Prefix of all keys that cells share.
 pub const SHARED: &str = "quota/";
-/// Prefix of the teams' values.
+/// Prefix of the teams' ledgers.
 const TEAMS: &str = "quota/team/";
-/// Prefix of the keys that stand while a cell is led.
+/// Prefix of the keys that exist while a cell is led.
 const LIVE: &str = "quota/live/";
-/// Prefix of the records of the cells; the revision of one is the token of the cell's last leader.
+/// Prefix of the records of the cells; the revision of one is the fencing token of the cell's last
+/// leader.
 const TERMS: &str = "quota/term/";
 
 /// The key of a cell's record.
@@ -26,7 +27,7 @@
     format!("{LIVE}{cell}")
 }
 
-/// The key of a team's value.
+/// The key of a team's ledger.
 pub fn team_key(team: &str) -> String {
     format!("{TEAMS}{team}")
 }
@@ -44,8 +45,8 @@
     ])
 }
 
-/// The transaction of a change: fenced by the writer's leader key, by the revision of the value that it
-/// replaces, and by what it holds to be dead.
+/// The transaction of a change of a ledger: fenced by the writer's leader key, by the revision of the
+/// ledger that it replaces, and by the keys of the cells that it takes to be dead.
 pub fn transaction(token: u64, write: &LedgerWrite) -> serde_json::Result<Txn> {
     let key = team_key(&write.team);
     let mut conditions = vec![
@@ -60,7 +61,7 @@
     Ok(Txn { conditions, changes: vec![Change::Put { key, value, lease: None }] })
 }
 
-/// All that cells share, by key, as it was last seen.
+/// All that cells share, by key, with the newest revision that was seen.
 #[derive(Default)]
 pub struct SharedKeys {
     values: BTreeMap<String, (u64, Box<RawValue>)>,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// What a cell's keeper makes of it.
+    /// The ledgers and cells as they are known, up to this revision.
     pub fn view(&self, revision: u64) -> View {
         let mut view = View { revision, ..View::default() };
         for (key, (revision, value)) in &self.values {
--- a/crates/latchtrack/src/wire/records.rs
+++ b/crates/latchtrack/src/wire/records.rs
@@ -1,14 +1,15 @@
-//! What we keep in the state service, under our own names.
+//! The keys and values of this program in the state service.
 //!
-//! Nodes of two versions read and write these values side by side during an upgrade. Keys, field names and
-//! the order of fields without names are a published format (`tests/published_formats.rs`): they never
-//! change, and what is new is an optional field with a default.
+//! Nodes of two versions read and write these values side by side during an upgrade. Keys, field
+//! names and the order of fields without names are a published format
+//! (`tests/published_formats.rs`): they never change, and a new field is optional with a default.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
+use latchtrack_core::constants::MAX_TASKS;
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
@@ -23,19 +24,22 @@
 pub const JOBS: &str = "live/job/";
 /// Prefix of the stored results of unfinished jobs.
 pub const RESULTS: &str = "results/";
-/// The machine types, as the cloud last told them.
+/// The key of the machine types, as the cloud last told them.
 pub const TYPES: &str = "site/types";
 /// Prefix of the machine set.
 pub const FLEET: &str = "fleet/";
 
+/// The key of a job's record.
 pub fn job_key(id: JobId) -> String {
     format!("{JOBS}{id}")
 }
 
+/// The key of a record shard of results.
 pub fn results_key(name: &str) -> String {
     format!("{RESULTS}{name}")
 }
 
+/// The key of a record shard of the machine set.
 pub fn fleet_key(name: &str) -> String {
     format!("{FLEET}{name}")
 }
@@ -43,10 +47,11 @@
 /// Who leads.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct LeaderRecord {
+    /// Name of the node.
     pub node: String,
     /// Tells the runs of a node apart.
     pub run: u64,
-    /// The lease that the key is under, so that a node can end its own after a restart.
+    /// The lease that the key is under, so that a node can end that of its earlier run.
     pub lease: u64,
 }
 
@@ -111,87 +116,131 @@
 /// A job's record: open until it is done or cancelled, which it then remains.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    Open { spec: Arc<JobSpec>, at_ms: u64 },
-    Done { tasks: u32 },
-    Cancelled { tasks: u32 },
+    /// It is neither done nor cancelled.
+    Open {
+        /// What was submitted.
+        spec: Arc<JobSpec>,
+        /// Time of day of the submission, ms.
+        at_ms: u64,
+    },
+    /// All of its tasks are done.
+    Done {
+        /// How many tasks it has.
+        tasks: u32,
+    },
+    /// It was cancelled before it was done.
+    Cancelled {
+        /// How many tasks it has.
+        tasks: u32,
+    },
+}
+
+/// Why a stored record can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum RecordError {
+    /// Not JSON, or a field is missing or of another kind.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// A number is not finite, negative, or there are no tasks or too many.
+    #[error("a number out of range")]
+    NumberOutOfRange,
+    /// The number of the priority is none that this version knows.
+    #[error("unknown priority")]
+    UnknownPriority,
+}
+
+impl SpecDto {
+    fn new(spec: &JobSpec) -> SpecDto {
+        SpecDto {
+            class: spec.class.clone(),
+            team: spec.team.clone(),
+            priority: spec.priority as u8,
+            tasks: spec.tasks,
+            cpus: spec.demand.cpus,
+            gpus: spec.demand.gpus,
+            memory_gb: spec.demand.memory_gb,
+            types: spec.types.clone(),
+            zone: spec.zone.clone(),
+            one_zone: spec.one_zone,
+            spread: spec.spread,
+            spot: spec.spot,
+            image: spec.image.clone(),
+            image_gb: spec.image_gb,
+            estimate_s: spec.estimate_s,
+            checkpoint_s: spec.checkpoint_s,
+            save_s: spec.save_s,
+            deadline_s: spec.deadline_s,
+            gang: spec.gang,
+        }
+    }
+
+    fn into_spec(self, id: JobId) -> Result<JobSpec, RecordError> {
+        let numbers = [
+            self.cpus,
+            self.gpus,
+            self.memory_gb,
+            self.checkpoint_s,
+            self.save_s,
+            self.estimate_s,
+            self.image_gb,
+            self.deadline_s.unwrap_or(0.0),
+        ];
+        if self.tasks == 0
+            || self.tasks > MAX_TASKS
+            || numbers.iter().any(|number| !number.is_finite() || *number < 0.0)
+        {
+            return Err(RecordError::NumberOutOfRange);
+        }
+        let priority = match self.priority {
+            0 => Priority::Production,
+            1 => Priority::High,
+            2 => Priority::Normal,
+            3 => Priority::Low,
+            _ => return Err(RecordError::UnknownPriority),
+        };
+        let demand = Demand { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb };
+        Ok(JobSpec {
+            id,
+            class: self.class,
+            team: self.team,
+            priority,
+            tasks: self.tasks,
+            gang: self.gang,
+            demand,
+            types: self.types,
+            zone: self.zone,
+            one_zone: self.one_zone,
+            spread: self.spread,
+            spot: self.spot,
+            image: self.image,
+            image_gb: self.image_gb,
+            estimate_s: self.estimate_s,
+            checkpoint_s: self.checkpoint_s,
+            save_s: self.save_s,
+            deadline_s: self.deadline_s,
+        })
+    }
 }
 
 impl Record {
+    /// The record as it is stored.
     pub fn to_json(&self) -> serde_json::Result<Box<RawValue>> {
         let dto = match self {
-            Record::Open { spec, at_ms } => RecordDto::Open {
-                at_ms: *at_ms,
-                spec: Box::new(SpecDto {
-                    class: spec.class.clone(),
-                    team: spec.team.clone(),
-                    priority: spec.priority as u8,
-                    tasks: spec.tasks,
-                    cpus: spec.demand.cpus,
-                    gpus: spec.demand.gpus,
-                    memory_gb: spec.demand.memory_gb,
-                    types: spec.types.clone(),
-                    zone: spec.zone.clone(),
-                    one_zone: spec.one_zone,
-                    spread: spec.spread,
-                    spot: spec.spot,
-                    image: spec.image.clone(),
-                    image_gb: spec.image_gb,
-                    estimate_s: spec.estimate_s,
-                    checkpoint_s: spec.checkpoint_s,
-                    save_s: spec.save_s,
-                    deadline_s: spec.deadline_s,
-                    gang: spec.gang,
-                }),
-            },
+            Record::Open { spec, at_ms } => {
+                RecordDto::Open { at_ms: *at_ms, spec: Box::new(SpecDto::new(spec)) }
+            }
             Record::Done { tasks } => RecordDto::Done { tasks: *tasks },
             Record::Cancelled { tasks } => RecordDto::Cancelled { tasks: *tasks },
         };
         serde_json::value::to_raw_value(&dto)
     }
 
-    /// Reads a stored record; an error for one that is garbled.
-    pub fn parse(id: JobId, json: &str) -> Result<Record, String> {
-        let dto: RecordDto = serde_json::from_str(json).map_err(|e| e.to_string())?;
+    /// Reads the stored record of a job.
+    pub fn parse(id: JobId, json: &str) -> Result<Record, RecordError> {
+        let dto: RecordDto = serde_json::from_str(json)?;
         Ok(match dto {
-            RecordDto::Open { at_ms, spec: s } => {
-                let due = s.deadline_s.unwrap_or(0.0);
-                let (run, image) = (s.estimate_s, s.image_gb);
-                let numbers =
-                    [s.cpus, s.gpus, s.memory_gb, s.checkpoint_s, s.save_s, run, image, due];
-                if s.tasks == 0
-                    || s.tasks > latchtrack_core::constants::MAX_TASKS
-                    || numbers.iter().any(|n| !n.is_finite() || *n < 0.0)
-                {
-                    return Err("a number out of range".into());
-                }
-                let priority = match s.priority {
-                    0 => Priority::Production,
-                    1 => Priority::High,
-                    2 => Priority::Normal,
-                    3 => Priority::Low,
-                    _ => return Err("unknown priority".into()),
-                };
-                let spec = JobSpec {
-                    id,
-                    class: s.class,
-                    team: s.team,
-                    priority,
-                    tasks: s.tasks,
-                    gang: s.gang,
-                    demand: Demand { cpus: s.cpus, gpus: s.gpus, memory_gb: s.memory_gb },
-                    types: s.types,
-                    zone: s.zone,
-                    one_zone: s.one_zone,
-                    spread: s.spread,
-                    spot: s.spot,
-                    image: s.image,
-                    image_gb: s.image_gb,
-                    estimate_s: s.estimate_s,
-                    checkpoint_s: s.checkpoint_s,
-                    save_s: s.save_s,
-                    deadline_s: s.deadline_s,
-                };
-                Record::Open { spec: Arc::new(spec), at_ms }
+            RecordDto::Open { at_ms, spec } => {
+                Record::Open { spec: Arc::new(spec.into_spec(id)?), at_ms }
             }
             RecordDto::Done { tasks } => Record::Done { tasks },
             RecordDto::Cancelled { tasks } => Record::Cancelled { tasks },
@@ -199,11 +248,11 @@
     }
 }
 
-/// A machine of the stored set: name, type, zone, whether spot, address. Many share a value, so
+/// A machine of the stored set: name, type, zone, whether spot, address. Many are in one value, so
 /// it has no field names.
 type MachineRecord = (String, String, String, bool, String);
 
-/// The form before machines shared values: one to a key, its name in the key.
+/// The form before record shards: one machine to a key, its name in the key.
 #[derive(Deserialize)]
 struct OldMachine {
     kind: String,
@@ -212,7 +261,7 @@
     addr: String,
 }
 
-/// A value of the machine set.
+/// A record shard of the machine set as it is stored.
 pub fn fleet(machines: &[StoredMachine]) -> serde_json::Result<Box<RawValue>> {
     let record = |m: &StoredMachine| -> MachineRecord {
         (m.name.clone(), m.kind.clone(), m.zone.clone(), m.spot, m.addr.clone())
@@ -221,7 +270,8 @@
     serde_json::value::to_raw_value(&records)
 }
 
-/// Reads a value of the machine set, in the form of today or the old one.
+/// Reads a value of the machine set, in the current form or the old one. `key` is the part of the
+/// key after [`FLEET`].
 pub fn read_fleet(key: &str, json: &str) -> serde_json::Result<Vec<StoredMachine>> {
     if json.trim_start().starts_with('{') {
         let old: OldMachine = serde_json::from_str(json)?;
@@ -233,8 +283,8 @@
     Ok(records.into_iter().map(machine).collect())
 }
 
-/// A machine type as it is stored. The earlier form, an array of the same fields in this order, is read as
-/// well.
+/// A machine type as it is stored. The earlier form, an array of the same fields in this order, is
+/// read as well.
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "MachineType")]
 struct TypeRecord {
@@ -253,13 +303,13 @@
 #[derive(Serialize, Deserialize)]
 struct StoredType(#[serde(with = "TypeRecord")] MachineType);
 
-/// The stored machine types.
+/// The machine types as they are stored.
 pub fn types(types: &[MachineType]) -> serde_json::Result<Box<RawValue>> {
     let records: Vec<StoredType> = types.iter().cloned().map(StoredType).collect();
     serde_json::value::to_raw_value(&records)
 }
 
-/// Reads the stored machine types; None if they are garbled or a number makes no sense.
+/// Reads the stored machine types; None if they can't be parsed or a number is not finite or below 0.
 pub fn read_types(json: &str) -> Option<Vec<MachineType>> {
     let records: Vec<StoredType> = serde_json::from_str(json).ok()?;
     let sane = |t: &MachineType| {
@@ -270,7 +320,8 @@
     records.into_iter().map(|StoredType(t)| sane(&t).then_some(t)).collect()
 }
 
-/// Whether two lists of types differ in nothing but prices, which move and are not worth a write.
+/// Whether two lists of types differ in nothing but prices, which change often and are not worth a
+/// write.
 pub fn same_types(a: &[MachineType], b: &[MachineType]) -> bool {
     let priceless = |types: &[MachineType]| -> Vec<MachineType> {
         types.iter().map(|t| MachineType { price: 0.0, spot_price: 0.0, ..t.clone() }).collect()
@@ -281,7 +332,7 @@
 /// Bits of done tasks, by job and chunk.
 pub type Chunks = Vec<(JobId, u32, Vec<u8>)>;
 
-/// A value of results.
+/// A record shard of results as it is stored.
 pub fn results(chunks: &[(JobId, u32, Vec<u8>)]) -> serde_json::Result<Box<RawValue>> {
     let map: BTreeMap<String, String> = chunks
         .iter()
@@ -290,8 +341,8 @@
     serde_json::value::to_raw_value(&map)
 }
 
-/// Reads a value of results; None if it is garbled. The old form is one text, of the job and the
-/// chunk in its key.
+/// Reads a value of results; None if it can't be parsed. `key` is the part of the key after
+/// [`RESULTS`]. The old form is one text, of the job and the chunk in its key.
 pub fn read_results(key: &str, json: &str) -> Option<Chunks> {
     let one = |name: &str, text: &str| {
         let (job, chunk) = name.split_once('/')?;
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -11,9 +11,10 @@
 pub struct NodeView {
     /// Whether the state service serves it.
     pub served: bool,
-    /// Whom it holds to lead.
+    /// Name of the node that leads, as far as it knows.
     pub leader: Option<String>,
-    /// The name on the wire is that of the first version, which nodes exchange during an upgrade.
+    /// Only of a node that leads. The name on the wire is that of the first version, which nodes
+    /// exchange during an upgrade.
     #[serde(rename = "picture", skip_serializing_if = "Option::is_none")]
     pub cluster: Option<ClusterView>,
 }
@@ -21,32 +22,39 @@
 /// The cluster as its leader sees it.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ClusterView {
+    /// Fencing token of the term.
     pub token: u64,
-    /// Whether it may act now: its lease is valid and its cache new.
+    /// Whether it may act now: its lease is valid and its job cache current.
     pub acting: bool,
+    /// Machines of which heartbeats come.
     pub machines_up: usize,
-    /// Rented and not up; of these, those that should be.
+    /// Machines that are provisioned and not up yet.
     pub machines_booting: usize,
+    /// Of these, those that should be up.
     pub machines_late: usize,
-    /// Of an earlier leader, not yet heard by this one.
+    /// Unreconciled machines: of an earlier leader, not yet heard by this one.
     pub machines_unsettled: usize,
     /// Types and zones of which most boots are late.
     pub late_boots: Vec<String>,
+    /// Unreachable zones.
     pub quiet_zones: Vec<String>,
+    /// Jobs that are neither done nor cancelled.
     pub jobs_open: usize,
-    /// Of these, gangs: a version before 0.2 would run them task by task, so none may be open when nodes
-    /// go back to one. Absent in what such a version answers.
+    /// Of these, gangs: a version before 0.2 would run them task by task, so none may be open when
+    /// nodes go back to one. Absent in what such a version answers.
     #[serde(default)]
     pub gangs_open: usize,
-    /// Jobs that have shown nothing but failures.
-    /// The name on the wire is that of the first version.
+    /// Quarantined jobs: those that have shown nothing but failures. The name on the wire is that of the first version.
     #[serde(rename = "jobs_in_doubt")]
     pub suspect_jobs: Vec<String>,
+    /// Tasks that are not assigned to a machine.
     pub tasks_waiting: u64,
+    /// CPUs of the machines that are up.
     pub cpus: f64,
+    /// CPUs of the tasks that run on them.
     pub cpus_running: f64,
-    /// The balance of the cluster; absent while nothing of it is switched on, and in what versions before
-    /// 0.3 answer.
+    /// The balance of the cluster; absent while nothing of it is switched on, and in what versions
+    /// before 0.3 answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub balance: Option<BalanceView>,
     /// The teams that cells share; absent where this deployment has them alone.
@@ -57,25 +65,31 @@
 /// A team that cells share; amounts in CPUs and GPUs.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct TeamQuotaView {
+    /// Name of the team.
     pub team: String,
     /// Why nothing of it is launched, if so.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub trouble: Option<String>,
     /// Whether the stored limit or guarantee, which counts, is not that of this cell's file.
     pub differs_from_file: bool,
+    /// What all cells together may use.
     pub limit: AmountsView,
+    /// What the team gets in any case.
     pub guarantee: AmountsView,
     /// On machines of this cell.
     pub used_here: AmountsView,
     /// What this cell may use just now.
     pub launch_limit_here: AmountsView,
+    /// The allotment of each cell.
     pub cells: BTreeMap<String, AccountView>,
 }
 
 /// CPUs and GPUs; 0 in a limit is none.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq)]
 pub struct AmountsView {
+    /// CPUs.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
 }
 
@@ -86,14 +100,17 @@
     }
 }
 
-/// What a cell holds of a team's limit, and asks for.
+/// What a cell has of a team's limit, and requests.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct AccountView {
+    /// What it may use.
     pub allotted: AmountsView,
     /// Time of day of the last change, ms.
     pub since_ms: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
+    /// What it requests to have in all, if it does.
     pub wants: Option<AmountsView>,
+    /// Number of the request, by which requests are served in turn.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ticket: Option<u64>,
 }
@@ -128,18 +145,25 @@
 /// How evenly the machines are loaded, and what is done about it.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct BalanceView {
-    /// The greatest over the mean load, of the machine pool in which this is greatest; both in parts of a machine.
+    /// The greatest load over the mean, in the machine pool where this is greatest.
     pub spread: f64,
+    /// The greatest load there, as a fraction of a machine.
     pub greatest_load: f64,
+    /// The mean load there, as a fraction of a machine.
     pub mean_load: f64,
     /// Machines above the bound that have tasks which may move.
     pub machines_over_bound: usize,
+    /// Teams that use more than their share while others wait.
     pub hot_teams: Vec<String>,
-    /// Moves under way, and the last that are over, each with where it stands and why.
+    /// Moves under way, each with where it stands and why.
     pub moves: Vec<String>,
+    /// The last moves that are over, each with how it ended and why.
     pub recent_moves: Vec<String>,
+    /// Moves begun in this term.
     pub moves_begun: u64,
+    /// Of these, those after which the task runs elsewhere.
     pub moves_settled: u64,
+    /// Of these, those that were given up.
     pub moves_abandoned: u64,
 }
 
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -5,26 +5,32 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::constants::NAME_BYTES;
+use crate::constants::{MAX_AMOUNT, NAME_BYTES};
 
-/// Why a submission is malformed; names the field.
+/// Why a submission is malformed; names the field. The texts are part of the answer to the user.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum BadSubmission {
+    /// The body can't be parsed.
     #[error("the body is not JSON")]
     NotJson,
+    /// The body is JSON of another kind.
     #[error("the body is not an object")]
     NotObject,
+    /// This field is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
+    /// This field can't be used, for this reason.
     #[error("{0} is invalid: {1}")]
     Invalid(&'static str, &'static str),
+    /// The record has more bytes than a value may have: both numbers.
     #[error("the job is too large for its record: {0} of {1} bytes")]
     TooLarge(usize, usize),
 }
 
 use BadSubmission::{Invalid, Missing};
 
-/// Reads the body as an object and its id, which decides about repeats before anything else.
+/// Reads the body as an object, and its job's id: whether the job is known is decided before the
+/// other fields are read.
 pub fn parse_id(body: &[u8]) -> Result<(JobId, Map<String, Value>), BadSubmission> {
     let value: Value = serde_json::from_slice(body).map_err(|_| BadSubmission::NotJson)?;
     let Value::Object(map) = value else { return Err(BadSubmission::NotObject) };
@@ -46,25 +52,28 @@
     Ok(s)
 }
 
-fn amount(map: &Map<String, Value>, name: &'static str) -> Result<Option<f64>, BadSubmission> {
+fn optional_amount(
+    map: &Map<String, Value>,
+    name: &'static str,
+) -> Result<Option<f64>, BadSubmission> {
     let Some(v) = get(map, name) else { return Ok(None) };
     let n = v.as_f64().ok_or(Invalid(name, "not a number"))?;
-    if !n.is_finite() || !(0.0..=1e9).contains(&n) {
+    if !n.is_finite() || !(0.0..=MAX_AMOUNT).contains(&n) {
         return Err(Invalid(name, "must be from 0 to 1e9"));
     }
     Ok(Some(n))
 }
 
-fn needed(map: &Map<String, Value>, name: &'static str) -> Result<f64, BadSubmission> {
-    amount(map, name)?.ok_or(Missing(name))
+fn required_amount(map: &Map<String, Value>, name: &'static str) -> Result<f64, BadSubmission> {
+    optional_amount(map, name)?.ok_or(Missing(name))
 }
 
 fn flag(map: &Map<String, Value>, name: &'static str) -> Result<bool, BadSubmission> {
     get(map, name).ok_or(Missing(name))?.as_bool().ok_or(Invalid(name, "not true or false"))
 }
 
-/// Reads the job of a submission. `builds`, `yard` and `due_s` may be null, and so be left out; a job
-/// that lacks any other field is none: what it needs would be guessed.
+/// Reads the job of a submission. `builds`, `yard` and `due_s` may be null or left out; without any
+/// other field a submission is refused, since the job's needs would be guessed.
 pub fn parse_job(id: JobId, map: &Map<String, Value>) -> Result<JobSpec, BadSubmission> {
     let gang = match text(map, "shape")? {
         "batch" => false,
@@ -92,7 +101,7 @@
             Some(names.ok_or(Invalid("builds", "not a list of strings"))?)
         }
     };
-    let cpus = needed(map, "cores")?;
+    let cpus = required_amount(map, "cores")?;
     if cpus == 0.0 {
         return Err(Invalid("cores", "must be above 0"));
     }
@@ -103,7 +112,11 @@
         priority,
         tasks: tasks as u32,
         gang,
-        demand: Demand { cpus, gpus: needed(map, "cards")?, memory_gb: needed(map, "memory_gb")? },
+        demand: Demand {
+            cpus,
+            gpus: required_amount(map, "cards")?,
+            memory_gb: required_amount(map, "memory_gb")?,
+        },
         types,
         zone: match get(map, "yard") {
             None => None,
@@ -113,25 +126,30 @@
         spread: flag(map, "apart")?,
         spot: flag(map, "loaners")?,
         image: text(map, "kit")?.to_string(),
-        image_gb: needed(map, "pull_gb")?,
-        estimate_s: needed(map, "expected_s")?,
-        checkpoint_s: needed(map, "snapshot_s")?,
-        save_s: needed(map, "stow_s")?,
-        deadline_s: amount(map, "due_s")?,
+        image_gb: required_amount(map, "pull_gb")?,
+        estimate_s: required_amount(map, "expected_s")?,
+        checkpoint_s: required_amount(map, "snapshot_s")?,
+        save_s: required_amount(map, "stow_s")?,
+        deadline_s: optional_amount(map, "due_s")?,
     })
 }
 
-/// How a job stands.
+/// The state of a job, for its user.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum JobState {
+    /// None of its tasks runs.
     Queued,
+    /// At least one task runs.
     Running,
+    /// All tasks are done.
     Done,
+    /// It was cancelled.
     Cancelled,
 }
 
 impl JobState {
-    fn word(self) -> &'static str {
+    /// The state's word on the wire.
+    fn wire_word(self) -> &'static str {
         match self {
             JobState::Queued => "pending",
             JobState::Running => "running",
@@ -153,16 +171,20 @@
 }
 
 impl JobAnswer {
+    /// The state alone.
     pub fn state(id: JobId, state: JobState) -> Self {
-        JobAnswer { name_id: id.to_string(), status: state.word(), done: None, running: None }
+        JobAnswer { name_id: id.to_string(), status: state.wire_word(), done: None, running: None }
     }
 
+    /// The state, and how many tasks are done and run.
     pub fn counts(id: JobId, state: JobState, done: u32, running: u32) -> Self {
         JobAnswer { done: Some(done), running: Some(running), ..Self::state(id, state) }
     }
 }
 
+/// An answer that refuses.
 #[derive(Serialize)]
 pub struct ErrorAnswer<'a> {
+    /// Why.
     pub error: &'a str,
 }
--- a/crates/latchtrack/tests/parsers.rs
+++ b/crates/latchtrack/tests/parsers.rs
@@ -89,7 +89,7 @@
         // Whatever is accepted can be stored and read back.
         let record = Record::Open { spec: job.clone().into(), at_ms: 1 };
         let json = record.to_json().unwrap();
-        assert_eq!(Record::parse(job.id, json.get()), Ok(record));
+        assert_eq!(Record::parse(job.id, json.get()).unwrap(), record);
         true
     });
 }
--- a/crates/latchtrack/tests/records.rs
+++ b/crates/latchtrack/tests/records.rs
@@ -39,7 +39,7 @@
 fn records_survive_and_garbled_ones_are_refused() {
     for record in [open(), Record::Done { tasks: 3 }, Record::Cancelled { tasks: 4 }] {
         let json = record.to_json().unwrap();
-        assert_eq!(Record::parse(JobId(412), json.get()), Ok(record));
+        assert_eq!(Record::parse(JobId(412), json.get()).unwrap(), record);
     }
     let json = open().to_json().unwrap().get().to_string();
     assert!(Record::parse(JobId(412), &json.replace("\"tasks\":16", "\"tasks\":0")).is_err());
