--- a/crates/latchtrack/src/actors/admission/mod.rs
+++ b/crates/latchtrack/src/actors/admission/mod.rs
@@ -1,5 +1,5 @@
-//! Takes submissions and cancellations. Any node does so: a job is created if it is absent, several
-//! in one transaction; a cancellation is a compare-and-swap on the job's record.
+//! Takes submissions and cancellations. Any node does so: a job is created if it is absent,
+//! several in one transaction; a cancellation is a compare-and-swap on the job's record.
 
 mod cancel;
 mod feasibility;
--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Reads the types that a leader has stored. Until the cloud can be asked, they will do: without
-    /// the types no node takes a job and none can lead.
+    /// Reads the types that a leader has stored. Until the cloud can be asked, they will do:
+    /// without the types no node takes a job and none can lead.
     fn read_stored_types(&mut self, ctx: &mut Context<Self>) {
         let store = self.store.clone();
         let request = async move {
--- a/crates/latchtrack/src/actors/election/cell.rs
+++ b/crates/latchtrack/src/actors/election/cell.rs
@@ -44,8 +44,8 @@
         Some(Cell { name: quota.cell.clone(), record })
     }
 
-    /// The revision of the stored record, 0 if there is none. A record of another cloud is an error:
-    /// two deployments under one name would each take the other's leaders for its own.
+    /// The revision of the stored record, 0 if there is none. A record of another cloud is an
+    /// error: two deployments under one name would each take the other's leaders for its own.
     pub async fn stored_revision(&self, store: &Addr<Store>) -> Result<u64, CellError> {
         let get = StoreRequest::Get { key: term_key(&self.name) };
         let answer =
--- a/crates/latchtrack/src/actors/election/mod.rs
+++ b/crates/latchtrack/src/actors/election/mod.rs
@@ -1,5 +1,5 @@
-//! Who leads: a key under a lease of the state service. The revision of the key is the fencing token
-//! of the term.
+//! Who leads: a key under a lease of the state service. The revision of the key is the fencing
+//! token of the term.
 
 mod campaign;
 mod cell;
--- a/crates/latchtrack/src/actors/job_cache/mod.rs
+++ b/crates/latchtrack/src/actors/job_cache/mod.rs
@@ -1,5 +1,5 @@
-//! The local cache of the job records and of the leader key. Final states are answered from it; any
-//! other answer waits for a refresh from the state service, one for all that wait.
+//! The local cache of the job records and of the leader key. Final states are answered from it;
+//! any other answer waits for a refresh from the state service, one for all that wait.
 
 mod records;
 
@@ -38,8 +38,8 @@
     revision: Option<u64>,
     role: NodeRole,
     is_refreshing: bool,
-    /// When the last refresh began, in ms of the steady clock; after one that failed, from when the
-    /// interval to the next counts.
+    /// When the last refresh began, in ms of the steady clock; after one that failed, from when
+    /// the interval to the next counts.
     last_refresh: u64,
     /// Refreshes that have failed in a row.
     failures: u32,
--- a/crates/latchtrack/src/actors/job_cache/records.rs
+++ b/crates/latchtrack/src/actors/job_cache/records.rs
@@ -132,7 +132,7 @@
             Err(error) => {
                 // Neither used nor called unknown: its user was told that it is accepted.
                 if self.unparsable.insert(id) {
-                    tracing::error!(job = %id, %error, "job record can't be parsed and is not used");
+                    tracing::error!(job = %id, %error, "job record can't be parsed");
                 }
                 None
             }
--- a/crates/latchtrack/src/actors/peers/connection.rs
+++ b/crates/latchtrack/src/actors/peers/connection.rs
@@ -115,8 +115,8 @@
     tokio::time::timeout(FORWARD_TIMEOUT, answer).await.ok().flatten()
 }
 
-/// Serves a connection that another node has opened. Requests are answered side by side, as many as
-/// the queue of answers holds; more are dropped, and their sender answers for itself.
+/// Serves a connection that another node has opened. Requests are answered side by side, as many
+/// as the queue of answers holds; more are dropped, and their sender answers for itself.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     received: Recipient<FrameReceived>,
--- a/crates/latchtrack/src/actors/peers/mod.rs
+++ b/crates/latchtrack/src/actors/peers/mod.rs
@@ -1,6 +1,6 @@
-//! What the nodes tell each other: the leader's counts for display, whether the state service serves
-//! them, and requests that a node forwards because the service does not serve it. A request is
-//! forwarded once only.
+//! What the nodes tell each other: the leader's counts for display, whether the state service
+//! serves them, and requests that a node forwards because the service does not serve it. A request
+//! is forwarded once only.
 
 mod connection;
 
--- a/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// The leader waits for heartbeats of these machines. They count as redirected in vain, so that
-    /// their next heartbeat is forwarded at once.
+    /// The leader waits for heartbeats of these machines. They count as redirected in vain, so
+    /// that their next heartbeat is forwarded at once.
     pub(super) fn machines_overdue(&mut self, machines: Vec<String>, now: u64) {
         self.redirected_at.extend(machines.into_iter().map(|machine| (machine, now)));
     }
--- a/crates/latchtrack/src/actors/scheduler_driver/writes.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/writes.rs
@@ -54,7 +54,8 @@
         }));
     }
 
-    /// What the answer to a write means, told to the job cache or the election if it concerns them.
+    /// What the answer to a write means, told to the job cache or the election if it concerns
+    /// them.
     fn batch_outcome(
         &self,
         token: u64,
--- a/crates/latchtrack/src/actors/store/namespace.rs
+++ b/crates/latchtrack/src/actors/store/namespace.rs
@@ -1,5 +1,5 @@
-//! The keys of this deployment in the state service: its own under a prefix, those that cells share
-//! as they are.
+//! The keys of this deployment in the state service: its own under a prefix, those that cells
+//! share as they are.
 
 use crate::actors::messages::store::{Reply, StoreRequest};
 use crate::wire::quota::SHARED;
--- a/crates/latchtrack/src/actors/store/pacing.rs
+++ b/crates/latchtrack/src/actors/store/pacing.rs
@@ -68,9 +68,9 @@
     pub lower: f64,
 }
 
-/// What a node may write a second: its part of the limit, and more while it has to wait and no node
-/// is over the limit, so that what others don't use is used. The service itself says when it is too
-/// much, and refuses only what comes then; leases don't count as writes.
+/// What a node may write a second: its part of the limit, and more while it has to wait and no
+/// node is over the limit, so that what others don't use is used. The service itself says when it
+/// is too much, and refuses only what comes then; leases don't count as writes.
 ///
 /// The service may lower its limit without notice. Refusals in a row while the node keeps to its
 /// own part are not explained by bursts: from then on the lower limit counts. Nothing ever tells
@@ -133,8 +133,8 @@
         self.limit * self.part
     }
 
-    /// Writes that may go at once after a pause: half a second's worth of what all nodes may, since
-    /// the service allows bursts of a second's worth and seldom do all nodes burst together.
+    /// Writes that may go at once after a pause: half a second's worth of what all nodes may,
+    /// since the service allows bursts of a second's worth and seldom do all nodes burst together.
     pub fn burst(&self) -> f64 {
         self.limit * self.part.max(USABLE_LIMIT_FRACTION * BURST_FRACTION)
     }
--- a/crates/latchtrack/src/clock.rs
+++ b/crates/latchtrack/src/clock.rs
@@ -5,8 +5,8 @@
 
 static START: OnceLock<Instant> = OnceLock::new();
 
-/// ms at which the steady clock starts. What happened up to ten days before the process began has a
-/// time of its own on it, and 0 can stand for "never".
+/// ms at which the steady clock starts. What happened up to ten days before the process began has
+/// a time of its own on it, and 0 can stand for "never".
 const START_MS: u64 = 10 * 24 * 3_600 * 1_000;
 
 /// Now in ms of the steady clock, which starts with the process and never goes back.
--- a/crates/latchtrack/src/constants.rs
+++ b/crates/latchtrack/src/constants.rs
@@ -1,13 +1,13 @@
-//! Every constant of the program around the scheduling core, with its unit and its reason. Most are
-//! defaults of the operators' settings.
+//! Every constant of the program around the scheduling core, with its unit and its reason. Most
+//! are defaults of the operators' settings.
 
 use std::time::Duration;
 
 // Leadership.
 
-/// ms that the leader's lease in the state service lasts. Long enough for a slow answer and two lost
-/// renewals, short enough that a crashed leader is followed within seconds: nothing is scheduled
-/// meanwhile.
+/// ms that the leader's lease in the state service lasts. Long enough for a slow answer and two
+/// lost renewals, short enough that a crashed leader is followed within seconds: nothing is
+/// scheduled meanwhile.
 pub const LEADER_TTL_MS: u64 = 3_000;
 /// ms of the shortest lease that works, for settings where the worker lease leaves little of the
 /// time within which a cancelled task must have ended.
@@ -16,7 +16,8 @@
 pub const RENEWALS_PER_LEASE: u64 = 4;
 /// ms taken off the lease's local end, for the time that acting itself takes.
 pub const LEASE_GUARD_MS: u64 = 250;
-/// One part of so many of the lease is taken off its local end, for the drift of the clocks (0.05%).
+/// One part of so many of the lease is taken off its local end, for the drift of the clocks
+/// (0.05%).
 pub const CLOCK_DRIFT_DIVISOR: u64 = 1_000;
 /// ms after a failed renewal or campaign before the next attempt.
 pub const ELECTION_RETRY_MS: u64 = 300;
@@ -26,24 +27,27 @@
 pub const RENEWAL_WAIT_MS: u64 = 1_500;
 /// ms of random wait before a campaign, so that nodes do not all write at once.
 pub const CAMPAIGN_JITTER_MS: u64 = 120;
-/// ms for which a node counts as recently started. In a restart of all nodes one by one, those that
-/// have been up for longer are the next to stop, so recently started ones campaign first.
+/// ms for which a node counts as recently started. In a restart of all nodes one by one, those
+/// that have been up for longer are the next to stop, so recently started ones campaign first.
 pub const RECENT_START_MS: u64 = 90_000;
 /// ms by which a node that has been up for longer campaigns later.
 pub const LONG_RUNNING_DELAY_MS: u64 = 300;
 /// ms for which a node that has resigned does not campaign.
 pub const RESIGNED_DELAY_MS: u64 = 20_000;
 
-/// Fraction of the time for a cancellation, after the worker lease, that the leader's lease may take.
+/// Fraction of the time for a cancellation, after the worker lease, that the leader's lease may
+/// take.
 pub const USED_CANCEL_FRACTION: f64 = 0.9;
-/// By this factor a worker's lease may last longer by the local clock, for the drift of the clocks.
+/// By this factor a worker's lease may last longer by the local clock, for the drift of the
+/// clocks.
 pub const CLOCK_DRIFT_FACTOR: f64 = 1.001;
 /// s that a worker may take to kill its tasks when its lease ends.
 pub const TASK_KILL_S: f64 = 0.5;
 
 // The job cache.
 
-/// ms between two refreshes while leading: a submission waits this long at most before it is placed.
+/// ms between two refreshes while leading: a submission waits this long at most before it is
+/// placed.
 pub const REFRESH_INTERVAL_LEADER_MS: u64 = 100;
 /// ms between two refreshes while following: the leader key is in the cache too.
 pub const REFRESH_INTERVAL_FOLLOWER_MS: u64 = 250;
@@ -51,8 +55,8 @@
 pub const REFRESH_INTERVAL_WAITERS_MS: u64 = 40;
 /// ms after a failed refresh, or a failed read or write of the leader, before the next.
 pub const REFRESH_RETRY_MS: u64 = 250;
-/// ms after its start from which a refresh is no answer to those that waited for it: the node stood
-/// still, and they have given up.
+/// ms after its start from which a refresh is no answer to those that waited for it: the node
+/// stood still, and they have given up.
 pub const REFRESH_MAX_AGE_MS: u64 = 4_000;
 /// Queries that may wait for one refresh; more are refused.
 pub const REFRESH_WAITERS: usize = 2_000;
@@ -74,8 +78,8 @@
 pub const LIST_PAGE_WAIT_MS: u64 = 5_000;
 /// Items of one page of a list (the service's own bound).
 pub const STORE_PAGE_ITEMS: usize = 1_000;
-/// ms that a write of the leader's records may wait for its turn: it goes after all other requests,
-/// and one given up is written again.
+/// ms that a write of the leader's records may wait for its turn: it goes after all other
+/// requests, and one given up is written again.
 pub const RECORD_WRITE_WAIT_MS: u64 = 10_000;
 /// Calls open at once.
 pub const MAX_STORE_CALLS: usize = 12;
@@ -92,8 +96,8 @@
 pub const WRITE_SHARE_GROWTH: f64 = 1.3;
 /// ms after a refusal in which it does not grow: all nodes need what they have.
 pub const WRITE_SHARE_HOLD_MS: u64 = 8_000;
-/// Adjustments in a row that find a refusal though the node kept to its part, until the limit counts
-/// as lowered: a single one may be another node's burst.
+/// Adjustments in a row that find a refusal though the node kept to its part, until the limit
+/// counts as lowered: a single one may be another node's burst.
 pub const UNEXPLAINED_REFUSALS: u32 = 2;
 /// Fraction of a second's writes of all nodes that one may make at once after a pause.
 pub const BURST_FRACTION: f64 = 0.5;
@@ -129,8 +133,8 @@
 pub const CLOUD_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Calls of the cloud open at once: bounds the sockets for calls that are not answered.
 pub const MAX_CLOUD_CALLS: usize = 8;
-/// s of its rate that a node may call the cloud at once after a pause: it allows two, and the other
-/// nodes may want part of that.
+/// s of its rate that a node may call the cloud at once after a pause: it allows two, and the
+/// other nodes may want part of that.
 pub const CLOUD_BURST_S: f64 = 1.5;
 /// ms between two reads of the machine types and prices.
 pub const MACHINE_TYPES_INTERVAL_MS: u64 = 60_000;
@@ -151,8 +155,8 @@
 
 /// ms between two messages about the counts of tasks to the other nodes.
 pub const PROGRESS_MS: u64 = 1_000;
-/// Jobs in one such message: the rest show as pending on followers. 19 bytes each at most, less than
-/// half of a frame; the other half is for the names of overdue machines.
+/// Jobs in one such message: the rest show as pending on followers. 19 bytes each at most, less
+/// than half of a frame; the other half is for the names of overdue machines.
 pub const PROGRESS_JOBS: usize = 6_000;
 /// ms between two questions whether the state service serves another node.
 pub const PEER_HEALTH_INTERVAL_MS: u64 = 1_000;
@@ -163,13 +167,13 @@
 /// ms for which the heartbeats of a worker that was redirected to the leader, and is back, are
 /// forwarded; then it is redirected again.
 pub const FORWARD_HEARTBEATS_MS: u64 = 20_000;
-/// Workers remembered as redirected, before old ones are dropped: a fleet several times the largest
-/// in use after a change of leader, some 80 bytes each.
+/// Workers remembered as redirected, before old ones are dropped: a fleet several times the
+/// largest in use after a change of leader, some 80 bytes each.
 pub const REDIRECTED_MACHINES_KEPT: usize = 16_384;
 /// Bytes of the largest frame between nodes.
 pub const FRAME_BYTES: usize = 256 * 1024;
-/// Frames waiting for a node, and requests of one that are answered side by side; more are refused.
-/// A zone that can't reach the leader has some hundred heartbeats a second forwarded.
+/// Frames waiting for a node, and requests of one that are answered side by side; more are
+/// refused. A zone that can't reach the leader has some hundred heartbeats a second forwarded.
 pub const PEER_QUEUE: usize = 256;
 
 // `latchtrack status`.
--- a/crates/latchtrack/src/http/mod.rs
+++ b/crates/latchtrack/src/http/mod.rs
@@ -55,8 +55,8 @@
         .route("/v1/report", web::post().to(workers::heartbeat));
 }
 
-/// Reads a body of bounded size in bounded time: one that does not come would hold its connection's
-/// place for ever. An oversized one is answered with 413 and its connection closed.
+/// Reads a body of bounded size in bounded time: one that does not come would hold its
+/// connection's place for ever. An oversized one is answered with 413 and its connection closed.
 async fn read_body(payload: web::Payload) -> Result<Vec<u8>, HttpResponse> {
     match tokio::time::timeout(BODY_TIMEOUT, collect_body(payload)).await {
         Ok(body) => body,
--- a/crates/latchtrack/src/http/server.rs
+++ b/crates/latchtrack/src/http/server.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// Answers any request with 503 and closes the connection. It reads first, so that the answer is not
-/// lost with what was not read.
+/// Answers any request with 503 and closes the connection. It reads first, so that the answer is
+/// not lost with what was not read.
 async fn refuse(mut stream: TcpStream) {
     let answer = format!(
         "HTTP/1.1 503 Service Unavailable\r\nRetry-After: {RETRY_AFTER_S}\r\nContent-Length: 0\r\n\
--- a/crates/latchtrack/src/http/workers.rs
+++ b/crates/latchtrack/src/http/workers.rs
@@ -9,8 +9,9 @@
 use crate::wire::peers::PeerRequest;
 use crate::wire::workers::{parse_heartbeat, CommandDto, HeartbeatAnswer, Redirect};
 
-/// `POST /v1/report`: a worker's heartbeat. The leader answers with commands; another node with 421
-/// and the leader's name, or has the heartbeat forwarded for a worker that can't reach the leader.
+/// `POST /v1/report`: a worker's heartbeat. The leader answers with commands; another node with
+/// 421 and the leader's name, or has the heartbeat forwarded for a worker that can't reach the
+/// leader.
 pub async fn heartbeat(app: web::Data<AppState>, payload: web::Payload) -> HttpResponse {
     let bytes = match read_body(payload).await {
         Ok(bytes) => bytes,
--- a/crates/latchtrack/src/limit.rs
+++ b/crates/latchtrack/src/limit.rs
@@ -125,8 +125,8 @@
     }
 }
 
-/// Shows a team's ledger, after the change if there is one. A change is tried again while cells write
-/// the ledger, [`LIMIT_CHANGE_ATTEMPTS`] times at most.
+/// Shows a team's ledger, after the change if there is one. A change is tried again while cells
+/// write the ledger, [`LIMIT_CHANGE_ATTEMPTS`] times at most.
 pub async fn limit(
     settings: &Settings,
     team: &str,
--- a/crates/latchtrack/src/node.rs
+++ b/crates/latchtrack/src/node.rs
@@ -36,8 +36,8 @@
     },
 }
 
-/// Refuses a cell's name that another cloud's controllers use. If the state service can't be asked,
-/// that is left to the check before each campaign.
+/// Refuses a cell's name that another cloud's controllers use. If the state service can't be
+/// asked, that is left to the check before each campaign.
 async fn check_cell(settings: &Settings) -> Result<(), StartError> {
     let Some(cell) = Cell::of(settings) else { return Ok(()) };
     let store = Store::new(settings).start();
--- a/crates/latchtrack/src/settings/mod.rs
+++ b/crates/latchtrack/src/settings/mod.rs
@@ -39,8 +39,8 @@
     pub connections: usize,
     /// Direct calls of workers open at once.
     pub direct_calls: usize,
-    /// Start objectives: ms within which the tasks of a class are to start, where that is less than
-    /// the fetch of an image takes.
+    /// Start objectives: ms within which the tasks of a class are to start, where that is less
+    /// than the fetch of an image takes.
     pub prompt_ms: BTreeMap<String, u64>,
 }
 
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Start objectives, in ms by class: of classes whose tasks are to start so soon that a fetch of
-    /// their image would miss it, each by its tightest objective. Objectives of minutes concern the
-    /// wait for machines, and are left out.
+    /// Start objectives, in ms by class: of classes whose tasks are to start so soon that a fetch
+    /// of their image would miss it, each by its tightest objective. Objectives of minutes concern
+    /// the wait for machines, and are left out.
     fn start_objectives(&self) -> Vec<(String, u64)> {
         let mut tightest: BTreeMap<&str, u64> = BTreeMap::new();
         for objective in &self.platform.params.objectives {
@@ -148,8 +148,8 @@
         ((free / 2.0) as usize).clamp(1, c::MAX_DIRECT_CALLS)
     }
 
-    /// s that the leader's lease lasts: as usual, or what the worker lease leaves of the time for a
-    /// cancellation, with some of it to spare.
+    /// s that the leader's lease lasts: as usual, or what the worker lease leaves of the time for
+    /// a cancellation, with some of it to spare.
     pub fn leader_lease_s(&self) -> f64 {
         let left = self.platform.params.workers.cancel_s - self.stopped_within_s();
         let [usual, least] = [c::LEADER_TTL_MS, c::MIN_LEADER_TTL_MS].map(|ms| ms as f64 / 1e3);
@@ -158,9 +158,9 @@
             .unwrap_or_else(|| usual.min(left * c::USED_CANCEL_FRACTION).max(least))
     }
 
-    /// s until a task has surely ended after the last heartbeat that a leader answered. A leader that
-    /// can't see cancellations answers heartbeats for its lease at most, and the tasks then run for
-    /// the worker lease at most.
+    /// s until a task has surely ended after the last heartbeat that a leader answered. A leader
+    /// that can't see cancellations answers heartbeats for its lease at most, and the tasks then
+    /// run for the worker lease at most.
     fn stopped_within_s(&self) -> f64 {
         self.platform.params.workers.lease_s * c::CLOCK_DRIFT_FACTOR + c::TASK_KILL_S
     }
--- a/crates/latchtrack/src/settings/platform.rs
+++ b/crates/latchtrack/src/settings/platform.rs
@@ -1,5 +1,5 @@
-//! What the platform hands over: the JSON file. Fields without a name of their own in the file have
-//! their Rust name there.
+//! What the platform hands over: the JSON file. Fields without a name of their own in the file
+//! have their Rust name there.
 
 use std::net::SocketAddr;
 
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -31,7 +31,8 @@
     pub silence_s: Option<f64>,
     /// s that a new leader waits for an unreconciled machine.
     pub settle_s: f64,
-    /// s that the leader's lease lasts; if not set 3, or what the worker lease leaves of `cancel_s`.
+    /// s that the leader's lease lasts; if not set 3, or what the worker lease leaves of
+    /// `cancel_s`.
     pub leader_lease_s: Option<f64>,
     /// Load balancing.
     pub balance: BalanceTuning,
--- a/crates/latchtrack/src/wire/records.rs
+++ b/crates/latchtrack/src/wire/records.rs
@@ -309,7 +309,8 @@
     serde_json::value::to_raw_value(&records)
 }
 
-/// Reads the stored machine types; None if they can't be parsed or a number is not finite or below 0.
+/// Reads the stored machine types; None if they can't be parsed or a number is not finite or below
+/// 0.
 pub fn read_types(json: &str) -> Option<Vec<MachineType>> {
     let records: Vec<StoredType> = serde_json::from_str(json).ok()?;
     let sane = |t: &MachineType| {
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -44,7 +44,8 @@
     /// nodes go back to one. Absent in what such a version answers.
     #[serde(default)]
     pub gangs_open: usize,
-    /// Quarantined jobs: those that have shown nothing but failures. The name on the wire is that of the first version.
+    /// Quarantined jobs: those that have shown nothing but failures. The name on the wire is that
+    /// of the first version.
     #[serde(rename = "jobs_in_doubt")]
     pub suspect_jobs: Vec<String>,
     /// Tasks that are not assigned to a machine.
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -72,8 +72,8 @@
     get(map, name).ok_or(Missing(name))?.as_bool().ok_or(Invalid(name, "not true or false"))
 }
 
-/// Reads the job of a submission. `builds`, `yard` and `due_s` may be null or left out; without any
-/// other field a submission is refused, since the job's needs would be guessed.
+/// Reads the job of a submission. `builds`, `yard` and `due_s` may be null or left out; without
+/// any other field a submission is refused, since the job's needs would be guessed.
 pub fn parse_job(id: JobId, map: &Map<String, Value>) -> Result<JobSpec, BadSubmission> {
     let gang = match text(map, "shape")? {
         "batch" => false,
--- a/crates/latchtrack/src/wire/workers.rs
+++ b/crates/latchtrack/src/wire/workers.rs
@@ -50,8 +50,8 @@
     cause: Option<String>,
 }
 
-/// The phase of a task that has not ended. One that this version does not know is no reason to lose
-/// a machine with all that is on it.
+/// The phase of a task that has not ended. One that this version does not know is no reason to
+/// lose a machine with all that is on it.
 fn parse_phase(status: &str) -> TaskPhase {
     match status {
         "pulling" => TaskPhase::Fetching,
--- a/crates/latchtrack/tests/heartbeats.rs
+++ b/crates/latchtrack/tests/heartbeats.rs
@@ -27,8 +27,8 @@
     }
 }
 
-/// A word that a later protocol adds says that the run is on the machine, or that it is over without a
-/// result; the rest of the report counts as ever.
+/// A word that a later protocol adds says that the run is on the machine, or that it is over
+/// without a result; the rest of the report counts as ever.
 #[test]
 fn unknown_words_cost_neither_the_report_nor_a_result() {
     for (from, to, phase) in [
--- a/crates/latchtrack/tests/integration/answers.rs
+++ b/crates/latchtrack/tests/integration/answers.rs
@@ -1,5 +1,6 @@
-//! What users are told, by all nodes at once, while the state service loses answers, is slow, carries
-//! transactions out late and refuses nodes alone: after an answer nobody gives an older one.
+//! What users are told, by all nodes at once, while the state service loses answers, is slow,
+//! carries transactions out late and refuses nodes alone: after an answer nobody gives an older
+//! one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/latchtrack/tests/integration/main.rs
+++ b/crates/latchtrack/tests/integration/main.rs
@@ -363,8 +363,8 @@
     assert_eq!(post(&url, &job("req-000001")).await.0, 201);
 }
 
-/// As many connections as the settings allow are kept, and stay of use; the next are told at once to
-/// come back, and once some are gone others have their places.
+/// As many connections as the settings allow are kept, and stay of use; the next are told at once
+/// to come back, and once some are gone others have their places.
 #[actix_web::test]
 async fn connections_beyond_the_bound_are_told_so_and_the_others_go_on() {
     use std::io::{Read, Write};
@@ -406,8 +406,9 @@
     assert!(again.is_some(), "others have their places");
 }
 
-/// Found in review: a node that started while the cloud's interface was down took no job, and after
-/// a restart of all of them nobody could lead. What a leader stored of the types serves meanwhile.
+/// Found in review: a node that started while the cloud's interface was down took no job, and
+/// after a restart of all of them nobody could lead. What a leader stored of the types serves
+/// meanwhile.
 #[actix_web::test]
 async fn a_node_started_while_the_cloud_is_down_takes_jobs() {
     let site = site();
@@ -425,8 +426,8 @@
     assert_eq!(post(&format!("{two}/api/jobs"), &odd).await.0, 422, "it knows what fits");
 }
 
-/// Found in review: requests that waited for their turn at the cloud went out after a standstill, for
-/// a term that was over, and returned machines that the next leader used.
+/// Found in review: requests that waited for their turn at the cloud went out after a standstill,
+/// for a term that was over, and returned machines that the next leader used.
 #[actix_web::test]
 async fn requests_of_a_term_that_is_over_are_not_run() {
     use actix::Actor;
@@ -476,8 +477,8 @@
     panic!("not run: {:?}", site.cloud.lock().unwrap().deleted);
 }
 
-/// From outside nothing answered, and nobody could tell what was running: the status tells it by way of
-/// the leader, and without one by way of the state service and the workers.
+/// From outside nothing answered, and nobody could tell what was running: the status tells it by
+/// way of the leader, and without one by way of the state service and the workers.
 #[actix_web::test]
 async fn the_status_tells_what_runs_with_a_leader_and_without() {
     let site = site();
@@ -548,9 +549,9 @@
     assert!(!nobody.has_answer() && nobody.trouble.is_some());
 }
 
-/// Users asking many times as often, for open, finished and unknown jobs alike: whatever can't be answered
-/// is refused at once with `Retry-After`, no answer is older than one given, and reports and the leader's
-/// lease go on meanwhile.
+/// Users asking many times as often, for open, finished and unknown jobs alike: whatever can't be
+/// answered is refused at once with `Retry-After`, no answer is older than one given, and reports
+/// and the leader's lease go on meanwhile.
 #[actix_web::test]
 async fn a_flood_of_questions_holds_up_neither_reports_nor_the_lease() {
     let site = site();
--- a/crates/latchtrack/tests/pacing.rs
+++ b/crates/latchtrack/tests/pacing.rs
@@ -9,8 +9,8 @@
     refused: u32,
 }
 
-/// Five nodes on one limit for a minute from `from_s` on, the first of them leading, each with so many
-/// writes a second to make. `limit_at` is what the service takes.
+/// Five nodes on one limit for a minute from `from_s` on, the first of them leading, each with so
+/// many writes a second to make. `limit_at` is what the service takes.
 fn share(
     needs: [f64; 5],
     limits: WriteLimits,
@@ -52,7 +52,8 @@
     outcome
 }
 
-/// What one needs it gets if the others leave it, and if all need more than there is, few are refused.
+/// What one needs it gets if the others leave it, and if all need more than there is, few are
+/// refused.
 #[test]
 fn what_others_leave_is_used_and_the_limit_is_kept() {
     let limits = WriteLimits { now: 15.0, lower: 15.0 };
@@ -65,8 +66,8 @@
     assert!(made.iter().all(|n| *n >= 100), "{made:?}");
 }
 
-/// Lowered without notice, the limit is found by the refusals: later hardly a write is refused, and
-/// nobody is kept from writing.
+/// Lowered without notice, the limit is found by the refusals: later hardly a write is refused,
+/// and nobody is kept from writing.
 #[test]
 fn a_lowered_limit_is_found_and_kept() {
     let limit_at = |s| if s < 30 { 35.0 } else { 14.0 };
--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -1,8 +1,8 @@
 //! What the version in production stores and sends, byte for byte.
 //!
-//! Nodes of two versions work on each other's data during an upgrade, so these literals are a published
-//! format: they were written by the production version (`production` in `deploy/service.toml`) and must
-//! be read for good, and what is written now must keep to them.
+//! Nodes of two versions work on each other's data during an upgrade, so these literals are a
+//! published format: they were written by the production version (`production` in
+//! `deploy/service.toml`) and must be read for good, and what is written now must keep to them.
 
 use std::sync::Arc;
 
@@ -165,8 +165,8 @@
     }
 }
 
-/// The token of an attempt's leader stands above the number of the launch: a leader of either version
-/// tells its own attempts from those of before.
+/// The token of an attempt's leader stands above the number of the launch: a leader of either
+/// version tells its own attempts from those of before.
 #[test]
 fn attempt_numbers_are_as_published() {
     assert_eq!(ATTEMPT_BITS, 24);
