--- a/crates/latchtrack/tests/integration/answers.rs
+++ b/crates/latchtrack/tests/integration/answers.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
 
-use super::job;
+use crate::fixtures::job;
 use latchtrack_standins::*;
 
 const JOBS: u64 = 36;
--- /dev/null
+++ b/crates/latchtrack/tests/integration/cloud.rs
@@ -0,0 +1,77 @@
+//! The cloud while its interface is down, and requests of a term that is over.
+
+use latchtrack_standins::*;
+use serde_json::json;
+
+use crate::fixtures::{bound, job, ready};
+
+/// Found in review: a node that started while the cloud's interface was down took no job, and
+/// after a restart of all of them nobody could lead. What a leader stored of the types serves
+/// meanwhile.
+#[actix_web::test]
+async fn a_node_started_while_the_cloud_is_down_takes_jobs() {
+    let site = site();
+    let one = site.node("one").await;
+    ready(&one).await;
+    while !site.state.lock().unwrap().keys.contains_key("site/types") {
+        actix_web::rt::time::sleep(std::time::Duration::from_millis(20)).await;
+    }
+    site.cloud.lock().unwrap().down = true;
+    let two = site.node("two").await;
+    ready(&two).await;
+    assert_eq!(post(&format!("{two}/api/jobs"), &job("req-000001")).await.0, 201);
+    let mut odd = job("req-000002");
+    odd["cores"] = json!(9.0);
+    assert_eq!(post(&format!("{two}/api/jobs"), &odd).await.0, 422, "it knows what fits");
+}
+
+/// Found in review: requests that waited for their turn at the cloud went out after a standstill,
+/// for a term that was over, and returned machines that the next leader used.
+#[actix_web::test]
+async fn requests_of_a_term_that_is_over_are_not_run() {
+    use actix::Actor;
+    use latchtrack::actors::admission::Admission;
+    use latchtrack::actors::cloud::Cloud;
+    use latchtrack::actors::job_cache::JobCache;
+    use latchtrack::actors::messages::cloud::{CloudRequest, ConnectCloud};
+    use latchtrack::actors::messages::scheduler::{LeaderTerm, Leadership};
+    use latchtrack::actors::peers::Peers;
+    use latchtrack::actors::scheduler_driver::SchedulerDriver;
+    use latchtrack::actors::store::Store;
+    use latchtrack::clock::now_ms;
+    let site = site();
+    let [users, listener] = [bound().await, bound().await];
+    let settings = site.settings("one", 0, &users, &listener, &[]);
+    let store = Store::new(&settings).start();
+    let cache = JobCache::new(store.clone()).start();
+    let peers = Peers::new(&settings, listener, cache.clone()).start();
+    let cloud = Cloud::new(store.clone(), &settings).start();
+    let admission = Admission::new(store.clone(), cache.clone(), &settings).start();
+    let scheduler = SchedulerDriver::new(store, cache, cloud.clone(), peers, &settings).start();
+    cloud.do_send(ConnectCloud {
+        admission_types: admission.recipient(),
+        scheduler_types: scheduler.clone().recipient(),
+        scheduler_events: scheduler.recipient(),
+    });
+    let terminate = |token, name: &str| CloudRequest::Terminate { token, names: vec![name.into()] };
+    let later = now_ms() + 600_000;
+    let term = |token, valid_until| Some(LeaderTerm { token, valid_until });
+    cloud.do_send(Leadership(term(7, later)));
+    cloud.do_send(terminate(7, "n-000001"));
+    cloud.do_send(Leadership(term(7, now_ms())));
+    cloud.do_send(terminate(7, "n-000002"));
+    cloud.do_send(Leadership(None));
+    cloud.do_send(terminate(7, "n-000003"));
+    cloud.do_send(Leadership(term(9, later)));
+    cloud.do_send(terminate(7, "n-000004"));
+    cloud.do_send(terminate(9, "n-000005"));
+    for _ in 0..600 {
+        let deleted = site.cloud.lock().unwrap().deleted.clone();
+        if deleted.iter().any(|n| n == "n-000005") && deleted.iter().any(|n| n == "n-000001") {
+            assert_eq!(deleted.len(), 2, "{deleted:?}");
+            return;
+        }
+        actix_web::rt::time::sleep(std::time::Duration::from_millis(50)).await;
+    }
+    panic!("not run: {:?}", site.cloud.lock().unwrap().deleted);
+}
--- a/crates/latchtrack/tests/integration/gangs.rs
+++ b/crates/latchtrack/tests/integration/gangs.rs
@@ -6,7 +6,7 @@
 use actix_web::rt::time::sleep;
 use serde_json::{json, Value};
 
-use super::{job, leader, ready};
+use crate::fixtures::{job, leader, ready};
 use latchtrack_standins::*;
 
 /// A gang of tasks that have a machine each.
