--- a/crates/latchtrack/tests/heartbeats.rs
+++ b/crates/latchtrack/tests/heartbeats.rs
@@ -9,7 +9,7 @@
               {"piece":"req-000412/4","try":2,"status":"running"}]}"#;
 
 #[test]
-fn reads_a_report_and_refuses_nonsense() {
+fn reads_a_heartbeat_and_refuses_invalid_ones() {
     let r = parse_heartbeat(GOOD.as_bytes()).unwrap();
     assert_eq!((r.agent_epoch, r.sequence, r.token, r.tasks.len()), (1, 88, 41, 2));
     assert_eq!(r.tasks[0].phase, TaskPhase::Ended(ExitCause::Done));
@@ -30,7 +30,7 @@
 /// A word that a later protocol adds says that the run is on the machine, or that it is over
 /// without a result; the rest of the report counts as ever.
 #[test]
-fn unknown_words_cost_neither_the_report_nor_a_result() {
+fn unknown_words_lose_neither_the_heartbeat_nor_a_result() {
     for (from, to, phase) in [
         ("\"ended\"", "\"frozen\"", TaskPhase::Unrecognised),
         ("\"cause\":\"done\"", "\"cause\":\"moved\"", TaskPhase::Ended(ExitCause::Unrecognised)),
--- a/crates/latchtrack/tests/integration/cloud.rs
+++ b/crates/latchtrack/tests/integration/cloud.rs
@@ -28,7 +28,7 @@
 /// Found in review: requests that waited for their turn at the cloud went out after a standstill,
 /// for a term that was over, and returned machines that the next leader used.
 #[actix_web::test]
-async fn requests_of_a_term_that_is_over_are_not_run() {
+async fn requests_of_a_term_that_is_over_are_not_sent() {
     use actix::Actor;
     use latchtrack::actors::admission::Admission;
     use latchtrack::actors::cloud::Cloud;
--- a/crates/latchtrack/tests/integration/connections.rs
+++ b/crates/latchtrack/tests/integration/connections.rs
@@ -7,7 +7,7 @@
 /// As many connections as the settings allow are kept, and stay of use; the next are told at once
 /// to come back, and once some are gone others have their places.
 #[actix_web::test]
-async fn connections_beyond_the_bound_are_told_so_and_the_others_go_on() {
+async fn connections_beyond_the_bound_are_refused_and_the_others_go_on() {
     use std::io::{Read, Write};
     let site = site();
     let node = site.node("one").await;
--- a/crates/latchtrack/tests/integration/gangs.rs
+++ b/crates/latchtrack/tests/integration/gangs.rs
@@ -111,7 +111,7 @@
 }
 
 #[actix_web::test]
-async fn a_report_with_the_states_of_gangs_counts_and_a_cancelled_gang_is_stopped() {
+async fn a_heartbeat_with_the_phases_of_gangs_counts_and_a_cancelled_gang_is_stopped() {
     let site = site();
     let node = site.node("one").await;
     ready(&node).await;
--- a/crates/latchtrack/tests/integration/heartbeats.rs
+++ b/crates/latchtrack/tests/integration/heartbeats.rs
@@ -6,7 +6,7 @@
 use crate::fixtures::{job, leader, ready};
 
 #[actix_web::test]
-async fn machines_are_rented_stored_and_used_and_followers_point_to_the_leader() {
+async fn machines_are_provisioned_stored_and_used_and_followers_redirect_to_the_leader() {
     let site = site();
     let one = site.node("one").await;
     ready(&one).await;
@@ -53,7 +53,7 @@
 }
 
 #[actix_web::test]
-async fn nonsense_reports_change_nothing() {
+async fn invalid_heartbeats_change_nothing() {
     let site = site();
     let node = site.node("one").await;
     ready(&node).await;
@@ -70,7 +70,7 @@
 }
 
 #[actix_web::test]
-async fn a_worker_that_cannot_reach_the_leader_is_relayed() {
+async fn heartbeats_of_a_worker_that_cannot_reach_the_leader_are_forwarded() {
     let site = site();
     let [one, two] = site.pair().await;
     ready(&one).await;
--- a/crates/latchtrack/tests/integration/store_outages.rs
+++ b/crates/latchtrack/tests/integration/store_outages.rs
@@ -36,7 +36,7 @@
 }
 
 #[actix_web::test]
-async fn a_node_refused_by_the_state_service_alone_passes_users_on() {
+async fn a_node_refused_by_the_state_service_alone_forwards_users_requests() {
     use std::sync::atomic::Ordering::Relaxed;
     let site = site();
     let [one, two] = site.pair().await;
--- a/crates/latchtrack/tests/integration/submissions.rs
+++ b/crates/latchtrack/tests/integration/submissions.rs
@@ -85,7 +85,7 @@
 /// answered is refused at once with `Retry-After`, no answer is older than one given, and reports
 /// and the leader's lease go on meanwhile.
 #[actix_web::test]
-async fn a_flood_of_questions_holds_up_neither_reports_nor_the_lease() {
+async fn a_flood_of_queries_delays_neither_heartbeats_nor_the_lease() {
     let site = site();
     let node = site.node("one").await;
     ready(&node).await;
--- a/crates/latchtrack/tests/parsers.rs
+++ b/crates/latchtrack/tests/parsers.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn reports() {
+fn heartbeats() {
     let text = r#"{"host":"n-1","addr":"1.2.3.4:9","build":"g","yard":"a","loaners":true,"shift":1,
         "tally":88,"baton":41,"recall_s":12.5,
         "pieces":[{"piece":"req-000412/3","try":2,"status":"ended","cause":"done"}]}"#;
--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -4,40 +4,20 @@
 //! published format: they were written by the production version (`production` in
 //! `deploy/service.toml`) and must be read for good, and what is written now must keep to them.
 
+mod samples;
+
 use std::sync::Arc;
 
 use latchtrack::wire::peers::{decode, encode, Answer, Frame, PeerRequest};
-use latchtrack::wire::records::*;
+use latchtrack::wire::records::{
+    fleet, fleet_key, job_key, read_fleet, read_results, read_types, results, results_key, types,
+    LeaderRecord, Record, LEADER, TYPES,
+};
 use latchtrack::wire::status::NodeView;
 use latchtrack_core::bitmap::Bitmap;
 use latchtrack_core::constants::{ATTEMPT_BITS, LEGACY_CHUNK_TASKS};
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
-use latchtrack_core::machine::MachineType;
-use latchtrack_core::scheduler::StoredMachine;
-
-/// A job with every field of its record.
-fn full_spec() -> JobSpec {
-    JobSpec {
-        id: JobId(412),
-        class: "c".into(),
-        team: "t".into(),
-        priority: Priority::High,
-        tasks: 16,
-        gang: false,
-        demand: Demand { cpus: 4.0, gpus: 1.0, memory_gb: 3.6 },
-        types: Some(vec!["g".into()]),
-        zone: Some("a".into()),
-        one_zone: true,
-        spread: true,
-        spot: true,
-        image: "i".into(),
-        image_gb: 1.5,
-        estimate_s: 20.0,
-        checkpoint_s: 30.0,
-        save_s: 2.0,
-        deadline_s: Some(90.5),
-    }
-}
+use samples::{full_spec, machine_type, result_chunks, stored_machine};
 
 /// A job with no field that may be left out.
 fn least_spec() -> JobSpec {
@@ -91,14 +71,7 @@
 
 #[test]
 fn machine_sets_are_read_and_written_as_published() {
-    let machine = |name: &str| StoredMachine {
-        name: name.into(),
-        kind: "g".into(),
-        zone: "a".into(),
-        spot: true,
-        addr: "1.2.3.4:9".into(),
-    };
-    let machines = [machine("n-1"), machine("n-2")];
+    let machines = [stored_machine("n-1"), stored_machine("n-2")];
     let text = r#"[["n-1","g","a",true,"1.2.3.4:9"],["n-2","g","a",true,"1.2.3.4:9"]]"#;
     assert_eq!(fleet(&machines).unwrap().get(), text);
     assert_eq!(read_fleet("41-1", text).unwrap(), machines);
@@ -106,7 +79,7 @@
 
 #[test]
 fn results_are_read_and_written_as_published() {
-    let chunks = vec![(JobId(7), 3, vec![1, 0, 255]), (JobId(9), 0, vec![4])];
+    let chunks = result_chunks();
     let text = r#"{"req-000007/3":"AQD/","req-000009/0":"BA"}"#;
     assert_eq!(results(&chunks).unwrap().get(), text);
     assert_eq!(read_results("41-1", text), Some(chunks));
@@ -121,18 +94,7 @@
 
 #[test]
 fn machine_types_are_read_and_written_as_published() {
-    let machine_type = MachineType {
-        name: "g".into(),
-        cpus: 8.0,
-        gpus: 1.0,
-        memory_gb: 32.0,
-        price: 1.0,
-        spot_price: 0.3,
-        boot_s: 10.0,
-        cache_gb: 30.0,
-        fetch_gb_per_s: 0.5,
-        zones: vec!["a".into(), "b".into()],
-    };
+    let machine_type = machine_type();
     let text = r#"[{"name":"g","cpus":8.0,"gpus":1.0,"memory_gb":32.0,"price":1.0,"spot_price":0.3,"boot_s":10.0,"cache_gb":30.0,"fetch_gb_per_s":0.5,"zones":["a","b"]}]"#;
     assert_eq!(types(std::slice::from_ref(&machine_type)).unwrap().get(), text);
     assert_eq!(read_types(text).unwrap(), [machine_type]);
--- a/crates/latchtrack/tests/records.rs
+++ b/crates/latchtrack/tests/records.rs
@@ -1,36 +1,29 @@
 //! What is kept in the state service, written and read again.
 
+mod samples;
+
 use std::sync::Arc;
 
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
-use latchtrack::wire::records::*;
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack::wire::records::{
+    fleet, read_fleet, read_results, read_types, results, same_types, types, Record,
+};
+use latchtrack_core::job::{Demand, JobId, JobSpec};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use samples::{full_spec, machine_type, result_chunks, stored_machine};
 
+/// An open gang.
 fn open() -> Record {
     let spec = JobSpec {
-        id: JobId(412),
-        class: "c".into(),
-        team: "t".into(),
-        priority: Priority::High,
-        tasks: 16,
         gang: true,
         demand: Demand { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
-        types: Some(vec!["g".into()]),
         zone: None,
-        one_zone: true,
         spread: false,
-        spot: true,
-        image: "i".into(),
-        image_gb: 1.5,
-        estimate_s: 20.0,
-        checkpoint_s: 30.0,
-        save_s: 2.0,
-        deadline_s: Some(90.5),
+        ..full_spec()
     };
     Record::Open { spec: Arc::new(spec), at_ms: 1_700_000_000_123 }
 }
@@ -57,7 +50,7 @@
 
 #[test]
 fn results_survive_in_both_forms() {
-    let chunks = vec![(JobId(7), 3, vec![1, 0, 255]), (JobId(9), 0, vec![4])];
+    let chunks = result_chunks();
     let json = results(&chunks).unwrap();
     assert_eq!(read_results("41-1", json.get()), Some(chunks));
     let old = serde_json::to_string(&STANDARD_NO_PAD.encode([1, 0, 255])).unwrap();
@@ -69,18 +62,7 @@
 
 #[test]
 fn machine_types_survive() {
-    let t = MachineType {
-        name: "g".into(),
-        cpus: 8.0,
-        gpus: 1.0,
-        memory_gb: 32.0,
-        price: 1.0,
-        spot_price: 0.3,
-        boot_s: 10.0,
-        cache_gb: 30.0,
-        fetch_gb_per_s: 0.5,
-        zones: vec!["a".into(), "b".into()],
-    };
+    let t = machine_type();
     let json = types(std::slice::from_ref(&t)).unwrap();
     assert_eq!(read_types(json.get()), Some(vec![t.clone()]));
     let before = r#"[["g",16,0,64,1,0.4,50,60,1,["a"]]]"#;
@@ -95,18 +77,11 @@
 /// A leader of this version takes over from one of the last: no machine may be missed.
 #[test]
 fn machines_survive_in_both_forms() {
-    let machine = |name: &str| StoredMachine {
-        name: name.into(),
-        kind: "g".into(),
-        zone: "a".into(),
-        spot: true,
-        addr: "1.2.3.4:9".into(),
-    };
-    let all = vec![machine("n-1"), machine("n-2")];
+    let all = vec![stored_machine("n-1"), stored_machine("n-2")];
     let json = fleet(&all).unwrap();
     assert_eq!(read_fleet("41-1", json.get()).unwrap(), all);
     assert!(json.get().len() <= all.iter().map(StoredMachine::bytes).sum::<usize>());
     let old = r#"{"kind":"g","zone":"a","spot":true,"addr":"1.2.3.4:9"}"#;
-    assert_eq!(read_fleet("n-2", old).unwrap(), [machine("n-2")]);
+    assert_eq!(read_fleet("n-2", old).unwrap(), [stored_machine("n-2")]);
     assert!(read_fleet("n-2", "{}").is_err() && read_fleet("x", "[1]").is_err());
 }
--- a/crates/latchtrack/tests/settings.rs
+++ b/crates/latchtrack/tests/settings.rs
@@ -19,7 +19,7 @@
 /// With a long aim beside the short one, each class of the fleet sites counted as prompt, and
 /// the aim listed first decided.
 #[test]
-fn a_class_is_prompt_by_its_tightest_aim_in_whatever_order() {
+fn the_tightest_start_objective_of_a_class_counts_in_any_order() {
     let aim = |class: &str, s| Objective {
         kind: "wait".into(),
         class: class.into(),
@@ -51,8 +51,12 @@
             let d = s.derived();
             // What we open ourselves: calls, state service, cloud, refusals, both ways to each
             // node, what listens.
-            let ours =
-                d.direct_calls + c::MAX_STORE_CALLS + 8 + c::MAX_OPEN_REFUSALS + 2 * nodes + 2;
+            let ours = d.direct_calls
+                + c::MAX_STORE_CALLS
+                + c::MAX_CLOUD_CALLS
+                + c::MAX_OPEN_REFUSALS
+                + 2 * nodes
+                + 2;
             assert!(d.connections + ours <= s.platform.params.limits.max_sockets);
         }
     }
