--- /dev/null
+++ b/crates/latchtrack/src/actors/scheduler_driver/mod.rs
@@ -0,0 +1,263 @@
+//! The scheduler driver: runs the scheduling core while this node leads. Events go in, and the
+//! effects that come out are carried out by workers, cloud and state service.
+
+mod effects;
+mod heartbeat_routing;
+mod recovery;
+mod status;
+mod term;
+mod worker_calls;
+mod write_state;
+mod writes;
+
+use std::time::Duration;
+
+use actix::prelude::*;
+use latchtrack_core::machine::{Command, MachineType};
+use latchtrack_core::scheduler::{Event, Policy, Scheduler};
+
+use self::heartbeat_routing::HeartbeatRouter;
+use self::recovery::StateRead;
+use self::term::TermState;
+use self::write_state::WriteState;
+use super::cloud::Cloud;
+use super::job_cache::JobCache;
+use super::messages::cloud::MachineTypesUpdate;
+use super::messages::job_cache::{OpenJob, TaskCounts, UpdateTaskCounts};
+use super::messages::peers::BroadcastFrame;
+use super::messages::quota::QuotaTerm;
+use super::messages::scheduler::{
+    CacheAdvanced, ConnectElection, ConnectQuota, HeartbeatReceived, HeartbeatResponse,
+    HeartbeatRoute, JobChange, Leadership, OverdueMachines, SchedulerEvent,
+};
+use super::peers::Peers;
+use super::store::Store;
+use crate::clock::{self, now_ms};
+use crate::constants::{MAILBOX, PROGRESS_JOBS, PROGRESS_MS, TICK_MS};
+use crate::net::http_client;
+use crate::settings::Settings;
+use crate::wire::peers::Frame;
+
+/// The actor that drives the scheduler.
+pub struct SchedulerDriver {
+    store: Addr<Store>,
+    cache: Addr<JobCache>,
+    cloud: Addr<Cloud>,
+    peers: Addr<Peers>,
+    election: Option<ConnectElection>,
+    /// Only where cells share teams.
+    quota: Option<ConnectQuota>,
+    /// For direct calls of workers.
+    client: awc::Client,
+    policy: Policy,
+    /// Bytes of the largest value that the state service takes.
+    value_bytes: usize,
+    /// Changes of the largest transaction that the state service takes.
+    txn_ops: usize,
+    types: Vec<MachineType>,
+    /// The types as this node knows them to be stored.
+    stored_types: Vec<MachineType>,
+    term: TermState,
+    /// From the time when the stored state of the term has been read.
+    scheduler: Option<Scheduler>,
+    state_read: StateRead,
+    router: HeartbeatRouter,
+    write_state: WriteState,
+    /// When the counts of tasks were last told, in ms of the steady clock.
+    last_progress: u64,
+}
+
+impl SchedulerDriver {
+    /// A driver of a node that does not lead yet.
+    pub fn new(
+        store: Addr<Store>,
+        cache: Addr<JobCache>,
+        cloud: Addr<Cloud>,
+        peers: Addr<Peers>,
+        settings: &Settings,
+    ) -> Self {
+        SchedulerDriver {
+            store,
+            cache,
+            cloud,
+            peers,
+            election: None,
+            quota: None,
+            client: http_client(settings.policy().max_open_calls),
+            policy: settings.policy(),
+            value_bytes: settings.platform.params.state.value_bytes(),
+            txn_ops: settings.platform.params.state.txn_ops(),
+            types: Vec::new(),
+            stored_types: Vec::new(),
+            term: TermState::new(settings.leader_ttl_ms()),
+            scheduler: None,
+            state_read: StateRead::Idle,
+            router: HeartbeatRouter::new(settings.platform.node_name.clone()),
+            write_state: WriteState::Idle,
+            last_progress: 0,
+        }
+    }
+
+    /// Whether commands may be given now.
+    fn may_act(&self) -> bool {
+        self.scheduler.is_some() && self.term.is_valid(now_ms())
+    }
+
+    /// Tells the scheduler of a change in the job cache.
+    fn apply_job_change(&mut self, change: JobChange, ctx: &mut Context<Self>) {
+        let event = match change {
+            JobChange::Opened(OpenJob { spec, submitted_at_wall_ms, revision }) => {
+                let submitted_at = clock::steady_of(submitted_at_wall_ms);
+                Event::JobOpened { spec, submitted_at, revision, done: None }
+            }
+            JobChange::Closed(id) => Event::JobClosed(id),
+        };
+        self.handle_event(event, ctx);
+    }
+
+    fn tick(&mut self, ctx: &mut Context<Self>) {
+        if !self.may_act() {
+            return;
+        }
+        let now = now_ms();
+        self.handle_event(Event::Tick, ctx);
+        if now >= self.last_progress + PROGRESS_MS {
+            self.last_progress = now;
+            self.publish_progress(now);
+        }
+    }
+
+    /// Tells the job cache and the other nodes how many tasks are done and run, for display, and
+    /// the other nodes of which machines no heartbeat has come.
+    fn publish_progress(&self, now: u64) {
+        let Some(scheduler) = &self.scheduler else { return };
+        let counts: Vec<TaskCounts> = scheduler
+            .progress()
+            .filter(|(_, done, running)| done + running > 0)
+            .take(PROGRESS_JOBS)
+            .map(|(job, done, running)| TaskCounts { job, done, running })
+            .collect();
+        let jobs = counts.iter().map(|count| (count.job.0, count.done, count.running)).collect();
+        self.cache.do_send(UpdateTaskCounts(counts));
+        let (token, overdue) = (scheduler.token(), scheduler.overdue(now));
+        self.peers.do_send(BroadcastFrame(Frame::Progress { token, jobs, overdue }));
+        tracing::debug!(token, summary = ?scheduler.summary(now), "scheduler summary");
+    }
+
+    /// Takes in a heartbeat as the leader.
+    fn handle_heartbeat(
+        &mut self,
+        msg: HeartbeatReceived,
+        ctx: &mut Context<Self>,
+    ) -> HeartbeatResponse {
+        if !self.may_act() {
+            return HeartbeatResponse::NotReady;
+        }
+        let token = self.term.token();
+        let event = match msg.route {
+            HeartbeatRoute::Forwarded => Event::RelayedHeartbeat(msg.heartbeat),
+            HeartbeatRoute::Direct => Event::Heartbeat(msg.heartbeat),
+        };
+        let commands: Option<Vec<Command>> = self.handle_event(event, ctx);
+        commands.map_or(HeartbeatResponse::NotReady, |commands| HeartbeatResponse::Commands {
+            token,
+            commands,
+        })
+    }
+}
+
+impl Actor for SchedulerDriver {
+    type Context = Context<Self>;
+
+    fn started(&mut self, ctx: &mut Self::Context) {
+        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.run_interval(Duration::from_millis(TICK_MS), |act, ctx| act.tick(ctx));
+    }
+}
+
+impl Handler<ConnectElection> for SchedulerDriver {
+    type Result = ();
+    fn handle(&mut self, msg: ConnectElection, _: &mut Self::Context) {
+        self.election = Some(msg);
+    }
+}
+
+impl Handler<ConnectQuota> for SchedulerDriver {
+    type Result = ();
+    fn handle(&mut self, msg: ConnectQuota, _: &mut Self::Context) {
+        self.quota = Some(msg);
+    }
+}
+
+impl Handler<Leadership> for SchedulerDriver {
+    type Result = ();
+    fn handle(&mut self, msg: Leadership, ctx: &mut Self::Context) {
+        let token = msg.0.map(|term| term.token);
+        if self.term.current().map(|term| term.token) != token {
+            // Another term: everything is read again.
+            self.scheduler = None;
+            self.write_state.forget_waiting();
+        }
+        self.term.set(msg.0);
+        self.cloud.do_send(Leadership(msg.0));
+        if let Some(quota) = &self.quota {
+            quota.term.do_send(QuotaTerm(token));
+        }
+        self.read_state(ctx);
+    }
+}
+
+impl Handler<MachineTypesUpdate> for SchedulerDriver {
+    type Result = ();
+    fn handle(&mut self, msg: MachineTypesUpdate, ctx: &mut Self::Context) {
+        self.types = msg.0.clone();
+        self.handle_event(Event::MachineTypes(msg.0), ctx);
+        self.store_machine_types(ctx);
+        self.read_state(ctx);
+    }
+}
+
+impl Handler<CacheAdvanced> for SchedulerDriver {
+    type Result = ();
+    fn handle(&mut self, msg: CacheAdvanced, ctx: &mut Self::Context) {
+        self.term.cache_observed(msg.observed_at);
+        self.router.set_leader(msg.leader);
+        if let StateRead::InProgress { changes } = &mut self.state_read {
+            changes.extend(msg.changes);
+            return;
+        }
+        let any = !msg.changes.is_empty();
+        for change in msg.changes {
+            self.apply_job_change(change, ctx);
+        }
+        if any && self.may_act() {
+            self.handle_event(Event::Tick, ctx);
+        }
+    }
+}
+
+impl Handler<HeartbeatReceived> for SchedulerDriver {
+    type Result = HeartbeatResponse;
+    fn handle(&mut self, msg: HeartbeatReceived, ctx: &mut Self::Context) -> HeartbeatResponse {
+        if self.term.current().is_none() {
+            return self.router.redirect(&msg.heartbeat.machine, now_ms());
+        }
+        self.handle_heartbeat(msg, ctx)
+    }
+}
+
+impl Handler<OverdueMachines> for SchedulerDriver {
+    type Result = ();
+    fn handle(&mut self, msg: OverdueMachines, _: &mut Self::Context) {
+        self.router.machines_overdue(msg.0, now_ms());
+    }
+}
+
+impl Handler<SchedulerEvent> for SchedulerDriver {
+    type Result = ();
+    fn handle(&mut self, msg: SchedulerEvent, ctx: &mut Self::Context) {
+        if msg.token == self.term.token() {
+            self.handle_event(msg.event, ctx);
+        }
+    }
+}
--- a/crates/latchtrack/tests/reports.rs
+++ b/crates/latchtrack/tests/heartbeats.rs
@@ -1,6 +1,6 @@
 //! What a worker's report must say, and what is made of words that are new.
 
-use latchtrack::wire::workers::parse_report;
+use latchtrack::wire::workers::parse_heartbeat;
 use latchtrack_core::machine::{ExitCause, TaskPhase};
 
 const GOOD: &str = r#"{"host":"n-1","addr":"1.2.3.4:9","build":"g","yard":"a","loaners":true,
@@ -9,8 +9,8 @@
               {"piece":"req-000412/4","try":2,"status":"running"}]}"#;
 
 #[test]
-fn reads_a_report_and_refuses_nonsense() {
-    let r = parse_report(GOOD.as_bytes()).unwrap();
+fn reads_a_heartbeat_and_refuses_invalid_ones() {
+    let r = parse_heartbeat(GOOD.as_bytes()).unwrap();
     assert_eq!((r.agent_epoch, r.sequence, r.token, r.tasks.len()), (1, 88, 41, 2));
     assert_eq!(r.tasks[0].phase, TaskPhase::Ended(ExitCause::Done));
     for (from, to) in [
@@ -23,20 +23,20 @@
     ] {
         let text = GOOD.replace(from, to);
         assert_ne!(text, GOOD);
-        assert!(parse_report(text.as_bytes()).is_err(), "{from} -> {to}");
+        assert!(parse_heartbeat(text.as_bytes()).is_err(), "{from} -> {to}");
     }
 }
 
-/// A word that a later protocol adds says that the run is on the machine, or that it is over without a
-/// result; the rest of the report counts as ever.
+/// A word that a later protocol adds says that the run is on the machine, or that it is over
+/// without a result; the rest of the report counts as ever.
 #[test]
-fn unknown_words_cost_neither_the_report_nor_a_result() {
+fn unknown_words_lose_neither_the_heartbeat_nor_a_result() {
     for (from, to, phase) in [
         ("\"ended\"", "\"frozen\"", TaskPhase::Unrecognised),
         ("\"cause\":\"done\"", "\"cause\":\"moved\"", TaskPhase::Ended(ExitCause::Unrecognised)),
         (",\"cause\":\"done\"", "", TaskPhase::Ended(ExitCause::Unrecognised)),
     ] {
-        let r = parse_report(GOOD.replace(from, to).as_bytes()).unwrap();
+        let r = parse_heartbeat(GOOD.replace(from, to).as_bytes()).unwrap();
         assert_eq!(r.tasks[0].phase, phase, "{from} -> {to}");
         assert_eq!((r.tasks[1].phase, r.tasks.len()), (TaskPhase::Running, 2));
     }
--- a/crates/latchtrack/tests/integration/answers.rs
+++ b/crates/latchtrack/tests/integration/answers.rs
@@ -1,5 +1,6 @@
-//! What users are told, by all nodes at once, while the state service loses answers, is slow, carries
-//! transactions out late and refuses nodes alone: after an answer nobody gives an older one.
+//! What users are told, by all nodes at once, while the state service loses answers, is slow,
+//! carries transactions out late and refuses nodes alone: after an answer nobody gives an older
+//! one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
 
-use super::job;
+use crate::fixtures::job;
 use latchtrack_emulator::*;
 
 const JOBS: u64 = 36;
