--- a/crates/latchtrack-emulator/examples/quota_report.rs
+++ b/crates/latchtrack-emulator/examples/quota_report.rs
@@ -1,20 +1,25 @@
-//! Runs races of cells for shared limits over many seeds, and writes an HTML report: what was used and allotted
-//! over time, how long requests waited, and a table against the numbers of cells and teams.
+//! Runs races of cells for shared limits over many seeds, and writes an HTML report: what was used
+//! and allotted over time, how long requests waited, and a table against the numbers of cells and
+//! teams.
 //!
 //!     cargo run --release -p latchtrack-emulator --example quota_report -- --out target/quota.html
 
+mod chart;
+
 use std::error::Error;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use latchtrack_emulator::race::{run, RaceOptions, RaceOutcome, LIMIT};
-use plotters::prelude::*;
+use latchtrack_emulator::error::ExperimentError;
+use latchtrack_emulator::race::{run, RaceOptions, RaceOutcome, CLOCK_OFFSET_MS, LIMIT};
+use latchtrack_emulator::{lock, Shared};
+use plotters::element::Rectangle;
+use plotters::style::{Color, RGBColor, BLACK, BLUE, GREEN, RED};
 
 /// Races cells for the limits of the teams that they share, through real sockets on loopback.
-#[derive(Parser, Debug, Clone)]
+#[derive(Parser, Debug)]
 struct Options {
     /// Races with failing cells, each with a seed of its own
     #[arg(long, default_value_t = 200)]
@@ -36,6 +41,12 @@
     out: PathBuf,
 }
 
+/// A race that was run.
+struct SeedOutcome {
+    seed: u64,
+    outcome: RaceOutcome,
+}
+
 /// What races of one kind came to.
 struct Summary {
     name: String,
@@ -43,34 +54,35 @@
     launches: usize,
     overshoots: usize,
     grants: Histogram<u64>,
-    grants_a_second: f64,
-    puts_a_hundred: f64,
+    grants_per_s: f64,
+    writes_per_100_launches: f64,
     guarantee_unmet_ms: u64,
     reclaims_ms: Vec<u64>,
 }
 
 impl Summary {
-    fn of(name: String, outcomes: &[(u64, RaceOutcome)]) -> Result<Summary, Box<dyn Error>> {
+    fn of(name: String, races: &[SeedOutcome]) -> Result<Summary, Box<dyn Error>> {
+        let outcomes = || races.iter().map(|race| &race.outcome);
         let mut grants = Histogram::new(3)?;
-        for ms in outcomes.iter().flat_map(|(_, outcome)| &outcome.grants_ms) {
+        for ms in outcomes().flat_map(|outcome| &outcome.grants_ms) {
             grants.record((*ms).max(1))?;
         }
-        let launches: usize = outcomes.iter().map(|(_, outcome)| outcome.launches()).sum();
-        let puts: u64 = outcomes.iter().map(|(_, outcome)| outcome.puts).sum();
-        let took_ms: u64 = outcomes.iter().map(|(_, outcome)| outcome.took_ms).sum();
+        let launches: usize = outcomes().map(RaceOutcome::launches).sum();
+        let writes: u64 = outcomes().map(|outcome| outcome.ledger_writes).sum();
+        let took_ms: u64 = outcomes().map(|outcome| outcome.took_ms).sum();
         let mut reclaims_ms: Vec<u64> =
-            outcomes.iter().flat_map(|(_, outcome)| outcome.reclaims_ms.clone()).collect();
+            outcomes().flat_map(|outcome| outcome.reclaims_ms.clone()).collect();
         reclaims_ms.sort_unstable();
-        let unmet = outcomes.iter().map(|(_, outcome)| outcome.guarantee_unmet_ms);
+        let unmet_ms = outcomes().map(|outcome| outcome.guarantee_unmet_ms);
         Ok(Summary {
             name,
-            races: outcomes.len(),
+            races: races.len(),
             launches,
-            overshoots: outcomes.iter().map(|(_, outcome)| outcome.overshoots().len()).sum(),
-            grants_a_second: grants.len() as f64 * 1e3 / took_ms as f64,
+            overshoots: outcomes().map(|outcome| outcome.overshoots().len()).sum(),
+            grants_per_s: grants.len() as f64 * 1e3 / took_ms as f64,
             grants,
-            puts_a_hundred: 100.0 * puts as f64 / launches.max(1) as f64,
-            guarantee_unmet_ms: unmet.max().unwrap_or(0),
+            writes_per_100_launches: 100.0 * writes as f64 / launches.max(1) as f64,
+            guarantee_unmet_ms: unmet_ms.max().unwrap_or(0),
             reclaims_ms,
         })
     }
@@ -94,8 +106,8 @@
             self.races.to_string(),
             self.launches.to_string(),
             self.overshoots.to_string(),
-            format!("{:.1}", self.grants_a_second),
-            format!("{:.0}", self.puts_a_hundred),
+            format!("{:.1}", self.grants_per_s),
+            format!("{:.0}", self.writes_per_100_launches),
             self.grants.value_at_quantile(0.5).to_string(),
             self.grants.value_at_quantile(0.99).to_string(),
             self.guarantee_unmet_ms.to_string(),
@@ -104,6 +116,11 @@
     }
 }
 
+/// Races for each row of the table against the numbers of cells and teams.
+const TABLE_SEEDS: u64 = 3;
+/// Races that the report has charts of.
+const CHARTED_RACES: usize = 4;
+
 const COLUMNS: [&str; 10] = [
     "races",
     "number",
@@ -120,63 +137,62 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let options = Options::parse();
     let mut summaries = Vec::new();
-    let kind = RaceOptions {
-        seed: options.first,
-        cells: 3,
-        teams: 2,
-        run_s: options.run_s,
-        troubles: true,
-    };
-    let outcomes = races(&options, &kind, options.seeds);
-    summaries.push(Summary::of("3 cells, 2 teams, cells fail".into(), &outcomes)?);
+    let kind =
+        RaceOptions { seed: options.first, cells: 3, teams: 2, run_s: options.run_s, faults: true };
+    let races = run_races(&kind, options.seeds, options.parallel)?;
+    summaries.push(Summary::of("3 cells, 2 teams, cells fail".into(), &races)?);
     println!("{}", summaries[0].row().join(" | "));
-    for (seed, outcome) in outcomes.iter().filter(|(_, outcome)| !outcome.overshoots().is_empty()) {
-        println!("seed {seed}: {:?} {:?}", outcome.overshoots().first(), outcome.troubles);
+    for SeedOutcome { seed, outcome } in &races {
+        if let Some(first) = outcome.overshoots().first() {
+            println!("seed {seed}: {first:?} {:?}", outcome.faults);
+        }
     }
     if options.table {
         for cells in [1, 3, 8] {
             for teams in [3, 50] {
-                let kind = RaceOptions { cells, teams, troubles: false, ..kind };
-                let outcomes = races(&Options { parallel: 1, ..options.clone() }, &kind, 3);
-                summaries.push(Summary::of(format!("{cells} cells, {teams} teams"), &outcomes)?);
+                let kind = RaceOptions { cells, teams, faults: false, ..kind };
+                let races = run_races(&kind, TABLE_SEEDS, 1)?;
+                summaries.push(Summary::of(format!("{cells} cells, {teams} teams"), &races)?);
                 println!("{}", summaries[summaries.len() - 1].row().join(" | "));
             }
         }
     }
-    std::fs::write(&options.out, report(&summaries, &outcomes)?)?;
+    std::fs::write(&options.out, report(&summaries, &races)?)?;
     println!("{}", options.out.display());
     Ok(())
 }
 
-/// Runs so many races, some at a time, each on a thread of its own.
-fn races(options: &Options, kind: &RaceOptions, many: u64) -> Vec<(u64, RaceOutcome)> {
-    let next = Arc::new(AtomicU64::new(kind.seed));
-    let end = kind.seed + many;
-    let done: Arc<Mutex<Vec<(u64, RaceOutcome)>>> = Default::default();
-    let work = |next: Arc<AtomicU64>, done: Arc<Mutex<Vec<_>>>, kind: RaceOptions| loop {
-        let seed = next.fetch_add(1, Ordering::SeqCst);
+/// Runs races with so many seeds from that of their kind on, some at a time, each on a thread of
+/// its own.
+fn run_races(
+    kind: &RaceOptions,
+    seeds: u64,
+    parallel: usize,
+) -> Result<Vec<SeedOutcome>, ExperimentError> {
+    let next_seed = AtomicU64::new(kind.seed);
+    let end = kind.seed + seeds;
+    let outcomes: Shared<Vec<(u64, Result<RaceOutcome, ExperimentError>)>> = Default::default();
+    let work = || loop {
+        let seed = next_seed.fetch_add(1, Ordering::SeqCst);
         if seed >= end {
             return;
         }
-        let outcome =
-            actix_web::rt::System::new().block_on(run(RaceOptions { seed, ..kind.clone() }));
-        done.lock().unwrap().push((seed, outcome));
+        let race = run(RaceOptions { seed, ..kind.clone() });
+        let outcome = actix_web::rt::System::new().block_on(race);
+        lock(&outcomes).push((seed, outcome));
     };
     std::thread::scope(|scope| {
-        for _ in 0..options.parallel {
-            let (next, done) = (next.clone(), done.clone());
-            scope.spawn(move || work(next, done, kind.clone()));
+        for _ in 0..parallel {
+            scope.spawn(work);
         }
     });
-    let mut outcomes = std::mem::take(&mut *done.lock().unwrap());
+    let mut outcomes = std::mem::take(&mut *lock(&outcomes));
     outcomes.sort_by_key(|(seed, _)| *seed);
-    outcomes
+    let races = outcomes.into_iter();
+    races.map(|(seed, outcome)| Ok(SeedOutcome { seed, outcome: outcome? })).collect()
 }
 
-fn report(
-    summaries: &[Summary],
-    outcomes: &[(u64, RaceOutcome)],
-) -> Result<String, Box<dyn Error>> {
+fn report(summaries: &[Summary], races: &[SeedOutcome]) -> Result<String, Box<dyn Error>> {
     let mut html = String::from(
         "<!DOCTYPE html><html><head><meta charset=\"utf-8\"><title>Shared limits</title></head><body>\n\
          <h1>Cells that race for shared limits on loopback</h1>\n<table border=\"1\">\n",
@@ -187,9 +203,9 @@
     }
     html += "</table>\n<h2>Grant latency, cells fail</h2>\n";
     html += &histogram(&summaries[0].grants)?;
-    for (seed, outcome) in outcomes.iter().take(4) {
-        html += &format!("<h2>Seed {seed}, team t0</h2>\n{}", plot(outcome)?);
-        html += &format!("<pre>{}</pre>\n", outcome.troubles.join("\n"));
+    for SeedOutcome { seed, outcome } in races.iter().take(CHARTED_RACES) {
+        html += &format!("<h2>Seed {seed}, team t0</h2>\n{}", usage_chart(outcome)?);
+        html += &format!("<pre>{}</pre>\n", outcome.faults.join("\n"));
     }
     Ok(html + "</body></html>\n")
 }
@@ -208,59 +224,31 @@
         .collect();
     let most = counts.iter().map(|(_, count)| *count).max().unwrap_or(1).max(1);
     let end_ms = counts.last().map_or(STEP_MS, |(ms, _)| *ms + STEP_MS);
-    let mut svg = String::new();
-    {
-        let root = SVGBackend::with_string(&mut svg, (900, 240)).into_drawing_area();
-        root.fill(&WHITE)?;
-        let mut chart = ChartBuilder::on(&root)
-            .margin(12)
-            .x_label_area_size(36)
-            .y_label_area_size(56)
-            .build_cartesian_2d(0..end_ms, 0..most)?;
+    chart::svg(240, |area| {
+        let mut chart = chart::builder(area, 56).build_cartesian_2d(0..end_ms, 0..most)?;
         chart.configure_mesh().x_desc("ms").y_desc("requests").draw()?;
         chart.draw_series(counts.iter().map(|(ms, count)| {
             Rectangle::new([(ms.saturating_sub(STEP_MS), 0), (*ms, *count)], BLUE.filled())
         }))?;
-        root.present()?;
-    }
-    Ok(svg + "\n")
+        Ok(())
+    })
 }
 
-/// What a team used in all cells and what was allotted to each, over time.
-fn plot(outcome: &RaceOutcome) -> Result<String, Box<dyn Error>> {
+/// What the first team used in all cells and what was allotted to each, over time.
+fn usage_chart(outcome: &RaceOutcome) -> Result<String, Box<dyn Error>> {
     const COLORS: [RGBColor; 3] = [RED, BLUE, GREEN];
-    let origin = 1_000_000;
-    let seconds = |at_ms: u64| at_ms.saturating_sub(origin) as f64 / 1e3;
-    let used: Vec<(f64, f64)> =
-        outcome.usage(0, None).iter().map(|usage| (seconds(usage.at_ms), usage.cpus)).collect();
-    let mut svg = String::new();
-    {
-        let root = SVGBackend::with_string(&mut svg, (900, 300)).into_drawing_area();
-        root.fill(&WHITE)?;
-        let mut chart = ChartBuilder::on(&root)
-            .margin(12)
-            .x_label_area_size(36)
-            .y_label_area_size(48)
-            .build_cartesian_2d(0.0..outcome.took_ms as f64 / 1e3, 0.0..LIMIT * 1.2)?;
-        chart.configure_mesh().x_desc("s").y_desc("CPUs").draw()?;
-        let all = chart.draw_series(LineSeries::new(used, &BLACK))?;
-        all.label("used in all cells")
-            .legend(|(x, y)| PathElement::new([(x, y), (x + 16, y)], BLACK));
+    let seconds = |at_ms: u64| at_ms as f64 / 1e3;
+    let used = outcome.usage(0, None);
+    let used =
+        used.iter().map(|usage| (seconds(usage.at_ms.saturating_sub(CLOCK_OFFSET_MS)), usage.cpus));
+    chart::over_time(300, 0.0..seconds(outcome.took_ms), 0.0..LIMIT * 1.2, "CPUs", |chart| {
+        chart::add_line(chart, "used in all cells", BLACK, used)?;
         for cell in 0..outcome.entries.len() {
-            let color = COLORS[cell % COLORS.len()];
             let samples = outcome.samples.iter().filter(|sample| sample.team == 0);
-            let points = samples.map(|sample| (sample.at_ms as f64 / 1e3, sample.allotted[cell]));
-            let line = chart.draw_series(LineSeries::new(points, &color))?;
-            line.label(format!("allotted to cell{cell}"))
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
+            let points = samples.map(|sample| (seconds(sample.at_ms), sample.allotted[cell]));
+            let color = COLORS[cell % COLORS.len()];
+            chart::add_line(chart, &format!("allotted to cell{cell}"), color, points)?;
         }
-        chart
-            .configure_series_labels()
-            .position(SeriesLabelPosition::UpperRight)
-            .background_style(WHITE)
-            .border_style(BLACK)
-            .draw()?;
-        root.present()?;
-    }
-    Ok(svg + "\n")
+        Ok(())
+    })
 }
--- /dev/null
+++ b/crates/latchtrack-emulator/src/fleet/mod.rs
@@ -0,0 +1,209 @@
+//! A fleet of workers behind real sockets. They heartbeat, execute commands, run tasks for as long
+//! as the profiles of their jobs say, save when told to, and lose what they run with their lease.
+//! Tests inject faults (partitions, pauses, crashes, full machines); responses are lost by seed.
+
+mod attempts;
+mod faults;
+mod heartbeats;
+mod machine;
+mod server;
+mod settings;
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use serde_json::Value;
+
+use crate::cloud::CloudState;
+use crate::history::{History, HistoryEntry, LoadSample, TaskEvent};
+use crate::lifecycle::{AttemptKey, TaskPhase};
+use crate::{lock, Shared};
+use heartbeats::{HeartbeatResponse, OutgoingHeartbeat};
+use machine::Machine;
+pub use settings::{FleetSettings, JobProfile, NodeEndpoint};
+
+/// CPUs of a machine of the emulated cloud.
+pub const MACHINE_CPUS: f64 = 8.0;
+/// Time between two steps of the fleet.
+const STEP: Duration = Duration::from_millis(20);
+/// How long a worker waits for the response to a heartbeat.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// ms between two samples of the loads.
+const SAMPLE_MS: u64 = 1_000;
+
+/// The workers of a fleet and what they have recorded.
+pub struct FleetState {
+    settings: FleetSettings,
+    rng: StdRng,
+    started_at: Instant,
+    machines: BTreeMap<String, Machine>,
+    /// Addresses that are listened on, for machines to come.
+    free_addrs: Vec<String>,
+    profiles: BTreeMap<String, JobProfile>,
+    /// Progress of tasks that have saved, in ms.
+    saved_ms: BTreeMap<String, u64>,
+    /// What happened on the machines.
+    pub history: History,
+}
+
+/// Starts a fleet for a cloud; its workers boot as machines are provisioned.
+pub fn start(settings: FleetSettings, cloud: Shared<CloudState>) -> Shared<FleetState> {
+    let fleet: Shared<FleetState> = Shared::new(std::sync::Mutex::new(FleetState {
+        rng: StdRng::seed_from_u64(settings.seed),
+        started_at: Instant::now(),
+        machines: BTreeMap::new(),
+        free_addrs: Vec::new(),
+        profiles: BTreeMap::new(),
+        saved_ms: BTreeMap::new(),
+        history: History::default(),
+        settings,
+    }));
+    server::listen(&fleet);
+    actix_web::rt::spawn(run(fleet.clone(), cloud));
+    fleet
+}
+
+/// Runs the fleet: what is due on each machine, and their heartbeats.
+async fn run(fleet: Shared<FleetState>, cloud: Shared<CloudState>) {
+    let client = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
+    loop {
+        let due = {
+            let mut fleet = lock(&fleet);
+            fleet.follow_cloud(&lock(&cloud));
+            fleet.advance();
+            fleet.sample_loads();
+            fleet.heartbeats_due()
+        };
+        for heartbeat in due {
+            actix_web::rt::spawn(send_heartbeat(client.clone(), fleet.clone(), heartbeat));
+        }
+        actix_web::rt::time::sleep(STEP).await;
+    }
+}
+
+async fn send_heartbeat(
+    client: awc::Client,
+    fleet: Shared<FleetState>,
+    heartbeat: OutgoingHeartbeat,
+) {
+    let OutgoingHeartbeat { machine, node_url, agent_epoch, body } = heartbeat;
+    let response = match client.post(format!("{node_url}/v1/report")).send_json(&body).await {
+        Ok(mut response) => {
+            let bytes = response.body().await.unwrap_or_default();
+            let body = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
+            Some(HeartbeatResponse { status: response.status().as_u16(), body })
+        }
+        Err(_) => None,
+    };
+    lock(&fleet).on_response(&machine, agent_epoch, response);
+}
+
+impl FleetState {
+    /// When the fleet was started: the origin of its clock.
+    pub fn started_at(&self) -> Instant {
+        self.started_at
+    }
+
+    /// ms since the fleet was started.
+    pub fn now_ms(&self) -> u64 {
+        self.started_at.elapsed().as_millis() as u64
+    }
+
+    /// Tells the workers how the tasks of a job behave.
+    pub fn register_job(&mut self, id: &str, profile: JobProfile) {
+        self.profiles.insert(id.into(), profile);
+    }
+
+    /// Machines that have booted and not crashed.
+    pub fn running_machines(&self) -> Vec<String> {
+        let now = self.now_ms();
+        let running = self.machines.iter().filter(|(_, machine)| machine.is_up(now));
+        running.map(|(name, _)| name.clone()).collect()
+    }
+
+    /// CPUs in use on a machine.
+    pub fn cpus_in_use(&self, name: &str) -> f64 {
+        let attempts = self.machines.get(name).into_iter().flat_map(|machine| &machine.attempts);
+        let live = attempts.filter(|(_, attempt)| attempt.is_live());
+        live.map(|(key, _)| self.profile_of(&key.task).cpus).sum()
+    }
+
+    /// Machines on which tasks save just now, since they were told to stop.
+    pub fn checkpointing_machines(&self) -> Vec<String> {
+        let checkpoints = |machine: &Machine| {
+            machine.attempts.values().any(|attempt| attempt.phase == TaskPhase::Checkpointing)
+        };
+        let machines = self.machines.iter().filter(|(_, machine)| checkpoints(machine));
+        machines.map(|(name, _)| name.clone()).collect()
+    }
+
+    fn with_machine(&mut self, name: &str, change: impl FnOnce(&mut Machine)) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            change(machine);
+        }
+    }
+
+    /// Draws whether a response is lost.
+    fn loses_response(&mut self) -> bool {
+        let probability = self.settings.response_loss;
+        self.rng.random_bool(probability)
+    }
+
+    fn profile_of(&self, task: &str) -> JobProfile {
+        self.profiles.get(AttemptKey::job_of(task)).cloned().unwrap_or_default()
+    }
+
+    fn record(&mut self, machine: &str, key: &AttemptKey, event: TaskEvent) {
+        let at_ms = self.now_ms();
+        let AttemptKey { task, attempt } = key.clone();
+        let machine = machine.to_string();
+        self.history.entries.push(HistoryEntry { at_ms, machine, task, attempt, event });
+    }
+
+    fn machine_at(&self, addr: &str) -> Option<String> {
+        let mut machines = self.machines.iter();
+        machines.find(|(_, machine)| machine.addr == addr).map(|(name, _)| name.clone())
+    }
+
+    /// ms until what is sent to an address arrives; None: never.
+    fn delivery_delay_ms(&self, addr: &str) -> Option<u64> {
+        let machine = &self.machines[&self.machine_at(addr)?];
+        let until = machine.partitioned_until_ms.max(machine.paused_until_ms);
+        (!machine.has_crashed).then(|| until.saturating_sub(self.now_ms()))
+    }
+
+    /// Boots machines that were provisioned, stops those that were terminated.
+    fn follow_cloud(&mut self, cloud: &CloudState) {
+        let now = self.now_ms();
+        for name in &cloud.provisioned {
+            if self.machines.contains_key(name) {
+                continue;
+            }
+            let Some(addr) = self.free_addrs.pop() else { break };
+            let machine = Machine::booting(addr, now + self.settings.boot_ms);
+            self.machines.insert(name.clone(), machine);
+        }
+        for name in &cloud.terminated {
+            if self.machines.get(name).is_some_and(|machine| !machine.has_crashed) {
+                self.crash(name);
+            }
+        }
+    }
+
+    fn sample_loads(&mut self) {
+        let now = self.now_ms();
+        let last = self.history.loads.last().map(|sample| sample.at_ms);
+        if last.is_some_and(|at_ms| now < at_ms + SAMPLE_MS) {
+            return;
+        }
+        let running = self.running_machines();
+        let loads: Vec<f64> =
+            running.iter().map(|name| self.cpus_in_use(name) / MACHINE_CPUS).collect();
+        let max = loads.iter().copied().fold(0.0, f64::max);
+        let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
+        let sample = LoadSample { at_ms: now, max, mean, machines: loads.len() };
+        self.history.loads.push(sample);
+    }
+}
--- /dev/null
+++ b/crates/latchtrack-emulator/src/race/observer.rs
@@ -0,0 +1,120 @@
+//! Observes the teams' stored ledgers: what is allotted, how long requests and guarantees wait, and
+//! when the allotments of dead cells are reclaimed.
+
+use std::collections::BTreeMap;
+
+use serde_json::Value;
+
+use super::cell::{cell_name, Cell};
+use super::outcome::{AllotmentSample, RaceOutcome};
+use super::GUARANTEE;
+
+/// A team in a cell, by their indices.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TeamInCell {
+    team: usize,
+    cell: usize,
+}
+
+/// A request that stands in a ledger.
+#[derive(Clone, Copy)]
+struct OpenRequest {
+    ticket: u64,
+    /// When it was first seen, in ms since the race began.
+    seen_at: u64,
+    is_met: bool,
+}
+
+/// What is known of requests and guarantees between two samples.
+#[derive(Default)]
+pub(super) struct LedgerObserver {
+    requests: BTreeMap<TeamInCell, OpenRequest>,
+    /// Since when a cell lacks something of a team's guarantee.
+    unmet_since: BTreeMap<TeamInCell, u64>,
+}
+
+/// CPUs of a stored quantity.
+fn cpus(quantity: &Value) -> f64 {
+    quantity["millicpus"].as_f64().unwrap_or(0.0) / 1_000.0
+}
+
+impl LedgerObserver {
+    /// Takes in a team's ledger as it is stored at a time, in ms since the race began.
+    pub fn observe(
+        &mut self,
+        now: u64,
+        team: usize,
+        ledger: &Value,
+        cells: &mut [Cell],
+        outcome: &mut RaceOutcome,
+    ) {
+        let entry = |cell: usize| &ledger["cells"][cell_name(cell)];
+        let allotted: Vec<f64> =
+            (0..cells.len()).map(|cell| cpus(&entry(cell)["allotted"])).collect();
+        for (cell, held) in allotted.iter().enumerate() {
+            let key = TeamInCell { team, cell };
+            let request = &entry(cell)["request"];
+            let seen = request["ticket"].as_u64().map(|ticket| {
+                let is_met = cpus(&request["need"]) <= *held;
+                OpenRequest { ticket, seen_at: now, is_met }
+            });
+            self.observe_request(now, key, seen, cells, outcome);
+            let want = cpus(&request["want"]);
+            let lacks = seen.is_some() && want <= GUARANTEE && *held < want;
+            self.observe_guarantee(now, key, lacks, cells, outcome);
+            let died_at = cells[cell].died_at.filter(|_| entry(cell).is_null());
+            if let Some(died_at) = died_at.filter(|_| team == 0) {
+                cells[cell].died_at = None;
+                outcome.reclaims_ms.push(now - died_at);
+            }
+        }
+        outcome.samples.push(AllotmentSample { at_ms: now, team, allotted });
+    }
+
+    /// Takes in a cell's request as it stands now; None: it has none.
+    fn observe_request(
+        &mut self,
+        now: u64,
+        key: TeamInCell,
+        seen: Option<OpenRequest>,
+        cells: &[Cell],
+        outcome: &mut RaceOutcome,
+    ) {
+        let mut record_grant = |request: OpenRequest| {
+            if !request.is_met && cells[key.cell].faulty_until == 0 {
+                outcome.grants_ms.push(now - request.seen_at);
+            }
+        };
+        let known = self.requests.remove(&key);
+        let is_same = known.map(|known| known.ticket) == seen.map(|seen| seen.ticket);
+        if let Some(gone) = known.filter(|_| !is_same) {
+            // Met and removed, or replaced by the next one, in one write.
+            record_grant(gone);
+        }
+        let Some(seen) = seen else { return };
+        let before = known.filter(|_| is_same);
+        let mut request = before.unwrap_or(OpenRequest { is_met: false, ..seen });
+        if seen.is_met {
+            record_grant(request);
+            request.is_met = true;
+        }
+        self.requests.insert(key, request);
+    }
+
+    fn observe_guarantee(
+        &mut self,
+        now: u64,
+        key: TeamInCell,
+        lacks: bool,
+        cells: &[Cell],
+        outcome: &mut RaceOutcome,
+    ) {
+        // While any cell has a fault, what it holds has to be reclaimed first.
+        if !lacks || cells.iter().any(|cell| cell.faulty_until != 0) {
+            self.unmet_since.remove(&key);
+            return;
+        }
+        let since = *self.unmet_since.entry(key).or_insert(now);
+        outcome.guarantee_unmet_ms = outcome.guarantee_unmet_ms.max(now - since);
+    }
+}
--- a/crates/latchtrack-emulator/src/site.rs
+++ b/crates/latchtrack-emulator/src/site.rs
@@ -1,4 +1,4 @@
-//! State service, cloud and nodes of one deployment, on loopback.
+//! One deployment on loopback: emulated state service and cloud, and nodes of latchtrack itself.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
@@ -9,35 +9,59 @@
 use tokio::net::TcpListener;
 
 use crate::cloud::{serve_cloud, CloudState};
-use crate::state::{serve_state, State};
+use crate::state::{serve_state, StateService};
 use crate::Shared;
 
+/// The names of up to three nodes, each behind a port of the state service of its own.
+const NODE_NAMES: [&str; 3] = ["one", "two", "three"];
+/// Sockets that a node may use unless a test says otherwise.
+const MAX_SOCKETS: usize = 200;
+
+/// Another node of the deployment.
+#[derive(Clone, Copy, Debug)]
+pub struct Peer<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Where it listens for nodes, as `host:port`.
+    pub endpoint: &'a str,
+}
+
 /// State service and cloud of a deployment of up to three nodes.
 pub struct Site {
-    pub state: Shared<State>,
+    /// The state service, which several deployments may share.
+    pub state: Shared<StateService>,
+    /// The cloud.
     pub cloud: Shared<CloudState>,
-    /// Refuses the nodes behind each port of the state service.
+    /// Whether the state service refuses the node behind each of its ports.
     pub refused: [Arc<AtomicBool>; 3],
     /// The operators' settings of the nodes that are started.
     pub tuning: Tuning,
-    /// Sockets of a node.
+    /// Sockets that a node may use.
     pub max_sockets: usize,
-    /// The teams and the workers' times, as the platform's file has them.
+    /// The teams, in the form of the platform's file.
     pub teams: Value,
+    /// The workers' times, in the form of the platform's file.
     pub workers: Value,
-    /// KiB of a value that the state service is to take from some moment on.
+    /// KiB of a value that the state service is announced to take from some moment on.
     pub next_value_kb: f64,
     state_ports: [u16; 3],
     cloud_port: u16,
 }
 
-/// Starts state service and cloud.
+/// A node that was started.
+struct StartedNode {
+    /// Base URL for users and workers.
+    url: String,
+    settings: Settings,
+}
+
+/// Starts a state service and a cloud.
 pub fn site() -> Site {
     site_at(Default::default())
 }
 
-/// Starts a cloud, and ports of a state service that others share.
-pub fn site_at(state: Shared<State>) -> Site {
+/// Starts a cloud, and ports of a state service that others may use too.
+pub fn site_at(state: Shared<StateService>) -> Site {
     let cloud: Shared<CloudState> = Default::default();
     let refused: [Arc<AtomicBool>; 3] = Default::default();
     Site {
@@ -47,7 +71,7 @@
         cloud,
         refused,
         tuning: Tuning::default(),
-        max_sockets: 200,
+        max_sockets: MAX_SOCKETS,
         teams: json!([{"name": "team"}, {"name": "small", "cpus_max": 2.0}, {"name": "other"}]),
         workers: json!({"report_s": 1.0, "lease_s": 10.0, "cancel_s": 20.0,
             "gang_wait_s": 5.0, "gang_peer_s": 2.0}),
@@ -55,48 +79,53 @@
     }
 }
 
+async fn listen() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").await.expect("a free port on loopback")
+}
+
+fn addr_of(listener: &TcpListener) -> String {
+    listener.local_addr().expect("a bound socket").to_string()
+}
+
 impl Site {
-    /// Starts a node; returns where users and workers find it.
+    /// Starts a node that knows no other; returns its base URL for users and workers.
     pub async fn node(&self, name: &str) -> String {
-        let peers = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        self.start(name, 0, peers, &[]).await.0
+        self.start(name, 0, listen().await, &[]).await.url
     }
 
-    /// Starts two nodes that know each other, each behind a port of the state service.
+    /// Starts two nodes that know each other, each behind a port of the state service; returns
+    /// their base URLs.
     pub async fn pair(&self) -> [String; 2] {
-        let one = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let two = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = |l: &TcpListener| l.local_addr().unwrap().to_string();
-        let (a, b) = (at(&one), at(&two));
-        [
-            self.start("one", 0, one, &[("two", &b)]).await.0,
-            self.start("two", 1, two, &[("one", &a)]).await.0,
-        ]
+        self.start_nodes::<2>().await.map(|node| node.url)
     }
 
-    /// Starts three nodes that know each other, each behind a port of the state service.
+    /// Starts three nodes that know each other, each behind a port of the state service; returns
+    /// their base URLs.
     pub async fn trio(&self) -> [String; 3] {
-        self.trio_with_settings().await.0
+        self.start_nodes::<3>().await.map(|node| node.url)
     }
 
-    /// The same, with the settings of the first of them.
+    /// Like [`trio`](Self::trio); returns the settings of the first node too.
     pub async fn trio_with_settings(&self) -> ([String; 3], Settings) {
-        let names = ["one", "two", "three"];
-        let mut peers = Vec::new();
-        for _ in names {
-            peers.push(TcpListener::bind("127.0.0.1:0").await.unwrap());
+        let nodes = self.start_nodes::<3>().await;
+        let settings = nodes[0].settings.clone();
+        (nodes.map(|node| node.url), settings)
+    }
+
+    /// Starts so many nodes that know each other.
+    async fn start_nodes<const N: usize>(&self) -> [StartedNode; N] {
+        let mut listeners = Vec::new();
+        for _ in 0..N {
+            listeners.push(listen().await);
         }
-        let at: Vec<String> = peers.iter().map(|l| l.local_addr().unwrap().to_string()).collect();
+        let endpoints: Vec<String> = listeners.iter().map(addr_of).collect();
         let mut nodes = Vec::new();
-        let mut first = None;
-        for (i, listener) in peers.into_iter().enumerate() {
-            let others: Vec<(&str, &String)> =
-                (0..names.len()).filter(|o| *o != i).map(|o| (names[o], &at[o])).collect();
-            let (at, settings) = self.start(names[i], i, listener, &others).await;
-            nodes.push(at);
-            first.get_or_insert(settings);
+        for (i, listener) in listeners.into_iter().enumerate() {
+            let peer = |other: usize| Peer { name: NODE_NAMES[other], endpoint: &endpoints[other] };
+            let others: Vec<Peer> = (0..N).filter(|other| *other != i).map(peer).collect();
+            nodes.push(self.start(NODE_NAMES[i], i, listener, &others).await);
         }
-        (nodes.try_into().unwrap(), first.unwrap())
+        nodes.try_into().unwrap_or_else(|_| unreachable!("one node for each listener"))
     }
 
     async fn start(
@@ -104,32 +133,33 @@
         name: &str,
         port: usize,
         peers: TcpListener,
-        others: &[(&str, &String)],
-    ) -> (String, Settings) {
-        let users = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = format!("http://{}", users.local_addr().unwrap());
+        others: &[Peer<'_>],
+    ) -> StartedNode {
+        let users = listen().await;
+        let url = format!("http://{}", addr_of(&users));
         let settings = self.settings(name, port, &users, &peers, others);
         actix_web::rt::spawn(node::serve(settings.clone(), users, peers));
-        (at, settings)
+        StartedNode { url, settings }
     }
 
-    /// The settings of a node that listens there.
+    /// The settings of a node that listens there, behind the port of the state service with this
+    /// index.
     pub fn settings(
         &self,
         name: &str,
         port: usize,
         users: &TcpListener,
         peers: &TcpListener,
-        others: &[(&str, &String)],
+        others: &[Peer<'_>],
     ) -> Settings {
         let others: Vec<Value> = others
             .iter()
-            .map(|(name, at)| json!({"node_name": name, "domain": "a", "endpoint": at}))
+            .map(|peer| json!({"node_name": peer.name, "domain": "a", "endpoint": peer.endpoint}))
             .collect();
         let platform: Platform = serde_json::from_value(json!({
             "node_name": name, "domain": "a",
-            "bind": users.local_addr().unwrap().to_string(),
-            "peer_bind": peers.local_addr().unwrap().to_string(),
+            "bind": addr_of(users),
+            "peer_bind": addr_of(peers),
             "others": others,
             "external": {"state": format!("127.0.0.1:{}", self.state_ports[port]),
                          "cloud": format!("127.0.0.1:{}", self.cloud_port)},
@@ -141,9 +171,9 @@
                 "cloud": {"rps": 100.0, "list_lag_s": 1.0},
                 "machine_limits": {"cpu": 1.0, "mem_mb": 100.0, "max_sockets": self.max_sockets}}
         }))
-        .unwrap();
+        .expect("the form of the platform's file");
         let settings = Settings { platform, tuning: self.tuning.clone() };
-        settings.check().unwrap();
+        settings.check().expect("settings that make sense");
         settings
     }
 }
--- a/crates/latchtrack-emulator/src/spread.rs
+++ b/crates/latchtrack-emulator/src/spread.rs
@@ -1,8 +1,7 @@
-//! A loopback fleet through both hot cases of load spread: two teams turn hot in the same second, and
-//! targets of moves fill up, are cut, pause and crash while tasks are on their way to them; in the middle of
-//! it the leader changes.
+//! A loopback fleet through both hot cases of load spread: two teams turn hot in the same second,
+//! and targets of moves fill up, are cut off, pause and crash while tasks are on their way to them;
+//! in the middle of it the leader changes.
 
-use std::collections::BTreeSet;
 use std::time::Duration;
 
 use actix_web::rt::time::sleep;
@@ -13,25 +12,42 @@
 use serde_json::json;
 
 use crate::client::{get, post};
-use crate::fleet::{self, FleetSettings, FleetState, JobShape, MACHINE_CPUS};
-use crate::history::History;
+use crate::error::ExperimentError;
+use crate::fleet::{self, FleetSettings, FleetState, JobProfile, NodeEndpoint, MACHINE_CPUS};
+use crate::history::{History, LoadSample};
 use crate::site::{site, Site};
-use crate::Shared;
+use crate::{lock, Shared};
 
-/// ms between two looks at the fleet.
-const LOOK: Duration = Duration::from_millis(250);
-/// ms between two troubles.
-const TROUBLES_APART_MS: u64 = 1_500;
-/// ms for which a target that is full refuses launches.
+/// Time between two polls of the fleet, and between two attempts to submit a job.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Polls until the fleet has to be up, and attempts until a job has to be accepted.
+const MAX_POLLS: usize = 600;
+/// ms between two faults.
+const FAULT_INTERVAL_MS: u64 = 1_500;
+/// ms for which a target that is full rejects launches.
 const FULL_MS: u64 = 10_000;
+/// ms for which a target is cut off or a source pauses.
+const SHORT_FAULT_MS: u64 = 3_000;
+/// Probability that a response to a worker is lost in a run with faults.
+const RESPONSE_LOSS: f64 = 0.01;
 /// Tasks of a hot job.
 const HOT_TASKS: usize = 40;
-/// The bound of latchtrack-balance for tasks of one CPU: see docs/balance.md.
-const FACTOR: f64 = 1.25;
+/// ms that a checkpoint of a hot task takes.
+const CHECKPOINT_MS: u64 = 500;
+/// The bound of latchtrack-balance on the most loaded machine, in mean loads, to which one task is
+/// added: see docs/balance.md.
+const BOUND_FACTOR: f64 = 1.25;
+/// Rounding that a load may carry.
+const LOAD_TOLERANCE: f64 = 1e-6;
+/// Mean load under which the hot teams have hardly any work left.
+const IDLE_LOAD: f64 = 0.02;
+/// Separates the experiment's draws from those of the fleet, which has the same seed.
+const SEED_MASK: u64 = 0x5eed;
 
 /// What fails while tasks move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Troubles {
+pub enum FaultScope {
+    /// Nothing.
     None,
     /// Machines that take part in moves.
     Machines,
@@ -42,89 +58,122 @@
 /// What is to be run.
 #[derive(Clone, Debug)]
 pub struct SpreadOptions {
+    /// Seed of the fleet and of the faults.
     pub seed: u64,
+    /// Workers of the fleet.
     pub workers: usize,
+    /// The operators' settings of the balancer.
     pub balance: BalanceTuning,
-    /// Part of the fleet's CPUs that the hot teams ask for.
+    /// Fraction of the fleet's CPUs that the hot teams ask for.
     pub demand: f64,
-    /// s that a hot task runs.
+    /// Seconds that a hot task runs.
     pub run_s: u64,
-    pub troubles: Troubles,
-    /// s after which the run ends, whatever is left.
-    pub most_s: u64,
+    /// What fails meanwhile.
+    pub faults: FaultScope,
+    /// Seconds after which the run ends, whatever is left.
+    pub max_s: u64,
 }
 
 /// What came of a run.
 #[derive(Clone, Debug)]
 pub struct SpreadOutcome {
+    /// What ran on the machines.
     pub history: History,
-    /// When the hot teams began, ms.
+    /// When the hot teams began, in ms of the history's clock.
     pub hot_at_ms: u64,
     /// Tasks that were submitted and have not completed.
-    pub lost: Vec<String>,
-    /// What the last leader said of its balance.
-    pub view: Option<BalanceView>,
-    pub troubles: Vec<String>,
+    pub unfinished: Vec<String>,
+    /// What the last leader said of its balance; None: nothing of it is switched on.
+    pub balance: Option<BalanceView>,
+    /// A line for each fault, with its time.
+    pub faults: Vec<String>,
 }
 
-impl SpreadOutcome {
-    /// Whether a sample is within the bound.
-    fn within(sample: &crate::history::LoadSample) -> bool {
-        sample.greatest <= FACTOR * sample.mean + 1.0 / MACHINE_CPUS + 1e-6
-    }
+/// The load that the most loaded machine may have, given the mean load.
+pub fn load_bound(sample: &LoadSample) -> f64 {
+    BOUND_FACTOR * sample.mean + 1.0 / MACHINE_CPUS
+}
+
+fn is_within_bound(sample: &LoadSample) -> bool {
+    sample.max <= load_bound(sample) + LOAD_TOLERANCE
+}
 
-    /// ms from when the hot teams began until the spread was first within the bound again after it was
-    /// over it; None if it never was.
+impl SpreadOutcome {
+    /// ms from when the hot teams began until the spread was first within the bound again after it
+    /// was over it; None if it never was.
     pub fn restored_ms(&self) -> Option<u64> {
         let after = self.history.loads.iter().filter(|sample| sample.at_ms > self.hot_at_ms);
-        let mut over = after.skip_while(|sample| Self::within(sample));
-        over.find(|sample| Self::within(sample)).map(|sample| sample.at_ms - self.hot_at_ms)
+        let mut over = after.skip_while(|sample| is_within_bound(sample));
+        over.find(|sample| is_within_bound(sample)).map(|sample| sample.at_ms - self.hot_at_ms)
     }
 
-    /// Part of the samples within the bound while the hot teams had work, after this moment.
-    pub fn within_share(&self, from_ms: u64) -> f64 {
-        let last_start = self.history.entries.iter().map(|entry| entry.at_ms).max().unwrap_or(0);
-        let range = from_ms..last_start;
+    /// Fraction of the samples within the bound while the hot teams had work, from this time on, in
+    /// ms of the history's clock.
+    pub fn within_bound_share(&self, from_ms: u64) -> f64 {
+        let last_event = self.history.entries.iter().map(|entry| entry.at_ms).max().unwrap_or(0);
+        let range = from_ms..last_event;
         let samples: Vec<bool> = self
             .history
             .loads
             .iter()
-            .filter(|sample| range.contains(&sample.at_ms) && sample.mean > 0.02)
-            .map(Self::within)
+            .filter(|sample| range.contains(&sample.at_ms) && sample.mean > IDLE_LOAD)
+            .map(is_within_bound)
             .collect();
         samples.iter().filter(|within| **within).count() as f64 / samples.len().max(1) as f64
     }
 }
 
+/// A job that was submitted.
+struct SubmittedJob {
+    id: String,
+    tasks: usize,
+}
+
+/// A job that is to be submitted.
+struct NewJob {
+    team: &'static str,
+    tasks: usize,
+    /// CPUs of each task.
+    cpus: f64,
+    /// Seconds that each task runs.
+    run_s: u64,
+    /// ms that its checkpoints take; None: its tasks never save.
+    checkpoint_ms: Option<u64>,
+}
+
 /// A run under way.
 struct SpreadRun {
     options: SpreadOptions,
     site: Site,
-    nodes: Vec<(String, String)>,
+    nodes: Vec<NodeEndpoint>,
     settings: Settings,
     fleet: Shared<FleetState>,
-    submitted: Vec<(String, usize)>,
+    submitted: Vec<SubmittedJob>,
     rng: StdRng,
-    troubles: Vec<String>,
+    faults: Vec<String>,
 }
 
-/// Runs a fleet through the hot cases.
-pub async fn run(options: SpreadOptions) -> SpreadOutcome {
+/// Runs a fleet through the hot cases. Fails if the fleet never comes up or a job is not accepted.
+pub async fn run(options: SpreadOptions) -> Result<SpreadOutcome, ExperimentError> {
     let mut run = SpreadRun::start(options).await;
-    run.warm_up().await;
-    let hot_at_ms = run.fleet.lock().unwrap().now_ms();
-    run.two_teams_turn_hot().await;
-    let view = run.until_done().await;
-    let fleet = run.fleet.lock().unwrap();
+    run.warm_up().await?;
+    let hot_at_ms = lock(&run.fleet).now_ms();
+    run.submit_hot_jobs().await?;
+    let balance = run.observe_until_done().await;
+    let fleet = lock(&run.fleet);
     let completed = fleet.history.completed();
-    let tasks = run.submitted.iter().flat_map(|(id, n)| (0..*n).map(move |i| format!("{id}/{i}")));
-    SpreadOutcome {
+    let tasks_of = |job: &SubmittedJob| {
+        let id = job.id.clone();
+        (0..job.tasks).map(move |index| format!("{id}/{index}"))
+    };
+    let tasks = run.submitted.iter().flat_map(tasks_of);
+    Ok(SpreadOutcome {
         history: fleet.history.clone(),
         hot_at_ms,
-        lost: tasks.filter(|task| !completed.contains(task)).collect(),
-        view,
-        troubles: run.troubles.clone(),
-    }
+        unfinished: tasks.filter(|task| !completed.contains(task)).collect(),
+        balance,
+        faults: run.faults.clone(),
+    })
 }
 
 impl SpreadRun {
@@ -137,123 +186,154 @@
             balance: options.balance.clone(),
             ..Tuning::default()
         };
-        site.cloud.lock().unwrap().lists = true;
-        site.state.lock().unwrap().page = Some(500);
+        lock(&site.cloud).lists = true;
+        lock(&site.state).page_size = Some(500);
         let (urls, settings) = site.trio_with_settings().await;
         let names = ["one", "two", "three"].map(String::from);
-        let nodes: Vec<(String, String)> = names.into_iter().zip(urls).collect();
+        let nodes = names.into_iter().zip(urls);
+        let nodes: Vec<NodeEndpoint> =
+            nodes.map(|(name, url)| NodeEndpoint { name, url }).collect();
         let fleet = fleet::start(
             FleetSettings {
                 seed: options.seed,
                 machines: options.workers,
-                report_ms: 1_000,
+                heartbeat_interval_ms: 1_000,
                 lease_ms: 10_000,
                 boot_ms: 300,
                 fetch_ms: 400,
-                loss: if options.troubles == Troubles::None { 0.0 } else { 0.01 },
+                response_loss: match options.faults {
+                    FaultScope::None => 0.0,
+                    FaultScope::Machines | FaultScope::MachinesAndLeader => RESPONSE_LOSS,
+                },
                 nodes: nodes.clone(),
             },
             site.cloud.clone(),
         );
-        let rng = StdRng::seed_from_u64(options.seed ^ 0x5eed);
-        let (submitted, troubles) = (Vec::new(), Vec::new());
-        SpreadRun { options, site, nodes, settings, fleet, submitted, rng, troubles }
+        let rng = StdRng::seed_from_u64(options.seed ^ SEED_MASK);
+        let (submitted, faults) = (Vec::new(), Vec::new());
+        SpreadRun { options, site, nodes, settings, fleet, submitted, rng, faults }
     }
 
-    /// Submits a job to any node, as users do, until it is accepted.
-    async fn submit(&mut self, team: &str, tasks: usize, cpus: f64, run_s: u64, saves: bool) {
+    /// Submits a job to one node after the other, as users do, until it is accepted.
+    async fn submit(&mut self, job: NewJob) -> Result<(), ExperimentError> {
+        let NewJob { team, tasks, cpus, run_s, checkpoint_ms } = job;
         let id = format!("req-{:06}", self.submitted.len() + 1);
-        let save_ms = saves.then_some(500);
-        let shape = JobShape { cpus, image: team.into(), run_ms: run_s * 1_000, save_ms };
-        self.fleet.lock().unwrap().upload(&id, shape);
+        let profile = JobProfile { cpus, image: team.into(), run_ms: run_s * 1_000, checkpoint_ms };
+        lock(&self.fleet).register_job(&id, profile);
+        let checkpoint_interval_s = if checkpoint_ms.is_some() { 5.0 } else { 0.0 };
         let body = json!({"name_id": id, "lane": team, "crew": team, "shape": "batch",
             "urgency": "standard", "pieces": tasks, "cores": cpus, "cards": 0.0, "memory_gb": cpus,
             "kit": team, "pull_gb": 0.4, "one_zone": false, "apart": false, "loaners": true,
-            "expected_s": run_s, "snapshot_s": if saves { 5.0 } else { 0.0 }, "stow_s": 0.5});
-        self.submitted.push((id, tasks));
-        for attempt in 0.. {
-            let node = &self.nodes[attempt % self.nodes.len()].1;
-            let (status, ..) = post(&format!("{node}/api/jobs"), &body).await;
+            "expected_s": run_s, "snapshot_s": checkpoint_interval_s, "stow_s": 0.5});
+        self.submitted.push(SubmittedJob { id: id.clone(), tasks });
+        let mut attempt = 0;
+        loop {
+            let node = &self.nodes[attempt % self.nodes.len()];
+            let (status, ..) = post(&format!("{}/api/jobs", node.url), &body).await;
             if status == 201 || status == 200 {
-                return;
+                return Ok(());
             }
-            assert!(attempt < 600, "not accepted: {status}");
-            sleep(LOOK).await;
+            if attempt >= MAX_POLLS {
+                return Err(ExperimentError::JobNotAccepted { job: id, status });
+            }
+            attempt += 1;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Has every machine rented and up.
-    async fn warm_up(&mut self) {
-        let workers = self.options.workers;
-        self.submit("team", workers, MACHINE_CPUS, 1, false).await;
-        for _ in 0..600 {
-            let up = self.fleet.lock().unwrap().up().len();
-            let done = self.fleet.lock().unwrap().history.completed().len();
-            if up == workers && done == workers {
-                return;
+    /// Has every machine provisioned and up, by a job with one task for each.
+    async fn warm_up(&mut self) -> Result<(), ExperimentError> {
+        let machines = self.options.workers;
+        let team = "team";
+        self.submit(NewJob {
+            team,
+            tasks: machines,
+            cpus: MACHINE_CPUS,
+            run_s: 1,
+            checkpoint_ms: None,
+        })
+        .await?;
+        let (mut up, mut done) = (0, 0);
+        for _ in 0..MAX_POLLS {
+            {
+                let fleet = lock(&self.fleet);
+                (up, done) = (fleet.running_machines().len(), fleet.history.completed().len());
+            }
+            if up == machines && done == machines {
+                return Ok(());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        panic!("the fleet never came up");
+        Err(ExperimentError::FleetNotUp { up, machines, done })
     }
 
-    async fn two_teams_turn_hot(&mut self) {
+    /// Two teams turn hot in the same second.
+    async fn submit_hot_jobs(&mut self) -> Result<(), ExperimentError> {
         let cpus = self.options.workers as f64 * MACHINE_CPUS * self.options.demand;
         let jobs = (cpus / HOT_TASKS as f64 / 2.0).ceil().max(1.0) as usize;
         for _ in 0..jobs {
             for team in ["team", "other"] {
-                self.submit(team, HOT_TASKS, 1.0, self.options.run_s, true).await;
+                self.submit(NewJob {
+                    team,
+                    tasks: HOT_TASKS,
+                    cpus: 1.0,
+                    run_s: self.options.run_s,
+                    checkpoint_ms: Some(CHECKPOINT_MS),
+                })
+                .await?;
             }
         }
+        Ok(())
     }
 
-    /// Looks on, with troubles, until all jobs are done; returns what the last leader said.
-    async fn until_done(&mut self) -> Option<BalanceView> {
-        let began = self.fleet.lock().unwrap().now_ms();
-        let most_ms = self.options.most_s * 1_000;
-        let mut view = None;
-        let mut next_trouble = 0;
-        let mut tried = BTreeSet::new();
+    /// Observes, and injects faults, until all jobs are done or the time is over; returns what the
+    /// last leader said of its balance.
+    async fn observe_until_done(&mut self) -> Option<BalanceView> {
+        let began = lock(&self.fleet).now_ms();
+        let max_ms = self.options.max_s * 1_000;
+        let mut balance = None;
+        let mut next_fault = 0;
         loop {
-            let now = self.fleet.lock().unwrap().now_ms() - began;
+            let now = lock(&self.fleet).now_ms() - began;
             if let Some(seen) = self.balance_view().await {
-                if self.options.troubles != Troubles::None
-                    && now >= next_trouble
-                    && now < most_ms / 2
-                {
-                    if let Some(target) = seen.moves.iter().find_map(|line| target_of(line)) {
-                        next_trouble = now + TROUBLES_APART_MS;
-                        self.befall(&target, tried.len());
-                        tried.insert(now);
-                    }
+                let is_due = now >= next_fault && now < max_ms / 2;
+                let target = seen.moves.iter().find_map(|line| target_of(line));
+                if let Some(target) = target.filter(|_| is_due && self.has_faults()) {
+                    next_fault = now + FAULT_INTERVAL_MS;
+                    self.inject_fault(&target);
                 }
-                view = Some(seen);
+                balance = Some(seen);
             }
-            if self.all_done().await || now >= most_ms {
-                return view;
+            if self.is_all_done().await || now >= max_ms {
+                return balance;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Troubles one after the other at a machine that is the target of a move.
-    fn befall(&mut self, target: &str, turn: usize) {
-        let mut fleet = self.fleet.lock().unwrap();
-        let source = fleet.saving().first().cloned().unwrap_or_else(|| target.to_string());
+    fn has_faults(&self) -> bool {
+        self.options.faults != FaultScope::None
+    }
+
+    /// Injects the next of six faults, in turn, at a machine that is the target of a move.
+    fn inject_fault(&mut self, target: &str) {
+        let mut fleet = lock(&self.fleet);
+        let sources = fleet.checkpointing_machines();
+        let source = sources.first().cloned().unwrap_or_else(|| target.to_string());
         let at_ms = fleet.now_ms();
-        let what = match turn % 6 {
+        let what = match self.faults.len() % 6 {
             0 => {
-                fleet.refuse(target, FULL_MS);
+                fleet.reject_launches(target, FULL_MS);
                 format!("target {target} is full for {} s", FULL_MS / 1_000)
             }
             1 => {
-                fleet.cut(target, 3_000);
-                format!("target {target} is cut off for 3 s")
+                fleet.partition(target, SHORT_FAULT_MS);
+                format!("target {target} is cut off for {} s", SHORT_FAULT_MS / 1_000)
             }
-            2 if self.options.troubles == Troubles::MachinesAndLeader => {
-                let leader = self.site.state.lock().unwrap().leader();
-                if let Some((_, _, Some(lease))) = leader {
-                    self.site.state.lock().unwrap().end(lease);
+            2 if self.options.faults == FaultScope::MachinesAndLeader => {
+                let mut state = lock(&self.site.state);
+                if let Some(lease) = state.leader().and_then(|leader| leader.lease) {
+                    state.end_lease(lease);
                 }
                 "the leader loses its lease".to_string()
             }
@@ -262,31 +342,34 @@
                 format!("target {target} crashes")
             }
             4 => {
-                fleet.pause(&source, 3_000);
-                format!("source {source} pauses for 3 s")
+                fleet.pause(&source, SHORT_FAULT_MS);
+                format!("source {source} pauses for {} s", SHORT_FAULT_MS / 1_000)
             }
             _ => {
                 let ms = self.rng.random_range(500..6_000);
-                fleet.cut(&source, ms);
+                fleet.partition(&source, ms);
                 format!("source {source} is cut off for {ms} ms")
             }
         };
-        self.troubles.push(format!("{at_ms} ms: {what}"));
+        self.faults.push(format!("{at_ms} ms: {what}"));
     }
 
+    /// What the acting leader says of its balance.
     async fn balance_view(&self) -> Option<BalanceView> {
         let status = latchtrack::status::ask(&self.settings).await;
         let clusters = status.nodes.into_values().flatten().filter_map(|node| node.cluster);
         clusters.filter(|cluster| cluster.acting).find_map(|cluster| cluster.balance)
     }
 
-    async fn all_done(&self) -> bool {
-        let tasks: usize = self.submitted.iter().map(|(_, n)| n).sum();
-        if self.fleet.lock().unwrap().history.completed().len() < tasks {
+    /// Whether all tasks have completed and the nodes say so of every job.
+    async fn is_all_done(&self) -> bool {
+        let tasks: usize = self.submitted.iter().map(|job| job.tasks).sum();
+        if lock(&self.fleet).history.completed().len() < tasks {
             return false;
         }
-        for (id, _) in &self.submitted {
-            let (status, _, body) = get(&format!("{}/api/jobs/{id}", self.nodes[0].1)).await;
+        for job in &self.submitted {
+            let url = format!("{}/api/jobs/{}", self.nodes[0].url, job.id);
+            let (status, _, body) = get(&url).await;
             if status != 200 || body["status"] != "done" {
                 return false;
             }
--- a/crates/latchtrack-emulator/src/worker.rs
+++ b/crates/latchtrack-emulator/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that does nothing by itself: tests say when it reports.
+//! A worker that does nothing by itself: tests say when it heartbeats.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,62 +7,74 @@
 use serde_json::{json, Value};
 
 use crate::client::{post, Got};
+use crate::lifecycle::{AttemptKey, EndCause};
 
-/// A worker that executes what it is told and finishes every task at once.
+/// An address on which nobody listens: only the responses to its heartbeats reach the worker.
+const UNREACHABLE_ADDR: &str = "127.0.0.1:9";
+
+/// A worker that executes its commands and completes every task at once.
 pub struct Worker {
+    /// The machine's name.
     pub name: String,
+    /// The address that it claims to listen on.
     pub addr: String,
     inner: Rc<RefCell<WorkerState>>,
 }
 
 #[derive(Default)]
 struct WorkerState {
-    seq: u64,
-    token: u64,
-    tasks: BTreeMap<(String, u64), &'static str>,
+    sequence: u64,
+    fencing_token: u64,
+    ended: BTreeMap<AttemptKey, EndCause>,
+}
+
+impl WorkerState {
+    fn execute(&mut self, command: &Value) {
+        let task = command["piece"].as_str().expect("`piece` is a string").to_string();
+        let key = AttemptKey { task, attempt: command["try"].as_u64().expect("`try` is a number") };
+        match command["verb"].as_str().expect("`verb` is a string") {
+            "launch" => {
+                self.ended.entry(key).or_insert(EndCause::Done);
+            }
+            "stop" => {
+                self.ended.insert(key, EndCause::Stopped);
+            }
+            "forget" => {
+                self.ended.remove(&key);
+            }
+            other => panic!("expected a command of the protocol, not `{other}`"),
+        }
+    }
 }
 
 impl Worker {
+    /// A worker on the machine of this name.
     pub fn new(name: &str) -> Self {
-        // Nobody listens there: only the answers to its reports reach it.
-        let addr = "127.0.0.1:9".to_string();
-        Worker { name: name.into(), addr, inner: Default::default() }
+        Worker { name: name.into(), addr: UNREACHABLE_ADDR.into(), inner: Default::default() }
     }
 
+    /// The body of its next heartbeat.
     pub fn body(&self) -> Value {
-        let mut w = self.inner.borrow_mut();
-        w.seq += 1;
-        let tasks: Vec<Value> = w
-            .tasks
-            .iter()
-            .map(|((task, attempt), cause)| {
-                json!({"piece": task, "try": attempt, "status": "ended", "cause": cause})
-            })
-            .collect();
+        let mut state = self.inner.borrow_mut();
+        state.sequence += 1;
+        let row = |(key, cause): (&AttemptKey, &EndCause)| {
+            let cause = cause.on_the_wire();
+            json!({"piece": key.task, "try": key.attempt, "status": "ended", "cause": cause})
+        };
+        let tasks: Vec<Value> = state.ended.iter().map(row).collect();
         json!({"host": self.name, "addr": self.addr, "build": "t1", "yard": "a", "loaners": true,
-            "shift": 1, "tally": w.seq, "baton": w.token, "recall_s": null, "pieces": tasks})
+            "shift": 1, "tally": state.sequence, "baton": state.fencing_token, "recall_s": null,
+            "pieces": tasks})
     }
 
-    /// One report, and what the answer says is done; the commands.
+    /// Sends one heartbeat to a node and executes the commands of the response, which it returns.
     pub async fn report(&self, node: &str) -> Got {
         let got = post(&format!("{node}/v1/report"), &self.body()).await;
         if got.0 == 200 {
-            let mut w = self.inner.borrow_mut();
-            w.token = got.2["baton"].as_u64().unwrap();
-            for o in got.2["orders"].as_array().unwrap() {
-                let key = (o["piece"].as_str().unwrap().to_string(), o["try"].as_u64().unwrap());
-                match o["verb"].as_str().unwrap() {
-                    "launch" => {
-                        w.tasks.entry(key).or_insert("done");
-                    }
-                    "stop" => {
-                        w.tasks.insert(key, "halted");
-                    }
-                    "forget" => {
-                        w.tasks.remove(&key);
-                    }
-                    other => panic!("{other}"),
-                }
+            let mut state = self.inner.borrow_mut();
+            state.fencing_token = got.2["baton"].as_u64().expect("`baton` is a number");
+            for command in got.2["orders"].as_array().expect("`orders` is a list") {
+                state.execute(command);
             }
         }
         got
--- a/crates/latchtrack-emulator/tests/history.rs
+++ b/crates/latchtrack-emulator/tests/history.rs
@@ -1,37 +1,36 @@
 //! The checker of recorded histories finds what it is meant to find.
 
-use latchtrack_emulator::history::{Entry, Happened, History};
+use latchtrack_emulator::history::{History, HistoryEntry, StartCounts, TaskEvent};
 
-fn history(entries: &[(&str, &str, u64, Happened)]) -> History {
-    let entry =
-        |(i, (machine, task, attempt, happened)): (usize, &(&str, &str, u64, Happened))| Entry {
-            at_ms: i as u64,
-            machine: machine.to_string(),
-            task: task.to_string(),
-            attempt: *attempt,
-            happened: *happened,
-        };
-    History { entries: entries.iter().enumerate().map(entry).collect(), loads: Vec::new() }
+/// An entry of a task; its time is set by its place in the history.
+fn entry(machine: &str, attempt: u64, event: TaskEvent) -> HistoryEntry {
+    let task = "req-000001/0".to_string();
+    HistoryEntry { at_ms: 0, machine: machine.to_string(), task, attempt, event }
+}
+
+fn history(entries: &[HistoryEntry]) -> History {
+    let at = |(i, entry): (usize, &HistoryEntry)| HistoryEntry { at_ms: i as u64, ..entry.clone() };
+    History { entries: entries.iter().enumerate().map(at).collect(), loads: Vec::new() }
 }
 
 #[test]
 fn a_task_on_two_machines_at_once_is_found() {
-    use Happened::*;
     let moved = [
-        ("n-1", "req-000001/0", 1, Started),
-        ("n-1", "req-000001/0", 1, Gone),
-        ("n-2", "req-000001/0", 2, Started),
-        ("n-2", "req-000001/0", 2, Done),
+        entry("n-1", 1, TaskEvent::Started),
+        entry("n-1", 1, TaskEvent::Ended),
+        entry("n-2", 2, TaskEvent::Started),
+        entry("n-2", 2, TaskEvent::Completed),
     ];
-    assert_eq!(history(&moved).ran_twice(), Vec::<String>::new());
+    let [started, ended, started_again, completed] = moved.clone();
+    assert_eq!(history(&moved).duplicate_runs(), Vec::<String>::new());
     assert_eq!(history(&moved).completed().len(), 1);
-    assert_eq!(history(&moved).starts(), (2, 1));
+    assert_eq!(history(&moved).start_counts(), StartCounts { starts: 2, tasks: 1 });
     // The same with the end on the source missing, or late.
-    let planted = [moved[0], moved[2], moved[1], moved[3]];
-    assert_eq!(history(&planted).ran_twice().len(), 1);
+    let planted = [started.clone(), started_again, ended.clone(), completed];
+    assert_eq!(history(&planted).duplicate_runs().len(), 1);
     // The same attempt twice on one machine.
-    let repeated = [moved[0], moved[1], moved[0]];
-    assert_eq!(history(&repeated).ran_twice().len(), 1);
-    let lost = [moved[0], moved[1]];
+    let repeated = [started.clone(), ended.clone(), started.clone()];
+    assert_eq!(history(&repeated).duplicate_runs().len(), 1);
+    let lost = [started, ended];
     assert!(history(&lost).completed().is_empty());
 }
--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -83,7 +83,7 @@
     assert!(!keys.view(9).cells["east"].is_led);
 }
 
-fn cell_site(state: latchtrack_emulator::Shared<latchtrack_emulator::State>) -> Site {
+fn cell_site(state: latchtrack_emulator::Shared<latchtrack_emulator::StateService>) -> Site {
     let mut site = site_at(state);
     let quota = QuotaTuning { cell: "east".into(), cells: vec!["east".into(), "west".into()] };
     site.tuning = Tuning { quota: Some(quota), ..Tuning::default() };
--- a/crates/latchtrack/tests/integration/answers.rs
+++ b/crates/latchtrack/tests/integration/answers.rs
@@ -138,8 +138,8 @@
 async fn workers(site: Rc<Site>, nodes: [String; 3]) {
     let mut all: BTreeMap<String, (Rc<Worker>, usize)> = BTreeMap::new();
     loop {
-        let rented = site.cloud.lock().unwrap().rented.clone();
-        let deleted = site.cloud.lock().unwrap().deleted.clone();
+        let rented = site.cloud.lock().unwrap().provisioned.clone();
+        let deleted = site.cloud.lock().unwrap().terminated.clone();
         for name in rented {
             all.entry(name.clone()).or_insert_with(|| (Rc::new(Worker::new(&name)), 0));
         }
@@ -175,7 +175,7 @@
     for _ in 0..2 {
         ms(900).await;
         // The leader is refused alone, and then everybody for a while.
-        let refused = led(&site).map(|(name, ..)| door(&name)).unwrap_or(0);
+        let refused = led(&site).map(|leader| door(&leader.node)).unwrap_or(0);
         site.refused[refused].store(true, Relaxed);
         ms(400).await;
         site.state.lock().unwrap().down = true;
@@ -185,9 +185,9 @@
         site.refused[refused].store(false, Relaxed);
         ms(800).await;
         // Another node leads now.
-        let lease = led(&site).and_then(|(.., lease)| lease);
+        let lease = led(&site).and_then(|leader| leader.lease);
         if let Some(lease) = lease {
-            site.state.lock().unwrap().end(lease);
+            site.state.lock().unwrap().end_lease(lease);
         }
         ms(500).await;
     }
@@ -200,20 +200,20 @@
     for node in &nodes {
         until("ready", &format!("{node}/ready"), |g| g.0 == 200).await;
     }
-    site.state.lock().unwrap().trouble = Some(Trouble {
+    site.state.lock().unwrap().faults = Some(TransactionFaults {
         rng: StdRng::seed_from_u64(1),
         slow_ms: 30,
         lost: 0.2,
         late: 0.2,
         late_ms: 900,
-        met: [0, 0],
+        counts: FaultCounts::default(),
     });
     let on = Rc::new(Cell::new(true));
     let work = spawn(workers(site.clone(), nodes.clone()));
     let users: Vec<_> = (1..=JOBS).map(|n| spawn(user(n, nodes.clone(), on.clone()))).collect();
     troubles(site.clone()).await;
     // Once the troubles are over, every job comes to its end and is known everywhere.
-    let met = site.state.lock().unwrap().trouble.take().unwrap().met;
+    let met = site.state.lock().unwrap().faults.take().unwrap().counts;
     on.set(false);
     let mut ends = BTreeMap::new();
     for u in users {
@@ -225,5 +225,5 @@
     assert!(ends.keys().all(|e| e == "Done" || e == "Cancelled"), "{ends:?}");
     // A third is never cancelled; of those that are some may be done before.
     assert!(ends["Done"] >= JOBS / 3 && ends["Cancelled"] >= JOBS / 6, "{ends:?}");
-    assert!(met.iter().all(|n| *n >= 5), "lost answers, late transactions: {met:?}");
+    assert!(met.lost_responses >= 5 && met.late_transactions >= 5, "{met:?}");
 }
--- a/crates/latchtrack/tests/integration/gangs.rs
+++ b/crates/latchtrack/tests/integration/gangs.rs
@@ -51,7 +51,7 @@
 /// The workers of the machines that are rented, once there are so many.
 async fn rented(site: &Site, least: usize) -> Vec<Worker> {
     loop {
-        let names = site.cloud.lock().unwrap().rented.clone();
+        let names = site.cloud.lock().unwrap().provisioned.clone();
         if names.len() >= least {
             return names.iter().map(|name| Worker::new(name)).collect();
         }
--- a/crates/latchtrack/tests/integration/main.rs
+++ b/crates/latchtrack/tests/integration/main.rs
@@ -115,7 +115,7 @@
     let jobs = format!("{two}/api/jobs");
     assert_eq!(post(&jobs, &job("req-000001")).await.0, 201);
     let rented = loop {
-        let first = site.cloud.lock().unwrap().rented.first().cloned();
+        let first = site.cloud.lock().unwrap().provisioned.first().cloned();
         if let Some(name) = first {
             break name;
         }
@@ -222,7 +222,7 @@
 async fn leader(site: &Site) -> (String, u64, Option<u64>) {
     loop {
         if let Some(leader) = site.state.lock().unwrap().leader() {
-            return leader;
+            return (leader.node, leader.revision, leader.lease);
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(20)).await;
     }
@@ -263,7 +263,7 @@
         actix_web::rt::time::sleep(std::time::Duration::from_millis(30)).await;
     }
     assert!(matches!(answers.last(), Some(503 | 421)), "{answers:?}");
-    site.state.lock().unwrap().end(lease.unwrap());
+    site.state.lock().unwrap().end_lease(lease.unwrap());
     for _ in 0..200 {
         let (status, _, body) = worker.report(new).await;
         if status == 200 {
@@ -287,7 +287,7 @@
         json!({"node": "one", "run": 1, "lease": 900}),
         Some(900),
     );
-    let (_, stale, _) = site.state.lock().unwrap().leader().unwrap();
+    let stale = site.state.lock().unwrap().leader().unwrap().revision;
     let node = site.node("one").await;
     ready(&node).await;
     let worker = Worker::new("n-000777");
@@ -460,14 +460,14 @@
     cloud.do_send(back(7, "n-000004"));
     cloud.do_send(back(9, "n-000005"));
     for _ in 0..600 {
-        let deleted = site.cloud.lock().unwrap().deleted.clone();
+        let deleted = site.cloud.lock().unwrap().terminated.clone();
         if deleted.iter().any(|n| n == "n-000005") && deleted.iter().any(|n| n == "n-000001") {
             assert_eq!(deleted.len(), 2, "{deleted:?}");
             return;
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(50)).await;
     }
-    panic!("not run: {:?}", site.cloud.lock().unwrap().deleted);
+    panic!("not run: {:?}", site.cloud.lock().unwrap().terminated);
 }
 
 /// From outside nothing answered, and nobody could tell what was running: the status tells it by way of
