--- a/crates/latchtrack-core/tests/simulation/balance.rs
+++ b/crates/latchtrack-core/tests/simulation/balance.rs
@@ -2,7 +2,10 @@
 //! without it lead in turn, and each takes over moves that the other knows nothing of.
 
 use super::ends_well;
-use super::world::{Broken, Planned, Size, World, BUSY, FLEET, MOVING};
+use super::world::faults::Planned;
+use super::world::guards::Broken;
+use super::world::size::{Size, BUSY, FLEET, MOVING};
+use super::world::World;
 use Planned::*;
 
 const BUSY_MOVING: Size = Size { capacity: 6, task_cpus: 2, saving: 0.9, balance: true, ..BUSY };
--- a/crates/latchtrack-core/tests/simulation/decision_trace.rs
+++ b/crates/latchtrack-core/tests/simulation/decision_trace.rs
@@ -8,9 +8,12 @@
 
 use std::ops::Range;
 
+use world::faults::Planned;
 use world::federation::{Federation, Ignored};
+use world::guards::Broken;
+use world::size::{Size, BUSY, CELL, FLEET, MOVING, SMALL};
 use world::trace::DecisionTrace;
-use world::{Broken, Planned, Size, World, BUSY, CELL, FLEET, MOVING, SMALL};
+use world::World;
 use Planned::*;
 
 /// Cells that share a limit.
--- a/crates/latchtrack-core/tests/simulation/fault_interactions.rs
+++ b/crates/latchtrack-core/tests/simulation/fault_interactions.rs
@@ -2,7 +2,10 @@
 //! docs/fault-interactions.md names them; what users are answered is tested over real sockets.
 
 use super::meets;
-use super::world::{Broken, Planned, Size, World, BUSY, FLEET};
+use super::world::faults::Planned;
+use super::world::guards::Broken;
+use super::world::size::{Size, BUSY, FLEET};
+use super::world::World;
 use Planned::*;
 
 /// More of everything that runs long, so that troubles find tasks at work.
--- a/crates/latchtrack-core/tests/simulation/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/gangs.rs
@@ -1,7 +1,8 @@
 //! Gangs in each trouble that may meet them at each stage: starting, waiting, running, stopping.
 
 use super::meets;
-use super::world::{Planned, Size, BUSY};
+use super::world::faults::Planned;
+use super::world::size::{Size, BUSY};
 use Planned::*;
 
 /// Most jobs are gangs, half of them of a team that a few of them bring to its limit.
--- a/crates/latchtrack-core/tests/simulation/main.rs
+++ b/crates/latchtrack-core/tests/simulation/main.rs
@@ -10,8 +10,11 @@
 mod quota;
 mod world;
 
+use world::faults::Planned;
+use world::guards::Broken;
+use world::size::{Size, BUSY, FLEET, HUGE, HUGEST, LARGE, SMALL};
 use world::trace::DecisionTrace;
-use world::{Broken, Planned, Size, World, BUSY, FLEET, HUGE, HUGEST, LARGE, SMALL};
+use world::World;
 
 const SEEDS: std::ops::Range<u64> = 0..60;
 
--- a/crates/latchtrack-core/tests/simulation/quota.rs
+++ b/crates/latchtrack-core/tests/simulation/quota.rs
@@ -3,8 +3,9 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
+use super::world::faults::Planned;
 use super::world::federation::{Federation, Ignored};
-use super::world::{Planned, Size, CELL, LARGE};
+use super::world::size::{Size, CELL, LARGE};
 
 /// The same with a limit that is less than one large gang in each cell, and more work than it allows.
 const TIGHT: Size = Size { limit: 14.0, submits: 0.006, end: 420_000, ..CELL };
--- a/crates/latchtrack-core/tests/simulation/world/cloud.rs
+++ b/crates/latchtrack-core/tests/simulation/world/cloud.rs
@@ -61,4 +61,26 @@
         self.provisions.insert(request_id.into(), names.clone());
         ProvisionOutcome::Provisioned(names)
     }
+
+    pub(super) fn list(&mut self) -> Option<Vec<ListedMachine>> {
+        if self.now < self.cloud_down_until {
+            return None;
+        }
+        let mut out = Vec::new();
+        for (name, w) in &self.workers {
+            // New ones are absent for a while.
+            if w.rented_at + 3_000 < self.now {
+                out.push(ListedMachine {
+                    name: name.clone(),
+                    kind: w.kind.into(),
+                    zone: w.zone.into(),
+                    spot: w.spot,
+                    failed: !w.alive,
+                    running: w.alive && w.up_at < self.now,
+                    age_ms: self.now - w.rented_at,
+                });
+            }
+        }
+        Some(out)
+    }
 }
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -1,9 +1,18 @@
 //! The world of the simulation: state service, cloud, workers, users, nodes and a referee.
 
+mod chance_faults;
 mod cloud;
+mod effects;
+pub mod faults;
 pub mod federation;
 mod gangs;
+pub mod guards;
+mod leadership;
+mod messages;
 mod nodes;
+mod referee;
+pub mod size;
+mod state;
 mod store;
 pub mod trace;
 mod users;
@@ -12,6 +21,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+use faults::Planned;
+use guards::Broken;
 use latchtrack_balance::balancer::{Limits, MoveCounts};
 use latchtrack_core::bitmap::Bitmap;
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority, TaskId};
@@ -20,8 +31,11 @@
 use latchtrack_core::rules;
 use latchtrack_core::scheduler::*;
 use latchtrack_quota::{LedgerWrite, WriteOutcome};
+use messages::Msg;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use size::{Size, SMALL};
+use state::{Node, State, Stored, WTask, Worker};
 use trace::DecisionTrace;
 
 const LEASE: u64 = 15_000;
@@ -30,380 +44,6 @@
 const CANCEL: u64 = 25_000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// How large a world is and how long it runs.
-#[derive(Clone, Copy, Debug)]
-pub struct Size {
-    /// ms of a step.
-    pub step: u64,
-    /// ms in which troubles start, and after which everything must get done.
-    pub troubled: u64,
-    pub end: u64,
-    pub nodes: usize,
-    /// Machines of each type, zone and kind.
-    pub capacity: usize,
-    /// ms between two reports.
-    pub report: u64,
-    /// Chance of a submission in a step, most tasks of a job, jobs at the start.
-    pub submits: f64,
-    pub tasks: u32,
-    /// Chance that a job is a gang.
-    pub gangs: f64,
-    pub first: usize,
-    /// Chance in a step that a user cancels a job.
-    pub cancels: f64,
-    /// Chance of a trouble in a step.
-    pub troubles: f64,
-    /// Chance that a report is copied on its way.
-    pub copies: f64,
-    /// CPUs that the limited team may use.
-    pub limit: f64,
-    /// ms between two writes of a leader, as its share of the puts would have it.
-    pub write_gap: u64,
-    /// ms an empty spot machine is kept; an ordinary one two fifths of that.
-    pub idle_wait: u64,
-    /// Most CPUs of a task.
-    pub task_cpus: u32,
-    /// Chance that the tasks of a job save.
-    pub saving: f64,
-    /// Leaders balance the load: two of three, the others are of a version that does not.
-    pub balance: bool,
-}
-
-/// A few machines and many troubles.
-pub const SMALL: Size = Size {
-    step: 50,
-    troubled: 150_000,
-    end: 480_000,
-    nodes: 5,
-    capacity: 4,
-    report: 1_500,
-    submits: 0.007,
-    cancels: 0.002,
-    tasks: 6,
-    gangs: 0.25,
-    first: 0,
-    troubles: 0.02,
-    copies: 0.02,
-    limit: 14.0,
-    write_gap: 0,
-    idle_wait: 5_000,
-    task_cpus: 6,
-    saving: 0.3,
-    balance: false,
-};
-
-/// Jobs enough to keep the machines of a small world busy while the troubles last.
-pub const BUSY: Size =
-    Size { first: 10, submits: 0.02, troubles: 0.0, limit: 30.0, end: 900_000, ..SMALL };
-
-/// Machines enough that nobody waits for long, and tasks that save: there is something to move.
-pub const MOVING: Size = Size {
-    capacity: 6,
-    submits: 0.02,
-    task_cpus: 2,
-    saving: 0.9,
-    gangs: 0.15,
-    limit: 40.0,
-    balance: true,
-    ..SMALL
-};
-
-/// A cell with two controllers; three of them share 40 CPUs of the limited team.
-pub const CELL: Size = Size { nodes: 2, submits: 0.005, limit: 40.0, end: 600_000, ..SMALL };
-
-/// Over a thousand machines and the puts of one leader among five.
-pub const FLEET: Size = Size {
-    step: 200,
-    troubled: 100_000,
-    end: 360_000,
-    nodes: 5,
-    capacity: 150,
-    report: 4_000,
-    submits: 0.3,
-    cancels: 0.002,
-    tasks: 60,
-    gangs: 0.1,
-    first: 150,
-    troubles: 0.06,
-    copies: 0.02,
-    limit: 2_000.0,
-    write_gap: 800,
-    idle_wait: 5_000,
-    task_cpus: 6,
-    saving: 0.3,
-    balance: false,
-};
-
-/// Over two thousand machines: half as many again as the largest fleet in use.
-pub const LARGE: Size = Size { capacity: 190, first: 650, submits: 0.5, limit: 5_000.0, ..FLEET };
-
-/// Over four thousand machines, as many as are run now.
-pub const HUGE: Size = Size {
-    step: 250,
-    capacity: 390,
-    report: 8_000,
-    first: 1_100,
-    submits: 0.1,
-    limit: 20_000.0,
-    troubles: 0.01,
-    // Machines that come and go every few seconds would wait for the writes of one leader.
-    idle_wait: 120_000,
-    ..FLEET
-};
-
-/// Nearly half as many again. With a tenth more jobs at the start the referee finds some that waited for 90 s
-/// while a machine had room; what they wait for is not traced yet.
-pub const HUGEST: Size = Size { capacity: 620, first: 2_000, ..HUGE };
-
-/// A trouble at a set time.
-#[derive(Clone, Copy, Debug)]
-pub enum Planned {
-    CrashAll,
-    /// One after the other, so many ms apart.
-    Roll(u64),
-    StoreDown(u64),
-    /// The leader stands still; the others see it as gone.
-    FreezeLeader(u64),
-    FreezeFollower(u64),
-    /// A zone is cut off from everything; with the leader in it or without.
-    CutLeaders(u64),
-    CutOther(u64),
-    /// A part of the machines hangs.
-    Hang(f64, u64),
-    /// A guest submits all that it has.
-    Guests,
-    /// So many nodes, the leader first, end and do not come back for so many ms.
-    NodesDown(usize, u64),
-    /// For so many ms boots take so many times as long, and so many of them never end.
-    BootTracker(f64, f64, u64),
-    /// So many jobs that fail on every machine.
-    Mistakes(usize),
-    /// A part of the machines fails every task.
-    Sick(f64),
-    /// The state service refuses all nodes.
-    RefuseAll(u64),
-    /// So many jobs of one small task of the limited team at once; a quarter of them is cancelled at once.
-    LimitedBurst(usize),
-    /// The state service refuses the leader alone, which keeps hearing its workers.
-    RefuseLeader(u64),
-    /// Of a part of the machines reports arrive, answers and commands don't.
-    Deaf(f64, u64),
-    /// A part of the machines reaches no node; direct commands reach them.
-    Mute(f64, u64),
-    /// A part of the machines is cut off; what they send is held back or lost.
-    Cut(f64, u64),
-    /// Users cancel so many jobs that run; up to eight of their machines hang for so many ms.
-    CancelNow(usize, u64),
-    /// For so many ms a part of the jobs that end is cancelled at the end of their last task.
-    CancelAtEnd(f64, u64),
-    /// For so many ms a part of the leader's writes gets no answer and is carried out 2 to 12 s late.
-    LateWrites(f64, u64),
-    /// The same, but they are carried out at once: only the answer is lost.
-    LostAnswers(f64, u64),
-    /// For so many ms of a part of the reports a copy is kept, and reaches every node as soon as a
-    /// new leader begins.
-    CopiesForNext(f64, u64),
-    /// For so many ms four jobs of one task come a second; a quarter of them is cancelled.
-    Swarm(u64),
-    /// Leaders from now on keep to so many bytes of a value and so many changes of a transaction.
-    KeepTo(usize, usize),
-    /// The state service takes no more than that from now on.
-    Lower(usize, usize),
-    /// A part of the machines of a zone dies, where jobs of one zone are at work.
-    LoseZone(f64),
-}
-
-/// Which guard is broken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    Nothing,
-    /// A new leader believes that nothing was launched before it.
-    NoSettling,
-    /// A machine counts as gone though its delete was not answered.
-    SilenceIsDeath,
-    /// A leader acts though its lease has run out and its cache is old.
-    NoLease,
-    /// Machines are taken for stored that are not.
-    NotStored,
-    /// Ended runs are forgotten though a direct command is open, and then unknown to the machine.
-    EarlyForget,
-    /// The leader's writes are made without conditions.
-    NoFence,
-    DeafToCancel,
-    /// Late copies of reports are taken for news of now.
-    BelieveCopies,
-    /// Packed values are written whatever stamp they have, so that late writes undo newer ones.
-    NoPackStamp,
-    /// Jobs count as accepted while nobody led.
-    AlwaysVacant,
-    /// Tasks of silent machines are freed before their lease has run out.
-    ShortLease,
-    /// What cancelled tasks use does not count against their team's limit.
-    CancelledUseNothing,
-    /// A job that ended is called done, be it cancelled meanwhile.
-    DoneAnyway,
-    /// Reports lack the waiting tasks of gangs, which so count as gone while they are there.
-    WaitingUnseen,
-    /// Reports lack the tasks that save, which so count as gone while they are there.
-    SavingUnseen,
-    /// Gangs are taken for independent tasks.
-    TaskByTask,
-    /// A new leader misses some of the open jobs.
-    Forgetful,
-    NoLimit,
-    AnyPlace,
-    EarlyDone,
-}
-
-#[derive(Clone)]
-enum State {
-    Open { stored_at: u64 },
-    Done,
-    Cancelled,
-}
-
-struct Stored {
-    spec: Arc<JobSpec>,
-    state: State,
-    revision: u64,
-    told_cancelled: Option<u64>,
-    told_done: bool,
-    /// Fails on every machine.
-    mistaken: bool,
-    submitted_at: u64,
-    begun: Option<u64>,
-    /// Since when a task of it has waited though a machine that fits had room.
-    unschedulable_since: Option<u64>,
-}
-
-struct WTask {
-    phase: TaskPhase,
-    until: u64,
-}
-
-struct Worker {
-    kind: &'static str,
-    zone: &'static str,
-    spot: bool,
-    rented_at: u64,
-    up_at: u64,
-    alive: bool,
-    agent_epoch: u64,
-    sequence: u64,
-    token: u64,
-    lease_from: u64,
-    tasks: BTreeMap<(TaskId, u64), WTask>,
-    node: usize,
-    /// Sent at, and the id of the report in flight.
-    flying: Option<(u64, u64)>,
-    next_report: u64,
-    cut_until: u64,
-    /// Its reports arrive, answers and commands don't.
-    deaf_until: u64,
-    /// It reaches no node; commands reach it.
-    mute_until: u64,
-    hang_until: u64,
-    sick: bool,
-    done_here: BTreeSet<TaskId>,
-}
-
-struct Node {
-    up: bool,
-    back_at: u64,
-    paused_until: u64,
-    cut_until: u64,
-    /// Refused by the state service alone.
-    refused_until: u64,
-    drift: f64,
-    cluster: Option<Scheduler>,
-    token: u64,
-    valid_until: u64,
-    fresh_at: u64,
-    seen_stamp: u64,
-    last_renew: u64,
-    /// Steady clock at the start of this run.
-    saving: bool,
-    next_save: u64,
-    run: u64,
-}
-
-enum Msg {
-    Heartbeat {
-        node: usize,
-        worker: String,
-        report: Heartbeat,
-        id: u64,
-        sent: u64,
-    },
-    Answer {
-        worker: String,
-        id: u64,
-        token: u64,
-        agent_epoch: u64,
-        commands: Vec<Command>,
-        sent: u64,
-    },
-    Elsewhere {
-        worker: String,
-        id: u64,
-    },
-    Do {
-        node: usize,
-        run: u64,
-        worker: String,
-        token: u64,
-        agent_epoch: u64,
-        call: u64,
-        commands: Vec<Command>,
-        late: bool,
-    },
-    Did {
-        node: usize,
-        run: u64,
-        token: u64,
-        worker: String,
-        call: u64,
-        outcome: CallOutcome,
-    },
-    Provision {
-        node: usize,
-        run: u64,
-        token: u64,
-        request_id: String,
-        offer: Offer,
-        number: u32,
-        tell: bool,
-    },
-    Return {
-        node: usize,
-        run: u64,
-        token: u64,
-        names: Vec<String>,
-        tell: bool,
-    },
-    Write {
-        node: usize,
-        run: u64,
-        token: u64,
-        writes: Vec<RecordWrite>,
-        tell: bool,
-    },
-    /// Something for a node's core, if it still is in that term.
-    Tell {
-        node: usize,
-        run: u64,
-        token: u64,
-        event: Event,
-    },
-    Saved {
-        node: usize,
-        run: u64,
-        token: u64,
-        writes: Vec<RecordWrite>,
-        outcome: BatchOutcome,
-    },
-}
-
 pub struct World {
     rng: StdRng,
     broken: Broken,
@@ -653,53 +293,6 @@
         *self.met.entry(what).or_default() += 1;
     }
 
-    pub fn jobs_done(&self) -> usize {
-        self.jobs.values().filter(|j| matches!(j.state, State::Done)).count()
-    }
-
-    pub fn tasks_done(&self) -> usize {
-        self.completed.len()
-    }
-
-    pub fn unfinished(&self) -> Vec<String> {
-        let open =
-            self.jobs.iter().filter(|(_, j)| matches!(j.state, State::Open { .. }) && !j.mistaken);
-        open.map(|(id, _)| id.to_string()).collect()
-    }
-
-    /// Classes, teams and largest jobs of a class of which less than half was served, and largest
-    /// jobs that had not begun within four minutes: what fails a day in the users' eyes.
-    pub fn poorly_served(&self) -> Vec<String> {
-        type Group<'a> = BTreeMap<String, Vec<&'a Stored>>;
-        let mut groups = Group::new();
-        let mut bad = Vec::new();
-        let counted = |j: &&Stored| !j.mistaken && !matches!(j.state, State::Cancelled);
-        for j in self.jobs.values().filter(counted) {
-            groups.entry(format!("team {}", j.spec.team)).or_default().push(j);
-            groups.entry(format!("class {}", j.spec.class)).or_default().push(j);
-        }
-        for class in ["c", "d", "idle", "huge"] {
-            let Some(all) = groups.get(&format!("class {class}")) else { continue };
-            let mut all = all.clone();
-            all.sort_by_key(|j| std::cmp::Reverse(j.spec.tasks));
-            all.truncate(all.len().div_ceil(10));
-            for j in &all {
-                let begun = j.begun.unwrap_or(u64::MAX);
-                if begun > j.submitted_at + 240_000 && self.now > j.submitted_at + 240_000 {
-                    bad.push(format!("{} has not begun in time", j.spec.id));
-                }
-            }
-            groups.insert(format!("largest of {class}"), all);
-        }
-        for (name, jobs) in groups {
-            let done = jobs.iter().filter(|j| matches!(j.state, State::Done)).count();
-            if done * 2 < jobs.len() {
-                bad.push(format!("{name}: {done} of {}", jobs.len()));
-            }
-        }
-        bad
-    }
-
     fn chance(&mut self, p: f64) -> bool {
         self.rng.random_bool(p)
     }
@@ -717,8 +310,4 @@
             self.rng.random_range(1..60)
         }
     }
-
-    fn violate(&mut self, rule: &str, what: String) {
-        self.violations.push(format!("{rule}: {what} at {}", self.now));
-    }
 }
--- a/crates/latchtrack-core/tests/simulation/world/workers.rs
+++ b/crates/latchtrack-core/tests/simulation/world/workers.rs
@@ -168,46 +168,6 @@
         }
     }
 
-    /// The referee sees a task start.
-    pub(super) fn check_start(&mut self, name: &str, task: TaskId) {
-        let now = self.now;
-        let Some(j) = self.jobs.get_mut(&task.job) else { return };
-        if !j.spec.gang {
-            j.begun.get_or_insert(now);
-        }
-        let spec = j.spec.clone();
-        let on = |t: &WTask| {
-            matches!(t.phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
-        };
-        let mut zones = Vec::new();
-        let mut used = self.used_elsewhere;
-        let mut bad = Vec::new();
-        for (other, w) in &self.workers {
-            for ((t, _), state) in w.tasks.iter().filter(|(_, t)| on(t)) {
-                if *t == task && other != name {
-                    bad.push(("ran_twice", format!("{task} on {other} and {name}")));
-                } else if t.job == task.job && *t != task {
-                    zones.push(w.zone);
-                }
-                let team = self.jobs.get(&t.job).map(|j| (j.spec.team.clone(), &j.spec.demand));
-                if team.as_ref().is_some_and(|(n, _)| *n == spec.team) {
-                    used += team.map_or(0.0, |(_, d)| d.cpus);
-                }
-                let _ = state;
-            }
-        }
-        let w = &self.workers[name];
-        if !rules::may_start(&spec, w.kind, w.zone, w.spot, zones.into_iter()) {
-            bad.push(("wrong_place", format!("{task} on {name}")));
-        }
-        if spec.team == "limited" && !rules::within_limit(used, spec.demand.cpus, self.size.limit) {
-            bad.push(("quota", format!("{task}: {used} in use")));
-        }
-        for (rule, what) in bad {
-            self.violate(rule, what);
-        }
-    }
-
     pub(super) fn execute(&mut self, name: &str, commands: &[Command]) {
         let now = self.now;
         for c in commands {
