--- a/crates/latchtrack-core/tests/simulation/balance.rs
+++ b/crates/latchtrack-core/tests/simulation/balance.rs
@@ -1,14 +1,20 @@
 //! Moves of running tasks in all troubles. Two leaders of three balance the load, so that versions with and
 //! without it lead in turn, and each takes over moves that the other knows nothing of.
 
-use super::ends_well;
-use super::world::faults::Planned;
-use super::world::guards::Broken;
+use super::check_runs;
+use super::world::faults::PlannedFault;
+use super::world::guards::DisabledGuard;
 use super::world::size::{Size, BUSY, FLEET, MOVING};
 use super::world::World;
-use Planned::*;
+use PlannedFault::*;
 
-const BUSY_MOVING: Size = Size { capacity: 6, task_cpus: 2, saving: 0.9, balance: true, ..BUSY };
+const BUSY_MOVING: Size = Size {
+    machines_per_offer: 6,
+    max_task_cpus: 2,
+    checkpoint_probability: 0.9,
+    balance: true,
+    ..BUSY
+};
 
 /// Moves that end on their target, and that are abandoned, in a set of runs.
 #[derive(Default)]
@@ -33,9 +39,9 @@
 #[test]
 fn the_rules_hold_and_the_work_gets_done_while_tasks_move() {
     let mut moves = Moves::default();
-    // Machines that a team's limit leaves idle are not rented any more, and each run has fewer to move to.
+    // Machines that a team's limit leaves idle are not provisioned any more, and each run has fewer to move to.
     for seed in 1_000..1_080 {
-        moves.run("chance troubles", World::sized(seed, Broken::Nothing, MOVING), seed);
+        moves.run("chance troubles", World::sized(seed, DisabledGuard::None, MOVING), seed);
     }
     assert!(moves.settled > 100, "{} settled", moves.settled);
     assert!(moves.abandoned > 30, "{} abandoned", moves.abandoned);
@@ -43,21 +49,40 @@
 
 #[test]
 fn moves_meet_each_planned_trouble() {
-    let plans: [(&str, &[(u64, Planned)]); 6] = [
-        ("machines hang", &[(15_000, Hang(0.3, 10_000)), (40_000, Hang(0.3, 25_000))]),
-        ("machines are deaf", &[(15_000, Deaf(0.3, 12_000)), (45_000, Deaf(0.4, 20_000))]),
-        ("machines are mute", &[(15_000, Mute(0.3, 12_000)), (45_000, Mute(0.4, 30_000))]),
-        ("machines are cut off", &[(15_000, Cut(0.3, 12_000)), (45_000, Cut(0.5, 30_000))]),
-        ("leaders change", &[(15_000, Roll(4_000)), (40_000, CrashAll), (60_000, Roll(6_000))]),
+    let plans: [(&str, &[(u64, PlannedFault)]); 6] = [
+        (
+            "machines hang",
+            &[(15_000, HangMachines(0.3, 10_000)), (40_000, HangMachines(0.3, 25_000))],
+        ),
+        (
+            "machines are deaf",
+            &[(15_000, LoseInbound(0.3, 12_000)), (45_000, LoseInbound(0.4, 20_000))],
+        ),
+        (
+            "machines are mute",
+            &[(15_000, LoseOutbound(0.3, 12_000)), (45_000, LoseOutbound(0.4, 30_000))],
+        ),
+        (
+            "machines are cut off",
+            &[(15_000, PartitionMachines(0.3, 12_000)), (45_000, PartitionMachines(0.5, 30_000))],
+        ),
+        (
+            "leaders change",
+            &[
+                (15_000, RollingRestart(4_000)),
+                (40_000, CrashAllNodes),
+                (60_000, RollingRestart(6_000)),
+            ],
+        ),
         (
             "jobs are cancelled",
-            &[(15_000, CancelNow(4, 5_000)), (30_000, CancelAtEnd(0.3, 30_000))],
+            &[(15_000, CancelRunning(4, 5_000)), (30_000, CancelAtCompletion(0.3, 30_000))],
         ),
     ];
     for (what, plan) in plans {
         let mut moves = Moves::default();
         for seed in 0..16 {
-            let world = World::sized(seed, Broken::Nothing, MOVING).planned(plan);
+            let world = World::sized(seed, DisabledGuard::None, MOVING).planned(plan);
             moves.run(what, world, seed);
         }
         assert!(moves.settled > 10, "{what}: {} settled", moves.settled);
@@ -67,45 +92,55 @@
 #[test]
 fn moves_meet_a_cut_zone_a_new_leader_and_a_lost_state_service_at_once() {
     let plan = [
-        (20_000, CutOther(25_000)),
-        (24_000, CrashAll),
-        (40_000, StoreDown(10_000)),
-        (60_000, CutLeaders(20_000)),
-        (70_000, Hang(0.3, 20_000)),
+        (20_000, PartitionOtherZone(25_000)),
+        (24_000, CrashAllNodes),
+        (40_000, StateServiceOutage(10_000)),
+        (60_000, PartitionLeaderZone(20_000)),
+        (70_000, HangMachines(0.3, 20_000)),
         (72_000, LateWrites(0.4, 20_000)),
-        (80_000, CopiesForNext(0.5, 20_000)),
-        (95_000, CrashAll),
+        (80_000, ReplayToNextLeader(0.5, 20_000)),
+        (95_000, CrashAllNodes),
     ];
-    ends_well("several at once", BUSY_MOVING, 0..10, &plan);
+    check_runs("several at once", BUSY_MOVING, 0..10, &plan);
 }
 
 /// Runs seeds until the checker speaks up; panics if it never does.
-fn caught(broken: Broken, rule: &str) {
+fn caught(guard: DisabledGuard, rule: &str) {
     let caught = (0..300).any(|seed| {
-        let mut world = World::sized(seed, broken, MOVING);
+        let mut world = World::sized(seed, guard, MOVING);
         world.run();
         world.violations.iter().any(|v| v.starts_with(rule))
     });
-    assert!(caught, "{broken:?} was never caught as {rule}");
+    assert!(caught, "{guard:?} was never caught as {rule}");
 }
 
 /// Tasks that save are on their machine until they have ended.
 #[test]
 fn taking_a_task_that_saves_for_gone_is_caught() {
-    caught(Broken::SavingUnseen, "ran_twice");
+    caught(DisabledGuard::CheckpointingTaskStatus, "ran_twice");
 }
 
 #[test]
 fn ignoring_a_team_limit_while_tasks_move_is_caught() {
-    caught(Broken::NoLimit, "quota");
+    caught(DisabledGuard::TeamLimit, "quota");
 }
 
 /// Over a thousand machines: the rules hold, and it takes a bounded number of rounds and calls.
 #[test]
 fn a_fleet_with_moves_is_led_at_a_bounded_number_of_operations() {
-    let size = Size { task_cpus: 2, saving: 0.8, troubles: 0.005, balance: true, ..FLEET };
-    let plan = [(50_000, CutOther(20_000)), (60_000, CrashAll), (80_000, StoreDown(10_000))];
-    let mut world = World::sized(5, Broken::Nothing, size).planned(&plan);
+    let size = Size {
+        max_task_cpus: 2,
+        checkpoint_probability: 0.8,
+        fault_probability: 0.005,
+        balance: true,
+        ..FLEET
+    };
+    let plan = [
+        (50_000, PartitionOtherZone(20_000)),
+        (60_000, CrashAllNodes),
+        (80_000, StateServiceOutage(10_000)),
+    ];
+    let mut world = World::sized(5, DisabledGuard::None, size).planned(&plan);
     world.run();
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<String>::new());
--- a/crates/latchtrack-core/tests/simulation/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/gangs.rs
@@ -1,125 +1,154 @@
 //! Gangs in each trouble that may meet them at each stage: starting, waiting, running, stopping.
 
-use super::meets;
-use super::world::faults::Planned;
+use super::check_runs_with;
+use super::world::faults::PlannedFault;
 use super::world::size::{Size, BUSY};
-use Planned::*;
+use PlannedFault::*;
 
 /// Most jobs are gangs, half of them of a team that a few of them bring to its limit.
-const GANGS: Size = Size { gangs: 0.8, first: 15, submits: 0.02, limit: 48.0, ..BUSY };
+const GANGS: Size = Size {
+    gang_probability: 0.8,
+    initial_jobs: 15,
+    submit_probability: 0.02,
+    limited_team_cpus: 48.0,
+    ..BUSY
+};
 
 /// A trouble again and again, so that it meets attempts at every stage.
-fn again(first: u64, every: u64, times: u64, trouble: Planned) -> Vec<(u64, Planned)> {
+fn again(first: u64, every: u64, times: u64, trouble: PlannedFault) -> Vec<(u64, PlannedFault)> {
     (0..times).map(|n| (first + n * every, trouble)).collect()
 }
 
 #[test]
 fn leaders_change_at_every_stage_of_a_gang() {
-    let mut plan = again(10_000, 1_700, 30, NodesDown(1, 150));
-    plan.extend(again(70_000, 4_100, 12, FreezeLeader(5_000)));
-    plan.extend(again(125_000, 5_300, 4, CrashAll));
+    let mut plan = again(10_000, 1_700, 30, CrashNodes(1, 150));
+    plan.extend(again(70_000, 4_100, 12, PauseLeader(5_000)));
+    plan.extend(again(125_000, 5_300, 4, CrashAllNodes));
     let least = [("gang done", 150), ("gang started", 200)];
-    let terms = meets("leaders change", GANGS, 0..8, &plan, &least);
+    let terms = check_runs_with("leaders change", GANGS, 0..8, &plan, &least);
     assert!(terms > 8 * 20, "{terms} terms");
 }
 
 #[test]
 fn machines_of_gangs_die_hang_or_are_cut_off_at_every_stage() {
     for (what, trouble) in [
-        ("hang within the lease", Hang(0.2, 6_000)),
-        ("hang beyond it", Hang(0.15, 20_000)),
-        ("cut", Cut(0.2, 12_000)),
-        ("die", LoseZone(0.3)),
+        ("hang within the lease", HangMachines(0.2, 6_000)),
+        ("hang beyond it", HangMachines(0.15, 20_000)),
+        ("cut", PartitionMachines(0.2, 12_000)),
+        ("die", LoseZoneMachines(0.3)),
     ] {
         let plan = again(15_000, 9_000, 14, trouble);
         let least = [("gang done", 50), ("gang lost a task", 10)];
-        meets(what, GANGS, 0..4, &plan, &least);
+        check_runs_with(what, GANGS, 0..4, &plan, &least);
     }
 }
 
 #[test]
 fn machines_of_gangs_are_deaf_or_mute_or_fail_at_every_stage() {
-    for (what, trouble) in
-        [("deaf", Deaf(0.2, 10_000)), ("mute", Mute(0.25, 12_000)), ("sick", Sick(0.05))]
-    {
+    for (what, trouble) in [
+        ("deaf", LoseInbound(0.2, 10_000)),
+        ("mute", LoseOutbound(0.25, 12_000)),
+        ("sick", FailTasksOnMachines(0.05)),
+    ] {
         let plan = again(15_000, 11_000, 12, trouble);
-        meets(what, GANGS, 0..4, &plan, &[("gang done", 50)]);
+        check_runs_with(what, GANGS, 0..4, &plan, &[("gang done", 50)]);
     }
 }
 
 #[test]
 fn gangs_are_cancelled_at_every_stage_while_machines_hang_and_leaders_change() {
-    let mut plan = again(15_000, 6_000, 20, CancelNow(4, 9_000));
-    plan.extend(again(17_000, 13_000, 9, NodesDown(1, 200)));
-    plan.push((40_000, CancelAtEnd(0.8, 130_000)));
+    let mut plan = again(15_000, 6_000, 20, CancelRunning(4, 9_000));
+    plan.extend(again(17_000, 13_000, 9, CrashNodes(1, 200)));
+    plan.push((40_000, CancelAtCompletion(0.8, 130_000)));
     let least = [("gang done", 40), ("cancelled while running", 100), ("cancelled at its end", 10)];
-    meets("cancelled", GANGS, 0..8, &plan, &least);
+    check_runs_with("cancelled", GANGS, 0..8, &plan, &least);
 }
 
 /// A gang that fits one zone only waits for that zone, and loses nothing of what it may still run in.
 #[test]
 fn the_zone_of_a_gang_is_cut_off_beyond_a_lease() {
     let plan = [
-        (20_000, CutOther(25_000)),
-        (60_000, CutLeaders(30_000)),
-        (62_000, CancelNow(5, 0)),
-        (110_000, CutOther(20_000)),
-        (112_000, CrashAll),
+        (20_000, PartitionOtherZone(25_000)),
+        (60_000, PartitionLeaderZone(30_000)),
+        (62_000, CancelRunning(5, 0)),
+        (110_000, PartitionOtherZone(20_000)),
+        (112_000, CrashAllNodes),
     ];
-    meets("zone cut", GANGS, 0..10, &plan, &[("gang done", 100), ("gang lost a task", 5)]);
+    check_runs_with(
+        "zone cut",
+        GANGS,
+        0..10,
+        &plan,
+        &[("gang done", 100), ("gang lost a task", 5)],
+    );
 }
 
 #[test]
 fn commands_writes_and_reports_of_an_earlier_attempt_come_late() {
     let plan = [
         (5_000, LateWrites(0.3, 130_000)),
-        (10_000, CopiesForNext(0.5, 130_000)),
-        (30_000, NodesDown(1, 1_000)),
-        (50_000, CrashAll),
-        (70_000, FreezeLeader(12_000)),
-        (90_000, Roll(3_000)),
-        (120_000, StoreDown(26_000)),
+        (10_000, ReplayToNextLeader(0.5, 130_000)),
+        (30_000, CrashNodes(1, 1_000)),
+        (50_000, CrashAllNodes),
+        (70_000, PauseLeader(12_000)),
+        (90_000, RollingRestart(3_000)),
+        (120_000, StateServiceOutage(26_000)),
     ];
-    let size = Size { copies: 0.2, ..GANGS };
+    let size = Size { duplicate_probability: 0.2, ..GANGS };
     let least = [("gang done", 100), ("copies for the next leader", 100), ("late write", 100)];
-    meets("late", size, 0..8, &plan, &least);
+    check_runs_with("late", size, 0..8, &plan, &least);
 }
 
 /// All gangs are as large as their team's limit, nearly.
 #[test]
 fn gangs_as_large_as_their_teams_limit_take_turns() {
     // Few enough that the team can do them one after the other.
-    let size = Size { limit: 8.0, first: 8, submits: 0.005, ..GANGS };
-    let plan = [(30_000, CrashAll), (60_000, Hang(0.3, 20_000)), (90_000, CancelNow(5, 20_000))];
-    meets("at the limit", size, 0..8, &plan, &[("gang done", 60)]);
+    let size = Size { limited_team_cpus: 8.0, initial_jobs: 8, submit_probability: 0.005, ..GANGS };
+    let plan = [
+        (30_000, CrashAllNodes),
+        (60_000, HangMachines(0.3, 20_000)),
+        (90_000, CancelRunning(5, 20_000)),
+    ];
+    check_runs_with("at the limit", size, 0..8, &plan, &[("gang done", 60)]);
 }
 
 /// The limits of the state service are lowered in the middle of it all: leaders that were told of it
 /// before are refused nothing, and what earlier ones stored larger is split.
 #[test]
 fn limits_are_lowered_while_values_are_retired_and_leaders_take_over() {
-    let size = Size { gangs: 0.2, capacity: 8, first: 30, submits: 0.04, limit: 60.0, ..BUSY };
+    let size = Size {
+        gang_probability: 0.2,
+        machines_per_offer: 8,
+        initial_jobs: 30,
+        submit_probability: 0.04,
+        limited_team_cpus: 60.0,
+        ..BUSY
+    };
     let told = [
-        (0, KeepTo(900, 8)),
+        (0, LeaderWriteLimits(900, 8)),
         (15_000, LateWrites(0.3, 100_000)),
-        (30_000, KeepTo(300, 4)),
-        (30_000, Roll(2_000)),
-        (45_000, Lower(300, 4)),
-        (45_100, NodesDown(1, 200)),
-        (60_000, LostAnswers(0.3, 60_000)),
-        (75_000, CrashAll),
+        (30_000, LeaderWriteLimits(300, 4)),
+        (30_000, RollingRestart(2_000)),
+        (45_000, StoreWriteLimits(300, 4)),
+        (45_100, CrashNodes(1, 200)),
+        (60_000, LostWriteResponses(0.3, 60_000)),
+        (75_000, CrashAllNodes),
     ];
     let mut refused = 0;
     for seed in 0..8 {
-        let mut world = super::World::sized(seed, super::Broken::Nothing, size).planned(&told);
+        let mut world = super::World::sized(seed, super::DisabledGuard::None, size).planned(&told);
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         // A copy of an earlier leader's write may come late, and is refused in any case.
-        refused += world.met.get("write refused").copied().unwrap_or(0);
+        refused += world.occurrences.get("write refused").copied().unwrap_or(0);
     }
     assert!(refused < 8 * 5, "{refused} refused");
     // Nobody told the leaders: what is refused goes on in smaller pieces, and the work gets done.
-    let untold = [(0, KeepTo(900, 8)), (40_000, Lower(300, 2)), (80_000, CrashAll)];
-    meets("untold", size, 0..4, &untold, &[("write refused", 10)]);
+    let untold = [
+        (0, LeaderWriteLimits(900, 8)),
+        (40_000, StoreWriteLimits(300, 2)),
+        (80_000, CrashAllNodes),
+    ];
+    check_runs_with("untold", size, 0..4, &untold, &[("write refused", 10)]);
 }
--- a/crates/latchtrack-core/tests/simulation/quota.rs
+++ b/crates/latchtrack-core/tests/simulation/quota.rs
@@ -3,27 +3,36 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-use super::world::faults::Planned;
-use super::world::federation::{Federation, Ignored};
+use super::world::faults::PlannedFault;
+use super::world::federation::{Federation, IgnoredCondition};
 use super::world::size::{Size, CELL, LARGE};
 
 /// The same with a limit that is less than one large gang in each cell, and more work than it allows.
-const TIGHT: Size = Size { limit: 14.0, submits: 0.006, end: 420_000, ..CELL };
+const TIGHT: Size =
+    Size { limited_team_cpus: 14.0, submit_probability: 0.006, end_ms: 420_000, ..CELL };
 /// No troubles by chance, and no jobs.
-const CALM: Size = Size { troubles: 0.0, submits: 0.0, cancels: 0.0, gangs: 0.0, ..CELL };
+const CALM: Size = Size {
+    fault_probability: 0.0,
+    submit_probability: 0.0,
+    cancel_probability: 0.0,
+    gang_probability: 0.0,
+    ..CELL
+};
 const CELLS: usize = 3;
 /// Few troubles by chance beside those that are planned.
-const PLANNED: Size = Size { troubles: 0.004, ..CELL };
+const PLANNED: Size = Size { fault_probability: 0.004, ..CELL };
 const SEEDS: Range<u64> = 0..25;
 /// Many small jobs of the limited team on every controller at once.
-const BURST: [(u64, Planned); 2] =
-    [(30_000, Planned::LimitedBurst(40)), (90_000, Planned::LimitedBurst(40))];
+const BURST: [(u64, PlannedFault); 2] = [
+    (30_000, PlannedFault::SubmitLimitedBurst(40)),
+    (90_000, PlannedFault::SubmitLimitedBurst(40)),
+];
 
 /// What some seeds came to together.
 #[derive(Default)]
 struct Tally {
     done: usize,
-    met: BTreeMap<&'static str, u64>,
+    occurrences: BTreeMap<&'static str, u64>,
     most_used: f64,
 }
 
@@ -31,13 +40,13 @@
     fn add(&mut self, federation: &Federation) {
         self.done += federation.jobs_done();
         self.most_used = self.most_used.max(federation.most_used);
-        for (what, times) in &federation.met {
-            *self.met.entry(what).or_default() += times;
+        for (what, times) in &federation.occurrences {
+            *self.occurrences.entry(what).or_default() += times;
         }
     }
 
     fn times(&self, what: &str) -> u64 {
-        self.met.get(what).copied().unwrap_or(0)
+        self.occurrences.get(what).copied().unwrap_or(0)
     }
 }
 
@@ -46,12 +55,12 @@
     name: &str,
     size: Size,
     cells: &[usize],
-    plan: &[(u64, Planned)],
+    plan: &[(u64, PlannedFault)],
     seeds: Range<u64>,
 ) -> Tally {
     let mut tally = Tally::default();
     for seed in seeds {
-        let federation = Federation::new(seed, CELLS, size, Ignored::Nothing);
+        let federation = Federation::new(seed, CELLS, size, IgnoredCondition::Nothing);
         let mut federation = federation.planned(cells, plan);
         federation.run();
         assert_eq!(federation.violations, Vec::<String>::new(), "{name}, seed {seed}");
@@ -67,7 +76,7 @@
     assert!(tally.done > 500, "{} jobs done", tally.done);
     assert!(tally.most_used > 36.0, "at most {} CPUs in use", tally.most_used);
     for what in ["watch skipped", "late write", "lost answer", "stale write refused"] {
-        assert!(tally.times(what) > 20, "{what}: {:?}", tally.met);
+        assert!(tally.times(what) > 20, "{what}: {:?}", tally.occurrences);
     }
 }
 
@@ -76,7 +85,7 @@
 fn allotments_too_small_for_one_task_in_every_cell_pass_no_limit_and_starve_no_cell() {
     let (mut begun, mut all) = (0, 0);
     for seed in SEEDS {
-        let mut federation = Federation::new(seed, CELLS, TIGHT, Ignored::Nothing);
+        let mut federation = Federation::new(seed, CELLS, TIGHT, IgnoredCondition::Nothing);
         federation.run();
         assert_eq!(federation.violations, Vec::<String>::new(), "seed {seed}");
         for cell in 0..CELLS {
@@ -91,12 +100,12 @@
 #[test]
 fn a_burst_on_every_controller_in_the_same_second() {
     let tally = holds("burst", CELL, &[0, 1, 2], &BURST, 0..10);
-    assert!(tally.times("burst cancelled") > 100, "{:?}", tally.met);
+    assert!(tally.times("burst cancelled") > 100, "{:?}", tally.occurrences);
     assert!(tally.most_used > 38.0, "at most {} CPUs in use", tally.most_used);
 }
 
 /// Two cells of three fail at the same time, in one way, while the third takes what it can.
-fn two_cells_fail(name: &str, troubles: &[(u64, Planned)]) -> Tally {
+fn two_cells_fail(name: &str, troubles: &[(u64, PlannedFault)]) -> Tally {
     let mut plan = troubles.to_vec();
     plan.extend(BURST);
     let tally = holds(name, PLANNED, &[0, 1], &plan, 0..6);
@@ -106,54 +115,56 @@
 
 #[test]
 fn two_cells_whose_controllers_all_die_pass_no_limit() {
-    let tally = two_cells_fail("all die", &[(40_000, Planned::NodesDown(2, 60_000))]);
-    assert!(tally.times("reclaimed") > 5, "{:?}", tally.met);
+    let tally = two_cells_fail("all die", &[(40_000, PlannedFault::CrashNodes(2, 60_000))]);
+    assert!(tally.times("reclaimed") > 5, "{:?}", tally.occurrences);
 }
 
 #[test]
 fn two_cells_that_lose_the_state_service_alone_pass_no_limit() {
-    let tally = two_cells_fail("refused", &[(40_000, Planned::RefuseAll(60_000))]);
-    assert!(tally.times("reclaimed") > 5, "{:?}", tally.met);
+    let tally =
+        two_cells_fail("refused", &[(40_000, PlannedFault::StateServiceRefusesAll(60_000))]);
+    assert!(tally.times("reclaimed") > 5, "{:?}", tally.occurrences);
 }
 
 #[test]
 fn two_cells_that_lose_their_workers_alone_pass_no_limit() {
-    two_cells_fail("cut", &[(40_000, Planned::Cut(1.0, 45_000))]);
-    two_cells_fail("deaf", &[(40_000, Planned::Deaf(1.0, 45_000))]);
-    two_cells_fail("mute", &[(40_000, Planned::Mute(1.0, 45_000))]);
+    two_cells_fail("cut", &[(40_000, PlannedFault::PartitionMachines(1.0, 45_000))]);
+    two_cells_fail("deaf", &[(40_000, PlannedFault::LoseInbound(1.0, 45_000))]);
+    two_cells_fail("mute", &[(40_000, PlannedFault::LoseOutbound(1.0, 45_000))]);
 }
 
 #[test]
 fn two_cells_whose_machines_hang_within_their_lease_pass_no_limit() {
-    two_cells_fail("hang", &[(40_000, Planned::Hang(1.0, 12_000))]);
+    two_cells_fail("hang", &[(40_000, PlannedFault::HangMachines(1.0, 12_000))]);
 }
 
 #[test]
 fn two_cells_whose_leaders_flap_pass_no_limit() {
-    let rolls: Vec<(u64, Planned)> =
-        (0..8).map(|i| (40_000 + i * 8_000, Planned::Roll(4_000))).collect();
+    let rolls: Vec<(u64, PlannedFault)> =
+        (0..8).map(|i| (40_000 + i * 8_000, PlannedFault::RollingRestart(4_000))).collect();
     two_cells_fail("flap", &rolls);
 }
 
 #[test]
 fn two_cells_whose_leaders_stand_still_beyond_their_lease_pass_no_limit() {
-    let frozen = [(40_000, Planned::FreezeLeader(9_000)), (55_000, Planned::FreezeLeader(9_000))];
+    let frozen =
+        [(40_000, PlannedFault::PauseLeader(9_000)), (55_000, PlannedFault::PauseLeader(9_000))];
     two_cells_fail("frozen", &frozen);
 }
 
 #[test]
 fn two_leaders_within_one_worker_lease_pass_no_limit() {
     let troubles = [
-        (38_000, Planned::LateWrites(0.5, 40_000)),
-        (40_000, Planned::RefuseLeader(20_000)),
-        (45_000, Planned::RefuseLeader(20_000)),
+        (38_000, PlannedFault::LateWrites(0.5, 40_000)),
+        (40_000, PlannedFault::StateServiceRefusesLeader(20_000)),
+        (45_000, PlannedFault::StateServiceRefusesLeader(20_000)),
     ];
     two_cells_fail("two leaders", &troubles);
 }
 
 #[test]
 fn a_state_service_that_is_down_beyond_every_lease_passes_no_limit() {
-    let plan = [(40_000, Planned::StoreDown(50_000)), BURST[0], BURST[1]];
+    let plan = [(40_000, PlannedFault::StateServiceOutage(50_000)), BURST[0], BURST[1]];
     let tally = holds("down", PLANNED, &[0, 1, 2], &plan, 0..8);
     assert!(tally.done > 400, "{} jobs done", tally.done);
 }
@@ -165,7 +176,7 @@
     for step in 0..12 {
         // Leases and margin are 20 s and a little, counted from the end of the leader's lease.
         let down = 20_500 + step * 300;
-        let plan = [(40_000, Planned::NodesDown(2, down)), BURST[0], BURST[1]];
+        let plan = [(40_000, PlannedFault::CrashNodes(2, down)), BURST[0], BURST[1]];
         let tally = holds("return", PLANNED, &[0, 1], &plan, step..step + 2);
         met += tally.times("reclaimed") + tally.times("reclaim refused");
     }
@@ -173,7 +184,7 @@
 }
 
 /// The first overshoot of some seeds with a condition of the state service left out.
-fn overshoot(ignored: Ignored, plan: &[(u64, Planned)]) -> Option<String> {
+fn overshoot(ignored: IgnoredCondition, plan: &[(u64, PlannedFault)]) -> Option<String> {
     (0..120).find_map(|seed| {
         let federation = Federation::new(seed, CELLS, TIGHT, ignored);
         let mut federation = federation.planned(&[0, 1], plan);
@@ -184,22 +195,29 @@
 
 #[test]
 fn writing_whatever_revision_the_value_has_is_caught() {
-    assert!(overshoot(Ignored::Revision, &BURST).is_some());
+    assert!(overshoot(IgnoredCondition::Revision, &BURST).is_some());
 }
 
 #[test]
 fn reclaiming_before_the_leases_are_over_is_caught() {
-    let plan = [(40_000, Planned::NodesDown(2, 60_000)), BURST[0], BURST[1]];
-    assert!(overshoot(Ignored::Leases, &plan).is_some());
+    let plan = [(40_000, PlannedFault::CrashNodes(2, 60_000)), BURST[0], BURST[1]];
+    assert!(overshoot(IgnoredCondition::Leases, &plan).is_some());
 }
 
 /// Over 4,000 machines in two cells that share one limit, one of which dies whole for a while.
 #[test]
 #[ignore = "a long run, not for CI"]
 fn two_cells_of_over_four_thousand_machines_share_a_limit() {
-    let size = Size { nodes: 3, first: 0, capacity: 240, limit: 8_000.0, ..LARGE };
-    let plan = [(30_000, Planned::NodesDown(3, 45_000))];
-    let mut federation = Federation::new(1, 2, size, Ignored::Nothing).planned(&[0], &plan);
+    let size = Size {
+        nodes: 3,
+        initial_jobs: 0,
+        machines_per_offer: 240,
+        limited_team_cpus: 8_000.0,
+        ..LARGE
+    };
+    let plan = [(30_000, PlannedFault::CrashNodes(3, 45_000))];
+    let mut federation =
+        Federation::new(1, 2, size, IgnoredCondition::Nothing).planned(&[0], &plan);
     for cell in &mut federation.cells {
         cell.submit_many(450);
     }
@@ -207,7 +225,7 @@
     assert_eq!(federation.violations, Vec::<String>::new());
     let up: usize = federation.cells.iter().map(|cell| cell.most_up).sum();
     assert!(up > 4_000, "{up} machines up");
-    assert!(federation.most_used > 0.7 * size.limit, "{} in use", federation.most_used);
+    assert!(federation.most_used > 0.7 * size.limited_team_cpus, "{} in use", federation.most_used);
     println!("{up} machines, {} jobs done, {} writes", federation.jobs_done(), federation.writes);
 }
 
@@ -225,7 +243,7 @@
 }
 
 fn calm(seed: u64) -> Federation {
-    Federation::new(seed, CELLS, CALM, Ignored::Nothing)
+    Federation::new(seed, CELLS, CALM, IgnoredCondition::Nothing)
 }
 
 #[test]
@@ -277,8 +295,8 @@
 #[test]
 fn two_gangs_as_large_as_the_limit_run_one_after_the_other() {
     for seed in 0..6 {
-        let size = Size { limit: 16.0, ..CALM };
-        let mut federation = Federation::new(seed, CELLS, size, Ignored::Nothing);
+        let size = Size { limited_team_cpus: 16.0, ..CALM };
+        let mut federation = Federation::new(seed, CELLS, size, IgnoredCondition::Nothing);
         run_until(&mut federation, 8_000);
         federation.cells[2].submit_limited(12, 1.0);
         federation.cells[0].submit_limited_gang(4, 4.0);
@@ -294,7 +312,7 @@
 #[test]
 fn a_value_that_is_lost_is_made_anew_from_what_runs() {
     for seed in 0..10 {
-        let federation = Federation::new(seed, CELLS, CELL, Ignored::Nothing);
+        let federation = Federation::new(seed, CELLS, CELL, IgnoredCondition::Nothing);
         let mut federation = federation.planned(&[0, 1, 2], &BURST);
         run_until(&mut federation, 60_000);
         federation.lose_value();
--- a/crates/latchtrack-core/tests/simulation/world/chance_faults.rs
+++ b/crates/latchtrack-core/tests/simulation/world/chance_faults.rs
@@ -4,7 +4,7 @@
 
 impl World {
     pub(super) fn trouble(&mut self) {
-        if !self.chance(self.size.troubles) {
+        if !self.chance(self.size.fault_probability) {
             return;
         }
         let (now, for_ms) = (self.now, self.rng.random_range(1_000..25_000));
@@ -15,11 +15,12 @@
             0 | 1 => self.crash(n),
             2 if self.chance(0.3) => (0..nodes).for_each(|n| self.crash(n)),
             3 => self.nodes[n].paused_until = until,
-            4 if self.chance(0.5) => self.nodes[n].cut_until = until,
+            4 if self.chance(0.5) => self.nodes[n].partitioned_until = until,
             4 => self.nodes[n].refused_until = until + for_ms,
             13 if self.chance(0.3) => {
                 let zone = ZONES[self.rng.random_range(0..ZONES.len())];
-                self.zone_cut = Some((zone, until + self.rng.random_range(0..LEASE)));
+                self.zone_partition =
+                    Some((zone, until + self.rng.random_range(0..WORKER_LEASE_MS)));
             }
             // The leader, which keeps hearing its workers.
             12 => {
@@ -45,11 +46,11 @@
                     1 => {
                         self.workers.remove(&name);
                     }
-                    2..=5 => w.cut_until = until + 10_000,
+                    2..=5 => w.partitioned_until = until + 10_000,
                     // A machine that hangs for longer than its lease is as good as dead.
-                    6 | 7 => w.hang_until = now + for_ms / 2,
-                    8 => w.sick = true,
-                    _ => w.deaf_until = until + 2 * LEASE,
+                    6 | 7 => w.hung_until = now + for_ms / 2,
+                    8 => w.fails_tasks = true,
+                    _ => w.inbound_lost_until = until + 2 * WORKER_LEASE_MS,
                 }
             }
         }
@@ -59,9 +60,9 @@
         let now = self.now;
         let node = &mut self.nodes[n];
         node.up = false;
-        node.cluster = None;
+        node.scheduler = None;
         node.token = 0;
-        node.saving = false;
+        node.write_in_flight = false;
         node.run += 1;
         // Now and then within a fraction of a second, also in mid-election.
         let back = if self.rng.random_bool(0.4) { 150 } else { 2_000 };
--- a/crates/latchtrack-core/tests/simulation/world/faults.rs
+++ b/crates/latchtrack-core/tests/simulation/world/faults.rs
@@ -4,120 +4,147 @@
 
 /// A trouble at a set time.
 #[derive(Clone, Copy, Debug)]
-pub enum Planned {
-    CrashAll,
+pub enum PlannedFault {
+    CrashAllNodes,
     /// One after the other, so many ms apart.
-    Roll(u64),
-    StoreDown(u64),
+    RollingRestart(u64),
+    StateServiceOutage(u64),
     /// The leader stands still; the others see it as gone.
-    FreezeLeader(u64),
-    FreezeFollower(u64),
+    PauseLeader(u64),
+    PauseFollower(u64),
     /// A zone is cut off from everything; with the leader in it or without.
-    CutLeaders(u64),
-    CutOther(u64),
+    PartitionLeaderZone(u64),
+    PartitionOtherZone(u64),
     /// A part of the machines hangs.
-    Hang(f64, u64),
+    HangMachines(f64, u64),
     /// A guest submits all that it has.
-    Guests,
+    SubmitGuestJobs,
     /// So many nodes, the leader first, end and do not come back for so many ms.
-    NodesDown(usize, u64),
+    CrashNodes(usize, u64),
     /// For so many ms boots take so many times as long, and so many of them never end.
-    BootTracker(f64, f64, u64),
+    SlowBoots(f64, f64, u64),
     /// So many jobs that fail on every machine.
-    Mistakes(usize),
+    SubmitBrokenJobs(usize),
     /// A part of the machines fails every task.
-    Sick(f64),
+    FailTasksOnMachines(f64),
     /// The state service refuses all nodes.
-    RefuseAll(u64),
+    StateServiceRefusesAll(u64),
     /// So many jobs of one small task of the limited team at once; a quarter of them is cancelled at once.
-    LimitedBurst(usize),
+    SubmitLimitedBurst(usize),
     /// The state service refuses the leader alone, which keeps hearing its workers.
-    RefuseLeader(u64),
+    StateServiceRefusesLeader(u64),
     /// Of a part of the machines reports arrive, answers and commands don't.
-    Deaf(f64, u64),
+    LoseInbound(f64, u64),
     /// A part of the machines reaches no node; direct commands reach them.
-    Mute(f64, u64),
+    LoseOutbound(f64, u64),
     /// A part of the machines is cut off; what they send is held back or lost.
-    Cut(f64, u64),
+    PartitionMachines(f64, u64),
     /// Users cancel so many jobs that run; up to eight of their machines hang for so many ms.
-    CancelNow(usize, u64),
+    CancelRunning(usize, u64),
     /// For so many ms a part of the jobs that end is cancelled at the end of their last task.
-    CancelAtEnd(f64, u64),
+    CancelAtCompletion(f64, u64),
     /// For so many ms a part of the leader's writes gets no answer and is carried out 2 to 12 s late.
     LateWrites(f64, u64),
     /// The same, but they are carried out at once: only the answer is lost.
-    LostAnswers(f64, u64),
+    LostWriteResponses(f64, u64),
     /// For so many ms of a part of the reports a copy is kept, and reaches every node as soon as a
     /// new leader begins.
-    CopiesForNext(f64, u64),
+    ReplayToNextLeader(f64, u64),
     /// For so many ms four jobs of one task come a second; a quarter of them is cancelled.
-    Swarm(u64),
+    SmallJobStream(u64),
     /// Leaders from now on keep to so many bytes of a value and so many changes of a transaction.
-    KeepTo(usize, usize),
+    LeaderWriteLimits(usize, usize),
     /// The state service takes no more than that from now on.
-    Lower(usize, usize),
+    StoreWriteLimits(usize, usize),
     /// A part of the machines of a zone dies, where jobs of one zone are at work.
-    LoseZone(f64),
+    LoseZoneMachines(f64),
 }
 
 impl World {
-    pub(super) fn begin_planned(&mut self) {
-        let due: Vec<Planned> =
+    pub(super) fn begin_planned_faults(&mut self) {
+        let due: Vec<PlannedFault> =
             self.plan.iter().filter(|(at, _)| *at <= self.now).map(|(_, p)| *p).collect();
         self.plan.retain(|(at, _)| *at > self.now);
         let (now, nodes) = (self.now, self.size.nodes);
         let leader = self.leader.map_or(0, |(n, ..)| n);
         for trouble in due {
             match trouble {
-                Planned::CrashAll => (0..nodes).for_each(|n| self.crash(n)),
-                Planned::Roll(gap) => {
+                PlannedFault::CrashAllNodes => (0..nodes).for_each(|n| self.crash(n)),
+                PlannedFault::RollingRestart(gap) => {
                     self.crash(leader);
                     // The leader of the time, as often as there are nodes.
                     if gap > 0 {
-                        let more = (1..nodes as u64).map(|i| (now + i * gap, Planned::Roll(0)));
+                        let more = (1..nodes as u64)
+                            .map(|i| (now + i * gap, PlannedFault::RollingRestart(0)));
                         self.plan.extend(more);
                     }
                 }
-                Planned::StoreDown(ms) => self.store_down_until = now + ms,
-                Planned::FreezeLeader(ms) => self.nodes[leader].paused_until = now + ms,
-                Planned::FreezeFollower(ms) => {
+                PlannedFault::StateServiceOutage(ms) => self.store_down_until = now + ms,
+                PlannedFault::PauseLeader(ms) => self.nodes[leader].paused_until = now + ms,
+                PlannedFault::PauseFollower(ms) => {
                     self.nodes[(leader + 1) % nodes].paused_until = now + ms;
                 }
-                Planned::CutLeaders(ms) => self.zone_cut = Some((Self::zone_of(leader), now + ms)),
-                Planned::CutOther(ms) => {
-                    self.zone_cut = Some((Self::zone_of(leader + 1), now + ms));
+                PlannedFault::PartitionLeaderZone(ms) => {
+                    self.zone_partition = Some((Self::zone_of(leader), now + ms))
                 }
-                Planned::Guests => self.guests(),
-                Planned::NodesDown(many, ms) => {
+                PlannedFault::PartitionOtherZone(ms) => {
+                    self.zone_partition = Some((Self::zone_of(leader + 1), now + ms));
+                }
+                PlannedFault::SubmitGuestJobs => self.guests(),
+                PlannedFault::CrashNodes(many, ms) => {
                     for i in 0..many {
                         let n = (leader + i) % nodes;
                         self.crash(n);
                         self.nodes[n].back_at = now + ms;
                     }
                 }
-                Planned::BootTracker(times, never, ms) => self.boots = (times, never, now + ms),
-                Planned::Mistakes(many) => (0..many).for_each(|_| self.submit_with(1.0)),
-                Planned::Sick(share) => self.some(share, |w| w.sick = true),
-                Planned::Hang(share, ms) => self.some(share, |w| w.hang_until = now + ms),
-                Planned::RefuseAll(ms) => {
+                PlannedFault::SlowBoots(times, never, ms) => self.boots = (times, never, now + ms),
+                PlannedFault::SubmitBrokenJobs(many) => {
+                    (0..many).for_each(|_| self.submit_with(1.0))
+                }
+                PlannedFault::FailTasksOnMachines(share) => {
+                    self.some(share, |w| w.fails_tasks = true)
+                }
+                PlannedFault::HangMachines(share, ms) => {
+                    self.some(share, |w| w.hung_until = now + ms)
+                }
+                PlannedFault::StateServiceRefusesAll(ms) => {
                     for node in &mut self.nodes {
                         node.refused_until = now + ms;
                     }
                 }
-                Planned::LimitedBurst(many) => self.limited_burst(many),
-                Planned::RefuseLeader(ms) => self.nodes[leader].refused_until = now + ms,
-                Planned::Deaf(share, ms) => self.some(share, |w| w.deaf_until = now + ms),
-                Planned::Mute(share, ms) => self.some(share, |w| w.mute_until = now + ms),
-                Planned::Cut(share, ms) => self.some(share, |w| w.cut_until = now + ms),
-                Planned::CancelNow(most, hang) => self.cancel_running(most, hang),
-                Planned::CancelAtEnd(share, ms) => self.cancels_at_end = (share, now + ms),
-                Planned::LateWrites(share, ms) => self.late_writes = (share, now + ms),
-                Planned::LostAnswers(share, ms) => self.lost_answers = (share, now + ms),
-                Planned::CopiesForNext(share, ms) => self.copies_kept = (share, now + ms),
-                Planned::KeepTo(bytes, changes) => self.kept_to = (bytes, changes),
-                Planned::Lower(bytes, changes) => self.taken = (bytes, changes),
-                Planned::Swarm(ms) => self.swarm_until = now + ms,
-                Planned::LoseZone(share) => {
+                PlannedFault::SubmitLimitedBurst(many) => self.limited_burst(many),
+                PlannedFault::StateServiceRefusesLeader(ms) => {
+                    self.nodes[leader].refused_until = now + ms
+                }
+                PlannedFault::LoseInbound(share, ms) => {
+                    self.some(share, |w| w.inbound_lost_until = now + ms)
+                }
+                PlannedFault::LoseOutbound(share, ms) => {
+                    self.some(share, |w| w.outbound_lost_until = now + ms)
+                }
+                PlannedFault::PartitionMachines(share, ms) => {
+                    self.some(share, |w| w.partitioned_until = now + ms)
+                }
+                PlannedFault::CancelRunning(most, hang) => self.cancel_running(most, hang),
+                PlannedFault::CancelAtCompletion(share, ms) => {
+                    self.cancelled_at_completion = (share, now + ms)
+                }
+                PlannedFault::LateWrites(share, ms) => self.late_writes = (share, now + ms),
+                PlannedFault::LostWriteResponses(share, ms) => {
+                    self.lost_write_responses = (share, now + ms)
+                }
+                PlannedFault::ReplayToNextLeader(share, ms) => {
+                    self.withheld_share = (share, now + ms)
+                }
+                PlannedFault::LeaderWriteLimits(bytes, changes) => {
+                    self.leader_write_limits = (bytes, changes)
+                }
+                PlannedFault::StoreWriteLimits(bytes, changes) => {
+                    self.store_write_limits = (bytes, changes)
+                }
+                PlannedFault::SmallJobStream(ms) => self.small_jobs_until = now + ms,
+                PlannedFault::LoseZoneMachines(share) => {
                     let bound = self
                         .workers
                         .values()
@@ -153,16 +180,16 @@
             self.workers.values().flat_map(|w| w.tasks.keys().map(on)).collect();
         running.sort_by_key(|id| (self.jobs[id].spec.team != "limited", *id));
         running.dedup();
-        running.retain(|id| matches!(self.jobs[id].state, State::Open { .. }));
+        running.retain(|id| matches!(self.jobs[id].state, JobState::Open { .. }));
         running.truncate(most);
         let mut hang = 8;
         for id in running {
             self.cancel(id);
-            self.meets("cancelled while running");
+            self.record("cancelled while running");
             let until = self.now + hang_ms;
             let theirs = |w: &&mut Worker| w.tasks.keys().any(|(t, _)| t.job == id);
             for w in self.workers.values_mut().filter(theirs).take(hang) {
-                w.hang_until = w.hang_until.max(until);
+                w.hung_until = w.hung_until.max(until);
                 hang -= 1;
             }
         }
--- a/crates/latchtrack-core/tests/simulation/world/federation.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation.rs
@@ -21,7 +21,7 @@
 
 /// Which condition the shared state service ignores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ignored {
+pub enum IgnoredCondition {
     Nothing,
     /// The revision of the value.
     Revision,
@@ -33,9 +33,9 @@
     Leases,
 }
 
-enum SharedMsg {
-    Carry { cell: usize, shared: SharedWrite, tell: bool },
-    Tell { cell: usize, node: usize, run: u64, token: u64, event: Box<Event> },
+enum SharedMessage {
+    Write { cell: usize, shared: SharedWrite, responds: bool },
+    Event { cell: usize, node: usize, run: u64, token: u64, event: Box<Event> },
 }
 
 /// Several cells and what they share.
@@ -43,20 +43,20 @@
     pub cells: Vec<World>,
     pub violations: Vec<String>,
     /// What came about, so that tests can tell that it did.
-    pub met: BTreeMap<&'static str, u64>,
+    pub occurrences: BTreeMap<&'static str, u64>,
     /// Most of the shared limit in use at a time.
     pub most_used: f64,
     /// Writes of what is shared that were carried out.
     pub writes: u64,
     rng: StdRng,
-    ignored: Ignored,
+    ignored: IgnoredCondition,
     now: u64,
     size: Size,
     /// Common to all cells, so that tokens and revisions can be compared.
     revision: u64,
     /// The stored text of each team's value, with its revision.
     teams: BTreeMap<String, (u64, String)>,
-    queue: BTreeMap<(u64, u64), SharedMsg>,
+    queue: BTreeMap<(u64, u64), SharedMessage>,
     next_id: u64,
     next_look: Vec<u64>,
     /// The last look of anybody, which a watch that skips shows again.
@@ -68,16 +68,16 @@
 }
 
 impl Federation {
-    pub fn new(seed: u64, cells: usize, size: Size, ignored: Ignored) -> Federation {
+    pub fn new(seed: u64, cells: usize, size: Size, ignored: IgnoredCondition) -> Federation {
         let world = |i: usize| {
-            let mut world = World::sized(seed * 31 + i as u64, Broken::Nothing, size);
+            let mut world = World::sized(seed * 31 + i as u64, DisabledGuard::None, size);
             world.cell = Some(name_of(i));
             world
         };
         Federation {
             cells: (0..cells).map(world).collect(),
             violations: Vec::new(),
-            met: BTreeMap::new(),
+            occurrences: BTreeMap::new(),
             most_used: 0.0,
             writes: 0,
             rng: StdRng::seed_from_u64(seed),
@@ -94,7 +94,7 @@
     }
 
     /// With troubles at set times in some cells.
-    pub fn planned(mut self, cells: &[usize], plan: &[(u64, Planned)]) -> Federation {
+    pub fn planned(mut self, cells: &[usize], plan: &[(u64, PlannedFault)]) -> Federation {
         for cell in cells {
             self.cells[*cell].plan.extend_from_slice(plan);
         }
@@ -116,7 +116,7 @@
     pub fn lose_value(&mut self) {
         self.teams.remove(TEAM);
         self.revision += 1;
-        self.meets("value lost");
+        self.record("value lost");
     }
 
     /// An operator changes the stored limit.
@@ -137,9 +137,9 @@
     }
 
     pub fn run(&mut self) {
-        while self.now < self.size.end && self.violations.is_empty() {
+        while self.now < self.size.end_ms && self.violations.is_empty() {
             self.step();
-            if self.now >= self.size.troubled && self.unfinished().is_empty() {
+            if self.now >= self.size.fault_period_ms && self.unfinished().is_empty() {
                 break;
             }
         }
@@ -159,11 +159,11 @@
 
     /// How many jobs of a cell's limited team have begun, of how many.
     pub fn begun(&self, cell: usize) -> (usize, usize) {
-        let counted = |j: &&Stored| {
-            j.spec.team == TEAM && !j.mistaken && !matches!(j.state, State::Cancelled)
+        let counted = |j: &&StoredJob| {
+            j.spec.team == TEAM && !j.always_fails && !matches!(j.state, JobState::Cancelled)
         };
-        let jobs: Vec<&Stored> = self.cells[cell].jobs.values().filter(counted).collect();
-        let begun = |j: &&&Stored| j.begun.is_some() || matches!(j.state, State::Done);
+        let jobs: Vec<&StoredJob> = self.cells[cell].jobs.values().filter(counted).collect();
+        let begun = |j: &&&StoredJob| j.begun.is_some() || matches!(j.state, JobState::Done);
         (jobs.iter().filter(begun).count(), jobs.len())
     }
 
@@ -172,8 +172,8 @@
         (0..self.cells.len()).map(|cell| self.used(cell)).sum()
     }
 
-    fn meets(&mut self, what: &'static str) {
-        *self.met.entry(what).or_default() += 1;
+    fn record(&mut self, what: &'static str) {
+        *self.occurrences.entry(what).or_default() += 1;
     }
 
     /// CPUs of the shared team that are in use in a cell.
@@ -192,21 +192,21 @@
     }
 
     pub fn step(&mut self) {
-        self.now += self.size.step;
+        self.now += self.size.step_ms;
         for i in 0..self.cells.len() {
             let elsewhere = || (0..self.cells.len()).filter(|other| *other != i);
             let is_live = |phase| !matches!(phase, TaskPhase::Ended(_));
             let used_elsewhere = elsewhere().map(|other| self.used(other)).sum();
-            let taken_elsewhere = elsewhere().map(|other| self.cpus_of(other, is_live)).sum();
+            let claimed_elsewhere = elsewhere().map(|other| self.cpus_of(other, is_live)).sum();
             let cell = &mut self.cells[i];
-            (cell.used_elsewhere, cell.taken_elsewhere) = (used_elsewhere, taken_elsewhere);
+            (cell.used_elsewhere, cell.claimed_elsewhere) = (used_elsewhere, claimed_elsewhere);
             // What came between two steps has its own revisions already.
-            cell.epoch = cell.epoch.max(self.revision);
+            cell.revision = cell.revision.max(self.revision);
             cell.step();
-            self.revision = cell.epoch;
+            self.revision = cell.revision;
             self.violations.append(&mut self.cells[i].violations);
-            for (what, times) in std::mem::take(&mut self.cells[i].met) {
-                *self.met.entry(what).or_default() += times;
+            for (what, times) in std::mem::take(&mut self.cells[i].occurrences) {
+                *self.occurrences.entry(what).or_default() += times;
             }
             for shared in std::mem::take(&mut self.cells[i].shared_writes) {
                 self.send(i, shared);
@@ -220,13 +220,13 @@
     fn check_limit(&mut self) {
         let used = self.total_used();
         self.most_used = self.most_used.max(used);
-        if used > self.size.limit + 1e-6 {
+        if used > self.size.limited_team_cpus + 1e-6 {
             let each: Vec<f64> = (0..self.cells.len()).map(|cell| self.used(cell)).collect();
             self.violations.push(format!("quota: {each:?} in use at {}", self.now));
         }
     }
 
-    fn post(&mut self, delay: u64, msg: SharedMsg) {
+    fn post(&mut self, delay: u64, msg: SharedMessage) {
         self.next_id += 1;
         self.queue.insert((self.now + delay, self.next_id), msg);
     }
@@ -237,12 +237,14 @@
                 break;
             }
             match self.queue.remove(&key) {
-                Some(SharedMsg::Carry { cell, shared, tell }) => self.carry_out(cell, shared, tell),
-                Some(SharedMsg::Tell { cell, node, run, token, event }) => {
+                Some(SharedMessage::Write { cell, shared, responds }) => {
+                    self.carry_out(cell, shared, responds)
+                }
+                Some(SharedMessage::Event { cell, node, run, token, event }) => {
                     let world = &mut self.cells[cell];
-                    world.epoch = world.epoch.max(self.revision);
-                    world.deliver(Msg::Tell { node, run, token, event: *event });
-                    self.revision = world.epoch;
+                    world.revision = world.revision.max(self.revision);
+                    world.deliver(Message::Event { node, run, token, event: *event });
+                    self.revision = world.revision;
                 }
                 None => {}
             }
@@ -256,24 +258,24 @@
         }
         self.next_look[cell] = self.now + LOOK_MS;
         let mut view = self.view();
-        let troubled = self.size.troubles > 0.0 && self.now < self.size.troubled;
+        let troubled = self.size.fault_probability > 0.0 && self.now < self.size.fault_period_ms;
         if troubled && self.rng.random_bool(0.05) {
             view = View { revision: view.revision, ..self.old_view.clone() };
-            self.meets("watch skipped");
+            self.record("watch skipped");
         } else {
             self.old_view = view.clone();
         }
         let world = &self.cells[cell];
         for n in 0..world.nodes.len() {
             let node = &world.nodes[n];
-            if node.cluster.is_none() || !world.awake(n) || !world.reaches_store(n) {
+            if node.scheduler.is_none() || !world.awake(n) || !world.reaches_store(n) {
                 continue;
             }
             let (run, token) = (node.run, node.token);
             let event = Box::new(Event::QuotaObserved(view.clone()));
             let slow = self.rng.random_bool(0.05);
             let delay = self.rng.random_range(1..if slow { 1_200 } else { 60 });
-            self.post(delay, SharedMsg::Tell { cell, node: n, run, token, event });
+            self.post(delay, SharedMessage::Event { cell, node: n, run, token, event });
             return;
         }
     }
@@ -285,11 +287,11 @@
             view.teams.insert(team.clone(), seen);
         }
         for (i, world) in self.cells.iter().enumerate().filter(|(_, w)| w.last_token > 0) {
-            let lease = |ms: u64| if self.ignored == Ignored::Leases { 0 } else { ms };
+            let lease = |ms: u64| if self.ignored == IgnoredCondition::Leases { 0 } else { ms };
             let record = CellRecord {
                 cloud: name_of(i),
-                leader_lease_ms: lease(TTL),
-                worker_lease_ms: lease(LEASE),
+                leader_lease_ms: lease(LEADER_LEASE_MS),
+                worker_lease_ms: lease(WORKER_LEASE_MS),
             };
             let presence = Presence {
                 is_led: world.leader.is_some(),
@@ -307,9 +309,9 @@
         let outcome = |outcome| {
             let event =
                 Box::new(Event::LedgerWriteFinished { write: shared.write.clone(), outcome });
-            SharedMsg::Tell { cell, node, run, token, event }
+            SharedMessage::Event { cell, node, run, token, event }
         };
-        let troubled = self.size.troubles > 0.0 && self.now < self.size.troubled;
+        let troubled = self.size.fault_probability > 0.0 && self.now < self.size.fault_period_ms;
         let is_reached = self.cells[cell].reaches_store(node);
         if !is_reached && self.rng.random_bool(0.5) {
             let refused = outcome(WriteOutcome::NotStored);
@@ -321,13 +323,13 @@
         if is_late || is_lost {
             let unknown = outcome(WriteOutcome::Unknown);
             self.post(GIVEN_UP_MS, unknown);
-            self.meets(if is_late { "late write" } else { "lost answer" });
+            self.record(if is_late { "late write" } else { "lost answer" });
         }
         let delay = self.rng.random_range(if is_late { 2_000..20_000 } else { 1..60 });
-        self.post(delay, SharedMsg::Carry { cell, shared, tell: !is_late && !is_lost });
+        self.post(delay, SharedMessage::Write { cell, shared, responds: !is_late && !is_lost });
     }
 
-    fn carry_out(&mut self, cell: usize, shared: SharedWrite, tell: bool) {
+    fn carry_out(&mut self, cell: usize, shared: SharedWrite, responds: bool) {
         let SharedWrite { node, run, token, write } = shared;
         let is_down = self.cells[cell].now < self.cells[cell].store_down_until;
         let outcome = match !is_down && self.may_store(cell, token, &write) {
@@ -341,9 +343,9 @@
             // Its sender looks again at once.
             self.next_look[cell] = self.now;
         }
-        if tell {
+        if responds {
             let event = Box::new(Event::LedgerWriteFinished { write, outcome });
-            self.post(5, SharedMsg::Tell { cell, node, run, token, event });
+            self.post(5, SharedMessage::Event { cell, node, run, token, event });
         }
     }
 
@@ -357,26 +359,26 @@
 
     fn note(&mut self, cell: usize, write: &LedgerWrite) {
         if !write.dead.is_empty() {
-            self.meets("reclaimed");
+            self.record("reclaimed");
         }
         let before = self.ledger().map_or(0, |l| l.allotted_to(&name_of(cell)).millicpus);
         let after = write.ledger.allotted_to(&name_of(cell)).millicpus;
         if before != after {
-            self.meets(if after > before { "taken" } else { "given back" });
+            self.record(if after > before { "taken" } else { "given back" });
         }
     }
 
     fn may_store(&mut self, cell: usize, token: u64, write: &LedgerWrite) -> bool {
         let revision = self.teams.get(&write.team).map_or(0, |(revision, _)| *revision);
         if revision != write.expect {
-            self.meets("stale write refused");
-            if self.ignored != Ignored::Revision {
+            self.record("stale write refused");
+            if self.ignored != IgnoredCondition::Revision {
                 return false;
             }
         }
         if self.cells[cell].leader.map(|(_, token, _)| token) != Some(token) {
-            self.meets("deposed writer refused");
-            if self.ignored != Ignored::Fence {
+            self.record("deposed writer refused");
+            if self.ignored != IgnoredCondition::Fence {
                 return false;
             }
         }
@@ -387,8 +389,8 @@
         };
         let are_dead = write.dead.iter().all(is_dead);
         if !are_dead {
-            self.meets("reclaim refused");
+            self.record("reclaim refused");
         }
-        are_dead || self.ignored == Ignored::DeadCells
+        are_dead || self.ignored == IgnoredCondition::DeadCells
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/world/gangs.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// ms a task waits for the others of its attempt, and within which it notices that one is gone.
-pub const GANG_WAIT: u64 = 8_000;
-pub const GANG_PEER: u64 = 2_000;
+pub const GANG_WAIT_MS: u64 = 8_000;
+pub const GANG_PEER_MS: u64 = 2_000;
 
 /// An attempt of which all tasks have run.
 pub(super) struct GangRun {
@@ -43,7 +43,7 @@
                     worker: name.clone(),
                     key: *key,
                     phase: task.phase,
-                    executes: self.now >= w.hang_until,
+                    executes: self.now >= w.hung_until,
                 });
             }
         }
@@ -82,7 +82,7 @@
         for member in members {
             self.set_phase(member, TaskPhase::Running);
         }
-        self.meets("gang started");
+        self.record("gang started");
         if let Some(j) = self.jobs.get_mut(&attempt.0) {
             j.begun.get_or_insert(self.now);
         }
@@ -96,8 +96,8 @@
             run.broken_at.get_or_insert(now);
         }
         if let Some(at) = run.broken_at {
-            if now >= at + GANG_PEER {
-                self.meets("gang lost a task");
+            if now >= at + GANG_PEER_MS {
+                self.record("gang lost a task");
                 for member in members.iter().filter(|m| m.executes && m.phase == TaskPhase::Running)
                 {
                     self.set_phase(member, TaskPhase::Ended(ExitCause::GangPeerLost));
@@ -108,19 +108,19 @@
         if now < run.until {
             return;
         }
-        let mistaken = self.jobs[&attempt.0].mistaken;
-        let sick = |m: &&Member| mistaken || self.workers[&m.worker].sick;
-        if let Some(member) = members.iter().find(sick) {
+        let always_fails = self.jobs[&attempt.0].always_fails;
+        let fails_tasks = |m: &&Member| always_fails || self.workers[&m.worker].fails_tasks;
+        if let Some(member) = members.iter().find(fails_tasks) {
             self.failures += 1;
             self.set_phase(member, TaskPhase::Ended(ExitCause::Failed));
             return;
         }
-        self.meets("gang done");
+        self.record("gang done");
         for member in members {
             self.completed.insert(member.key.0);
             self.set_phase(member, TaskPhase::Ended(ExitCause::Done));
             if let Some(w) = self.workers.get_mut(&member.worker) {
-                w.done_here.insert(member.key.0);
+                w.completed_here.insert(member.key.0);
             }
         }
         self.cancel_at_end(attempt.0);
@@ -128,10 +128,10 @@
 
     /// The referee: while a task of one attempt is on a machine, none of another starts.
     pub(super) fn check_attempt(&mut self, name: &str, key: (TaskId, u64)) {
-        let on = |t: &WTask| {
+        let on = |t: &WorkerTask| {
             matches!(t.phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
         };
-        let other = |((task, attempt), state): (&(TaskId, u64), &WTask)| {
+        let other = |((task, attempt), state): (&(TaskId, u64), &WorkerTask)| {
             task.job == key.0.job && *attempt != key.1 && on(state)
         };
         let beside: Vec<String> = self
@@ -149,7 +149,7 @@
     pub(super) fn gang_fits(&self, spec: &JobSpec, rooms: &[(&Worker, f64)]) -> bool {
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         for (w, free) in rooms {
-            if rules::may_start(spec, w.kind, w.zone, w.spot, std::iter::empty()) {
+            if rules::may_start(spec, w.machine_type, w.zone, w.spot, std::iter::empty()) {
                 *by_zone.entry(w.zone).or_default() += ((free + 1e-6) / spec.demand.cpus) as u32;
             }
         }
--- a/crates/latchtrack-core/tests/simulation/world/guards.rs
+++ b/crates/latchtrack-core/tests/simulation/world/guards.rs
@@ -2,42 +2,42 @@
 
 /// Which guard is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    Nothing,
+pub enum DisabledGuard {
+    None,
     /// A new leader believes that nothing was launched before it.
-    NoSettling,
+    Reconciliation,
     /// A machine counts as gone though its delete was not answered.
-    SilenceIsDeath,
+    ConfirmedTermination,
     /// A leader acts though its lease has run out and its cache is old.
-    NoLease,
+    LeaderLease,
     /// Machines are taken for stored that are not.
-    NotStored,
+    MachineRecords,
     /// Ended runs are forgotten though a direct command is open, and then unknown to the machine.
-    EarlyForget,
+    ForgetAfterCalls,
     /// The leader's writes are made without conditions.
-    NoFence,
-    DeafToCancel,
+    WriteFence,
+    Cancellation,
     /// Late copies of reports are taken for news of now.
-    BelieveCopies,
+    HeartbeatFreshness,
     /// Packed values are written whatever stamp they have, so that late writes undo newer ones.
-    NoPackStamp,
+    ShardRevision,
     /// Jobs count as accepted while nobody led.
-    AlwaysVacant,
+    LeaderlessSince,
     /// Tasks of silent machines are freed before their lease has run out.
-    ShortLease,
+    WorkerLease,
     /// What cancelled tasks use does not count against their team's limit.
-    CancelledUseNothing,
+    CancelledTaskUsage,
     /// A job that ended is called done, be it cancelled meanwhile.
-    DoneAnyway,
+    JobRevision,
     /// Reports lack the waiting tasks of gangs, which so count as gone while they are there.
-    WaitingUnseen,
+    WaitingTaskStatus,
     /// Reports lack the tasks that save, which so count as gone while they are there.
-    SavingUnseen,
+    CheckpointingTaskStatus,
     /// Gangs are taken for independent tasks.
-    TaskByTask,
+    GangAtomicity,
     /// A new leader misses some of the open jobs.
-    Forgetful,
-    NoLimit,
-    AnyPlace,
-    EarlyDone,
+    JobRecovery,
+    TeamLimit,
+    PlacementConstraints,
+    TaskCompletion,
 }
--- a/crates/latchtrack-core/tests/simulation/world/messages.rs
+++ b/crates/latchtrack-core/tests/simulation/world/messages.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-pub(super) enum Msg {
+pub(super) enum Message {
     Heartbeat {
         node: usize,
         worker: String,
@@ -10,7 +10,7 @@
         id: u64,
         sent: u64,
     },
-    Answer {
+    HeartbeatResponse {
         worker: String,
         id: u64,
         token: u64,
@@ -18,11 +18,11 @@
         commands: Vec<Command>,
         sent: u64,
     },
-    Elsewhere {
+    Redirect {
         worker: String,
         id: u64,
     },
-    Do {
+    DirectCall {
         node: usize,
         run: u64,
         worker: String,
@@ -32,7 +32,7 @@
         commands: Vec<Command>,
         late: bool,
     },
-    Did {
+    CallFinished {
         node: usize,
         run: u64,
         token: u64,
@@ -47,30 +47,30 @@
         request_id: String,
         offer: Offer,
         number: u32,
-        tell: bool,
+        responds: bool,
     },
-    Return {
+    Terminate {
         node: usize,
         run: u64,
         token: u64,
         names: Vec<String>,
-        tell: bool,
+        responds: bool,
     },
     Write {
         node: usize,
         run: u64,
         token: u64,
         writes: Vec<RecordWrite>,
-        tell: bool,
+        responds: bool,
     },
     /// Something for a node's core, if it still is in that term.
-    Tell {
+    Event {
         node: usize,
         run: u64,
         token: u64,
         event: Event,
     },
-    Saved {
+    WriteFinished {
         node: usize,
         run: u64,
         token: u64,
@@ -80,38 +80,38 @@
 }
 
 impl World {
-    pub(super) fn deliver(&mut self, msg: Msg) {
+    pub(super) fn deliver(&mut self, msg: Message) {
         match msg {
-            Msg::Heartbeat { node, worker, mut report, id, sent } => {
+            Message::Heartbeat { node, worker, mut report, id, sent } => {
                 self.copies += u64::from(id == 0);
-                if self.broken == Broken::SavingUnseen {
+                if self.disabled_guard == DisabledGuard::CheckpointingTaskStatus {
                     report.tasks.retain(|t| t.phase != TaskPhase::Checkpointing);
                 }
-                if self.broken == Broken::WaitingUnseen {
+                if self.disabled_guard == DisabledGuard::WaitingTaskStatus {
                     report.tasks.retain(|t| t.phase != TaskPhase::Waiting);
                 }
-                if self.broken == Broken::CancelledUseNothing {
-                    let cancelled = |id: &JobId| matches!(self.jobs[id].state, State::Cancelled);
+                if self.disabled_guard == DisabledGuard::CancelledTaskUsage {
+                    let cancelled = |id: &JobId| matches!(self.jobs[id].state, JobState::Cancelled);
                     report.tasks.retain(|t| !cancelled(&t.task.job));
                 }
-                if self.broken == Broken::BelieveCopies && id == 0 {
+                if self.disabled_guard == DisabledGuard::HeartbeatFreshness && id == 0 {
                     report.token = self.nodes[node].token;
                 }
-                let node_cut = self.now < self.nodes[node].cut_until;
+                let node_cut = self.now < self.nodes[node].partitioned_until;
                 if !self.awake(node) || node_cut {
                     return;
                 }
                 if !self.may_act(node) {
-                    self.post(5, Msg::Elsewhere { worker, id });
+                    self.post(5, Message::Redirect { worker, id });
                     return;
                 }
                 let (token, agent_epoch) = (self.nodes[node].token, report.agent_epoch);
                 let commands = self.drive(node, Event::Heartbeat(report.clone()));
                 let Some(mut commands) = commands else {
-                    self.post(5, Msg::Elsewhere { worker, id });
+                    self.post(5, Message::Redirect { worker, id });
                     return;
                 };
-                if self.broken == Broken::EarlyForget {
+                if self.disabled_guard == DisabledGuard::ForgetAfterCalls {
                     for t in report.tasks.iter().filter(|t| matches!(t.phase, TaskPhase::Ended(_)))
                     {
                         commands.push(Command::Forget { task: t.task, attempt: t.attempt });
@@ -121,17 +121,21 @@
                     return;
                 }
                 let delay = self.delay(0.01);
-                self.post(delay, Msg::Answer { worker, id, token, agent_epoch, commands, sent });
+                self.post(
+                    delay,
+                    Message::HeartbeatResponse { worker, id, token, agent_epoch, commands, sent },
+                );
             }
-            Msg::Answer { worker, id, token, agent_epoch, commands, sent } => {
+            Message::HeartbeatResponse { worker, id, token, agent_epoch, commands, sent } => {
                 let now = self.now;
                 let Some(w) = self.workers.get_mut(&worker) else { return };
-                let current = w.flying.is_some_and(|(_, f)| f == id) && now <= sent + 4_000;
-                let unreached = now < w.cut_until.max(w.deaf_until);
-                if !w.alive || now < w.hang_until || unreached || !current {
+                let current =
+                    w.heartbeat_in_flight.is_some_and(|(_, f)| f == id) && now <= sent + 4_000;
+                let unreached = now < w.partitioned_until.max(w.inbound_lost_until);
+                if !w.alive || now < w.hung_until || unreached || !current {
                     return;
                 }
-                w.flying = None;
+                w.heartbeat_in_flight = None;
                 if token < w.token || agent_epoch != w.agent_epoch {
                     return;
                 }
@@ -142,27 +146,27 @@
                 w.lease_from = w.lease_from.max(sent);
                 self.execute(&worker, &commands);
             }
-            Msg::Elsewhere { worker, id } => {
+            Message::Redirect { worker, id } => {
                 let leader = self.leader.map(|l| l.0);
                 let now = self.now;
                 let Some(w) = self.workers.get_mut(&worker) else { return };
-                if w.flying.is_some_and(|(_, f)| f == id) {
-                    w.flying = None;
+                if w.heartbeat_in_flight.is_some_and(|(_, f)| f == id) {
+                    w.heartbeat_in_flight = None;
                     w.node =
                         leader.filter(|l| *l != w.node).unwrap_or((w.node + 1) % self.size.nodes);
                     w.next_report = now + 500;
                 }
             }
-            Msg::Do { node, run, worker, token, agent_epoch, call, commands, late } => {
+            Message::DirectCall { node, run, worker, token, agent_epoch, call, commands, late } => {
                 let now = self.now;
                 let Some(w) = self.workers.get_mut(&worker) else { return };
                 if !w.alive || now < w.up_at || w.agent_epoch == 0 {
                     return;
                 }
-                if now < w.hang_until {
+                if now < w.hung_until {
                     // Executed when the machine resumes.
-                    let wait = w.hang_until - now + 1;
-                    let msg = Msg::Do {
+                    let wait = w.hung_until - now + 1;
+                    let msg = Message::DirectCall {
                         node,
                         run,
                         worker,
@@ -194,52 +198,55 @@
                 // The answer may be lost on its way.
                 if !self.chance(0.02) {
                     let delay = self.rng.random_range(1..60);
-                    self.post(delay, Msg::Did { node, run, token, worker, call, outcome });
+                    self.post(
+                        delay,
+                        Message::CallFinished { node, run, token, worker, call, outcome },
+                    );
                 }
             }
-            Msg::Did { node, run, token, worker, call, outcome } => {
+            Message::CallFinished { node, run, token, worker, call, outcome } => {
                 let event = Event::CallFinished { machine: worker, call, outcome };
-                self.deliver(Msg::Tell { node, run, token, event });
+                self.deliver(Message::Event { node, run, token, event });
             }
-            Msg::Provision { node, run, token, request_id, offer, number, tell } => {
+            Message::Provision { node, run, token, request_id, offer, number, responds } => {
                 let outcome = self.provision(&request_id, &offer, number);
-                let outcome = if tell { outcome } else { ProvisionOutcome::Unknown };
+                let outcome = if responds { outcome } else { ProvisionOutcome::Unknown };
                 let wait =
                     if matches!(outcome, ProvisionOutcome::Provisioned(_)) { 50 } else { 800 };
                 let event = Event::ProvisionFinished { request_id, outcome };
-                self.post(wait, Msg::Tell { node, run, token, event });
+                self.post(wait, Message::Event { node, run, token, event });
             }
-            Msg::Return { node, run, token, names, tell } => {
+            Message::Terminate { node, run, token, names, responds } => {
                 let up = self.now >= self.cloud_down_until;
-                if up && self.broken != Broken::SilenceIsDeath {
+                if up && self.disabled_guard != DisabledGuard::ConfirmedTermination {
                     for name in &names {
                         self.workers.remove(name);
                     }
                 }
-                let ok = up && tell;
+                let ok = up && responds;
                 let event = Event::TerminateFinished { names, ok };
-                self.post(if ok { 50 } else { 800 }, Msg::Tell { node, run, token, event });
+                self.post(if ok { 50 } else { 800 }, Message::Event { node, run, token, event });
             }
-            Msg::Write { node, run, token, writes, tell } => {
+            Message::Write { node, run, token, writes, responds } => {
                 let outcome = self.write(token, &writes);
-                if tell {
+                if responds {
                     let wait = if matches!(outcome, BatchOutcome::Committed(_)) { 5 } else { 250 };
-                    self.post(wait, Msg::Saved { node, run, token, writes, outcome });
+                    self.post(wait, Message::WriteFinished { node, run, token, writes, outcome });
                 }
             }
-            Msg::Saved { node, run, token, writes, outcome } => {
+            Message::WriteFinished { node, run, token, writes, outcome } => {
                 if self.nodes[node].run == run && self.nodes[node].token == token {
-                    self.nodes[node].saving = false;
+                    self.nodes[node].write_in_flight = false;
                     let event = Event::WritesFinished { writes, outcome };
-                    self.deliver(Msg::Tell { node, run, token, event });
+                    self.deliver(Message::Event { node, run, token, event });
                 }
             }
-            Msg::Tell { node, run, token, event } => {
+            Message::Event { node, run, token, event } => {
                 let n = &self.nodes[node];
                 if n.run == run && n.token == token && n.up {
                     if self.now < n.paused_until {
                         let wait = n.paused_until - self.now + 1;
-                        self.post(wait, Msg::Tell { node, run, token, event });
+                        self.post(wait, Message::Event { node, run, token, event });
                     } else {
                         self.drive(node, event);
                     }
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -21,8 +21,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use faults::Planned;
-use guards::Broken;
+use faults::PlannedFault;
+use guards::DisabledGuard;
 use latchtrack_balance::balancer::{Limits, MoveCounts};
 use latchtrack_core::bitmap::Bitmap;
 use latchtrack_core::job::{Demand, JobId, JobSpec, Priority, TaskId};
@@ -31,40 +31,40 @@
 use latchtrack_core::rules;
 use latchtrack_core::scheduler::*;
 use latchtrack_quota::{LedgerWrite, WriteOutcome};
-use messages::Msg;
+use messages::Message;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use size::{Size, SMALL};
-use state::{Node, State, Stored, WTask, Worker};
+use state::{JobState, Node, StoredJob, Worker, WorkerTask};
 use trace::DecisionTrace;
 
-const LEASE: u64 = 15_000;
-const TTL: u64 = 3_000;
-const GUARD: u64 = 200;
-const CANCEL: u64 = 25_000;
+const WORKER_LEASE_MS: u64 = 15_000;
+const LEADER_LEASE_MS: u64 = 3_000;
+const LEASE_MARGIN_MS: u64 = 200;
+const CANCEL_MS: u64 = 25_000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 pub struct World {
     rng: StdRng,
-    broken: Broken,
+    disabled_guard: DisabledGuard,
     now: u64,
     next_id: u64,
-    queue: BTreeMap<(u64, u64), Msg>,
+    queue: BTreeMap<(u64, u64), Message>,
     // State service.
-    epoch: u64,
+    revision: u64,
     leader: Option<(usize, u64, u64)>,
     /// The stamp with which the leader key last went.
     leaderless_since: u64,
-    jobs: BTreeMap<JobId, Stored>,
+    jobs: BTreeMap<JobId, StoredJob>,
     results: BTreeMap<String, StoredResults>,
     machine_sets: BTreeMap<String, StoredMachineSet>,
     store_down_until: u64,
     /// The zone that is cut off, and until when.
-    zone_cut: Option<(&'static str, u64)>,
-    plan: Vec<(u64, Planned)>,
+    zone_partition: Option<(&'static str, u64)>,
+    plan: Vec<(u64, PlannedFault)>,
     /// Bytes of a value and changes of a transaction that leaders keep to, and that the service takes.
-    kept_to: (usize, usize),
-    taken: (usize, usize),
+    leader_write_limits: (usize, usize),
+    store_write_limits: (usize, usize),
     // Cloud.
     cloud_down_until: u64,
     /// Times the usual boot, chance of none, and until when.
@@ -72,11 +72,11 @@
     /// Parts of the writes that are late, of those that lose their answer, of the reports of which a
     /// copy is kept for the next leader, of the ending jobs that are cancelled; each until when.
     late_writes: (f64, u64),
-    lost_answers: (f64, u64),
-    copies_kept: (f64, u64),
-    cancels_at_end: (f64, u64),
-    swarm_until: u64,
-    reserved_exclusively: Vec<(String, Heartbeat)>,
+    lost_write_responses: (f64, u64),
+    withheld_share: (f64, u64),
+    cancelled_at_completion: (f64, u64),
+    small_jobs_until: u64,
+    withheld_heartbeats: Vec<(String, Heartbeat)>,
     workers: BTreeMap<String, Worker>,
     provisions: BTreeMap<String, Vec<String>>,
     next_machine: u64,
@@ -84,7 +84,7 @@
     // Referee.
     pub violations: Vec<String>,
     /// What the planned troubles came to, so that tests can tell that they did.
-    pub met: BTreeMap<&'static str, u64>,
+    pub occurrences: BTreeMap<&'static str, u64>,
     completed: BTreeSet<TaskId>,
     /// Attempts of gangs that have started, by job and attempt number.
     gang_runs: BTreeMap<(JobId, u64), gangs::GangRun>,
@@ -93,8 +93,8 @@
     pub copies: u64,
     pub puts: u64,
     pub calls: u64,
-    /// Machines rented, and tasks that failed.
-    pub rented: u64,
+    /// Machines provisioned, and tasks that failed.
+    pub provisioned: u64,
     pub failures: u64,
     pub most_up: usize,
     /// Most machines that a leader named as overdue.
@@ -107,14 +107,14 @@
     pub moves: MoveCounts,
     size: Size,
     next_job: u64,
-    lonely: bool,
+    without_successors: bool,
     /// The cell that this world is, if it shares teams with others.
     cell: Option<String>,
     /// What the cells share, as its leaders want it written.
     shared_writes: Vec<federation::SharedWrite>,
     /// CPUs of the limited team in use in other cells, and those that its tasks take there, fetching or not.
     used_elsewhere: f64,
-    taken_elsewhere: f64,
+    claimed_elsewhere: f64,
     /// Token of the last leader.
     last_token: u64,
     /// What the leaders decide, if that is to be compared with another version.
@@ -139,62 +139,62 @@
 }
 
 impl World {
-    pub fn new(seed: u64, broken: Broken) -> Self {
-        World::sized(seed, broken, SMALL)
+    pub fn new(seed: u64, disabled_guard: DisabledGuard) -> Self {
+        World::sized(seed, disabled_guard, SMALL)
     }
 
-    pub fn sized(seed: u64, broken: Broken, size: Size) -> Self {
+    pub fn sized(seed: u64, disabled_guard: DisabledGuard, size: Size) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes = (0..size.nodes)
             .map(|_| Node {
                 up: true,
                 back_at: 0,
                 paused_until: 0,
-                cut_until: 0,
+                partitioned_until: 0,
                 refused_until: 0,
                 drift: rng.random_range(-0.0005..0.0005),
-                cluster: None,
+                scheduler: None,
                 token: 0,
-                valid_until: 0,
-                fresh_at: 0,
-                seen_stamp: 0,
+                lease_valid_until: 0,
+                cache_fresh_at: 0,
+                seen_revision: 0,
                 last_renew: 0,
-                saving: false,
-                next_save: 0,
+                write_in_flight: false,
+                next_write_at: 0,
                 run: 0,
             })
             .collect();
         World {
             rng,
-            broken,
+            disabled_guard,
             now: 1_000,
             next_id: 0,
             queue: BTreeMap::new(),
-            epoch: 10,
+            revision: 10,
             leader: None,
             leaderless_since: 0,
             jobs: BTreeMap::new(),
             results: BTreeMap::new(),
             machine_sets: BTreeMap::new(),
             store_down_until: 0,
-            zone_cut: None,
+            zone_partition: None,
             plan: Vec::new(),
-            kept_to: (if size.capacity > 10 { 4_096 } else { 300 }, 8),
-            taken: (usize::MAX, usize::MAX),
+            leader_write_limits: (if size.machines_per_offer > 10 { 4_096 } else { 300 }, 8),
+            store_write_limits: (usize::MAX, usize::MAX),
             cloud_down_until: 0,
             boots: (1.0, 0.03, 0),
             late_writes: (0.0, 0),
-            lost_answers: (0.0, 0),
-            copies_kept: (0.0, 0),
-            cancels_at_end: (0.0, 0),
-            swarm_until: 0,
-            reserved_exclusively: Vec::new(),
+            lost_write_responses: (0.0, 0),
+            withheld_share: (0.0, 0),
+            cancelled_at_completion: (0.0, 0),
+            small_jobs_until: 0,
+            withheld_heartbeats: Vec::new(),
             workers: BTreeMap::new(),
             provisions: BTreeMap::new(),
             next_machine: 0,
             nodes,
             violations: Vec::new(),
-            met: BTreeMap::new(),
+            occurrences: BTreeMap::new(),
             completed: BTreeSet::new(),
             gang_runs: BTreeMap::new(),
             terms: 0,
@@ -202,7 +202,7 @@
             copies: 0,
             puts: 0,
             calls: 0,
-            rented: 0,
+            provisioned: 0,
             failures: 0,
             most_up: 0,
             most_overdue: 0,
@@ -212,11 +212,11 @@
             moves: MoveCounts::default(),
             size,
             next_job: 0,
-            lonely: false,
+            without_successors: false,
             cell: None,
             shared_writes: Vec::new(),
             used_elsewhere: 0.0,
-            taken_elsewhere: 0.0,
+            claimed_elsewhere: 0.0,
             last_token: 0,
             trace: None,
         }
@@ -224,16 +224,16 @@
 
     /// Only the first node is served by the state service, and not always, so that nobody else takes over when it
     /// is refused: only its own lease ends what it does.
-    pub fn lonely(mut self) -> Self {
+    pub fn without_successors(mut self) -> Self {
         for node in &mut self.nodes[1..] {
-            node.refused_until = self.size.end;
+            node.refused_until = self.size.end_ms;
         }
-        self.lonely = true;
+        self.without_successors = true;
         self
     }
 
     /// With troubles at set times beside those that chance brings.
-    pub fn planned(mut self, plan: &[(u64, Planned)]) -> Self {
+    pub fn planned(mut self, plan: &[(u64, PlannedFault)]) -> Self {
         self.plan = plan.to_vec();
         self
     }
@@ -245,27 +245,27 @@
 
     /// Until when nothing passes between a worker and a node, if a zone's cut is between them.
     fn apart(&self, worker: &str, node: usize) -> Option<u64> {
-        let (zone, until) = self.zone_cut.filter(|(_, until)| self.now < *until)?;
+        let (zone, until) = self.zone_partition.filter(|(_, until)| self.now < *until)?;
         let w = self.workers.get(worker)?;
         ((w.zone == zone) != (Self::zone_of(node) == zone)).then_some(until)
     }
 
     pub fn run(&mut self) {
-        for _ in 0..self.size.first {
+        for _ in 0..self.size.initial_jobs {
             self.submit();
         }
-        while self.now < self.size.end && self.violations.is_empty() {
+        while self.now < self.size.end_ms && self.violations.is_empty() {
             self.step();
-            if self.now >= self.size.troubled && self.unfinished().is_empty() {
+            if self.now >= self.size.fault_period_ms && self.unfinished().is_empty() {
                 break;
             }
         }
     }
 
     fn step(&mut self) {
-        self.now += self.size.step;
-        self.begin_planned();
-        if self.now < self.size.troubled {
+        self.now += self.size.step_ms;
+        self.begin_planned_faults();
+        if self.now < self.size.fault_period_ms {
             self.trouble();
             self.users();
         }
@@ -289,22 +289,22 @@
     }
 
     /// Counts that something came about.
-    fn meets(&mut self, what: &'static str) {
-        *self.met.entry(what).or_default() += 1;
+    fn record(&mut self, what: &'static str) {
+        *self.occurrences.entry(what).or_default() += 1;
     }
 
     fn chance(&mut self, p: f64) -> bool {
         self.rng.random_bool(p)
     }
 
-    fn post(&mut self, delay: u64, msg: Msg) {
+    fn post(&mut self, delay: u64, msg: Message) {
         self.next_id += 1;
         self.queue.insert((self.now + delay, self.next_id), msg);
     }
 
     /// The delay of a message; now and then it is held back for long.
     fn delay(&mut self, held: f64) -> u64 {
-        if self.now < self.size.troubled && self.chance(held) {
+        if self.now < self.size.fault_period_ms && self.chance(held) {
             self.rng.random_range(3_000..40_000)
         } else {
             self.rng.random_range(1..60)
--- a/crates/latchtrack-core/tests/simulation/world/nodes.rs
+++ b/crates/latchtrack-core/tests/simulation/world/nodes.rs
@@ -10,11 +10,13 @@
 
     pub(super) fn reaches_store(&self, n: usize) -> bool {
         let node = &self.nodes[n];
-        if self.lonely && (40_000..110_000).contains(&self.now) {
+        if self.without_successors && (40_000..110_000).contains(&self.now) {
             return false;
         }
-        let cut = self.zone_cut.is_some_and(|(z, until)| self.now < until && z == Self::zone_of(n));
-        !cut && self.now >= self.store_down_until.max(node.cut_until).max(node.refused_until)
+        let cut =
+            self.zone_partition.is_some_and(|(z, until)| self.now < until && z == Self::zone_of(n));
+        !cut && self.now
+            >= self.store_down_until.max(node.partitioned_until).max(node.refused_until)
     }
 
     pub(super) fn awake(&self, n: usize) -> bool {
@@ -23,9 +25,9 @@
 
     pub(super) fn may_act(&self, n: usize) -> bool {
         let (node, now) = (&self.nodes[n], self.clock(n));
-        node.cluster.is_some()
-            && (self.broken == Broken::NoLease
-                || (now < node.valid_until && now < node.fresh_at + TTL))
+        node.scheduler.is_some()
+            && (self.disabled_guard == DisabledGuard::LeaderLease
+                || (now < node.lease_valid_until && now < node.cache_fresh_at + LEADER_LEASE_MS))
     }
 
     pub(super) fn step_node(&mut self, n: usize) {
@@ -39,19 +41,21 @@
         if self.reaches_store(n) && now >= self.nodes[n].last_renew + 300 {
             self.nodes[n].last_renew = now;
             match self.leader {
-                None => self.take_over(n),
+                None => self.campaign(n),
                 Some((leader, token, _)) if leader == n && self.nodes[n].token == token => {
-                    self.leader = Some((n, token, self.now + TTL));
-                    self.nodes[n].valid_until = now + TTL - GUARD;
+                    self.leader = Some((n, token, self.now + LEADER_LEASE_MS));
+                    self.nodes[n].lease_valid_until = now + LEADER_LEASE_MS - LEASE_MARGIN_MS;
                 }
                 Some(_) => {
-                    if self.broken != Broken::NoLease {
-                        self.nodes[n].cluster = None;
+                    if self.disabled_guard != DisabledGuard::LeaderLease {
+                        self.nodes[n].scheduler = None;
                         self.nodes[n].token = 0;
                     }
                 }
             }
-            if self.broken != Broken::NoLease || self.leader.map(|l| l.0) == Some(n) {
+            if self.disabled_guard != DisabledGuard::LeaderLease
+                || self.leader.map(|l| l.0) == Some(n)
+            {
                 self.read_jobs(n);
             }
         }
--- a/crates/latchtrack-core/tests/simulation/world/store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/store.rs
@@ -18,12 +18,12 @@
         if self.now < self.store_down_until {
             // After an outage every lease has its full time again.
             if let Some(l) = &mut self.leader {
-                l.2 = self.store_down_until + TTL;
+                l.2 = self.store_down_until + LEADER_LEASE_MS;
             }
         } else if self.leader.is_some_and(|(_, _, until)| until < self.now) {
             self.leader = None;
-            self.epoch += 1;
-            self.leaderless_since = self.epoch;
+            self.revision += 1;
+            self.leaderless_since = self.revision;
         }
     }
 
@@ -31,17 +31,17 @@
         if self.now < self.store_down_until {
             return BatchOutcome::NotExecuted;
         }
-        let (bytes, changes) = self.taken;
+        let (bytes, changes) = self.store_write_limits;
         if writes.len() > changes || writes.iter().any(|w| value_size(w) > bytes) {
-            self.meets("write refused");
+            self.record("write refused");
             return BatchOutcome::Rejected;
         }
-        if writes.iter().any(|w| value_size(w) > self.kept_to.0) {
-            self.meets("value above what leaders keep to");
+        if writes.iter().any(|w| value_size(w) > self.leader_write_limits.0) {
+            self.record("value above what leaders keep to");
         }
         let none = || BatchOutcome::Conflict { jobs: vec![], fleet: vec![], results: vec![] };
         self.puts += writes.len() as u64;
-        if self.broken != Broken::NoFence {
+        if self.disabled_guard != DisabledGuard::WriteFence {
             if self.leader.map(|l| l.1) != Some(token) {
                 return none();
             }
@@ -58,7 +58,7 @@
                 .collect();
             let (mut fleet, mut results) = (Vec::new(), Vec::new());
             for w in writes {
-                let strict = self.broken != Broken::NoPackStamp;
+                let strict = self.disabled_guard != DisabledGuard::ShardRevision;
                 let differs = |expect: Option<u64>, have: Option<u64>| {
                     strict && expect.is_some_and(|e| e != have.unwrap_or(0))
                 };
@@ -79,19 +79,20 @@
                     RecordWrite::JobDone { .. } => {}
                 }
             }
-            let stale = if self.broken == Broken::DoneAnyway { Vec::new() } else { stale };
+            let stale =
+                if self.disabled_guard == DisabledGuard::JobRevision { Vec::new() } else { stale };
             if !(stale.is_empty() && fleet.is_empty() && results.is_empty()) {
                 return BatchOutcome::Conflict { jobs: stale, fleet, results };
             }
         }
-        self.epoch += 1;
+        self.revision += 1;
         for w in writes {
             match w.clone() {
                 RecordWrite::MachineSet { pack, machines } => {
                     if machines.is_empty() {
                         self.machine_sets.remove(&pack.name);
-                    } else if self.broken != Broken::NotStored {
-                        let (name, revision) = (pack.name, self.epoch);
+                    } else if self.disabled_guard != DisabledGuard::MachineRecords {
+                        let (name, revision) = (pack.name, self.revision);
                         let machines = Some(machines);
                         self.machine_sets
                             .insert(name.clone(), StoredMachineSet { name, revision, machines });
@@ -101,18 +102,18 @@
                     if chunks.is_empty() {
                         self.results.remove(&pack.name);
                     } else {
-                        let (name, revision) = (pack.name, self.epoch);
+                        let (name, revision) = (pack.name, self.revision);
                         self.results.insert(name.clone(), StoredResults { name, revision, chunks });
                     }
                 }
                 RecordWrite::JobDone { job, .. } => {
                     if let Some(j) = self.jobs.get_mut(&job) {
-                        j.state = State::Done;
-                        j.revision = self.epoch;
+                        j.state = JobState::Done;
+                        j.revision = self.revision;
                     }
                 }
             }
         }
-        BatchOutcome::Committed(self.epoch)
+        BatchOutcome::Committed(self.revision)
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/users.rs
+++ b/crates/latchtrack-core/tests/simulation/world/users.rs
@@ -40,12 +40,12 @@
 impl World {
     /// A node stores the cancellation of an open job and tells the user.
     pub(super) fn cancel(&mut self, id: JobId) {
-        self.epoch += 1;
-        let (epoch, now) = (self.epoch, self.now);
+        self.revision += 1;
+        let (epoch, now) = (self.revision, self.now);
         if let Some(j) = self.jobs.get_mut(&id) {
-            j.state = State::Cancelled;
+            j.state = JobState::Cancelled;
             j.revision = epoch;
-            j.told_cancelled = Some(now);
+            j.cancel_confirmed_at = Some(now);
         }
     }
 
@@ -53,14 +53,14 @@
         if self.now < self.store_down_until {
             return;
         }
-        if self.chance(self.size.submits) {
+        if self.chance(self.size.submit_probability) {
             self.submit();
         }
-        if self.chance(self.size.cancels) {
+        if self.chance(self.size.cancel_probability) {
             let open: Vec<JobId> = self
                 .jobs
                 .iter()
-                .filter(|(_, j)| matches!(j.state, State::Open { .. }))
+                .filter(|(_, j)| matches!(j.state, JobState::Open { .. }))
                 .map(|(id, _)| *id)
                 .collect();
             if !open.is_empty() {
@@ -68,7 +68,7 @@
                 self.cancel(id);
             }
         }
-        if self.now < self.swarm_until && self.chance(self.size.step as f64 / 250.0) {
+        if self.now < self.small_jobs_until && self.chance(self.size.step_ms as f64 / 250.0) {
             self.swarm();
         }
     }
@@ -79,14 +79,14 @@
         let id = JobId(self.next_job);
         let spec = JobSpec { id, ..guest("swarm", 1, 0.25, 5.0) };
         self.accept(spec, 0.0);
-        self.meets("swarm");
+        self.record("swarm");
         // One that came a while ago, so that some wait, some run and some are just done.
         let ago = self.rng.random_range(0..60);
         let old = JobId(self.next_job.saturating_sub(ago));
-        let open = self.jobs.get(&old).is_some_and(|j| matches!(j.state, State::Open { .. }));
+        let open = self.jobs.get(&old).is_some_and(|j| matches!(j.state, JobState::Open { .. }));
         if open && self.chance(0.4) {
             self.cancel(old);
-            self.meets("swarm cancelled");
+            self.record("swarm cancelled");
         }
     }
 
@@ -99,7 +99,7 @@
             self.submit_limited(1, 1.0);
             if i % 4 == 0 {
                 self.cancel(JobId(self.next_job));
-                self.meets("burst cancelled");
+                self.record("burst cancelled");
             }
         }
     }
@@ -134,7 +134,7 @@
 
     /// Users cancel all jobs that are open.
     pub fn cancel_all(&mut self) {
-        let open = |job: &Stored| matches!(job.state, State::Open { .. });
+        let open = |job: &StoredJob| matches!(job.state, JobState::Open { .. });
         let ids: Vec<JobId> =
             self.jobs.iter().filter(|(_, job)| open(job)).map(|(id, _)| *id).collect();
         for id in ids {
@@ -146,10 +146,10 @@
         self.submit_with(0.08);
     }
 
-    pub(super) fn submit_with(&mut self, mistakes: f64) {
+    pub(super) fn submit_with(&mut self, broken_probability: f64) {
         self.next_job += 1;
         let id = JobId(self.next_job);
-        let (saving, task_cpus) = (self.size.saving, self.size.task_cpus);
+        let (saving, task_cpus) = (self.size.checkpoint_probability, self.size.max_task_cpus);
         let rng = &mut self.rng;
         let cpus = f64::from(rng.random_range(1..=task_cpus));
         let zone =
@@ -159,7 +159,7 @@
             class: if rng.random_bool(0.5) { "c" } else { "d" }.into(),
             team: if rng.random_bool(0.5) { "free".into() } else { "limited".into() },
             priority: Priority::Normal,
-            tasks: rng.random_range(1..=self.size.tasks),
+            tasks: rng.random_range(1..=self.size.max_tasks),
             gang: false,
             demand: Demand { cpus, gpus: 0.0, memory_gb: cpus },
             types: rng.random_bool(0.2).then(|| vec!["large".to_string()]),
@@ -178,15 +178,15 @@
         if spec.one_zone {
             spec.spread = false;
         }
-        if self.size.gangs > 0.0 && self.rng.random_bool(self.size.gangs) {
-            make_gang(&mut spec, self.size.limit);
+        if self.size.gang_probability > 0.0 && self.rng.random_bool(self.size.gang_probability) {
+            make_gang(&mut spec, self.size.limited_team_cpus);
         }
-        self.accept(spec, mistakes);
+        self.accept(spec, broken_probability);
     }
 
     /// What a guest brings: idle-time work of long tasks, an array of very many, single small tasks.
     pub(super) fn guests(&mut self) {
-        let many = 4 * self.size.tasks;
+        let many = 4 * self.size.max_tasks;
         for _ in 0..3 {
             self.next_job += 1;
             self.accept(
@@ -206,19 +206,19 @@
     }
 
     /// A job is accepted; with this chance it was submitted with a mistake.
-    fn accept(&mut self, spec: JobSpec, mistakes: f64) {
+    fn accept(&mut self, spec: JobSpec, broken_probability: f64) {
         let id = spec.id;
-        let mistaken = self.rng.random_bool(mistakes);
-        self.epoch += 1;
+        let always_fails = self.rng.random_bool(broken_probability);
+        self.revision += 1;
         self.jobs.insert(
             id,
-            Stored {
+            StoredJob {
                 spec: Arc::new(spec),
-                state: State::Open { stored_at: self.now },
-                revision: self.epoch,
-                told_cancelled: None,
-                told_done: false,
-                mistaken,
+                state: JobState::Open { stored_at: self.now },
+                revision: self.revision,
+                cancel_confirmed_at: None,
+                done_confirmed: false,
+                always_fails,
                 submitted_at: self.now,
                 begun: None,
                 unschedulable_since: None,
--- a/crates/latchtrack-core/tests/simulation/world/workers.rs
+++ b/crates/latchtrack-core/tests/simulation/world/workers.rs
@@ -8,7 +8,7 @@
         Some(Heartbeat {
             machine: name.into(),
             addr: name.into(),
-            kind: w.kind.into(),
+            kind: w.machine_type.into(),
             zone: w.zone.into(),
             spot: w.spot,
             agent_epoch: w.agent_epoch,
@@ -34,7 +34,7 @@
         for name in names {
             let now = self.now;
             let Some(w) = self.workers.get_mut(&name) else { continue };
-            if !w.alive || now < w.up_at || (now < w.hang_until && w.agent_epoch == 0) {
+            if !w.alive || now < w.up_at || (now < w.hung_until && w.agent_epoch == 0) {
                 continue;
             }
             if w.agent_epoch == 0 {
@@ -42,36 +42,39 @@
                 w.lease_from = now;
             }
             // A steady clock that is slow: the worst case.
-            if now > w.lease_from + LEASE + LEASE / 2_000 {
+            if now > w.lease_from + WORKER_LEASE_MS + WORKER_LEASE_MS / 2_000 {
                 w.agent_epoch += 1;
                 w.tasks.clear();
                 w.lease_from = now;
-                w.flying = None;
+                w.heartbeat_in_flight = None;
             }
             // One that hangs may go on within its lease; later it begins the next session first.
-            if now < w.hang_until {
+            if now < w.hung_until {
                 continue;
             }
             self.run_tasks(&name);
             let Some(w) = self.workers.get_mut(&name) else { continue };
-            if w.flying.is_some_and(|(sent, _)| now > sent + 4_000) {
-                w.flying = None;
+            if w.heartbeat_in_flight.is_some_and(|(sent, _)| now > sent + 4_000) {
+                w.heartbeat_in_flight = None;
                 w.node = (w.node + 1) % self.size.nodes;
                 w.next_report = now + 1_000;
             }
-            if w.flying.is_none() && now >= w.next_report && now < w.mute_until {
+            if w.heartbeat_in_flight.is_none()
+                && now >= w.next_report
+                && now < w.outbound_lost_until
+            {
                 w.node = (w.node + 1) % self.size.nodes;
                 w.next_report = now + 1_000;
-                self.meets("mute");
+                self.record("mute");
                 continue;
             }
-            if w.flying.is_none() && now >= w.next_report {
+            if w.heartbeat_in_flight.is_none() && now >= w.next_report {
                 w.sequence += 1;
                 self.next_id += 1;
                 let id = self.next_id;
-                w.flying = Some((now, id));
-                w.next_report = now + self.size.report;
-                let (node, cut) = (w.node, now < w.cut_until);
+                w.heartbeat_in_flight = Some((now, id));
+                w.next_report = now + self.size.heartbeat_interval_ms;
+                let (node, cut) = (w.node, now < w.partitioned_until);
                 let Some(report) = self.report(&name) else { continue };
                 let held = if cut { 1.0 } else { 0.01 };
                 let delay = match self.apart(&name, node) {
@@ -79,18 +82,20 @@
                     Some(until) => until - now + self.rng.random_range(1..500),
                     None => self.delay(held),
                 };
-                if self.now < self.size.troubled && self.chance(self.size.copies) {
+                if self.now < self.size.fault_period_ms
+                    && self.chance(self.size.duplicate_probability)
+                {
                     // A copy that comes late, to whichever node, up to well over a lease.
-                    let delay = self.rng.random_range(2_000..3 * LEASE);
+                    let delay = self.rng.random_range(2_000..3 * WORKER_LEASE_MS);
                     let (worker, report) = (name.clone(), report.clone());
                     let node = self.rng.random_range(0..self.size.nodes);
-                    self.post(delay, Msg::Heartbeat { node, worker, report, id: 0, sent: now });
+                    self.post(delay, Message::Heartbeat { node, worker, report, id: 0, sent: now });
                 }
-                if now < self.copies_kept.1 && self.rng.random_bool(self.copies_kept.0) {
-                    self.reserved_exclusively.push((name.clone(), report.clone()));
+                if now < self.withheld_share.1 && self.rng.random_bool(self.withheld_share.0) {
+                    self.withheld_heartbeats.push((name.clone(), report.clone()));
                 }
                 if !(cut && self.chance(0.5)) {
-                    let msg = Msg::Heartbeat { node, worker: name, report, id, sent: now };
+                    let msg = Message::Heartbeat { node, worker: name, report, id, sent: now };
                     self.post(delay, msg);
                 }
             }
@@ -107,9 +112,9 @@
             let phase = w.tasks[&key].phase;
             let most = if self.rng.random_bool(0.15) { 45_000 } else { 15_000 };
             let run = self.rng.random_range(1_500..most);
-            let mistaken = self.jobs.get(&key.0.job).is_some_and(|j| j.mistaken);
+            let always_fails = self.jobs.get(&key.0.job).is_some_and(|j| j.always_fails);
             let next = match phase {
-                TaskPhase::Fetching if w.done_here.contains(&key.0) => {
+                TaskPhase::Fetching if w.completed_here.contains(&key.0) => {
                     (TaskPhase::Ended(ExitCause::Done), u64::MAX)
                 }
                 TaskPhase::Fetching => {
@@ -117,25 +122,25 @@
                     match self.is_gang(key.0.job) {
                         true => {
                             self.check_attempt(name, key);
-                            (TaskPhase::Waiting, now + gangs::GANG_WAIT)
+                            (TaskPhase::Waiting, now + gangs::GANG_WAIT_MS)
                         }
                         false => (TaskPhase::Running, now + run),
                     }
                 }
                 TaskPhase::Waiting => {
-                    self.meets("gang incomplete");
+                    self.record("gang incomplete");
                     (TaskPhase::Ended(ExitCause::GangIncomplete), u64::MAX)
                 }
                 // Ends with its gang.
                 TaskPhase::Running if self.is_gang(key.0.job) => continue,
-                TaskPhase::Running if w.sick || mistaken => {
+                TaskPhase::Running if w.fails_tasks || always_fails => {
                     self.failures += 1;
                     (TaskPhase::Ended(ExitCause::Failed), u64::MAX)
                 }
                 TaskPhase::Running => {
                     self.completed.insert(key.0);
                     if let Some(w) = self.workers.get_mut(name) {
-                        w.done_here.insert(key.0);
+                        w.completed_here.insert(key.0);
                     }
                     self.cancel_at_end(key.0.job);
                     (TaskPhase::Ended(ExitCause::Done), u64::MAX)
@@ -155,16 +160,16 @@
 
     /// Some users cancel at the very moment at which the last task ends.
     pub(super) fn cancel_at_end(&mut self, id: JobId) {
-        let (share, until) = self.cancels_at_end;
+        let (share, until) = self.cancelled_at_completion;
         if self.now >= until || self.now < self.store_down_until {
             return;
         }
         let Some(j) = self.jobs.get(&id) else { return };
         let done = |index| self.completed.contains(&TaskId { job: id, index });
-        let open = matches!(j.state, State::Open { .. });
+        let open = matches!(j.state, JobState::Open { .. });
         if open && (0..j.spec.tasks).all(done) && self.rng.random_bool(share) {
             self.cancel(id);
-            self.meets("cancelled at its end");
+            self.record("cancelled at its end");
         }
     }
 
@@ -182,12 +187,13 @@
                         .tasks
                         .iter()
                         .any(|((t, _), s)| *t == task && !matches!(s.phase, TaskPhase::Ended(_)));
-                    let room = types().iter().find(|t| t.name == w.kind).map_or(0.0, |t| t.cpus)
-                        - w.tasks
-                            .iter()
-                            .filter(|(_, s)| !matches!(s.phase, TaskPhase::Ended(_)))
-                            .map(|((t, _), _)| self.jobs[&t.job].spec.demand.cpus)
-                            .sum::<f64>();
+                    let room =
+                        types().iter().find(|t| t.name == w.machine_type).map_or(0.0, |t| t.cpus)
+                            - w.tasks
+                                .iter()
+                                .filter(|(_, s)| !matches!(s.phase, TaskPhase::Ended(_)))
+                                .map(|((t, _), _)| self.jobs[&t.job].spec.demand.cpus)
+                                .sum::<f64>();
                     let phase = if busy {
                         TaskPhase::Ended(ExitCause::DuplicateTask)
                     } else if room + 1e-6 < self.jobs[&task.job].spec.demand.cpus {
@@ -195,7 +201,7 @@
                     } else {
                         TaskPhase::Fetching
                     };
-                    w.tasks.insert((task, attempt), WTask { phase, until: now + fetch });
+                    w.tasks.insert((task, attempt), WorkerTask { phase, until: now + fetch });
                 }
                 Command::Stop { task, attempt, grace_s } => {
                     let spec = self.jobs.get(&task.job).map(|j| j.spec.clone());
