--- a/crates/latchtrack-core/tests/simulation/balance.rs
+++ b/crates/latchtrack-core/tests/simulation/balance.rs
@@ -29,10 +29,10 @@
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "{what}, seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "{what}, seed {seed}");
-        let begun = world.moves.settled + world.moves.abandoned;
-        assert!(begun <= world.moves.begun, "{:?}", world.moves);
-        self.settled += world.moves.settled;
-        self.abandoned += world.moves.abandoned;
+        let begun = world.stats.moves.settled + world.stats.moves.abandoned;
+        assert!(begun <= world.stats.moves.begun, "{:?}", world.stats.moves);
+        self.settled += world.stats.moves.settled;
+        self.abandoned += world.stats.moves.abandoned;
     }
 }
 
@@ -144,9 +144,9 @@
     world.run();
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<String>::new());
-    assert!(world.moves.settled > 50, "{:?}", world.moves);
+    assert!(world.stats.moves.settled > 50, "{:?}", world.stats.moves);
     // A call stops a task, another may launch it; one asks each machine in each term.
-    let tasks = world.tasks_done() as u64 + 2 * world.moves.begun;
-    let most = tasks + world.terms * world.most_up as u64;
-    assert!(world.calls < most, "{} calls, {most} at most", world.calls);
+    let tasks = world.tasks_done() as u64 + 2 * world.stats.moves.begun;
+    let most = tasks + world.stats.terms * world.stats.most_up as u64;
+    assert!(world.stats.calls < most, "{} calls, {most} at most", world.stats.calls);
 }
--- a/crates/latchtrack-core/tests/simulation/main.rs
+++ b/crates/latchtrack-core/tests/simulation/main.rs
@@ -13,6 +13,7 @@
 use world::faults::PlannedFault;
 use world::guards::DisabledGuard;
 use world::size::{Size, BUSY, FLEET, HUGE, HUGEST, LARGE, SMALL};
+use world::stats::JobCounts;
 use world::trace::DecisionTrace;
 use world::World;
 
@@ -28,9 +29,9 @@
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         done += world.jobs_done();
-        terms += world.terms;
-        late += world.late_commands;
-        copies += world.copies;
+        terms += world.stats.terms;
+        late += world.stats.late_commands;
+        copies += world.stats.copies;
         gangs += world.occurrences.get("gang done").copied().unwrap_or(0);
         broken_gangs += world.occurrences.get("gang lost a task").copied().unwrap_or(0);
     }
@@ -222,25 +223,25 @@
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.poorly_served(), Vec::<String>::new(), "seed {seed}");
         let (done, tasks) = (world.jobs_done() as u64, world.tasks_done() as u64);
-        assert!(world.most_up > least, "{} machines up", world.most_up);
-        terms += world.terms;
+        assert!(world.stats.most_up > least, "{} machines up", world.stats.most_up);
+        terms += world.stats.terms;
         assert!(done > 200 && tasks > 5_000, "{done} jobs, {tasks} tasks");
         // One for a job's end, few for its results and for the machines of all jobs. A leader with
         // a put for each machine would need over a thousand more for every boot of this fleet.
-        assert!(world.puts < 5 * done, "{} puts", world.puts);
+        assert!(world.stats.puts < 5 * done, "{} puts", world.stats.puts);
         // One to start a task on an idle machine, one to ask each machine in each term.
-        let most = tasks + world.terms * world.most_up as u64;
-        assert!(world.calls < most, "{} calls, {most} at most", world.calls);
+        let most = tasks + world.stats.terms * world.stats.most_up as u64;
+        assert!(world.stats.calls < most, "{} calls, {most} at most", world.stats.calls);
         // One a step at most, however many reports come in it; of a leader, and of one that does
         // not know yet that it is none any more.
         let most = 2 * size.end_ms / size.step_ms;
-        assert!(world.cycles < most, "{} rounds, {most} at most", world.cycles);
+        assert!(world.stats.cycles < most, "{} rounds, {most} at most", world.stats.cycles);
         // The leader knows what is there: machines of at most eight CPUs with the runs on them and
         // a few that have ended, and the open jobs.
-        let most = 12 * world.most_up;
-        assert!(world.most_runs < most, "{} runs, {most} at most", world.most_runs);
-        let (jobs, open) = world.most_jobs;
-        assert!(jobs <= open + 50, "{jobs} jobs known to the leader, {open} open");
+        let most = 12 * world.stats.most_up;
+        assert!(world.stats.most_runs < most, "{} runs, {most} at most", world.stats.most_runs);
+        let JobCounts { known, open } = world.stats.most_jobs;
+        assert!(known <= open + 50, "{known} jobs known to the leader, {open} open");
     }
     assert!(terms > 5, "{terms} terms");
 }
@@ -259,9 +260,9 @@
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<String>::new());
     assert_eq!(world.poorly_served(), Vec::<String>::new());
-    assert!(world.most_up > least, "{} machines up", world.most_up);
+    assert!(world.stats.most_up > least, "{} machines up", world.stats.most_up);
     // At least a zone of three.
-    assert!(world.most_overdue * 3 > least, "{} overdue at once", world.most_overdue);
+    assert!(world.stats.most_overdue * 3 > least, "{} overdue at once", world.stats.most_overdue);
 }
 
 #[test]
@@ -303,7 +304,7 @@
         assert_eq!(world.violations, Vec::<String>::new(), "{what}, seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "{what}, seed {seed}");
         assert_eq!(world.poorly_served(), Vec::<String>::new(), "{what}, seed {seed}");
-        terms += world.terms;
+        terms += world.stats.terms;
         for (name, n) in world.occurrences {
             *met.entry(name).or_insert(0) += n;
         }
@@ -415,7 +416,7 @@
         assert_eq!(world.poorly_served(), Vec::<String>::new(), "seed {seed}");
         // 18 of up to six tasks, which start together once in each term at most, and then one a minute.
         let most = (18 + 30) * u64::from(BUSY.max_tasks) + 200;
-        assert!(world.failures < most, "{} failures, {most} at most", world.failures);
+        assert!(world.stats.failures < most, "{} failures, {most} at most", world.stats.failures);
     }
 }
 
--- a/crates/latchtrack-core/tests/simulation/quota.rs
+++ b/crates/latchtrack-core/tests/simulation/quota.rs
@@ -223,7 +223,7 @@
     }
     federation.run();
     assert_eq!(federation.violations, Vec::<String>::new());
-    let up: usize = federation.cells.iter().map(|cell| cell.most_up).sum();
+    let up: usize = federation.cells.iter().map(|cell| cell.stats.most_up).sum();
     assert!(up > 4_000, "{up} machines up");
     assert!(federation.most_used > 0.7 * size.limited_team_cpus, "{} in use", federation.most_used);
     println!("{up} machines, {} jobs done, {} writes", federation.jobs_done(), federation.writes);
--- a/crates/latchtrack-core/tests/simulation/world/chance_faults.rs
+++ b/crates/latchtrack-core/tests/simulation/world/chance_faults.rs
@@ -1,9 +1,18 @@
-//! Troubles by chance.
+//! Faults by chance, while the world's period of faults lasts.
 
-use super::*;
+use rand::Rng;
+
+use super::faults::ZonePartition;
+use super::{World, WORKER_LEASE_MS, ZONES};
 
 impl World {
-    pub(super) fn trouble(&mut self) {
+    /// Whether faults by chance may come.
+    pub(super) fn has_chance_faults(&self) -> bool {
+        self.now < self.size.fault_period_ms
+    }
+
+    /// Perhaps begins a fault of a node, a zone, a service or a machine.
+    pub(super) fn begin_chance_fault(&mut self) {
         if !self.chance(self.size.fault_probability) {
             return;
         }
@@ -19,53 +28,49 @@
             4 => self.nodes[n].refused_until = until + for_ms,
             13 if self.chance(0.3) => {
                 let zone = ZONES[self.rng.random_range(0..ZONES.len())];
-                self.zone_partition =
-                    Some((zone, until + self.rng.random_range(0..WORKER_LEASE_MS)));
+                let until = until + self.rng.random_range(0..WORKER_LEASE_MS);
+                self.faults.zone_partition = Some(ZonePartition { zone, until });
             }
             // The leader, which keeps hearing its workers.
             12 => {
-                if let Some((leader, ..)) = self.leader {
-                    self.nodes[leader].refused_until = until;
+                if let Some(leader) = self.leader {
+                    self.nodes[leader.node].refused_until = until;
                 }
             }
-            5 if self.chance(0.4) => self.store_down_until = now + for_ms / 2,
-            6 if self.chance(0.4) => self.cloud_down_until = until,
-            _ => {
-                let names: Vec<String> = self.workers.keys().cloned().collect();
-                if names.is_empty() {
-                    return;
-                }
-                let name = names[self.rng.random_range(0..names.len())].clone();
-                let (what, w) = (self.rng.random_range(0..10), self.workers.get_mut(&name));
-                let Some(w) = w else { return };
-                match what {
-                    0 => {
-                        w.alive = false;
-                        w.tasks.clear();
-                    }
-                    1 => {
-                        self.workers.remove(&name);
-                    }
-                    2..=5 => w.partitioned_until = until + 10_000,
-                    // A machine that hangs for longer than its lease is as good as dead.
-                    6 | 7 => w.hung_until = now + for_ms / 2,
-                    8 => w.fails_tasks = true,
-                    _ => w.inbound_lost_until = until + 2 * WORKER_LEASE_MS,
-                }
+            5 if self.chance(0.4) => self.faults.store_down_until = now + for_ms / 2,
+            6 if self.chance(0.4) => self.faults.cloud_down_until = until,
+            _ => self.begin_machine_fault(for_ms),
+        }
+    }
+
+    /// Begins a fault of one of the machines.
+    fn begin_machine_fault(&mut self, for_ms: u64) {
+        let until = self.now + for_ms;
+        let names: Vec<String> = self.workers.keys().cloned().collect();
+        if names.is_empty() {
+            return;
+        }
+        let name = &names[self.rng.random_range(0..names.len())];
+        let fault = self.rng.random_range(0..10);
+        let Some(worker) = self.workers.get_mut(name) else { return };
+        match fault {
+            0 => worker.die(),
+            1 => {
+                self.workers.remove(name);
             }
+            2..=5 => worker.partitioned_until = until + 10_000,
+            // A machine that hangs for longer than its lease is as good as dead.
+            6 | 7 => worker.hung_until = self.now + for_ms / 2,
+            8 => worker.fails_tasks = true,
+            _ => worker.inbound_lost_until = until + 2 * WORKER_LEASE_MS,
         }
     }
 
+    /// Ends the process of a node, which comes back soon.
     pub(super) fn crash(&mut self, n: usize) {
-        let now = self.now;
-        let node = &mut self.nodes[n];
-        node.up = false;
-        node.scheduler = None;
-        node.token = 0;
-        node.write_in_flight = false;
-        node.run += 1;
+        self.nodes[n].crash();
         // Now and then within a fraction of a second, also in mid-election.
-        let back = if self.rng.random_bool(0.4) { 150 } else { 2_000 };
-        self.nodes[n].back_at = now + back;
+        let back_ms = if self.rng.random_bool(0.4) { 150 } else { 2_000 };
+        self.nodes[n].back_at = self.now + back_ms;
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/effects.rs
+++ b/crates/latchtrack-core/tests/simulation/world/effects.rs
@@ -1,164 +1,168 @@
-//! What comes of the effects of a leader.
+//! What a leader's scheduler is driven by, and what comes of its effects.
 
-use super::*;
+use latchtrack_balance::balancer::MoveCounts;
+use latchtrack_core::machine::Command;
+use latchtrack_core::placement::Offer;
+use latchtrack_core::scheduler::{BatchOutcome, CallOutcome, Effect, Event, Scheduler};
+use latchtrack_quota::{LedgerWrite, WriteOutcome};
+use rand::Rng;
+
+use super::federation::SharedWrite;
+use super::messages::{DirectCall, Message, Origin, Response};
+use super::World;
+
+/// ms after which a node gives up a direct call, whether or not it arrives.
+const CALL_TIMEOUT_MS: u64 = 2_500;
+/// ms after which a node gives up a write.
+const WRITE_TIMEOUT_MS: u64 = 2_000;
+/// ms until a node that may not act sees its ledger write refused.
+const REFUSED_LEDGER_WRITE_MS: u64 = 500;
 
 /// The moves of a leader's term so far.
-fn counts(scheduler: &Scheduler) -> MoveCounts {
+fn move_counts(scheduler: &Scheduler) -> MoveCounts {
     scheduler.balance_summary().map(|summary| summary.counts).unwrap_or_default()
 }
 
 impl World {
+    /// Hands an event to a node's scheduler and has its effects carried out; returns the commands
+    /// of the response, if it was a heartbeat that is responded to.
     pub(super) fn drive(&mut self, n: usize, event: Event) -> Option<Vec<Command>> {
-        let now = self.clock(n);
-        let node = &mut self.nodes[n];
-        let (run, token) = (node.run, node.token);
-        let scheduler = node.scheduler.as_mut()?;
-        let cycles = scheduler.cycles();
-        let moves = counts(scheduler);
-        let ticks = matches!(event, Event::Tick);
-        let effects = scheduler.handle(now, event);
-        if let Some(trace) = &mut self.trace {
-            trace.record_effects(self.now, n, &effects);
-        }
-        self.cycles += scheduler.cycles() - cycles;
-        let now_counted = counts(scheduler);
-        self.moves.begun += now_counted.begun - moves.begun;
-        self.moves.settled += now_counted.settled - moves.settled;
-        self.moves.abandoned += now_counted.abandoned - moves.abandoned;
-        if ticks {
-            let runs = scheduler.machines().values().map(|m| m.runs.len()).sum();
-            self.most_runs = self.most_runs.max(runs);
-            self.most_overdue = self.most_overdue.max(scheduler.overdue(now).len());
-            let open =
-                self.jobs.values().filter(|j| matches!(j.state, JobState::Open { .. })).count();
-            self.most_jobs = self.most_jobs.max((scheduler.jobs().len(), open));
-        }
-        let mut answer = None;
+        let node = &self.nodes[n];
+        let origin = Origin { node: n, run: node.run, token: node.token };
+        let effects = self.handle(n, event)?;
+        let mut response = None;
         for effect in effects {
             match effect {
-                Effect::Respond(commands) => answer = Some(commands),
+                Effect::Respond(commands) => response = Some(commands),
                 Effect::CallWorker { machine, agent_epoch, call, commands, .. } => {
-                    self.calls += 1;
-                    let late = self.now < self.size.fault_period_ms && self.chance(0.2);
-                    let delay =
-                        if late { self.rng.random_range(2_600..40_000) } else { self.delay(0.0) };
-                    let worker = machine.clone();
-                    let cut = self
-                        .workers
-                        .get(&machine)
-                        .is_none_or(|w| self.now < w.partitioned_until.max(w.inbound_lost_until));
-                    // Given up after 2.5 s, whether or not it arrives.
-                    let lost = Message::CallFinished {
-                        node: n,
-                        run,
-                        token,
-                        worker: machine,
+                    let worker = machine;
+                    let is_late = false;
+                    self.send_call(DirectCall {
+                        origin,
+                        worker,
+                        agent_epoch,
                         call,
-                        outcome: CallOutcome::NoAnswer,
-                    };
-                    self.post(2_500, lost);
-                    let apart = self.apart(&worker, n);
-                    let cut = cut || apart.is_some();
-                    let late = late || cut;
-                    let delay = if let Some(until) = apart {
-                        until - self.now + self.rng.random_range(1..500)
-                    } else if cut {
-                        self.rng.random_range(2_600..40_000)
-                    } else {
-                        delay
-                    };
-                    self.post(
-                        delay,
-                        Message::DirectCall {
-                            node: n,
-                            run,
-                            worker,
-                            token,
-                            agent_epoch,
-                            call,
-                            commands,
-                            late,
-                        },
-                    );
+                        commands,
+                        is_late,
+                    });
                 }
                 Effect::Provision { request_id, offer, number } => {
-                    let (delay, responds) = (self.delay(0.05), !self.chance(0.05));
-                    if self.now < self.size.fault_period_ms && self.chance(0.1) {
-                        // A request that was carried out comes once more, late.
-                        let (request_id, offer) = (request_id.clone(), offer.clone());
-                        let again = self.rng.random_range(3_000..40_000);
-                        let responds = false;
-                        let msg = Message::Provision {
-                            node: n,
-                            run,
-                            token,
-                            request_id,
-                            offer,
-                            number,
-                            responds,
-                        };
-                        self.post(again, msg);
-                    }
-                    self.post(
-                        delay,
-                        Message::Provision {
-                            node: n,
-                            run,
-                            token,
-                            request_id,
-                            offer,
-                            number,
-                            responds,
-                        },
-                    );
+                    self.send_provision(origin, request_id, offer, number);
                 }
                 Effect::Terminate(names) => {
-                    let (delay, responds) = (self.delay(0.05), !self.chance(0.1));
-                    self.post(delay, Message::Terminate { node: n, run, token, names, responds });
+                    let delay = self.delay(0.05);
+                    let response = Response::lost_if(self.chance(0.1));
+                    self.post(delay, Message::Terminate { origin, names, response });
                 }
                 Effect::ListMachines => {
                     if let Some(listed) = self.list() {
                         let event = Event::MachinesListed(listed);
                         let delay = self.rng.random_range(50..2_000);
-                        self.post(delay, Message::Event { node: n, run, token, event });
-                    }
-                }
-                Effect::WritesReady => self.save(n),
-                Effect::Resign(_) => {
-                    if self.leader.map(|l| l.1) == Some(token) {
-                        self.leader = None;
-                        self.revision += 1;
-                        self.leaderless_since = self.revision;
+                        self.post(delay, Message::Event { origin, event });
                     }
                 }
+                Effect::WritesReady => self.send_writes(n),
+                Effect::Resign(_) => self.resign(origin.token),
                 Effect::Log(_) => {}
-                Effect::WriteLedger(write) if self.may_act(n) => {
-                    let shared = federation::SharedWrite { node: n, run, token, write };
-                    self.shared_writes.push(shared);
-                }
-                Effect::WriteLedger(write) => {
-                    let event =
-                        Event::LedgerWriteFinished { write, outcome: WriteOutcome::NotStored };
-                    self.post(500, Message::Event { node: n, run, token, event });
-                }
+                Effect::WriteLedger(write) => self.send_ledger_write(origin, write),
             }
         }
-        answer
+        response
     }
 
-    pub(super) fn save(&mut self, n: usize) {
+    /// Has the scheduler handle an event, and keeps the statistics.
+    fn handle(&mut self, n: usize, event: Event) -> Option<Vec<Effect>> {
         let now = self.clock(n);
-        let node = &mut self.nodes[n];
-        if node.write_in_flight {
+        let scheduler = self.nodes[n].scheduler.as_mut()?;
+        let (cycles, moves) = (scheduler.cycles(), move_counts(scheduler));
+        let is_tick = matches!(event, Event::Tick);
+        let effects = scheduler.handle(now, event);
+        if let Some(trace) = &mut self.trace {
+            trace.record_effects(self.now, n, &effects);
+        }
+        let stats = &mut self.stats;
+        stats.cycles += scheduler.cycles() - cycles;
+        let counts = move_counts(scheduler);
+        stats.moves.begun += counts.begun - moves.begun;
+        stats.moves.settled += counts.settled - moves.settled;
+        stats.moves.abandoned += counts.abandoned - moves.abandoned;
+        if is_tick {
+            let runs = scheduler.machines().values().map(|machine| machine.runs.len()).sum();
+            stats.most_runs = stats.most_runs.max(runs);
+            stats.most_overdue = stats.most_overdue.max(scheduler.overdue(now).len());
+            let open = self.jobs.values().filter(|job| job.is_open()).count();
+            let known = scheduler.jobs().len();
+            stats.most_jobs = stats.most_jobs.max(super::JobCounts { known, open });
+        }
+        Some(effects)
+    }
+
+    fn send_call(&mut self, direct_call: DirectCall) {
+        self.stats.calls += 1;
+        let is_late = self.has_chance_faults() && self.chance(0.2);
+        let delay = if is_late { self.rng.random_range(2_600..40_000) } else { self.delay(0.0) };
+        let DirectCall { origin, call, .. } = direct_call;
+        let name = direct_call.worker.clone();
+        let worker = self.workers.get(&name);
+        let is_cut_off = worker.is_none_or(|worker| self.now < worker.unreachable_until());
+        let event =
+            Event::CallFinished { machine: name.clone(), call, outcome: CallOutcome::NoAnswer };
+        self.post(CALL_TIMEOUT_MS, Message::Event { origin, event });
+        let partition = self.partition_between(&name, origin.node);
+        let delay = if let Some(until) = partition {
+            until - self.now + self.rng.random_range(1..500)
+        } else if is_cut_off {
+            self.rng.random_range(2_600..40_000)
+        } else {
+            delay
+        };
+        let is_late = is_late || is_cut_off || partition.is_some();
+        self.post(delay, Message::DirectCall(DirectCall { is_late, ..direct_call }));
+    }
+
+    fn send_provision(&mut self, origin: Origin, request_id: String, offer: Offer, number: u32) {
+        let delay = self.delay(0.05);
+        let response = Response::lost_if(self.chance(0.05));
+        if self.has_chance_faults() && self.chance(0.1) {
+            // A request that was carried out comes once more, late.
+            let again = self.rng.random_range(3_000..40_000);
+            let (request_id, offer) = (request_id.clone(), offer.clone());
+            let response = Response::Lost;
+            let message = Message::Provision { origin, request_id, offer, number, response };
+            self.post(again, message);
+        }
+        self.post(delay, Message::Provision { origin, request_id, offer, number, response });
+    }
+
+    /// A leader gives up the leader key.
+    fn resign(&mut self, token: u64) {
+        if self.leader.map(|leader| leader.token) == Some(token) {
+            self.leader = None;
+            self.revision += 1;
+            self.leaderless_since = self.revision;
+        }
+    }
+
+    fn send_ledger_write(&mut self, origin: Origin, write: LedgerWrite) {
+        if self.may_act(origin.node) {
+            self.shared_writes.push(SharedWrite { origin, write });
             return;
         }
-        let (run, token) = (node.run, node.token);
-        if now < node.next_write_at {
+        let event = Event::LedgerWriteFinished { write, outcome: WriteOutcome::NotStored };
+        self.post(REFUSED_LEDGER_WRITE_MS, Message::Event { origin, event });
+    }
+
+    /// Sends the scheduler's next writes, if no others are under way. They may be late, sent twice,
+    /// or lose their response.
+    fn send_writes(&mut self, n: usize) {
+        let now = self.clock(n);
+        let node = &mut self.nodes[n];
+        if node.write_in_flight || now < node.next_write_at {
             return;
         }
-        let gap = self.size.write_interval_ms;
-        let Some(c) = node.scheduler.as_mut() else { return };
-        let writes = c.next_writes(now, self.leader_write_limits.1);
+        let origin = Origin { node: n, run: node.run, token: node.token };
+        let Some(scheduler) = node.scheduler.as_mut() else { return };
+        let writes = scheduler.next_writes(now, self.leader_write_limits.changes);
         if let Some(trace) = &mut self.trace {
             trace.record_writes(self.now, n, &writes);
         }
@@ -166,33 +170,31 @@
             return;
         }
         node.write_in_flight = true;
-        node.next_write_at = now + gap;
-        let (mut delay, mut responds) = (self.delay(0.03), !self.chance(0.03));
-        if self.now < self.late_writes.1 && self.rng.random_bool(self.late_writes.0) {
+        node.next_write_at = now + self.size.write_interval_ms;
+        let mut delay = self.delay(0.03);
+        let mut response = Response::lost_if(self.chance(0.03));
+        if self.applies(self.faults.late_writes) {
             delay = self.rng.random_range(2_000..12_000);
-            responds = false;
+            response = Response::Lost;
             self.record("late write");
         }
-        if self.now < self.lost_write_responses.1
-            && self.rng.random_bool(self.lost_write_responses.0)
-        {
-            responds = false;
+        if self.applies(self.faults.lost_write_responses) {
+            response = Response::Lost;
             self.record("lost answer");
         }
-        if delay > 2_000 || !responds {
+        if delay > WRITE_TIMEOUT_MS || response == Response::Lost {
             // Unknown to the node, and perhaps applied late.
-            let outcome = BatchOutcome::Unknown;
-            let writes = writes.clone();
-            self.post(2_000, Message::WriteFinished { node: n, run, token, writes, outcome });
+            let (writes, outcome) = (writes.clone(), BatchOutcome::Unknown);
+            self.post(WRITE_TIMEOUT_MS, Message::WriteFinished { origin, writes, outcome });
         }
-        if self.now < self.size.fault_period_ms && self.chance(0.1) {
+        if self.has_chance_faults() && self.chance(0.1) {
             let again = self.rng.random_range(3_000..40_000);
             let writes = writes.clone();
-            self.post(again, Message::Write { node: n, run, token, writes, responds: false });
+            self.post(again, Message::Write { origin, writes, response: Response::Lost });
+        }
+        if delay > WRITE_TIMEOUT_MS {
+            response = Response::Lost;
         }
-        self.post(
-            delay,
-            Message::Write { node: n, run, token, writes, responds: responds && delay <= 2_000 },
-        );
+        self.post(delay, Message::Write { origin, writes, response });
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/faults.rs
+++ b/crates/latchtrack-core/tests/simulation/world/faults.rs
@@ -1,197 +1,258 @@
-//! Troubles at set times.
+//! Faults: those at set times, and what is under way of them.
 
-use super::*;
+use latchtrack_core::job::JobId;
+use rand::Rng;
 
-/// A trouble at a set time.
+use super::state::{Worker, WriteLimits};
+use super::{World, ZONES};
+
+/// Machines that hang at most when their jobs are cancelled.
+const MAX_HANGING: usize = 8;
+
+/// A fault at a set time. Times are in ms, shares are probabilities for each machine or message.
 #[derive(Clone, Copy, Debug)]
 pub enum PlannedFault {
     CrashAllNodes,
-    /// One after the other, so many ms apart.
+    /// Restarts the leader of the time as often as there are nodes, so many ms apart.
     RollingRestart(u64),
+    /// The state service answers nothing for this time.
     StateServiceOutage(u64),
-    /// The leader stands still; the others see it as gone.
+    /// The leader executes nothing for this time; the others miss it.
     PauseLeader(u64),
+    /// The same for a node that does not lead.
     PauseFollower(u64),
-    /// A zone is cut off from everything; with the leader in it or without.
+    /// The zone of the leader is cut off from everything for this time.
     PartitionLeaderZone(u64),
+    /// The same for another zone.
     PartitionOtherZone(u64),
-    /// A part of the machines hangs.
+    /// This share of the machines hangs for this time.
     HangMachines(f64, u64),
     /// A guest submits all that it has.
     SubmitGuestJobs,
-    /// So many nodes, the leader first, end and do not come back for so many ms.
+    /// So many nodes, the leader first, end and do not come back for this time.
     CrashNodes(usize, u64),
-    /// For so many ms boots take so many times as long, and so many of them never end.
+    /// For this time (last), boots take so many times as long, and this share of them never ends.
     SlowBoots(f64, f64, u64),
-    /// So many jobs that fail on every machine.
+    /// So many jobs are submitted that fail on every machine.
     SubmitBrokenJobs(usize),
-    /// A part of the machines fails every task.
+    /// This share of the machines fails every task from now on.
     FailTasksOnMachines(f64),
-    /// The state service refuses all nodes.
+    /// The state service refuses all nodes for this time.
     StateServiceRefusesAll(u64),
-    /// So many jobs of one small task of the limited team at once; a quarter of them is cancelled at once.
+    /// So many jobs of one small task of the limited team at once; a quarter is cancelled at once.
     SubmitLimitedBurst(usize),
-    /// The state service refuses the leader alone, which keeps hearing its workers.
+    /// The state service refuses the leader alone, which keeps hearing its workers, for this time.
     StateServiceRefusesLeader(u64),
-    /// Of a part of the machines reports arrive, answers and commands don't.
+    /// Of this share of the machines heartbeats arrive, but responses and commands don't.
     LoseInbound(f64, u64),
-    /// A part of the machines reaches no node; direct commands reach them.
+    /// This share of the machines reaches no node; direct calls reach them.
     LoseOutbound(f64, u64),
-    /// A part of the machines is cut off; what they send is held back or lost.
+    /// This share of the machines is cut off; what they send is held back or lost.
     PartitionMachines(f64, u64),
-    /// Users cancel so many jobs that run; up to eight of their machines hang for so many ms.
+    /// Users cancel so many running jobs; some of their machines hang for this time.
     CancelRunning(usize, u64),
-    /// For so many ms a part of the jobs that end is cancelled at the end of their last task.
+    /// For this time, this share of the jobs that end is cancelled as their last task ends.
     CancelAtCompletion(f64, u64),
-    /// For so many ms a part of the leader's writes gets no answer and is carried out 2 to 12 s late.
+    /// For this time, this share of the leader's writes gets no response and commits 2 to 12 s late.
     LateWrites(f64, u64),
-    /// The same, but they are carried out at once: only the answer is lost.
+    /// The same, but they commit at once: only the response is lost.
     LostWriteResponses(f64, u64),
-    /// For so many ms of a part of the reports a copy is kept, and reaches every node as soon as a
-    /// new leader begins.
+    /// For this time, of this share of the heartbeats a copy is withheld, and reaches every node as
+    /// soon as a new leader begins.
     ReplayToNextLeader(f64, u64),
-    /// For so many ms four jobs of one task come a second; a quarter of them is cancelled.
+    /// For this time, four jobs of one task come a second; a quarter of them is cancelled.
     SmallJobStream(u64),
     /// Leaders from now on keep to so many bytes of a value and so many changes of a transaction.
     LeaderWriteLimits(usize, usize),
     /// The state service takes no more than that from now on.
     StoreWriteLimits(usize, usize),
-    /// A part of the machines of a zone dies, where jobs of one zone are at work.
+    /// This share of the machines of a zone dies, where jobs of one zone are at work.
     LoseZoneMachines(f64),
 }
 
+/// A share of events that a fault applies to, until a time.
+#[derive(Clone, Copy, Default)]
+pub(super) struct ShareUntil {
+    pub share: f64,
+    pub until: u64,
+}
+
+/// A zone that is cut off from everything else, until a time.
+#[derive(Clone, Copy)]
+pub(super) struct ZonePartition {
+    pub zone: &'static str,
+    pub until: u64,
+}
+
+/// How machines boot, until a time.
+#[derive(Clone, Copy, Default)]
+pub(super) struct BootFault {
+    /// Times the usual boot.
+    pub slowdown: f64,
+    /// Share of the boots that never end.
+    pub never: f64,
+    pub until: u64,
+}
+
+/// The faults under way that belong to no single node or machine.
+#[derive(Clone, Copy, Default)]
+pub(super) struct ActiveFaults {
+    pub store_down_until: u64,
+    pub cloud_down_until: u64,
+    pub zone_partition: Option<ZonePartition>,
+    pub boots: BootFault,
+    pub late_writes: ShareUntil,
+    pub lost_write_responses: ShareUntil,
+    /// Heartbeats of which a copy is withheld for the next leader.
+    pub withheld_heartbeats: ShareUntil,
+    /// Ending jobs that are cancelled.
+    pub cancelled_at_completion: ShareUntil,
+    pub small_jobs_until: u64,
+}
+
 impl World {
+    /// Begins the planned faults that are due.
     pub(super) fn begin_planned_faults(&mut self) {
         let due: Vec<PlannedFault> =
-            self.plan.iter().filter(|(at, _)| *at <= self.now).map(|(_, p)| *p).collect();
+            self.plan.iter().filter(|(at, _)| *at <= self.now).map(|(_, fault)| *fault).collect();
         self.plan.retain(|(at, _)| *at > self.now);
+        let leader = self.leader.map_or(0, |leader| leader.node);
+        for fault in due {
+            self.begin_fault(fault, leader);
+        }
+    }
+
+    fn begin_fault(&mut self, fault: PlannedFault, leader: usize) {
+        use PlannedFault as Fault;
         let (now, nodes) = (self.now, self.size.nodes);
-        let leader = self.leader.map_or(0, |(n, ..)| n);
-        for trouble in due {
-            match trouble {
-                PlannedFault::CrashAllNodes => (0..nodes).for_each(|n| self.crash(n)),
-                PlannedFault::RollingRestart(gap) => {
-                    self.crash(leader);
-                    // The leader of the time, as often as there are nodes.
-                    if gap > 0 {
-                        let more = (1..nodes as u64)
-                            .map(|i| (now + i * gap, PlannedFault::RollingRestart(0)));
-                        self.plan.extend(more);
-                    }
-                }
-                PlannedFault::StateServiceOutage(ms) => self.store_down_until = now + ms,
-                PlannedFault::PauseLeader(ms) => self.nodes[leader].paused_until = now + ms,
-                PlannedFault::PauseFollower(ms) => {
-                    self.nodes[(leader + 1) % nodes].paused_until = now + ms;
-                }
-                PlannedFault::PartitionLeaderZone(ms) => {
-                    self.zone_partition = Some((Self::zone_of(leader), now + ms))
-                }
-                PlannedFault::PartitionOtherZone(ms) => {
-                    self.zone_partition = Some((Self::zone_of(leader + 1), now + ms));
-                }
-                PlannedFault::SubmitGuestJobs => self.guests(),
-                PlannedFault::CrashNodes(many, ms) => {
-                    for i in 0..many {
-                        let n = (leader + i) % nodes;
-                        self.crash(n);
-                        self.nodes[n].back_at = now + ms;
-                    }
-                }
-                PlannedFault::SlowBoots(times, never, ms) => self.boots = (times, never, now + ms),
-                PlannedFault::SubmitBrokenJobs(many) => {
-                    (0..many).for_each(|_| self.submit_with(1.0))
-                }
-                PlannedFault::FailTasksOnMachines(share) => {
-                    self.some(share, |w| w.fails_tasks = true)
-                }
-                PlannedFault::HangMachines(share, ms) => {
-                    self.some(share, |w| w.hung_until = now + ms)
-                }
-                PlannedFault::StateServiceRefusesAll(ms) => {
-                    for node in &mut self.nodes {
-                        node.refused_until = now + ms;
-                    }
-                }
-                PlannedFault::SubmitLimitedBurst(many) => self.limited_burst(many),
-                PlannedFault::StateServiceRefusesLeader(ms) => {
-                    self.nodes[leader].refused_until = now + ms
-                }
-                PlannedFault::LoseInbound(share, ms) => {
-                    self.some(share, |w| w.inbound_lost_until = now + ms)
-                }
-                PlannedFault::LoseOutbound(share, ms) => {
-                    self.some(share, |w| w.outbound_lost_until = now + ms)
-                }
-                PlannedFault::PartitionMachines(share, ms) => {
-                    self.some(share, |w| w.partitioned_until = now + ms)
-                }
-                PlannedFault::CancelRunning(most, hang) => self.cancel_running(most, hang),
-                PlannedFault::CancelAtCompletion(share, ms) => {
-                    self.cancelled_at_completion = (share, now + ms)
-                }
-                PlannedFault::LateWrites(share, ms) => self.late_writes = (share, now + ms),
-                PlannedFault::LostWriteResponses(share, ms) => {
-                    self.lost_write_responses = (share, now + ms)
-                }
-                PlannedFault::ReplayToNextLeader(share, ms) => {
-                    self.withheld_share = (share, now + ms)
-                }
-                PlannedFault::LeaderWriteLimits(bytes, changes) => {
-                    self.leader_write_limits = (bytes, changes)
-                }
-                PlannedFault::StoreWriteLimits(bytes, changes) => {
-                    self.store_write_limits = (bytes, changes)
-                }
-                PlannedFault::SmallJobStream(ms) => self.small_jobs_until = now + ms,
-                PlannedFault::LoseZoneMachines(share) => {
-                    let bound = self
-                        .workers
-                        .values()
-                        .find(|w| w.tasks.keys().any(|(t, _)| self.jobs[&t.job].spec.one_zone));
-                    let zone = bound.map_or(ZONES[0], |w| w.zone);
-                    self.some(share, |w| {
-                        if w.zone == zone {
-                            w.alive = false;
-                            w.tasks.clear();
-                        }
-                    });
-                }
+        let share_until = |share, ms| ShareUntil { share, until: now + ms };
+        let zone_partition =
+            |n, ms| Some(ZonePartition { zone: World::zone_of(n), until: now + ms });
+        let limits = |value_bytes, changes| WriteLimits { value_bytes, changes };
+        let active = &mut self.faults;
+        match fault {
+            Fault::CrashAllNodes => (0..nodes).for_each(|n| self.crash(n)),
+            Fault::RollingRestart(gap) => self.begin_rolling_restart(leader, gap),
+            Fault::StateServiceOutage(ms) => active.store_down_until = now + ms,
+            Fault::PauseLeader(ms) => self.nodes[leader].paused_until = now + ms,
+            Fault::PauseFollower(ms) => self.nodes[(leader + 1) % nodes].paused_until = now + ms,
+            Fault::PartitionLeaderZone(ms) => active.zone_partition = zone_partition(leader, ms),
+            Fault::PartitionOtherZone(ms) => active.zone_partition = zone_partition(leader + 1, ms),
+            Fault::SubmitGuestJobs => self.submit_guest_jobs(),
+            Fault::CrashNodes(count, ms) => self.crash_nodes(leader, count, ms),
+            Fault::SlowBoots(slowdown, never, ms) => {
+                active.boots = BootFault { slowdown, never, until: now + ms };
+            }
+            Fault::SubmitBrokenJobs(count) => (0..count).for_each(|_| self.submit_with(1.0)),
+            Fault::FailTasksOnMachines(share) => self.on_machines(share, |w| w.fails_tasks = true),
+            Fault::HangMachines(share, ms) => self.on_machines(share, |w| w.hung_until = now + ms),
+            Fault::StateServiceRefusesAll(ms) => {
+                self.nodes.iter_mut().for_each(|node| node.refused_until = now + ms);
+            }
+            Fault::SubmitLimitedBurst(count) => self.submit_limited_burst(count),
+            Fault::StateServiceRefusesLeader(ms) => self.nodes[leader].refused_until = now + ms,
+            Fault::LoseInbound(share, ms) => {
+                self.on_machines(share, |w| w.inbound_lost_until = now + ms);
+            }
+            Fault::LoseOutbound(share, ms) => {
+                self.on_machines(share, |w| w.outbound_lost_until = now + ms);
+            }
+            Fault::PartitionMachines(share, ms) => {
+                self.on_machines(share, |w| w.partitioned_until = now + ms);
             }
+            Fault::CancelRunning(count, hang_ms) => self.cancel_running(count, hang_ms),
+            Fault::CancelAtCompletion(share, ms) => {
+                active.cancelled_at_completion = share_until(share, ms);
+            }
+            Fault::LateWrites(share, ms) => active.late_writes = share_until(share, ms),
+            Fault::LostWriteResponses(share, ms) => {
+                active.lost_write_responses = share_until(share, ms);
+            }
+            Fault::ReplayToNextLeader(share, ms) => {
+                active.withheld_heartbeats = share_until(share, ms);
+            }
+            Fault::LeaderWriteLimits(bytes, changes) => {
+                self.leader_write_limits = limits(bytes, changes);
+            }
+            Fault::StoreWriteLimits(bytes, changes) => {
+                self.store_write_limits = limits(bytes, changes);
+            }
+            Fault::SmallJobStream(ms) => active.small_jobs_until = now + ms,
+            Fault::LoseZoneMachines(share) => self.lose_zone_machines(share),
+        }
+    }
+
+    /// Restarts the leader of now, and the leader of each later time.
+    fn begin_rolling_restart(&mut self, leader: usize, gap: u64) {
+        self.crash(leader);
+        if gap > 0 {
+            let now = self.now;
+            let more = (1..self.size.nodes as u64)
+                .map(|i| (now + i * gap, PlannedFault::RollingRestart(0)));
+            self.plan.extend(more);
         }
     }
 
-    /// Does something to a part of the machines.
-    pub(super) fn some(&mut self, share: f64, what: impl Fn(&mut Worker)) {
-        for w in self.workers.values_mut() {
+    fn crash_nodes(&mut self, first: usize, count: usize, ms: u64) {
+        for i in 0..count {
+            let n = (first + i) % self.size.nodes;
+            self.crash(n);
+            self.nodes[n].back_at = self.now + ms;
+        }
+    }
+
+    fn lose_zone_machines(&mut self, share: f64) {
+        let bound = self
+            .workers
+            .values()
+            .find(|worker| worker.tasks.keys().any(|(task, _)| self.jobs[&task.job].spec.one_zone));
+        let zone = bound.map_or(ZONES[0], |worker| worker.zone);
+        self.on_machines(share, |worker| {
+            if worker.zone == zone {
+                worker.die();
+            }
+        });
+    }
+
+    /// Does something to a share of the machines.
+    fn on_machines(&mut self, share: f64, change: impl Fn(&mut Worker)) {
+        for worker in self.workers.values_mut() {
             if self.rng.random_bool(share) {
-                what(w);
+                change(worker);
             }
         }
     }
 
     /// Users cancel jobs of which tasks run, of the limited team first, and machines of theirs hang.
-    pub(super) fn cancel_running(&mut self, most: usize, hang_ms: u64) {
-        if self.now < self.store_down_until {
+    fn cancel_running(&mut self, count: usize, hang_ms: u64) {
+        if self.now < self.faults.store_down_until {
             return;
         }
-        let on = |(t, _): &(TaskId, u64)| t.job;
-        let mut running: Vec<JobId> =
-            self.workers.values().flat_map(|w| w.tasks.keys().map(on)).collect();
+        let mut running: Vec<JobId> = self
+            .workers
+            .values()
+            .flat_map(|worker| worker.tasks.keys().map(|(task, _)| task.job))
+            .collect();
         running.sort_by_key(|id| (self.jobs[id].spec.team != "limited", *id));
         running.dedup();
-        running.retain(|id| matches!(self.jobs[id].state, JobState::Open { .. }));
-        running.truncate(most);
-        let mut hang = 8;
+        running.retain(|id| self.jobs[id].is_open());
+        running.truncate(count);
+        let mut hanging = MAX_HANGING;
         for id in running {
             self.cancel(id);
             self.record("cancelled while running");
             let until = self.now + hang_ms;
-            let theirs = |w: &&mut Worker| w.tasks.keys().any(|(t, _)| t.job == id);
-            for w in self.workers.values_mut().filter(theirs).take(hang) {
-                w.hung_until = w.hung_until.max(until);
-                hang -= 1;
+            let runs_it =
+                |worker: &&mut Worker| worker.tasks.keys().any(|(task, _)| task.job == id);
+            for worker in self.workers.values_mut().filter(runs_it).take(hanging) {
+                worker.hung_until = worker.hung_until.max(until);
+                hanging -= 1;
             }
         }
     }
+
+    /// Draws whether a fault applies to an event now.
+    pub(super) fn applies(&mut self, fault: ShareUntil) -> bool {
+        self.now < fault.until && self.chance(fault.share)
+    }
 }
--- a/crates/latchtrack-core/tests/simulation/world/federation.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation.rs
@@ -1,8 +1,21 @@
 //! Several cells that share teams: each a world of its own, and one state service for what they share.
 
-use latchtrack_quota::{CellRecord, Presence, SeenLedger, TeamLedger, View};
-
-use super::*;
+use std::collections::BTreeMap;
+
+use latchtrack_core::machine::TaskPhase;
+use latchtrack_core::scheduler::Event;
+use latchtrack_quota::{
+    CellRecord, DeadCell, LedgerWrite, Presence, SeenLedger, TeamLedger, View, WriteOutcome,
+};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+use super::faults::PlannedFault;
+use super::guards::DisabledGuard;
+use super::messages::{Origin, Response};
+use super::size::Size;
+use super::state::{is_started, JobState, StoredJob};
+use super::{World, CPU_TOLERANCE, LEADER_LEASE_MS, WORKER_LEASE_MS};
 
 /// ms between two looks of a leader at what is shared.
 const LOOK_MS: u64 = 250;
@@ -12,10 +25,8 @@
 pub const TEAM: &str = "limited";
 
 /// A change of what is shared, as a leader wants it.
-pub struct SharedWrite {
-    pub node: usize,
-    pub run: u64,
-    pub token: u64,
+pub(super) struct SharedWrite {
+    pub origin: Origin,
     pub write: LedgerWrite,
 }
 
@@ -34,8 +45,8 @@
 }
 
 enum SharedMessage {
-    Write { cell: usize, shared: SharedWrite, responds: bool },
-    Event { cell: usize, node: usize, run: u64, token: u64, event: Box<Event> },
+    Write { cell: usize, shared: SharedWrite, response: Response },
+    Event { cell: usize, origin: Origin, event: Box<Event> },
 }
 
 /// Several cells and what they share.
@@ -178,9 +189,7 @@
 
     /// CPUs of the shared team that are in use in a cell.
     pub fn used(&self, cell: usize) -> f64 {
-        self.cpus_of(cell, |phase| {
-            matches!(phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
-        })
+        self.cpus_of(cell, is_started)
     }
 
     /// CPUs that the tasks of the shared team in these phases take in a cell.
@@ -220,7 +229,7 @@
     fn check_limit(&mut self) {
         let used = self.total_used();
         self.most_used = self.most_used.max(used);
-        if used > self.size.limited_team_cpus + 1e-6 {
+        if used > self.size.limited_team_cpus + CPU_TOLERANCE {
             let each: Vec<f64> = (0..self.cells.len()).map(|cell| self.used(cell)).collect();
             self.violations.push(format!("quota: {each:?} in use at {}", self.now));
         }
@@ -237,13 +246,13 @@
                 break;
             }
             match self.queue.remove(&key) {
-                Some(SharedMessage::Write { cell, shared, responds }) => {
-                    self.carry_out(cell, shared, responds)
+                Some(SharedMessage::Write { cell, shared, response }) => {
+                    self.carry_out(cell, shared, response);
                 }
-                Some(SharedMessage::Event { cell, node, run, token, event }) => {
+                Some(SharedMessage::Event { cell, origin, event }) => {
                     let world = &mut self.cells[cell];
                     world.revision = world.revision.max(self.revision);
-                    world.deliver(Message::Event { node, run, token, event: *event });
+                    world.deliver_event(origin, *event);
                     self.revision = world.revision;
                 }
                 None => {}
@@ -271,11 +280,11 @@
             if node.scheduler.is_none() || !world.awake(n) || !world.reaches_store(n) {
                 continue;
             }
-            let (run, token) = (node.run, node.token);
+            let origin = Origin { node: n, run: node.run, token: node.token };
             let event = Box::new(Event::QuotaObserved(view.clone()));
             let slow = self.rng.random_bool(0.05);
             let delay = self.rng.random_range(1..if slow { 1_200 } else { 60 });
-            self.post(delay, SharedMessage::Event { cell, node: n, run, token, event });
+            self.post(delay, SharedMessage::Event { cell, origin, event });
             return;
         }
     }
@@ -305,14 +314,14 @@
 
     /// A write leaves a node: it may be slow, late, or lose its answer.
     fn send(&mut self, cell: usize, shared: SharedWrite) {
-        let (node, run, token) = (shared.node, shared.run, shared.token);
+        let origin = shared.origin;
         let outcome = |outcome| {
             let event =
                 Box::new(Event::LedgerWriteFinished { write: shared.write.clone(), outcome });
-            SharedMessage::Event { cell, node, run, token, event }
+            SharedMessage::Event { cell, origin, event }
         };
         let troubled = self.size.fault_probability > 0.0 && self.now < self.size.fault_period_ms;
-        let is_reached = self.cells[cell].reaches_store(node);
+        let is_reached = self.cells[cell].reaches_store(origin.node);
         if !is_reached && self.rng.random_bool(0.5) {
             let refused = outcome(WriteOutcome::NotStored);
             self.post(20, refused);
@@ -326,26 +335,26 @@
             self.record(if is_late { "late write" } else { "lost answer" });
         }
         let delay = self.rng.random_range(if is_late { 2_000..20_000 } else { 1..60 });
-        self.post(delay, SharedMessage::Write { cell, shared, responds: !is_late && !is_lost });
+        let response = Response::lost_if(is_late || is_lost);
+        self.post(delay, SharedMessage::Write { cell, shared, response });
     }
 
-    fn carry_out(&mut self, cell: usize, shared: SharedWrite, responds: bool) {
-        let SharedWrite { node, run, token, write } = shared;
-        let is_down = self.cells[cell].now < self.cells[cell].store_down_until;
-        let outcome = match !is_down && self.may_store(cell, token, &write) {
-            true => {
-                self.note(cell, &write);
-                WriteOutcome::Stored(self.store(&write.team, &write.ledger))
-            }
-            false => WriteOutcome::NotStored,
+    fn carry_out(&mut self, cell: usize, shared: SharedWrite, response: Response) {
+        let SharedWrite { origin, write } = shared;
+        let is_down = self.cells[cell].now < self.cells[cell].faults.store_down_until;
+        let outcome = if !is_down && self.may_store(cell, origin.token, &write) {
+            self.note(cell, &write);
+            WriteOutcome::Stored(self.store(&write.team, &write.ledger))
+        } else {
+            WriteOutcome::NotStored
         };
         if outcome == WriteOutcome::NotStored {
             // Its sender looks again at once.
             self.next_look[cell] = self.now;
         }
-        if responds {
+        if response == Response::Arrives {
             let event = Box::new(Event::LedgerWriteFinished { write, outcome });
-            self.post(5, SharedMessage::Event { cell, node, run, token, event });
+            self.post(5, SharedMessage::Event { cell, origin, event });
         }
     }
 
@@ -376,13 +385,13 @@
                 return false;
             }
         }
-        if self.cells[cell].leader.map(|(_, token, _)| token) != Some(token) {
+        if self.cells[cell].leader.map(|leader| leader.token) != Some(token) {
             self.record("deposed writer refused");
             if self.ignored != IgnoredCondition::Fence {
                 return false;
             }
         }
-        let is_dead = |dead: &latchtrack_quota::DeadCell| {
+        let is_dead = |dead: &DeadCell| {
             let found = (0..self.cells.len()).find(|i| name_of(*i) == dead.cell);
             let world = found.map(|i| &self.cells[i]);
             world.is_some_and(|w| w.leader.is_none() && w.last_token == dead.term_revision)
--- a/crates/latchtrack-core/tests/simulation/world/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/world/gangs.rs
@@ -1,49 +1,60 @@
-//! Gangs on the workers: the tasks of an attempt wait for each other, run together and end together.
+//! Gangs on the workers: the tasks of an attempt wait for each other, run together and end
+//! together.
 
-use super::*;
+use std::collections::BTreeMap;
 
-/// ms a task waits for the others of its attempt, and within which it notices that one is gone.
-pub const GANG_WAIT_MS: u64 = 8_000;
-pub const GANG_PEER_MS: u64 = 2_000;
+use latchtrack_core::job::{JobId, JobSpec, TaskId};
+use latchtrack_core::machine::{ExitCause, TaskPhase};
+use latchtrack_core::rules;
+use rand::Rng;
+
+use super::messages::SOON_MS;
+use super::state::{is_started, AttemptKey, Worker, WorkerTask};
+use super::{World, CPU_TOLERANCE};
+
+/// ms that a task waits for the others of its attempt.
+pub(super) const GANG_WAIT_MS: u64 = 8_000;
+/// ms within which a task notices that another of its attempt is gone.
+const GANG_PEER_MS: u64 = 2_000;
+
+/// An attempt of a gang: its job and the attempt's number.
+pub(super) type GangAttempt = (JobId, u64);
 
 /// An attempt of which all tasks have run.
 pub(super) struct GangRun {
     /// When its tasks complete.
     until: u64,
-    /// Since when a task has been missing.
-    broken_at: Option<u64>,
+    /// Since when a task of it has been missing.
+    incomplete_since: Option<u64>,
 }
 
 /// Where a task of an attempt is, and whether its machine executes it.
 struct Member {
     worker: String,
-    key: (TaskId, u64),
+    key: AttemptKey,
     phase: TaskPhase,
     executes: bool,
 }
 
 impl World {
     pub(super) fn is_gang(&self, id: JobId) -> bool {
-        self.jobs.get(&id).is_some_and(|j| j.spec.gang)
+        self.jobs.get(&id).is_some_and(|job| job.spec.gang)
     }
 
     /// The tasks that wait, run or save, by attempt.
-    fn members(&self) -> BTreeMap<(JobId, u64), Vec<Member>> {
-        let mut attempts: BTreeMap<(JobId, u64), Vec<Member>> = BTreeMap::new();
-        for (name, w) in self.workers.iter().filter(|(_, w)| w.alive) {
-            for (key, task) in &w.tasks {
-                let on = matches!(
-                    task.phase,
-                    TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing
-                );
-                if !on || !self.is_gang(key.0.job) {
+    fn members(&self) -> BTreeMap<GangAttempt, Vec<Member>> {
+        let mut attempts: BTreeMap<GangAttempt, Vec<Member>> = BTreeMap::new();
+        for (name, worker) in self.workers.iter().filter(|(_, worker)| worker.alive) {
+            for (key, task) in worker.tasks.iter().filter(|(_, task)| task.is_started()) {
+                let (TaskId { job, .. }, attempt) = *key;
+                if !self.is_gang(job) {
                     continue;
                 }
-                attempts.entry((key.0.job, key.1)).or_default().push(Member {
+                attempts.entry((job, attempt)).or_default().push(Member {
                     worker: name.clone(),
                     key: *key,
                     phase: task.phase,
-                    executes: self.now >= w.hung_until,
+                    executes: self.now >= worker.hung_until,
                 });
             }
         }
@@ -52,11 +63,11 @@
 
     fn set_phase(&mut self, member: &Member, phase: TaskPhase) {
         let now = self.now;
-        let Some(w) = self.workers.get_mut(&member.worker) else { return };
-        if let Some(task) = w.tasks.get_mut(&member.key) {
+        let Some(worker) = self.workers.get_mut(&member.worker) else { return };
+        if let Some(task) = worker.tasks.get_mut(&member.key) {
             (task.phase, task.until) = (phase, u64::MAX);
         }
-        w.next_report = w.next_report.min(now + 500);
+        worker.heartbeat_by(now + SOON_MS);
     }
 
     /// Starts the attempts that are complete, and ends those that are over.
@@ -65,41 +76,44 @@
         self.gang_runs.retain(|attempt, _| attempts.contains_key(attempt));
         for (attempt, members) in attempts {
             let tasks = self.jobs[&attempt.0].spec.tasks as usize;
-            let all = members.len() == tasks && members.iter().all(|m| m.executes);
+            let all = members.len() == tasks && members.iter().all(|member| member.executes);
             match self.gang_runs.get(&attempt) {
                 None if all => self.start_gang(attempt, &members),
                 None => {}
                 Some(_) => {
-                    let runs = all && members.iter().all(|m| m.phase == TaskPhase::Running);
+                    let runs =
+                        all && members.iter().all(|member| member.phase == TaskPhase::Running);
                     self.step_running_gang(attempt, &members, runs);
                 }
             }
         }
     }
 
-    fn start_gang(&mut self, attempt: (JobId, u64), members: &[Member]) {
-        let run = self.rng.random_range(1_500..20_000);
+    fn start_gang(&mut self, attempt: GangAttempt, members: &[Member]) {
+        let run_ms = self.rng.random_range(1_500..20_000);
         for member in members {
             self.set_phase(member, TaskPhase::Running);
         }
         self.record("gang started");
-        if let Some(j) = self.jobs.get_mut(&attempt.0) {
-            j.begun.get_or_insert(self.now);
+        if let Some(job) = self.jobs.get_mut(&attempt.0) {
+            job.begun.get_or_insert(self.now);
         }
-        self.gang_runs.insert(attempt, GangRun { until: self.now + run, broken_at: None });
+        self.gang_runs
+            .insert(attempt, GangRun { until: self.now + run_ms, incomplete_since: None });
     }
 
-    fn step_running_gang(&mut self, attempt: (JobId, u64), members: &[Member], runs: bool) {
+    fn step_running_gang(&mut self, attempt: GangAttempt, members: &[Member], runs: bool) {
         let now = self.now;
         let Some(run) = self.gang_runs.get_mut(&attempt) else { return };
         if !runs {
-            run.broken_at.get_or_insert(now);
+            run.incomplete_since.get_or_insert(now);
         }
-        if let Some(at) = run.broken_at {
+        if let Some(at) = run.incomplete_since {
             if now >= at + GANG_PEER_MS {
                 self.record("gang lost a task");
-                for member in members.iter().filter(|m| m.executes && m.phase == TaskPhase::Running)
-                {
+                let notices =
+                    |member: &&Member| member.executes && member.phase == TaskPhase::Running;
+                for member in members.iter().filter(notices) {
                     self.set_phase(member, TaskPhase::Ended(ExitCause::GangPeerLost));
                 }
             }
@@ -109,36 +123,30 @@
             return;
         }
         let always_fails = self.jobs[&attempt.0].always_fails;
-        let fails_tasks = |m: &&Member| always_fails || self.workers[&m.worker].fails_tasks;
-        if let Some(member) = members.iter().find(fails_tasks) {
-            self.failures += 1;
+        let fails = |member: &&Member| always_fails || self.workers[&member.worker].fails_tasks;
+        if let Some(member) = members.iter().find(fails) {
+            self.stats.failures += 1;
             self.set_phase(member, TaskPhase::Ended(ExitCause::Failed));
             return;
         }
         self.record("gang done");
         for member in members {
-            self.completed.insert(member.key.0);
             self.set_phase(member, TaskPhase::Ended(ExitCause::Done));
-            if let Some(w) = self.workers.get_mut(&member.worker) {
-                w.completed_here.insert(member.key.0);
-            }
+            self.complete(&member.worker, member.key.0);
         }
-        self.cancel_at_end(attempt.0);
+        self.perhaps_cancel_completed(attempt.0);
     }
 
     /// The referee: while a task of one attempt is on a machine, none of another starts.
-    pub(super) fn check_attempt(&mut self, name: &str, key: (TaskId, u64)) {
-        let on = |t: &WorkerTask| {
-            matches!(t.phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
-        };
-        let other = |((task, attempt), state): (&(TaskId, u64), &WorkerTask)| {
-            task.job == key.0.job && *attempt != key.1 && on(state)
+    pub(super) fn check_attempt(&mut self, name: &str, key: AttemptKey) {
+        let other = |((task, attempt), state): (&AttemptKey, &WorkerTask)| {
+            task.job == key.0.job && *attempt != key.1 && is_started(state.phase)
         };
         let beside: Vec<String> = self
             .workers
             .iter()
-            .filter(|(_, w)| w.tasks.iter().any(other))
-            .map(|(worker, _)| worker.clone())
+            .filter(|(_, worker)| worker.tasks.iter().any(other))
+            .map(|(name, _)| name.clone())
             .collect();
         if !beside.is_empty() {
             self.violate("two_attempts", format!("{} on {name} beside {beside:?}", key.0));
@@ -146,18 +154,21 @@
     }
 
     /// Whether a whole gang would fit into what is free, in one zone if it must be in one.
-    pub(super) fn gang_fits(&self, spec: &JobSpec, rooms: &[(&Worker, f64)]) -> bool {
+    pub(super) fn gang_fits(&self, spec: &JobSpec, free: &[(&Worker, f64)]) -> bool {
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
-        for (w, free) in rooms {
-            if rules::may_start(spec, w.machine_type, w.zone, w.spot, std::iter::empty()) {
-                *by_zone.entry(w.zone).or_default() += ((free + 1e-6) / spec.demand.cpus) as u32;
+        for (worker, free) in free {
+            let Worker { machine_type, zone, spot, .. } = **worker;
+            if rules::may_start(spec, machine_type, zone, spot, std::iter::empty()) {
+                *by_zone.entry(zone).or_default() +=
+                    ((free + CPU_TOLERANCE) / spec.demand.cpus) as u32;
             }
         }
-        let most = if spec.spread { rules::zone_share(spec.tasks) } else { u32::MAX };
-        let counts = by_zone.values().map(|n| (*n).min(most));
-        match spec.one_zone {
-            true => counts.max().unwrap_or(0) >= spec.tasks,
-            false => counts.sum::<u32>() >= spec.tasks,
+        let max_in_zone = if spec.spread { rules::zone_share(spec.tasks) } else { u32::MAX };
+        let counts = by_zone.values().map(|count| (*count).min(max_in_zone));
+        if spec.one_zone {
+            counts.max().unwrap_or(0) >= spec.tasks
+        } else {
+            counts.sum::<u32>() >= spec.tasks
         }
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/leadership.rs
+++ b/crates/latchtrack-core/tests/simulation/world/leadership.rs
@@ -1,15 +1,34 @@
-//! A node takes over, and reads the job records.
+//! A node becomes the leader: its policy, what it inherits, and how it reads the job records.
 
-use super::*;
+use std::sync::Arc;
+
+use latchtrack_balance::balancer::Limits;
+use latchtrack_core::bitmap::Bitmap;
+use latchtrack_core::job::JobId;
+use latchtrack_core::placement::ScoreWeights;
+use latchtrack_core::scheduler::{
+    BalancePolicy, CompletionObjective, Due, Event, Policy, Scheduler, StoredMachineSet,
+    StoredResults, Team, TermRevisions,
+};
+use rand::Rng;
+
+use super::guards::DisabledGuard;
+use super::messages::{Message, SentHeartbeat};
+use super::state::{JobState, LeaderKey, StoredJob};
+use super::{machine_types, World, LEADER_LEASE_MS, LEASE_MARGIN_MS, WORKER_LEASE_MS};
 
 /// Moves that a leader may begin in a minute.
-const MOVES_A_MINUTE: u32 = 120;
+const MOVES_PER_MINUTE: u32 = 120;
+/// Of so many leaders, all but one balance.
+const BALANCING_PERIOD: u64 = 3;
+/// Of so many open jobs, one is missed by a leader without the guard of job recovery.
+const MISSED_JOBS_PERIOD: u64 = 5;
 
 impl World {
-    /// How a leader of this token balances: two of three do, quicker than the defaults, since tasks here
-    /// run for seconds.
-    pub(super) fn balance_policy(&self, token: u64) -> BalancePolicy {
-        if !self.size.balance || token % 3 == 0 {
+    /// How a leader of this token balances: two of three do, quicker than by the defaults, since
+    /// tasks here run for seconds.
+    fn balance_policy(&self, token: u64) -> BalancePolicy {
+        if !self.size.balance || token % BALANCING_PERIOD == 0 {
             return BalancePolicy::default();
         }
         let limits = Limits {
@@ -18,19 +37,16 @@
             task_cooldown_ms: 5_000,
             machine_gap_ms: 500,
             machine_rest_ms: 5_000,
-            moves_per_minute: MOVES_A_MINUTE,
+            moves_per_minute: MOVES_PER_MINUTE,
             worth_factor: 0.2,
         };
         BalancePolicy { placement: true, teams: true, moves: true, limits, calm_ms: 1_000 }
     }
 
-    pub(super) fn campaign(&mut self, n: usize) {
-        self.revision += 1;
-        self.terms += 1;
-        let token = self.revision;
-        self.last_token = token;
-        self.leader = Some((n, token, self.now + LEADER_LEASE_MS));
-        let now = self.clock(n);
+    /// The policy of a leader of this token.
+    fn policy(&self, token: u64) -> Policy {
+        let size = &self.size;
+        let is_disabled = |guard| self.disabled_guard == guard;
         let team = |name: &str, cpus_max| Team {
             name: name.into(),
             cpus: 4.0,
@@ -38,122 +54,133 @@
             gpus: 0.0,
             gpus_max: 0.0,
         };
-        let limit = if self.disabled_guard == DisabledGuard::TeamLimit {
-            0.0
-        } else {
-            self.size.limited_team_cpus
+        let no_limit = is_disabled(DisabledGuard::TeamLimit);
+        let limit = if no_limit { 0.0 } else { size.limited_team_cpus };
+        let no_lease = is_disabled(DisabledGuard::WorkerLease);
+        let heartbeat_timeout_ms =
+            Policy::default_heartbeat_timeout_ms(size.heartbeat_interval_ms).max(6_000);
+        let objective = |(class, ms): (&str, u64)| CompletionObjective {
+            class: class.into(),
+            due: Due::Within(ms),
         };
-        let policy = Policy {
+        Policy {
             weights: ScoreWeights::default(),
             slice: 1 + (token % 2) as u32,
-            spot_idle_timeout_ms: self.size.spot_idle_timeout_ms,
-            on_demand_idle_timeout_ms: self.size.spot_idle_timeout_ms * 2 / 5,
+            spot_idle_timeout_ms: size.spot_idle_timeout_ms,
+            on_demand_idle_timeout_ms: size.spot_idle_timeout_ms * 2 / 5,
             reserve_after_ms: 3_000,
             spot_provision_delay_ms: 0,
             on_demand_provision_delay_ms: 500,
-            heartbeat_timeout_ms: Policy::default_heartbeat_timeout_ms(
-                self.size.heartbeat_interval_ms,
-            )
-            .max(6_000),
+            heartbeat_timeout_ms,
             reconcile_timeout_ms: 4_000,
-            heartbeat_interval_ms: self.size.heartbeat_interval_ms,
+            heartbeat_interval_ms: size.heartbeat_interval_ms,
             list_lag_ms: 1_500,
-            worker_lease_ms: if self.disabled_guard == DisabledGuard::WorkerLease {
-                0
-            } else {
-                WORKER_LEASE_MS
-            },
-            max_open_calls: 16.max(self.size.machines_per_offer),
-            value_bytes: self.leader_write_limits.0,
+            worker_lease_ms: if no_lease { 0 } else { WORKER_LEASE_MS },
+            max_open_calls: 16.max(size.machines_per_offer),
+            value_bytes: self.leader_write_limits.value_bytes,
             teams: vec![team("free", 0.0), team("limited", limit)],
             quota_cell: self.cell.clone(),
             classes_with_objectives: ["c", "d"].map(String::from).into(),
             start_objectives: vec![("d".into(), 1_000)],
             balance: self.balance_policy(token),
-            completion_objectives: [("c", 30_000), ("d", 60_000)]
-                .map(|(class, ms)| CompletionObjective {
-                    class: class.into(),
-                    due: Due::Within(ms),
-                })
-                .to_vec(),
-        };
-        let leaderless_since = if self.disabled_guard == DisabledGuard::LeaderlessSince {
-            0
-        } else {
-            self.leaderless_since
-        };
+            completion_objectives: [("c", 30_000), ("d", 60_000)].map(objective).to_vec(),
+        }
+    }
+
+    /// A node takes the leader key.
+    pub(super) fn campaign(&mut self, n: usize) {
+        self.revision += 1;
+        self.stats.terms += 1;
+        let token = self.revision;
+        self.last_token = token;
+        let expires_at = self.now + LEADER_LEASE_MS;
+        self.leader = Some(LeaderKey { node: n, token, expires_at });
+        let now = self.clock(n);
+        let policy = self.policy(token);
+        let ignores_leaders = self.disabled_guard == DisabledGuard::LeaderlessSince;
+        let leaderless_since = if ignores_leaders { 0 } else { self.leaderless_since };
         let revisions = TermRevisions { token, leaderless_since };
-        let inherited = match self.disabled_guard {
+        let (inherited, results) = (self.inherited_machines(), self.inherited_results());
+        self.replay_withheld_heartbeats();
+        let node = &mut self.nodes[n];
+        let scheduler = Scheduler::new(policy, revisions, machine_types(), inherited, results, now);
+        node.scheduler = Some(scheduler);
+        node.token = token;
+        node.lease_valid_until = now + LEADER_LEASE_MS - LEASE_MARGIN_MS;
+        node.seen_revision = 0;
+        node.write_in_flight = false;
+    }
+
+    fn inherited_machines(&self) -> Vec<StoredMachineSet> {
+        match self.disabled_guard {
             DisabledGuard::Reconciliation => Vec::new(),
             _ => self.machine_sets.values().cloned().collect(),
-        };
+        }
+    }
+
+    /// The stored results of open jobs.
+    fn inherited_results(&self) -> Vec<StoredResults> {
         let mut results: Vec<StoredResults> = self.results.values().cloned().collect();
-        for r in &mut results {
-            let open = |id: &JobId| matches!(self.jobs[id].state, JobState::Open { .. });
-            r.chunks.retain(|(id, ..)| open(id));
+        for stored in &mut results {
+            stored.chunks.retain(|(job, ..)| self.jobs[job].is_open());
         }
-        // What was held back of the last leader's time reaches every node now, within a second.
-        for (worker, report) in std::mem::take(&mut self.withheld_heartbeats) {
+        results
+    }
+
+    /// What was withheld in the last leader's time reaches every node now, within 1.5 s.
+    fn replay_withheld_heartbeats(&mut self) {
+        for (worker, heartbeat) in std::mem::take(&mut self.withheld_heartbeats) {
             for node in 0..self.size.nodes {
-                let (worker, report) = (worker.clone(), report.clone());
+                let (worker, heartbeat) = (worker.clone(), heartbeat.clone());
                 let delay = self.rng.random_range(1..1_500);
                 self.record("copies for the next leader");
-                self.post(
-                    delay,
-                    Message::Heartbeat { node, worker, report, id: 0, sent: self.now },
-                );
+                let copy = SentHeartbeat { node, worker, heartbeat, id: 0, sent_at: self.now };
+                self.post(delay, Message::Heartbeat(copy));
             }
         }
-        let node = &mut self.nodes[n];
-        node.scheduler = Some(Scheduler::new(policy, revisions, types(), inherited, results, now));
-        node.token = token;
-        node.lease_valid_until = now + LEADER_LEASE_MS - LEASE_MARGIN_MS;
-        node.seen_revision = 0;
-        node.write_in_flight = false;
     }
 
-    /// The cache takes in the job records.
+    /// A node reads the job records that changed, and its scheduler learns of them.
     pub(super) fn read_jobs(&mut self, n: usize) {
         let seen = self.nodes[n].seen_revision;
-        let mut events = Vec::new();
-        for (id, j) in self.jobs.iter().filter(|(_, j)| j.revision > seen) {
-            match j.state {
-                JobState::Open { .. }
-                    if self.disabled_guard == DisabledGuard::JobRecovery && id.0 % 5 == 0 => {}
-                JobState::Open { stored_at } => {
-                    let mut done = Bitmap::new(j.spec.tasks);
-                    for (job, chunk, bytes) in self.results.values().flat_map(|r| &r.chunks) {
-                        if job == id {
-                            done.merge_chunk(*chunk, bytes);
-                        }
-                    }
-                    if self.disabled_guard == DisabledGuard::TaskCompletion && j.spec.tasks > 1 {
-                        done.set(0);
-                    }
-                    let mut spec = j.spec.clone();
-                    if self.disabled_guard == DisabledGuard::GangAtomicity {
-                        Arc::make_mut(&mut spec).gang = false;
-                    }
-                    if self.disabled_guard == DisabledGuard::PlacementConstraints {
-                        let s = Arc::make_mut(&mut spec);
-                        (s.types, s.zone, s.one_zone, s.spread) = (None, None, false, false);
-                        s.spot = true;
-                    }
-                    events.push(Event::JobOpened {
-                        spec,
-                        submitted_at: stored_at,
-                        revision: j.revision,
-                        done: Some(done),
-                    });
-                }
-                _ if self.disabled_guard == DisabledGuard::Cancellation => {}
-                _ => events.push(Event::JobClosed(*id)),
-            }
-        }
+        let changed = self.jobs.iter().filter(|(_, job)| job.revision > seen);
+        let events: Vec<Event> = changed.filter_map(|(id, job)| self.event_of(*id, job)).collect();
         self.nodes[n].seen_revision = self.revision;
         self.nodes[n].cache_fresh_at = self.clock(n);
         for event in events {
             self.drive(n, event);
         }
     }
+
+    /// What a scheduler is told of a job that changed.
+    fn event_of(&self, id: JobId, job: &StoredJob) -> Option<Event> {
+        let is_disabled = |guard| self.disabled_guard == guard;
+        let JobState::Open { stored_at } = job.state else {
+            let is_told = !is_disabled(DisabledGuard::Cancellation);
+            return is_told.then_some(Event::JobClosed(id));
+        };
+        if is_disabled(DisabledGuard::JobRecovery) && id.0 % MISSED_JOBS_PERIOD == 0 {
+            return None;
+        }
+        let mut done = Bitmap::new(job.spec.tasks);
+        for (of_job, chunk, bytes) in self.results.values().flat_map(|stored| &stored.chunks) {
+            if *of_job == id {
+                done.merge_chunk(*chunk, bytes);
+            }
+        }
+        if is_disabled(DisabledGuard::TaskCompletion) && job.spec.tasks > 1 {
+            done.set(0);
+        }
+        let mut spec = job.spec.clone();
+        if is_disabled(DisabledGuard::GangAtomicity) {
+            Arc::make_mut(&mut spec).gang = false;
+        }
+        if is_disabled(DisabledGuard::PlacementConstraints) {
+            let spec = Arc::make_mut(&mut spec);
+            (spec.types, spec.zone, spec.one_zone, spec.spread) = (None, None, false, false);
+            spec.spot = true;
+        }
+        let (submitted_at, revision) = (stored_at, job.revision);
+        Some(Event::JobOpened { spec, submitted_at, revision, done: Some(done) })
+    }
 }
--- a/crates/latchtrack-core/tests/simulation/world/messages.rs
+++ b/crates/latchtrack-core/tests/simulation/world/messages.rs
@@ -1,257 +1,354 @@
-//! Messages on their way, and what comes of them.
+//! Messages under way between workers, nodes, cloud and state service, and their delivery.
 
-use super::*;
+use latchtrack_core::machine::{Command, Heartbeat, TaskPhase};
+use latchtrack_core::placement::Offer;
+use latchtrack_core::scheduler::{BatchOutcome, CallOutcome, Event, ProvisionOutcome, RecordWrite};
+use rand::Rng;
 
+use super::guards::DisabledGuard;
+use super::state::JobState;
+use super::World;
+
+/// ms after which a worker gives up a heartbeat.
+pub(super) const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
+/// ms until a worker heartbeats again after it has met a new leader or was redirected, and until it
+/// reports a change.
+pub(super) const SOON_MS: u64 = 500;
+/// ms that a node takes to redirect a worker, and the state service to answer a write.
+const FAST_MS: u64 = 5;
+/// ms until a write that was not committed is answered.
+const REJECTED_WRITE_MS: u64 = 250;
+/// ms until the cloud answers a request that it carried out, and one that it did not.
+const CLOUD_MS: u64 = 50;
+const CLOUD_FAILURE_MS: u64 = 800;
+
+/// The process and the term that a node's message belongs to.
+#[derive(Clone, Copy)]
+pub(super) struct Origin {
+    pub node: usize,
+    /// Counts the restarts of the node.
+    pub run: u64,
+    pub token: u64,
+}
+
+/// Whether a response reaches the node that asked.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Response {
+    Arrives,
+    Lost,
+}
+
+impl Response {
+    pub fn lost_if(is_lost: bool) -> Response {
+        if is_lost {
+            Response::Lost
+        } else {
+            Response::Arrives
+        }
+    }
+}
+
+/// A heartbeat on its way to a node.
+pub(super) struct SentHeartbeat {
+    pub node: usize,
+    pub worker: String,
+    pub heartbeat: Heartbeat,
+    /// 0 for a copy that the network made.
+    pub id: u64,
+    pub sent_at: u64,
+}
+
+/// The response to a heartbeat.
+pub(super) struct HeartbeatResponse {
+    worker: String,
+    id: u64,
+    token: u64,
+    agent_epoch: u64,
+    commands: Vec<Command>,
+    /// When the heartbeat was sent.
+    sent_at: u64,
+}
+
+/// A direct call to a worker.
+pub(super) struct DirectCall {
+    pub origin: Origin,
+    pub worker: String,
+    pub agent_epoch: u64,
+    pub call: u64,
+    pub commands: Vec<Command>,
+    /// It arrives after its node has given it up.
+    pub is_late: bool,
+}
+
+/// A message under way.
 pub(super) enum Message {
-    Heartbeat {
-        node: usize,
-        worker: String,
-        report: Heartbeat,
-        id: u64,
-        sent: u64,
-    },
-    HeartbeatResponse {
-        worker: String,
-        id: u64,
-        token: u64,
-        agent_epoch: u64,
-        commands: Vec<Command>,
-        sent: u64,
-    },
+    Heartbeat(SentHeartbeat),
+    HeartbeatResponse(HeartbeatResponse),
+    /// The node that a heartbeat reached does not lead.
     Redirect {
         worker: String,
         id: u64,
     },
-    DirectCall {
-        node: usize,
-        run: u64,
-        worker: String,
-        token: u64,
-        agent_epoch: u64,
-        call: u64,
-        commands: Vec<Command>,
-        late: bool,
-    },
-    CallFinished {
-        node: usize,
-        run: u64,
-        token: u64,
-        worker: String,
-        call: u64,
-        outcome: CallOutcome,
-    },
+    DirectCall(DirectCall),
     Provision {
-        node: usize,
-        run: u64,
-        token: u64,
+        origin: Origin,
         request_id: String,
         offer: Offer,
         number: u32,
-        responds: bool,
+        response: Response,
     },
     Terminate {
-        node: usize,
-        run: u64,
-        token: u64,
+        origin: Origin,
         names: Vec<String>,
-        responds: bool,
+        response: Response,
     },
     Write {
-        node: usize,
-        run: u64,
-        token: u64,
+        origin: Origin,
         writes: Vec<RecordWrite>,
-        responds: bool,
-    },
-    /// Something for a node's core, if it still is in that term.
-    Event {
-        node: usize,
-        run: u64,
-        token: u64,
-        event: Event,
+        response: Response,
     },
     WriteFinished {
-        node: usize,
-        run: u64,
-        token: u64,
+        origin: Origin,
         writes: Vec<RecordWrite>,
         outcome: BatchOutcome,
     },
+    /// An event for a node's scheduler, if it still is in that term.
+    Event {
+        origin: Origin,
+        event: Event,
+    },
 }
 
 impl World {
-    pub(super) fn deliver(&mut self, msg: Message) {
-        match msg {
-            Message::Heartbeat { node, worker, mut report, id, sent } => {
-                self.copies += u64::from(id == 0);
-                if self.disabled_guard == DisabledGuard::CheckpointingTaskStatus {
-                    report.tasks.retain(|t| t.phase != TaskPhase::Checkpointing);
-                }
-                if self.disabled_guard == DisabledGuard::WaitingTaskStatus {
-                    report.tasks.retain(|t| t.phase != TaskPhase::Waiting);
-                }
-                if self.disabled_guard == DisabledGuard::CancelledTaskUsage {
-                    let cancelled = |id: &JobId| matches!(self.jobs[id].state, JobState::Cancelled);
-                    report.tasks.retain(|t| !cancelled(&t.task.job));
-                }
-                if self.disabled_guard == DisabledGuard::HeartbeatFreshness && id == 0 {
-                    report.token = self.nodes[node].token;
-                }
-                let node_cut = self.now < self.nodes[node].partitioned_until;
-                if !self.awake(node) || node_cut {
-                    return;
-                }
-                if !self.may_act(node) {
-                    self.post(5, Message::Redirect { worker, id });
-                    return;
-                }
-                let (token, agent_epoch) = (self.nodes[node].token, report.agent_epoch);
-                let commands = self.drive(node, Event::Heartbeat(report.clone()));
-                let Some(mut commands) = commands else {
-                    self.post(5, Message::Redirect { worker, id });
-                    return;
-                };
-                if self.disabled_guard == DisabledGuard::ForgetAfterCalls {
-                    for t in report.tasks.iter().filter(|t| matches!(t.phase, TaskPhase::Ended(_)))
-                    {
-                        commands.push(Command::Forget { task: t.task, attempt: t.attempt });
-                    }
-                }
-                if self.apart(&worker, node).is_some() {
-                    return;
-                }
-                let delay = self.delay(0.01);
-                self.post(
-                    delay,
-                    Message::HeartbeatResponse { worker, id, token, agent_epoch, commands, sent },
-                );
-            }
-            Message::HeartbeatResponse { worker, id, token, agent_epoch, commands, sent } => {
-                let now = self.now;
-                let Some(w) = self.workers.get_mut(&worker) else { return };
-                let current =
-                    w.heartbeat_in_flight.is_some_and(|(_, f)| f == id) && now <= sent + 4_000;
-                let unreached = now < w.partitioned_until.max(w.inbound_lost_until);
-                if !w.alive || now < w.hung_until || unreached || !current {
-                    return;
-                }
-                w.heartbeat_in_flight = None;
-                if token < w.token || agent_epoch != w.agent_epoch {
-                    return;
-                }
-                if token > w.token {
-                    w.next_report = now + 500;
-                }
-                w.token = token;
-                w.lease_from = w.lease_from.max(sent);
-                self.execute(&worker, &commands);
+    /// Puts a message under way.
+    pub(super) fn post(&mut self, delay: u64, message: Message) {
+        self.next_id += 1;
+        self.queue.insert((self.now + delay, self.next_id), message);
+    }
+
+    /// The delay of a message; with this probability it is held back for long.
+    pub(super) fn delay(&mut self, held_back: f64) -> u64 {
+        if self.has_chance_faults() && self.chance(held_back) {
+            self.rng.random_range(3_000..40_000)
+        } else {
+            self.rng.random_range(1..60)
+        }
+    }
+
+    /// Delivers what is due.
+    pub(super) fn deliver_due(&mut self) {
+        while let Some((&key, _)) = self.queue.first_key_value() {
+            let (at, _) = key;
+            if at > self.now {
+                break;
             }
-            Message::Redirect { worker, id } => {
-                let leader = self.leader.map(|l| l.0);
-                let now = self.now;
-                let Some(w) = self.workers.get_mut(&worker) else { return };
-                if w.heartbeat_in_flight.is_some_and(|(_, f)| f == id) {
-                    w.heartbeat_in_flight = None;
-                    w.node =
-                        leader.filter(|l| *l != w.node).unwrap_or((w.node + 1) % self.size.nodes);
-                    w.next_report = now + 500;
-                }
+            if let Some(message) = self.queue.remove(&key) {
+                self.deliver(message);
             }
-            Message::DirectCall { node, run, worker, token, agent_epoch, call, commands, late } => {
-                let now = self.now;
-                let Some(w) = self.workers.get_mut(&worker) else { return };
-                if !w.alive || now < w.up_at || w.agent_epoch == 0 {
-                    return;
-                }
-                if now < w.hung_until {
-                    // Executed when the machine resumes.
-                    let wait = w.hung_until - now + 1;
-                    let msg = Message::DirectCall {
-                        node,
-                        run,
-                        worker,
-                        token,
-                        agent_epoch,
-                        call,
-                        commands,
-                        late: true,
-                    };
-                    self.post(wait, msg);
-                    return;
-                }
-                w.sequence += 1;
-                let good = token >= w.token && agent_epoch == w.agent_epoch;
-                if good {
-                    w.token = token;
-                    self.late_commands += u64::from(late && !commands.is_empty());
-                    self.execute(&worker, &commands);
-                }
-                if late {
-                    return;
-                }
-                let Some(report) = self.report(&worker) else { return };
-                let outcome = if good {
-                    CallOutcome::Executed(report)
-                } else {
-                    CallOutcome::Rejected(report)
-                };
-                // The answer may be lost on its way.
-                if !self.chance(0.02) {
-                    let delay = self.rng.random_range(1..60);
-                    self.post(
-                        delay,
-                        Message::CallFinished { node, run, token, worker, call, outcome },
-                    );
-                }
+        }
+    }
+
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Heartbeat(sent) => self.deliver_heartbeat(sent),
+            Message::HeartbeatResponse(response) => self.deliver_response(response),
+            Message::Redirect { worker, id } => self.redirect(&worker, id),
+            Message::DirectCall(call) => self.deliver_call(call),
+            Message::Provision { origin, request_id, offer, number, response } => {
+                let outcome = self.provision(&request_id, &offer, number);
+                self.finish_provision(origin, request_id, outcome, response);
             }
-            Message::CallFinished { node, run, token, worker, call, outcome } => {
-                let event = Event::CallFinished { machine: worker, call, outcome };
-                self.deliver(Message::Event { node, run, token, event });
+            Message::Terminate { origin, names, response } => {
+                self.deliver_terminate(origin, names, response);
             }
-            Message::Provision { node, run, token, request_id, offer, number, responds } => {
-                let outcome = self.provision(&request_id, &offer, number);
-                let outcome = if responds { outcome } else { ProvisionOutcome::Unknown };
-                let wait =
-                    if matches!(outcome, ProvisionOutcome::Provisioned(_)) { 50 } else { 800 };
-                let event = Event::ProvisionFinished { request_id, outcome };
-                self.post(wait, Message::Event { node, run, token, event });
+            Message::Write { origin, writes, response } => {
+                self.deliver_write(origin, writes, response);
             }
-            Message::Terminate { node, run, token, names, responds } => {
-                let up = self.now >= self.cloud_down_until;
-                if up && self.disabled_guard != DisabledGuard::ConfirmedTermination {
-                    for name in &names {
-                        self.workers.remove(name);
-                    }
+            Message::WriteFinished { origin, writes, outcome } => {
+                let node = &mut self.nodes[origin.node];
+                if node.run == origin.run && node.token == origin.token {
+                    node.write_in_flight = false;
+                    self.deliver_event(origin, Event::WritesFinished { writes, outcome });
                 }
-                let ok = up && responds;
-                let event = Event::TerminateFinished { names, ok };
-                self.post(if ok { 50 } else { 800 }, Message::Event { node, run, token, event });
             }
-            Message::Write { node, run, token, writes, responds } => {
-                let outcome = self.write(token, &writes);
-                if responds {
-                    let wait = if matches!(outcome, BatchOutcome::Committed(_)) { 5 } else { 250 };
-                    self.post(wait, Message::WriteFinished { node, run, token, writes, outcome });
-                }
+            Message::Event { origin, event } => self.deliver_event(origin, event),
+        }
+    }
+
+    /// Drops from a heartbeat what a disabled guard would have protected.
+    fn apply_disabled_guard(&self, sent: &mut SentHeartbeat) {
+        let heartbeat = &mut sent.heartbeat;
+        match self.disabled_guard {
+            DisabledGuard::CheckpointingTaskStatus => {
+                heartbeat.tasks.retain(|task| task.phase != TaskPhase::Checkpointing);
             }
-            Message::WriteFinished { node, run, token, writes, outcome } => {
-                if self.nodes[node].run == run && self.nodes[node].token == token {
-                    self.nodes[node].write_in_flight = false;
-                    let event = Event::WritesFinished { writes, outcome };
-                    self.deliver(Message::Event { node, run, token, event });
-                }
+            DisabledGuard::WaitingTaskStatus => {
+                heartbeat.tasks.retain(|task| task.phase != TaskPhase::Waiting);
             }
-            Message::Event { node, run, token, event } => {
-                let n = &self.nodes[node];
-                if n.run == run && n.token == token && n.up {
-                    if self.now < n.paused_until {
-                        let wait = n.paused_until - self.now + 1;
-                        self.post(wait, Message::Event { node, run, token, event });
-                    } else {
-                        self.drive(node, event);
-                    }
-                }
+            DisabledGuard::CancelledTaskUsage => heartbeat
+                .tasks
+                .retain(|task| !matches!(self.jobs[&task.task.job].state, JobState::Cancelled)),
+            DisabledGuard::HeartbeatFreshness if sent.id == 0 => {
+                heartbeat.token = self.nodes[sent.node].token;
+            }
+            _ => {}
+        }
+    }
+
+    fn deliver_heartbeat(&mut self, mut sent: SentHeartbeat) {
+        self.stats.copies += u64::from(sent.id == 0);
+        self.apply_disabled_guard(&mut sent);
+        let SentHeartbeat { node, worker, heartbeat, id, sent_at } = sent;
+        if !self.awake(node) || self.now < self.nodes[node].partitioned_until {
+            return;
+        }
+        if !self.may_act(node) {
+            self.post(FAST_MS, Message::Redirect { worker, id });
+            return;
+        }
+        let (token, agent_epoch) = (self.nodes[node].token, heartbeat.agent_epoch);
+        let Some(mut commands) = self.drive(node, Event::Heartbeat(heartbeat.clone())) else {
+            self.post(FAST_MS, Message::Redirect { worker, id });
+            return;
+        };
+        if self.disabled_guard == DisabledGuard::ForgetAfterCalls {
+            let ended = heartbeat.tasks.iter();
+            let ended = ended.filter(|task| matches!(task.phase, TaskPhase::Ended(_)));
+            commands.extend(
+                ended.map(|task| Command::Forget { task: task.task, attempt: task.attempt }),
+            );
+        }
+        if self.partition_between(&worker, node).is_some() {
+            return;
+        }
+        let delay = self.delay(0.01);
+        let response = HeartbeatResponse { worker, id, token, agent_epoch, commands, sent_at };
+        self.post(delay, Message::HeartbeatResponse(response));
+    }
+
+    fn deliver_response(&mut self, response: HeartbeatResponse) {
+        let HeartbeatResponse { worker: name, id, token, agent_epoch, commands, sent_at } =
+            response;
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(&name) else { return };
+        let is_awaited = worker.pending_heartbeat.is_some_and(|pending| pending.id == id)
+            && now <= sent_at + HEARTBEAT_TIMEOUT_MS;
+        let is_unreachable = now < worker.unreachable_until();
+        if !worker.alive || now < worker.hung_until || is_unreachable || !is_awaited {
+            return;
+        }
+        worker.pending_heartbeat = None;
+        if token < worker.token || agent_epoch != worker.agent_epoch {
+            return;
+        }
+        if token > worker.token {
+            worker.next_heartbeat = now + SOON_MS;
+        }
+        worker.token = token;
+        worker.lease_from = worker.lease_from.max(sent_at);
+        self.execute(&name, &commands);
+    }
+
+    /// A worker learns that the node which it reported to does not lead.
+    fn redirect(&mut self, name: &str, id: u64) {
+        let leader = self.leader.map(|leader| leader.node);
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(name) else { return };
+        if worker.pending_heartbeat.is_some_and(|pending| pending.id == id) {
+            worker.pending_heartbeat = None;
+            let next = (worker.node + 1) % self.size.nodes;
+            worker.node = leader.filter(|leader| *leader != worker.node).unwrap_or(next);
+            worker.next_heartbeat = now + SOON_MS;
+        }
+    }
+
+    fn deliver_call(&mut self, direct_call: DirectCall) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(&direct_call.worker) else { return };
+        if !worker.alive || now < worker.up_at || worker.agent_epoch == 0 {
+            return;
+        }
+        if now < worker.hung_until {
+            // Executed when the machine resumes.
+            let wait = worker.hung_until - now + 1;
+            self.post(wait, Message::DirectCall(DirectCall { is_late: true, ..direct_call }));
+            return;
+        }
+        let DirectCall { origin, worker: name, agent_epoch, call, commands, is_late } = direct_call;
+        worker.sequence += 1;
+        let is_valid = origin.token >= worker.token && agent_epoch == worker.agent_epoch;
+        if is_valid {
+            worker.token = origin.token;
+            self.stats.late_commands += u64::from(is_late && !commands.is_empty());
+            self.execute(&name, &commands);
+        }
+        if is_late {
+            return;
+        }
+        let Some(heartbeat) = self.heartbeat_of(&name) else { return };
+        let outcome = if is_valid {
+            CallOutcome::Executed(heartbeat)
+        } else {
+            CallOutcome::Rejected(heartbeat)
+        };
+        // The response may be lost on its way.
+        if !self.chance(0.02) {
+            let delay = self.rng.random_range(1..60);
+            let event = Event::CallFinished { machine: name, call, outcome };
+            self.post(delay, Message::Event { origin, event });
+        }
+    }
+
+    fn finish_provision(
+        &mut self,
+        origin: Origin,
+        request_id: String,
+        outcome: ProvisionOutcome,
+        response: Response,
+    ) {
+        let outcome = match response {
+            Response::Arrives => outcome,
+            Response::Lost => ProvisionOutcome::Unknown,
+        };
+        let is_done = matches!(outcome, ProvisionOutcome::Provisioned(_));
+        let event = Event::ProvisionFinished { request_id, outcome };
+        let wait = if is_done { CLOUD_MS } else { CLOUD_FAILURE_MS };
+        self.post(wait, Message::Event { origin, event });
+    }
+
+    fn deliver_terminate(&mut self, origin: Origin, names: Vec<String>, response: Response) {
+        let is_up = self.now >= self.faults.cloud_down_until;
+        if is_up && self.disabled_guard != DisabledGuard::ConfirmedTermination {
+            for name in &names {
+                self.workers.remove(name);
             }
         }
+        let ok = is_up && response == Response::Arrives;
+        let event = Event::TerminateFinished { names, ok };
+        let wait = if ok { CLOUD_MS } else { CLOUD_FAILURE_MS };
+        self.post(wait, Message::Event { origin, event });
+    }
+
+    fn deliver_write(&mut self, origin: Origin, writes: Vec<RecordWrite>, response: Response) {
+        let outcome = self.write(origin.token, &writes);
+        if response == Response::Arrives {
+            let is_committed = matches!(outcome, BatchOutcome::Committed(_));
+            let wait = if is_committed { FAST_MS } else { REJECTED_WRITE_MS };
+            self.post(wait, Message::WriteFinished { origin, writes, outcome });
+        }
+    }
+
+    /// An event reaches the scheduler of its term; a paused node gets it when it goes on.
+    pub(super) fn deliver_event(&mut self, origin: Origin, event: Event) {
+        let node = &self.nodes[origin.node];
+        if node.run != origin.run || node.token != origin.token || !node.up {
+            return;
+        }
+        if self.now < node.paused_until {
+            let wait = node.paused_until - self.now + 1;
+            self.post(wait, Message::Event { origin, event });
+        } else {
+            self.drive(origin.node, event);
+        }
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -13,117 +13,120 @@
 mod referee;
 pub mod size;
 mod state;
+pub mod stats;
 mod store;
 pub mod trace;
 mod users;
 mod workers;
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
 
-use faults::PlannedFault;
-use guards::DisabledGuard;
-use latchtrack_balance::balancer::{Limits, MoveCounts};
-use latchtrack_core::bitmap::Bitmap;
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority, TaskId};
-use latchtrack_core::machine::*;
-use latchtrack_core::placement::{Offer, ScoreWeights};
-use latchtrack_core::rules;
-use latchtrack_core::scheduler::*;
-use latchtrack_quota::{LedgerWrite, WriteOutcome};
-use messages::Message;
+use latchtrack_core::job::{JobId, TaskId};
+use latchtrack_core::machine::{Heartbeat, MachineType};
+use latchtrack_core::scheduler::{StoredMachineSet, StoredResults};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+
+use faults::{ActiveFaults, PlannedFault};
+use gangs::{GangAttempt, GangRun};
+use guards::DisabledGuard;
+use messages::Message;
 use size::{Size, SMALL};
-use state::{JobState, Node, StoredJob, Worker, WorkerTask};
+use state::{LeaderKey, Node, StoredJob, Worker, WriteLimits};
+use stats::{JobCounts, Statistics};
 use trace::DecisionTrace;
 
+/// Time without a response after which a worker ends its tasks, ms.
 const WORKER_LEASE_MS: u64 = 15_000;
+/// Lease of the leader key, ms.
 const LEADER_LEASE_MS: u64 = 3_000;
+/// By so many ms a leader counts its lease shorter.
 const LEASE_MARGIN_MS: u64 = 200;
+/// Time after the confirmation of a cancellation in which the job's tasks may still run, ms.
 const CANCEL_MS: u64 = 25_000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
+/// Rounding that a sum of CPUs may carry.
+const CPU_TOLERANCE: f64 = 1e-6;
+/// Bytes of a value that leaders keep to, in a small world and in a large one: few enough that
+/// records take several values.
+const SMALL_VALUE_BYTES: usize = 300;
+const LARGE_VALUE_BYTES: usize = 4_096;
+/// Machines of an offer above which a world is large.
+const LARGE_MACHINES_PER_OFFER: usize = 10;
+/// Changes of a transaction that leaders keep to.
+const MAX_CHANGES: usize = 8;
 
+/// A world of its own, with one leader at a time, or one cell of a federation. Times are in ms of
+/// its clock.
 pub struct World {
     rng: StdRng,
+    size: Size,
     disabled_guard: DisabledGuard,
     now: u64,
+    /// Id of the last message or heartbeat.
     next_id: u64,
+    /// Messages under way, by the time of their arrival and their id.
     queue: BTreeMap<(u64, u64), Message>,
-    // State service.
+
+    // The state service.
     revision: u64,
-    leader: Option<(usize, u64, u64)>,
-    /// The stamp with which the leader key last went.
+    leader: Option<LeaderKey>,
+    /// The revision with which the leader key last went.
     leaderless_since: u64,
+    /// Token of the last leader.
+    last_token: u64,
     jobs: BTreeMap<JobId, StoredJob>,
     results: BTreeMap<String, StoredResults>,
     machine_sets: BTreeMap<String, StoredMachineSet>,
-    store_down_until: u64,
-    /// The zone that is cut off, and until when.
-    zone_partition: Option<(&'static str, u64)>,
+    /// What leaders keep to in their writes.
+    leader_write_limits: WriteLimits,
+    /// What the state service takes.
+    store_write_limits: WriteLimits,
+
+    // Faults.
     plan: Vec<(u64, PlannedFault)>,
-    /// Bytes of a value and changes of a transaction that leaders keep to, and that the service takes.
-    leader_write_limits: (usize, usize),
-    store_write_limits: (usize, usize),
-    // Cloud.
-    cloud_down_until: u64,
-    /// Times the usual boot, chance of none, and until when.
-    boots: (f64, f64, u64),
-    /// Parts of the writes that are late, of those that lose their answer, of the reports of which a
-    /// copy is kept for the next leader, of the ending jobs that are cancelled; each until when.
-    late_writes: (f64, u64),
-    lost_write_responses: (f64, u64),
-    withheld_share: (f64, u64),
-    cancelled_at_completion: (f64, u64),
-    small_jobs_until: u64,
+    faults: ActiveFaults,
+    /// Copies of heartbeats that reach every node as soon as a new leader begins.
     withheld_heartbeats: Vec<(String, Heartbeat)>,
+    /// Only the first node is served by the state service.
+    without_successors: bool,
+
+    // The cloud and its machines, users and nodes.
     workers: BTreeMap<String, Worker>,
+    /// The machines of each request, by its id.
     provisions: BTreeMap<String, Vec<String>>,
     next_machine: u64,
+    last_job: u64,
     nodes: Vec<Node>,
-    // Referee.
-    pub violations: Vec<String>,
-    /// What the planned troubles came to, so that tests can tell that they did.
-    pub occurrences: BTreeMap<&'static str, u64>,
-    completed: BTreeSet<TaskId>,
-    /// Attempts of gangs that have started, by job and attempt number.
-    gang_runs: BTreeMap<(JobId, u64), gangs::GangRun>,
-    pub terms: u64,
-    pub late_commands: u64,
-    pub copies: u64,
-    pub puts: u64,
-    pub calls: u64,
-    /// Machines provisioned, and tasks that failed.
-    pub provisioned: u64,
-    pub failures: u64,
-    pub most_up: usize,
-    /// Most machines that a leader named as overdue.
-    pub most_overdue: usize,
-    pub cycles: u64,
-    /// Most runs and jobs known to a leader, and most open jobs at that time.
-    pub most_runs: usize,
-    pub most_jobs: (usize, usize),
-    /// Moves of running tasks, of all leaders together.
-    pub moves: MoveCounts,
-    size: Size,
-    next_job: u64,
-    without_successors: bool,
-    /// The cell that this world is, if it shares teams with others.
+    /// Attempts of gangs that have started.
+    gang_runs: BTreeMap<GangAttempt, GangRun>,
+
+    // The cells that this world shares teams with.
+    /// Its own name; None: it is no cell.
     cell: Option<String>,
-    /// What the cells share, as its leaders want it written.
+    /// Changes of what the cells share, as its leaders want them.
     shared_writes: Vec<federation::SharedWrite>,
-    /// CPUs of the limited team in use in other cells, and those that its tasks take there, fetching or not.
+    /// CPUs that started tasks of the limited team have in use in other cells.
     used_elsewhere: f64,
+    /// CPUs that all live tasks of the limited team take in other cells, also those that fetch.
     claimed_elsewhere: f64,
-    /// Token of the last leader.
-    last_token: u64,
+
+    // The referee.
+    completed: BTreeSet<TaskId>,
+    /// Rules that were broken.
+    pub violations: Vec<String>,
+    /// How often faults and what they were to bring about came about.
+    pub occurrences: BTreeMap<&'static str, u64>,
+    /// What the run came to.
+    pub stats: Statistics,
     /// What the leaders decide, if that is to be compared with another version.
     pub trace: Option<DecisionTrace>,
 }
 
-fn types() -> Vec<MachineType> {
-    let zones: Vec<String> = ZONES.iter().map(|z| z.to_string()).collect();
-    let t = |name: &str, cpus: f64, boot_s: f64| MachineType {
+/// The machine types of the cloud.
+fn machine_types() -> Vec<MachineType> {
+    let zones: Vec<String> = ZONES.iter().map(|zone| zone.to_string()).collect();
+    let machine_type = |name: &str, cpus: f64, boot_s: f64| MachineType {
         name: name.into(),
         cpus,
         gpus: 0.0,
@@ -135,37 +138,24 @@
         fetch_gb_per_s: 0.5,
         zones: zones.clone(),
     };
-    vec![t("small", 4.0, 3.0), t("large", 8.0, 6.0)]
+    vec![machine_type("small", 4.0, 3.0), machine_type("large", 8.0, 6.0)]
 }
 
 impl World {
+    /// A small world, with chance faults.
     pub fn new(seed: u64, disabled_guard: DisabledGuard) -> Self {
         World::sized(seed, disabled_guard, SMALL)
     }
 
+    /// A world of some size.
     pub fn sized(seed: u64, disabled_guard: DisabledGuard, size: Size) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let nodes = (0..size.nodes)
-            .map(|_| Node {
-                up: true,
-                back_at: 0,
-                paused_until: 0,
-                partitioned_until: 0,
-                refused_until: 0,
-                drift: rng.random_range(-0.0005..0.0005),
-                scheduler: None,
-                token: 0,
-                lease_valid_until: 0,
-                cache_fresh_at: 0,
-                seen_revision: 0,
-                last_renew: 0,
-                write_in_flight: false,
-                next_write_at: 0,
-                run: 0,
-            })
-            .collect();
+        let nodes = (0..size.nodes).map(|_| Node::new(rng.random_range(-0.0005..0.0005))).collect();
+        let is_large = size.machines_per_offer > LARGE_MACHINES_PER_OFFER;
+        let value_bytes = if is_large { LARGE_VALUE_BYTES } else { SMALL_VALUE_BYTES };
         World {
             rng,
+            size,
             disabled_guard,
             now: 1_000,
             next_id: 0,
@@ -173,57 +163,36 @@
             revision: 10,
             leader: None,
             leaderless_since: 0,
+            last_token: 0,
             jobs: BTreeMap::new(),
             results: BTreeMap::new(),
             machine_sets: BTreeMap::new(),
-            store_down_until: 0,
-            zone_partition: None,
+            leader_write_limits: WriteLimits { value_bytes, changes: MAX_CHANGES },
+            store_write_limits: WriteLimits { value_bytes: usize::MAX, changes: usize::MAX },
             plan: Vec::new(),
-            leader_write_limits: (if size.machines_per_offer > 10 { 4_096 } else { 300 }, 8),
-            store_write_limits: (usize::MAX, usize::MAX),
-            cloud_down_until: 0,
-            boots: (1.0, 0.03, 0),
-            late_writes: (0.0, 0),
-            lost_write_responses: (0.0, 0),
-            withheld_share: (0.0, 0),
-            cancelled_at_completion: (0.0, 0),
-            small_jobs_until: 0,
+            faults: ActiveFaults::default(),
             withheld_heartbeats: Vec::new(),
+            without_successors: false,
             workers: BTreeMap::new(),
             provisions: BTreeMap::new(),
             next_machine: 0,
+            last_job: 0,
             nodes,
-            violations: Vec::new(),
-            occurrences: BTreeMap::new(),
-            completed: BTreeSet::new(),
             gang_runs: BTreeMap::new(),
-            terms: 0,
-            late_commands: 0,
-            copies: 0,
-            puts: 0,
-            calls: 0,
-            provisioned: 0,
-            failures: 0,
-            most_up: 0,
-            most_overdue: 0,
-            cycles: 0,
-            most_runs: 0,
-            most_jobs: (0, 0),
-            moves: MoveCounts::default(),
-            size,
-            next_job: 0,
-            without_successors: false,
             cell: None,
             shared_writes: Vec::new(),
             used_elsewhere: 0.0,
             claimed_elsewhere: 0.0,
-            last_token: 0,
+            completed: BTreeSet::new(),
+            violations: Vec::new(),
+            occurrences: BTreeMap::new(),
+            stats: Statistics::default(),
             trace: None,
         }
     }
 
-    /// Only the first node is served by the state service, and not always, so that nobody else takes over when it
-    /// is refused: only its own lease ends what it does.
+    /// Only the first node is served by the state service, and not always, so that nobody else takes
+    /// over when it is refused: only its own lease ends what it does.
     pub fn without_successors(mut self) -> Self {
         for node in &mut self.nodes[1..] {
             node.refused_until = self.size.end_ms;
@@ -232,7 +201,7 @@
         self
     }
 
-    /// With troubles at set times beside those that chance brings.
+    /// With faults at set times beside those that chance brings.
     pub fn planned(mut self, plan: &[(u64, PlannedFault)]) -> Self {
         self.plan = plan.to_vec();
         self
@@ -243,20 +212,28 @@
         ZONES[n % ZONES.len()]
     }
 
-    /// Until when nothing passes between a worker and a node, if a zone's cut is between them.
-    fn apart(&self, worker: &str, node: usize) -> Option<u64> {
-        let (zone, until) = self.zone_partition.filter(|(_, until)| self.now < *until)?;
-        let w = self.workers.get(worker)?;
-        ((w.zone == zone) != (Self::zone_of(node) == zone)).then_some(until)
+    /// The zone that is cut off now.
+    fn active_partition(&self) -> Option<faults::ZonePartition> {
+        self.faults.zone_partition.filter(|partition| self.now < partition.until)
     }
 
+    /// Until when nothing passes between a worker and a node, if a zone's partition is between
+    /// them.
+    fn partition_between(&self, worker: &str, node: usize) -> Option<u64> {
+        let partition = self.active_partition()?;
+        let is_inside = |zone| zone == partition.zone;
+        let worker = self.workers.get(worker)?;
+        (is_inside(worker.zone) != is_inside(Self::zone_of(node))).then_some(partition.until)
+    }
+
+    /// Runs until its end, until a rule is broken, or until all work is done after the faults.
     pub fn run(&mut self) {
         for _ in 0..self.size.initial_jobs {
             self.submit();
         }
         while self.now < self.size.end_ms && self.violations.is_empty() {
             self.step();
-            if self.now >= self.size.fault_period_ms && self.unfinished().is_empty() {
+            if !self.has_chance_faults() && self.unfinished().is_empty() {
                 break;
             }
         }
@@ -265,19 +242,12 @@
     fn step(&mut self) {
         self.now += self.size.step_ms;
         self.begin_planned_faults();
-        if self.now < self.size.fault_period_ms {
-            self.trouble();
-            self.users();
+        if self.has_chance_faults() {
+            self.begin_chance_fault();
+            self.step_users();
         }
         self.tell_users();
-        while let Some((&key, _)) = self.queue.first_key_value() {
-            if key.0 > self.now {
-                break;
-            }
-            if let Some(msg) = self.queue.remove(&key) {
-                self.deliver(msg);
-            }
-        }
+        self.deliver_due();
         self.step_store();
         self.step_workers();
         self.step_gangs();
@@ -293,21 +263,8 @@
         *self.occurrences.entry(what).or_default() += 1;
     }
 
-    fn chance(&mut self, p: f64) -> bool {
-        self.rng.random_bool(p)
-    }
-
-    fn post(&mut self, delay: u64, msg: Message) {
-        self.next_id += 1;
-        self.queue.insert((self.now + delay, self.next_id), msg);
-    }
-
-    /// The delay of a message; now and then it is held back for long.
-    fn delay(&mut self, held: f64) -> u64 {
-        if self.now < self.size.fault_period_ms && self.chance(held) {
-            self.rng.random_range(3_000..40_000)
-        } else {
-            self.rng.random_range(1..60)
-        }
+    /// Draws whether something with this probability happens.
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.random_bool(probability)
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/nodes.rs
+++ b/crates/latchtrack-core/tests/simulation/world/nodes.rs
@@ -1,6 +1,15 @@
-//! The nodes: what drives the core, and what comes of its effects.
+//! The nodes: their clocks and leases, and what they can reach.
 
-use super::*;
+use latchtrack_core::scheduler::Event;
+
+use super::guards::DisabledGuard;
+use super::state::LeaderKey;
+use super::{World, LEADER_LEASE_MS, LEASE_MARGIN_MS};
+
+/// ms between two renewals of a lease, by the node's clock.
+const RENEW_MS: u64 = 300;
+/// When the first node of a world without successors does not reach the state service, ms.
+const REFUSED_WITHOUT_SUCCESSORS: std::ops::Range<u64> = 40_000..110_000;
 
 impl World {
     /// The steady clock of a node.
@@ -8,28 +17,32 @@
         (self.now as f64 * (1.0 + self.nodes[n].drift)) as u64
     }
 
+    /// Whether a node reaches the state service.
     pub(super) fn reaches_store(&self, n: usize) -> bool {
         let node = &self.nodes[n];
-        if self.without_successors && (40_000..110_000).contains(&self.now) {
+        if self.without_successors && REFUSED_WITHOUT_SUCCESSORS.contains(&self.now) {
             return false;
         }
-        let cut =
-            self.zone_partition.is_some_and(|(z, until)| self.now < until && z == Self::zone_of(n));
-        !cut && self.now
-            >= self.store_down_until.max(node.partitioned_until).max(node.refused_until)
+        let partition = self.active_partition();
+        let is_cut_off = partition.is_some_and(|cut| cut.zone == Self::zone_of(n));
+        let unreachable_until = node.partitioned_until.max(node.refused_until);
+        !is_cut_off && self.now >= self.faults.store_down_until.max(unreachable_until)
     }
 
+    /// Whether a node executes anything.
     pub(super) fn awake(&self, n: usize) -> bool {
         self.nodes[n].up && self.now >= self.nodes[n].paused_until
     }
 
+    /// Whether a node leads and its lease and cache allow it to act.
     pub(super) fn may_act(&self, n: usize) -> bool {
         let (node, now) = (&self.nodes[n], self.clock(n));
-        node.scheduler.is_some()
-            && (self.disabled_guard == DisabledGuard::LeaderLease
-                || (now < node.lease_valid_until && now < node.cache_fresh_at + LEADER_LEASE_MS))
+        let is_fresh = now < node.cache_fresh_at + LEADER_LEASE_MS;
+        let is_valid = now < node.lease_valid_until && is_fresh;
+        node.scheduler.is_some() && (self.disabled_guard == DisabledGuard::LeaderLease || is_valid)
     }
 
+    /// Lets a node do what is due.
     pub(super) fn step_node(&mut self, n: usize) {
         if !self.nodes[n].up && self.now >= self.nodes[n].back_at {
             self.nodes[n].up = true;
@@ -38,24 +51,11 @@
             return;
         }
         let now = self.clock(n);
-        if self.reaches_store(n) && now >= self.nodes[n].last_renew + 300 {
+        if self.reaches_store(n) && now >= self.nodes[n].last_renew + RENEW_MS {
             self.nodes[n].last_renew = now;
-            match self.leader {
-                None => self.campaign(n),
-                Some((leader, token, _)) if leader == n && self.nodes[n].token == token => {
-                    self.leader = Some((n, token, self.now + LEADER_LEASE_MS));
-                    self.nodes[n].lease_valid_until = now + LEADER_LEASE_MS - LEASE_MARGIN_MS;
-                }
-                Some(_) => {
-                    if self.disabled_guard != DisabledGuard::LeaderLease {
-                        self.nodes[n].scheduler = None;
-                        self.nodes[n].token = 0;
-                    }
-                }
-            }
-            if self.disabled_guard != DisabledGuard::LeaderLease
-                || self.leader.map(|l| l.0) == Some(n)
-            {
+            self.step_leadership(n);
+            let keeps_to_lease = self.disabled_guard != DisabledGuard::LeaderLease;
+            if keeps_to_lease || self.leader.map(|leader| leader.node) == Some(n) {
                 self.read_jobs(n);
             }
         }
@@ -63,4 +63,22 @@
             self.drive(n, Event::Tick);
         }
     }
+
+    /// Campaigns for the leader key, renews it, or learns that another node has it.
+    fn step_leadership(&mut self, n: usize) {
+        let now = self.clock(n);
+        match self.leader {
+            None => self.campaign(n),
+            Some(leader) if leader.node == n && self.nodes[n].token == leader.token => {
+                let expires_at = self.now + LEADER_LEASE_MS;
+                self.leader = Some(LeaderKey { expires_at, ..leader });
+                self.nodes[n].lease_valid_until = now + LEADER_LEASE_MS - LEASE_MARGIN_MS;
+            }
+            Some(_) if self.disabled_guard == DisabledGuard::LeaderLease => {}
+            Some(_) => {
+                self.nodes[n].scheduler = None;
+                self.nodes[n].token = 0;
+            }
+        }
+    }
 }
--- a/crates/latchtrack-core/tests/simulation/world/referee.rs
+++ b/crates/latchtrack-core/tests/simulation/world/referee.rs
@@ -1,231 +1,275 @@
-//! The referee: the rules that are checked after each step.
+//! The referee: the rules that are checked against what really runs, and what users see.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// ms after the last trouble begins until all of them are over, and that a job may wait with room.
-const FAULTS_OVER_MS: u64 = 60_000;
+use latchtrack_core::job::{JobId, JobSpec, TaskId};
+use latchtrack_core::rules;
+
+use super::state::{JobState, StoredJob, Worker};
+use super::{World, CANCEL_MS, CPU_TOLERANCE};
 
+/// ms after the last chance fault begins until all of them are over.
+const FAULTS_OVER_MS: u64 = 60_000;
+/// ms that a job may wait though a machine has free capacity.
 const MAX_WAIT_MS: u64 = 90_000;
+/// ms between two checks of what waits.
+const WAIT_CHECK_MS: u64 = 1_000;
+/// ms within which the largest jobs of a class are to begin.
+const MAX_START_MS: u64 = 240_000;
+/// Of the jobs of a class, one in so many counts as a largest one.
+const LARGEST_PART: usize = 10;
+/// The team with a limit.
+const LIMITED_TEAM: &str = "limited";
+
+/// A live task with what the rules need of it.
+struct LiveTask {
+    task: TaskId,
+    zone: &'static str,
+    cpus: f64,
+}
+
+/// What is free and what is in use, of all machines.
+struct Capacity<'a> {
+    /// CPUs that are free on each machine that is well.
+    free: Vec<(&'a Worker, f64)>,
+    live: Vec<LiveTask>,
+    /// CPUs that the limited team has in use, in all cells.
+    limited_team_cpus: f64,
+}
 
 impl World {
+    /// Notes that a rule is broken.
+    pub(super) fn violate(&mut self, rule: &str, what: String) {
+        self.violations.push(format!("{rule}: {what} at {}", self.now));
+    }
+
+    /// Jobs that are done.
     pub fn jobs_done(&self) -> usize {
-        self.jobs.values().filter(|j| matches!(j.state, JobState::Done)).count()
+        self.jobs.values().filter(|job| matches!(job.state, JobState::Done)).count()
     }
 
+    /// Tasks that have completed.
     pub fn tasks_done(&self) -> usize {
         self.completed.len()
     }
 
+    /// Open jobs, but those that can't complete.
     pub fn unfinished(&self) -> Vec<String> {
-        let open = self
-            .jobs
-            .iter()
-            .filter(|(_, j)| matches!(j.state, JobState::Open { .. }) && !j.always_fails);
+        let open = self.jobs.iter().filter(|(_, job)| job.is_open() && !job.always_fails);
         open.map(|(id, _)| id.to_string()).collect()
     }
 
-    /// Classes, teams and largest jobs of a class of which less than half was served, and largest
-    /// jobs that had not begun within four minutes: what fails a day in the users' eyes.
+    /// Classes, teams and largest jobs of a class of which less than half is done, and largest jobs
+    /// that had not begun within four minutes: what fails a day in the users' eyes.
     pub fn poorly_served(&self) -> Vec<String> {
-        type Group<'a> = BTreeMap<String, Vec<&'a StoredJob>>;
-        let mut groups = Group::new();
-        let mut bad = Vec::new();
-        let counted = |j: &&StoredJob| !j.always_fails && !matches!(j.state, JobState::Cancelled);
-        for j in self.jobs.values().filter(counted) {
-            groups.entry(format!("team {}", j.spec.team)).or_default().push(j);
-            groups.entry(format!("class {}", j.spec.class)).or_default().push(j);
+        let mut groups: BTreeMap<String, Vec<&StoredJob>> = BTreeMap::new();
+        let mut failures = Vec::new();
+        let counts =
+            |job: &&StoredJob| !job.always_fails && !matches!(job.state, JobState::Cancelled);
+        for job in self.jobs.values().filter(counts) {
+            groups.entry(format!("team {}", job.spec.team)).or_default().push(job);
+            groups.entry(format!("class {}", job.spec.class)).or_default().push(job);
         }
         for class in ["c", "d", "idle", "huge"] {
             let Some(all) = groups.get(&format!("class {class}")) else { continue };
-            let mut all = all.clone();
-            all.sort_by_key(|j| std::cmp::Reverse(j.spec.tasks));
-            all.truncate(all.len().div_ceil(10));
-            for j in &all {
-                let begun = j.begun.unwrap_or(u64::MAX);
-                if begun > j.submitted_at + 240_000 && self.now > j.submitted_at + 240_000 {
-                    bad.push(format!("{} has not begun in time", j.spec.id));
+            let largest = largest_jobs(all);
+            for job in &largest {
+                let (begun, due) = (job.begun.unwrap_or(u64::MAX), job.submitted_at + MAX_START_MS);
+                if begun > due && self.now > due {
+                    failures.push(format!("{} has not begun in time", job.spec.id));
                 }
             }
-            groups.insert(format!("largest of {class}"), all);
+            groups.insert(format!("largest of {class}"), largest);
         }
         for (name, jobs) in groups {
-            let done = jobs.iter().filter(|j| matches!(j.state, JobState::Done)).count();
+            let done = jobs.iter().filter(|job| matches!(job.state, JobState::Done)).count();
             if done * 2 < jobs.len() {
-                bad.push(format!("{name}: {done} of {}", jobs.len()));
+                failures.push(format!("{name}: {done} of {}", jobs.len()));
             }
         }
-        bad
-    }
-
-    pub(super) fn violate(&mut self, rule: &str, what: String) {
-        self.violations.push(format!("{rule}: {what} at {}", self.now));
+        failures
     }
 
     /// Users read the records, as any node would show them.
     pub(super) fn tell_users(&mut self) {
-        let mut bad = Vec::new();
-        for (id, j) in &mut self.jobs {
-            match j.state {
+        let mut broken = Vec::new();
+        for (id, job) in &mut self.jobs {
+            match job.state {
                 JobState::Done => {
-                    if j.cancel_confirmed_at.is_some() {
-                        bad.push(("went_back", format!("{id} cancelled, then done")));
+                    if job.cancel_confirmed_at.is_some() {
+                        broken.push(("went_back", format!("{id} cancelled, then done")));
                     }
-                    j.done_confirmed = true;
-                    let all = (0..j.spec.tasks)
-                        .all(|index| self.completed.contains(&TaskId { job: *id, index }));
-                    if !all {
-                        bad.push(("not_done", format!("{id}")));
+                    job.done_confirmed = true;
+                    let mut tasks = (0..job.spec.tasks).map(|index| TaskId { job: *id, index });
+                    if !tasks.all(|task| self.completed.contains(&task)) {
+                        broken.push(("not_done", format!("{id}")));
                     }
                 }
-                _ if j.done_confirmed => {
-                    bad.push(("went_back", format!("{id} is not done any more")))
+                _ if job.done_confirmed => {
+                    broken.push(("went_back", format!("{id} is not done any more")));
                 }
                 JobState::Open { stored_at } if stored_at > self.now => {
-                    bad.push(("went_back", format!("{id} from the future")));
+                    broken.push(("went_back", format!("{id} from the future")));
                 }
                 _ => {}
             }
         }
-        for (rule, what) in bad {
+        for (rule, what) in broken {
+            self.violate(rule, what);
+        }
+    }
+
+    /// A task starts on a machine: nowhere else, where it may, and within its team's limit.
+    pub(super) fn check_start(&mut self, name: &str, task: TaskId) {
+        let now = self.now;
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        if !job.spec.gang {
+            job.begun.get_or_insert(now);
+        }
+        let spec = job.spec.clone();
+        let mut zones = Vec::new();
+        let mut used = self.used_elsewhere;
+        let mut broken = Vec::new();
+        for (other, worker) in &self.workers {
+            let started = worker.tasks.iter().filter(|(_, state)| state.is_started());
+            for ((started, _), _) in started {
+                if *started == task && other != name {
+                    broken.push(("ran_twice", format!("{task} on {other} and {name}")));
+                } else if started.job == task.job && *started != task {
+                    zones.push(worker.zone);
+                }
+                let job = self.jobs.get(&started.job);
+                if let Some(job) = job.filter(|job| job.spec.team == spec.team) {
+                    used += job.spec.demand.cpus;
+                }
+            }
+        }
+        let worker = &self.workers[name];
+        let Worker { machine_type, zone, spot, .. } = *worker;
+        if !rules::may_start(&spec, machine_type, zone, spot, zones.into_iter()) {
+            broken.push(("wrong_place", format!("{task} on {name}")));
+        }
+        let is_limited = spec.team == LIMITED_TEAM;
+        let limit = self.size.limited_team_cpus;
+        if is_limited && !rules::within_limit(used, spec.demand.cpus, limit) {
+            broken.push(("quota", format!("{task}: {used} in use")));
+        }
+        for (rule, what) in broken {
             self.violate(rule, what);
         }
     }
 
+    /// No task runs for long after its job's cancellation was confirmed.
     pub(super) fn check_cancelled(&mut self) {
-        let mut bad = Vec::new();
-        for (name, w) in &self.workers {
-            for ((task, _), t) in &w.tasks {
-                if !matches!(
-                    t.phase,
-                    TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing
-                ) {
+        let mut broken = Vec::new();
+        for (name, worker) in &self.workers {
+            for ((task, _), state) in &worker.tasks {
+                if !state.is_started() {
                     continue;
                 }
-                let told = self.jobs.get(&task.job).and_then(|j| j.cancel_confirmed_at);
-                if told.is_some_and(|at| self.now > at + CANCEL_MS) {
-                    bad.push(format!("{task} on {name}"));
+                let confirmed_at = self.jobs.get(&task.job).and_then(|job| job.cancel_confirmed_at);
+                if confirmed_at.is_some_and(|at| self.now > at + CANCEL_MS) {
+                    broken.push(format!("{task} on {name}"));
                 }
             }
         }
-        for what in bad {
+        for what in broken {
             self.violate("ran_cancelled", what);
         }
     }
 
-    /// Once the troubles are over, no job waits for long while a machine that fits has room and its
-    /// team is under its limit: what leaves people waiting for nothing.
+    /// Once the faults are over, no job waits for long while a machine that fits has free capacity
+    /// and its team is under its limit: what leaves people waiting for nothing.
     pub(super) fn check_waiting(&mut self) {
-        if self.now < self.size.fault_period_ms + FAULTS_OVER_MS || self.now % 1_000 != 0 {
+        let faults_over_at = self.size.fault_period_ms + FAULTS_OVER_MS;
+        if self.now < faults_over_at || self.now % WAIT_CHECK_MS != 0 {
             return;
         }
-        let room = |w: &Worker| {
-            let used = |s: &BTreeMap<(TaskId, u64), WorkerTask>| -> f64 {
-                let live = s.iter().filter(|(_, t)| !matches!(t.phase, TaskPhase::Ended(_)));
-                live.map(|((t, _), _)| self.jobs[&t.job].spec.demand.cpus).sum()
-            };
-            let cpus = types().iter().find(|t| t.name == w.machine_type).map_or(0.0, |t| t.cpus);
-            cpus - used(&w.tasks)
-        };
-        let well = |w: &&Worker| {
-            w.alive && w.agent_epoch > 0 && !w.fails_tasks && self.now >= w.hung_until
-        };
-        let rooms: Vec<(&Worker, f64)> =
-            self.workers.values().filter(well).map(|w| (w, room(w))).collect();
-        let live: Vec<(TaskId, &str, f64)> = self
-            .workers
-            .values()
-            .flat_map(|w| w.tasks.iter().map(move |((t, _), s)| (t, s, w.zone)))
-            .filter(|(_, s, _)| !matches!(s.phase, TaskPhase::Ended(_)))
-            .map(|(t, _, zone)| (*t, zone, self.jobs[&t.job].spec.demand.cpus))
+        let capacity = self.capacity();
+        let could_start: BTreeSet<JobId> = self
+            .jobs
+            .iter()
+            .filter(|(id, job)| self.could_start(**id, job, &capacity))
+            .map(|(id, _)| *id)
             .collect();
-        let has_team_limit = |t: &JobId| self.jobs[t].spec.team == "limited";
-        let here: f64 = live.iter().filter(|(t, ..)| has_team_limit(&t.job)).map(|(.., c)| c).sum();
-        let used = here + self.claimed_elsewhere;
-        let mut passed = BTreeSet::new();
-        for (id, j) in &self.jobs {
-            if !matches!(j.state, JobState::Open { .. }) || j.always_fails {
-                continue;
-            }
-            let mine: Vec<_> = live.iter().filter(|(t, ..)| t.job == *id).collect();
-            let done = |index| self.completed.contains(&TaskId { job: *id, index });
-            let over = (0..j.spec.tasks).filter(|i| done(*i)).count();
-            if mine.len() + over >= j.spec.tasks as usize {
-                continue;
-            }
-            if j.spec.gang {
-                let cpus = j.spec.demand.cpus * f64::from(j.spec.tasks);
-                let may = j.spec.team != "limited"
-                    || rules::within_limit(used, cpus, self.size.limited_team_cpus);
-                if mine.is_empty() && may && self.gang_fits(&j.spec, &rooms) {
-                    passed.insert(*id);
-                }
-                continue;
-            }
-            let cpus = j.spec.demand.cpus;
-            let may = j.spec.team != "limited"
-                || rules::within_limit(used, cpus, self.size.limited_team_cpus);
-            let fits = rooms.iter().any(|(w, free)| {
-                let zones = mine.iter().map(|(_, zone, _)| *zone);
-                *free + 1e-6 >= cpus
-                    && rules::may_start(&j.spec, w.machine_type, w.zone, w.spot, zones)
-            });
-            if may && fits {
-                passed.insert(*id);
-            }
-        }
         let now = self.now;
-        let mut bad = Vec::new();
-        for (id, j) in &mut self.jobs {
-            if !passed.contains(id) {
-                j.unschedulable_since = None;
-            } else if now > *j.unschedulable_since.get_or_insert(now) + MAX_WAIT_MS {
-                bad.push(format!("{id} while a machine has room"));
+        let mut broken = Vec::new();
+        for (id, job) in &mut self.jobs {
+            if !could_start.contains(id) {
+                job.unschedulable_since = None;
+            } else if now > *job.unschedulable_since.get_or_insert(now) + MAX_WAIT_MS {
+                broken.push(format!("{id} while a machine has room"));
             }
         }
-        for what in bad {
+        for what in broken {
             self.violate("waited", what);
         }
     }
 
-    /// The referee sees a task start.
-    pub(super) fn check_start(&mut self, name: &str, task: TaskId) {
-        let now = self.now;
-        let Some(j) = self.jobs.get_mut(&task.job) else { return };
-        if !j.spec.gang {
-            j.begun.get_or_insert(now);
-        }
-        let spec = j.spec.clone();
-        let on = |t: &WorkerTask| {
-            matches!(t.phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
+    fn capacity(&self) -> Capacity<'_> {
+        let is_well = |worker: &&Worker| {
+            worker.alive
+                && worker.agent_epoch > 0
+                && !worker.fails_tasks
+                && self.now >= worker.hung_until
         };
-        let mut zones = Vec::new();
-        let mut used = self.used_elsewhere;
-        let mut bad = Vec::new();
-        for (other, w) in &self.workers {
-            for ((t, _), state) in w.tasks.iter().filter(|(_, t)| on(t)) {
-                if *t == task && other != name {
-                    bad.push(("ran_twice", format!("{task} on {other} and {name}")));
-                } else if t.job == task.job && *t != task {
-                    zones.push(w.zone);
-                }
-                let team = self.jobs.get(&t.job).map(|j| (j.spec.team.clone(), &j.spec.demand));
-                if team.as_ref().is_some_and(|(n, _)| *n == spec.team) {
-                    used += team.map_or(0.0, |(_, d)| d.cpus);
-                }
-                let _ = state;
-            }
-        }
-        let w = &self.workers[name];
-        if !rules::may_start(&spec, w.machine_type, w.zone, w.spot, zones.into_iter()) {
-            bad.push(("wrong_place", format!("{task} on {name}")));
+        let well = self.workers.values().filter(is_well);
+        let free = well.map(|worker| (worker, self.free_cpus(worker))).collect();
+        let tasks = self
+            .workers
+            .values()
+            .flat_map(|worker| worker.tasks.iter().map(move |task| (worker.zone, task)));
+        let live: Vec<LiveTask> = tasks
+            .filter(|(_, (_, state))| state.is_live())
+            .map(|(zone, ((task, _), _))| LiveTask {
+                task: *task,
+                zone,
+                cpus: self.jobs[&task.job].spec.demand.cpus,
+            })
+            .collect();
+        let is_limited = |live: &&LiveTask| self.jobs[&live.task.job].spec.team == LIMITED_TEAM;
+        let here: f64 = live.iter().filter(is_limited).map(|live| live.cpus).sum();
+        Capacity { free, live, limited_team_cpus: here + self.claimed_elsewhere }
+    }
+
+    /// Whether a task of a job, or a whole gang, waits though it would fit.
+    fn could_start(&self, id: JobId, job: &StoredJob, capacity: &Capacity) -> bool {
+        if !job.is_open() || job.always_fails {
+            return false;
         }
-        if spec.team == "limited"
-            && !rules::within_limit(used, spec.demand.cpus, self.size.limited_team_cpus)
-        {
-            bad.push(("quota", format!("{task}: {used} in use")));
+        let spec = &job.spec;
+        let live: Vec<&LiveTask> =
+            capacity.live.iter().filter(|live| live.task.job == id).collect();
+        let is_done = |index: &u32| self.completed.contains(&TaskId { job: id, index: *index });
+        let done = (0..spec.tasks).filter(is_done).count();
+        if live.len() + done >= spec.tasks as usize {
+            return false;
         }
-        for (rule, what) in bad {
-            self.violate(rule, what);
+        if spec.gang {
+            let cpus = spec.demand.cpus * f64::from(spec.tasks);
+            return live.is_empty()
+                && self.is_within_limit(spec, cpus, capacity)
+                && self.gang_fits(spec, &capacity.free);
         }
+        let cpus = spec.demand.cpus;
+        let fits = |(worker, free): &(&Worker, f64)| {
+            let zones = live.iter().map(|live| live.zone);
+            let Worker { machine_type, zone, spot, .. } = **worker;
+            *free + CPU_TOLERANCE >= cpus && rules::may_start(spec, machine_type, zone, spot, zones)
+        };
+        self.is_within_limit(spec, cpus, capacity) && capacity.free.iter().any(fits)
     }
+
+    fn is_within_limit(&self, spec: &JobSpec, cpus: f64, capacity: &Capacity) -> bool {
+        let limit = self.size.limited_team_cpus;
+        spec.team != LIMITED_TEAM || rules::within_limit(capacity.limited_team_cpus, cpus, limit)
+    }
+}
+
+/// The largest tenth of some jobs, by tasks.
+fn largest_jobs<'a>(jobs: &[&'a StoredJob]) -> Vec<&'a StoredJob> {
+    let mut largest = jobs.to_vec();
+    largest.sort_by_key(|job| std::cmp::Reverse(job.spec.tasks));
+    largest.truncate(largest.len().div_ceil(LARGEST_PART));
+    largest
 }
--- a/crates/latchtrack-core/tests/simulation/world/store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/store.rs
@@ -1,119 +1,155 @@
-//! The state service.
+//! The state service: the leader key's lease, and transactions of writes.
 
-use super::*;
+use latchtrack_core::job::JobId;
+use latchtrack_core::scheduler::{
+    BatchOutcome, RecordWrite, StoredMachine, StoredMachineSet, StoredResults,
+};
+
+use super::guards::DisabledGuard;
+use super::state::JobState;
+use super::{World, LEADER_LEASE_MS};
+
+/// Bytes of a stored chunk of results beside its bits, which are stored as base64.
+const CHUNK_OVERHEAD_BYTES: usize = 24;
 
 /// Bytes of the value that a change puts.
-fn value_size(write: &RecordWrite) -> usize {
+fn value_bytes(write: &RecordWrite) -> usize {
     match write {
         RecordWrite::MachineSet { machines, .. } => machines.iter().map(StoredMachine::bytes).sum(),
-        RecordWrite::Results { chunks, .. } => {
-            chunks.iter().map(|(_, _, bytes)| bytes.len().div_ceil(3) * 4 + 24).sum()
-        }
+        RecordWrite::Results { chunks, .. } => chunks
+            .iter()
+            .map(|(_, _, bytes)| bytes.len().div_ceil(3) * 4 + CHUNK_OVERHEAD_BYTES)
+            .sum(),
         RecordWrite::JobDone { .. } => 0,
     }
 }
 
+/// The records whose revisions differ from those that a transaction names.
+#[derive(Default)]
+struct Conflicts {
+    jobs: Vec<JobId>,
+    fleet: Vec<String>,
+    results: Vec<String>,
+}
+
+impl Conflicts {
+    fn is_empty(&self) -> bool {
+        self.jobs.is_empty() && self.fleet.is_empty() && self.results.is_empty()
+    }
+}
+
+impl From<Conflicts> for BatchOutcome {
+    fn from(conflicts: Conflicts) -> BatchOutcome {
+        let Conflicts { jobs, fleet, results } = conflicts;
+        BatchOutcome::Conflict { jobs, fleet, results }
+    }
+}
+
 impl World {
+    /// Ends the leader key's lease in time.
     pub(super) fn step_store(&mut self) {
-        if self.now < self.store_down_until {
+        let down_until = self.faults.store_down_until;
+        if self.now < down_until {
             // After an outage every lease has its full time again.
-            if let Some(l) = &mut self.leader {
-                l.2 = self.store_down_until + LEADER_LEASE_MS;
+            if let Some(leader) = &mut self.leader {
+                leader.expires_at = down_until + LEADER_LEASE_MS;
             }
-        } else if self.leader.is_some_and(|(_, _, until)| until < self.now) {
+        } else if self.leader.is_some_and(|leader| leader.expires_at < self.now) {
             self.leader = None;
             self.revision += 1;
             self.leaderless_since = self.revision;
         }
     }
 
+    /// Commits writes of the leader with this token, if all conditions hold.
     pub(super) fn write(&mut self, token: u64, writes: &[RecordWrite]) -> BatchOutcome {
-        if self.now < self.store_down_until {
+        if self.now < self.faults.store_down_until {
             return BatchOutcome::NotExecuted;
         }
-        let (bytes, changes) = self.store_write_limits;
-        if writes.len() > changes || writes.iter().any(|w| value_size(w) > bytes) {
+        let max_bytes = writes.iter().map(value_bytes).max().unwrap_or(0);
+        let limits = self.store_write_limits;
+        if writes.len() > limits.changes || max_bytes > limits.value_bytes {
             self.record("write refused");
             return BatchOutcome::Rejected;
         }
-        if writes.iter().any(|w| value_size(w) > self.leader_write_limits.0) {
+        if max_bytes > self.leader_write_limits.value_bytes {
             self.record("value above what leaders keep to");
         }
-        let none = || BatchOutcome::Conflict { jobs: vec![], fleet: vec![], results: vec![] };
-        self.puts += writes.len() as u64;
+        self.stats.puts += writes.len() as u64;
         if self.disabled_guard != DisabledGuard::WriteFence {
-            if self.leader.map(|l| l.1) != Some(token) {
-                return none();
-            }
-            let stale: Vec<JobId> = writes
-                .iter()
-                .filter_map(|w| match w {
-                    RecordWrite::JobDone { job, revision, .. }
-                        if self.jobs[job].revision != *revision =>
-                    {
-                        Some(*job)
-                    }
-                    _ => None,
-                })
-                .collect();
-            let (mut fleet, mut results) = (Vec::new(), Vec::new());
-            for w in writes {
-                let strict = self.disabled_guard != DisabledGuard::ShardRevision;
-                let differs = |expect: Option<u64>, have: Option<u64>| {
-                    strict && expect.is_some_and(|e| e != have.unwrap_or(0))
-                };
-                match w {
-                    RecordWrite::MachineSet { pack, .. } => {
-                        if differs(
-                            pack.expect,
-                            self.machine_sets.get(&pack.name).map(|f| f.revision),
-                        ) {
-                            fleet.push(pack.name.clone());
-                        }
-                    }
-                    RecordWrite::Results { pack, .. } => {
-                        if differs(pack.expect, self.results.get(&pack.name).map(|r| r.revision)) {
-                            results.push(pack.name.clone());
-                        }
-                    }
-                    RecordWrite::JobDone { .. } => {}
-                }
+            if self.leader.map(|leader| leader.token) != Some(token) {
+                return Conflicts::default().into();
             }
-            let stale =
-                if self.disabled_guard == DisabledGuard::JobRevision { Vec::new() } else { stale };
-            if !(stale.is_empty() && fleet.is_empty() && results.is_empty()) {
-                return BatchOutcome::Conflict { jobs: stale, fleet, results };
+            let conflicts = self.conflicts(writes);
+            if !conflicts.is_empty() {
+                return conflicts.into();
             }
         }
         self.revision += 1;
-        for w in writes {
-            match w.clone() {
-                RecordWrite::MachineSet { pack, machines } => {
-                    if machines.is_empty() {
-                        self.machine_sets.remove(&pack.name);
-                    } else if self.disabled_guard != DisabledGuard::MachineRecords {
-                        let (name, revision) = (pack.name, self.revision);
-                        let machines = Some(machines);
-                        self.machine_sets
-                            .insert(name.clone(), StoredMachineSet { name, revision, machines });
+        for write in writes {
+            self.apply(write.clone());
+        }
+        BatchOutcome::Committed(self.revision)
+    }
+
+    fn conflicts(&self, writes: &[RecordWrite]) -> Conflicts {
+        let checks_shards = self.disabled_guard != DisabledGuard::ShardRevision;
+        let checks_jobs = self.disabled_guard != DisabledGuard::JobRevision;
+        let differs = |expected: Option<u64>, stored: Option<u64>| {
+            checks_shards && expected.is_some_and(|expected| expected != stored.unwrap_or(0))
+        };
+        let mut conflicts = Conflicts::default();
+        for write in writes {
+            match write {
+                RecordWrite::MachineSet { pack, .. } => {
+                    let stored = self.machine_sets.get(&pack.name).map(|set| set.revision);
+                    if differs(pack.expect, stored) {
+                        conflicts.fleet.push(pack.name.clone());
                     }
                 }
-                RecordWrite::Results { pack, chunks } => {
-                    if chunks.is_empty() {
-                        self.results.remove(&pack.name);
-                    } else {
-                        let (name, revision) = (pack.name, self.revision);
-                        self.results.insert(name.clone(), StoredResults { name, revision, chunks });
+                RecordWrite::Results { pack, .. } => {
+                    let stored = self.results.get(&pack.name).map(|results| results.revision);
+                    if differs(pack.expect, stored) {
+                        conflicts.results.push(pack.name.clone());
                     }
                 }
-                RecordWrite::JobDone { job, .. } => {
-                    if let Some(j) = self.jobs.get_mut(&job) {
-                        j.state = JobState::Done;
-                        j.revision = self.revision;
+                RecordWrite::JobDone { job, revision, .. } => {
+                    if checks_jobs && self.jobs[job].revision != *revision {
+                        conflicts.jobs.push(*job);
                     }
                 }
             }
         }
-        BatchOutcome::Committed(self.revision)
+        conflicts
+    }
+
+    fn apply(&mut self, write: RecordWrite) {
+        let revision = self.revision;
+        match write {
+            RecordWrite::MachineSet { pack, machines } => {
+                let name = pack.name;
+                if machines.is_empty() {
+                    self.machine_sets.remove(&name);
+                } else if self.disabled_guard != DisabledGuard::MachineRecords {
+                    let machines = Some(machines);
+                    let set = StoredMachineSet { name: name.clone(), revision, machines };
+                    self.machine_sets.insert(name, set);
+                }
+            }
+            RecordWrite::Results { pack, chunks } => {
+                let name = pack.name;
+                if chunks.is_empty() {
+                    self.results.remove(&name);
+                } else {
+                    let results = StoredResults { name: name.clone(), revision, chunks };
+                    self.results.insert(name, results);
+                }
+            }
+            RecordWrite::JobDone { job, .. } => {
+                if let Some(job) = self.jobs.get_mut(&job) {
+                    (job.state, job.revision) = (JobState::Done, revision);
+                }
+            }
+        }
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/users.rs
+++ b/crates/latchtrack-core/tests/simulation/world/users.rs
@@ -1,9 +1,23 @@
-//! Troubles, planned or by chance, and what users do and see.
+//! The users: what they submit and cancel.
 
-use super::*;
+use std::sync::Arc;
 
-/// Idle-time work of a guest.
-fn guest(class: &str, tasks: u32, cpus: f64, estimate_s: f64) -> JobSpec {
+use latchtrack_core::job::{Demand, JobId, JobSpec, Priority, TaskId};
+use rand::Rng;
+
+use super::state::{JobState, StoredJob};
+use super::{World, ZONES};
+
+/// Probability that a job fails on every machine.
+const BROKEN_PROBABILITY: f64 = 0.08;
+/// ms between two jobs of a stream of small jobs.
+const SMALL_JOB_MS: f64 = 250.0;
+/// Largest gang, in tasks and in CPUs of a task: it has to fit the machines of one zone.
+const MAX_GANG_TASKS: u32 = 4;
+const MAX_GANG_CPUS: f64 = 4.0;
+
+/// A best-effort job of the team without a limit; its id is still to be set.
+fn best_effort_job(class: &str, tasks: u32, cpus: f64, estimate_s: f64) -> JobSpec {
     JobSpec {
         id: JobId(0),
         class: class.into(),
@@ -29,8 +43,8 @@
 /// Makes a gang of a job, small enough for the machines of one zone and its team's limit.
 fn make_gang(spec: &mut JobSpec, limit: f64) {
     spec.gang = true;
-    spec.tasks = spec.tasks.clamp(2, 4);
-    spec.demand.cpus = spec.demand.cpus.min(4.0);
+    spec.tasks = spec.tasks.clamp(2, MAX_GANG_TASKS);
+    spec.demand.cpus = spec.demand.cpus.min(MAX_GANG_CPUS);
     if spec.team == "limited" {
         spec.demand.cpus = spec.demand.cpus.min((limit / f64::from(spec.tasks)).floor());
     }
@@ -41,125 +55,145 @@
     /// A node stores the cancellation of an open job and tells the user.
     pub(super) fn cancel(&mut self, id: JobId) {
         self.revision += 1;
-        let (epoch, now) = (self.revision, self.now);
-        if let Some(j) = self.jobs.get_mut(&id) {
-            j.state = JobState::Cancelled;
-            j.revision = epoch;
-            j.cancel_confirmed_at = Some(now);
+        if let Some(job) = self.jobs.get_mut(&id) {
+            job.state = JobState::Cancelled;
+            job.revision = self.revision;
+            job.cancel_confirmed_at = Some(self.now);
+        }
+    }
+
+    /// Users cancel all jobs that are open.
+    pub fn cancel_all(&mut self) {
+        for id in self.open_jobs() {
+            self.cancel(id);
         }
     }
 
-    pub(super) fn users(&mut self) {
-        if self.now < self.store_down_until {
+    /// Some users cancel at the very moment at which the last task ends.
+    pub(super) fn perhaps_cancel_completed(&mut self, id: JobId) {
+        let fault = self.faults.cancelled_at_completion;
+        if self.now >= fault.until || self.now < self.faults.store_down_until {
+            return;
+        }
+        let Some(job) = self.jobs.get(&id) else { return };
+        let mut tasks = (0..job.spec.tasks).map(|index| TaskId { job: id, index });
+        let is_complete = job.is_open() && tasks.all(|task| self.completed.contains(&task));
+        if is_complete && self.chance(fault.share) {
+            self.cancel(id);
+            self.record("cancelled at its end");
+        }
+    }
+
+    fn open_jobs(&self) -> Vec<JobId> {
+        self.jobs.iter().filter(|(_, job)| job.is_open()).map(|(id, _)| *id).collect()
+    }
+
+    /// Perhaps a user submits a job, and a user cancels one.
+    pub(super) fn step_users(&mut self) {
+        if self.now < self.faults.store_down_until {
             return;
         }
         if self.chance(self.size.submit_probability) {
             self.submit();
         }
         if self.chance(self.size.cancel_probability) {
-            let open: Vec<JobId> = self
-                .jobs
-                .iter()
-                .filter(|(_, j)| matches!(j.state, JobState::Open { .. }))
-                .map(|(id, _)| *id)
-                .collect();
+            let open = self.open_jobs();
             if !open.is_empty() {
                 let id = open[self.rng.random_range(0..open.len())];
                 self.cancel(id);
             }
         }
-        if self.now < self.small_jobs_until && self.chance(self.size.step_ms as f64 / 250.0) {
-            self.swarm();
+        let is_streaming = self.now < self.faults.small_jobs_until;
+        if is_streaming && self.chance(self.size.step_ms as f64 / SMALL_JOB_MS) {
+            self.submit_small_job();
         }
     }
 
     /// One of many small jobs; a quarter of them is cancelled, some at once.
-    fn swarm(&mut self) {
-        self.next_job += 1;
-        let id = JobId(self.next_job);
-        let spec = JobSpec { id, ..guest("swarm", 1, 0.25, 5.0) };
-        self.accept(spec, 0.0);
+    fn submit_small_job(&mut self) {
+        self.submit_spec(best_effort_job("swarm", 1, 0.25, 5.0));
         self.record("swarm");
         // One that came a while ago, so that some wait, some run and some are just done.
         let ago = self.rng.random_range(0..60);
-        let old = JobId(self.next_job.saturating_sub(ago));
-        let open = self.jobs.get(&old).is_some_and(|j| matches!(j.state, JobState::Open { .. }));
-        if open && self.chance(0.4) {
-            self.cancel(old);
+        let earlier = JobId(self.last_job.saturating_sub(ago));
+        let is_open = self.jobs.get(&earlier).is_some_and(StoredJob::is_open);
+        if is_open && self.chance(0.4) {
+            self.cancel(earlier);
             self.record("swarm cancelled");
         }
     }
 
-    /// Jobs of one task each of the limited team, of which a quarter is cancelled in the same moment.
-    pub(super) fn limited_burst(&mut self, many: usize) {
-        if self.now < self.store_down_until {
+    /// Jobs of one task each of the limited team, of which a quarter is cancelled in the same
+    /// moment.
+    pub(super) fn submit_limited_burst(&mut self, count: usize) {
+        if self.now < self.faults.store_down_until {
             return;
         }
-        for i in 0..many {
+        for i in 0..count {
             self.submit_limited(1, 1.0);
             if i % 4 == 0 {
-                self.cancel(JobId(self.next_job));
+                self.cancel(JobId(self.last_job));
                 self.record("burst cancelled");
             }
         }
     }
 
-    /// So many jobs as chance has them.
-    pub fn submit_many(&mut self, many: usize) {
-        for _ in 0..many {
+    /// So many random jobs.
+    pub fn submit_many(&mut self, count: usize) {
+        for _ in 0..count {
             self.submit();
         }
     }
 
     /// A job of the limited team.
     pub fn submit_limited(&mut self, tasks: u32, cpus: f64) {
-        self.next_job += 1;
-        let spec = guest("limited", tasks, cpus, 10.0);
-        self.accept(JobSpec { id: JobId(self.next_job), team: "limited".into(), ..spec }, 0.0);
+        let spec = best_effort_job("limited", tasks, cpus, 10.0);
+        self.submit_spec(JobSpec { team: "limited".into(), ..spec });
     }
 
     /// A gang of the limited team.
     pub fn submit_limited_gang(&mut self, tasks: u32, cpus: f64) {
-        self.next_job += 1;
-        let spec = guest("limited", tasks, cpus, 10.0);
-        let id = JobId(self.next_job);
-        self.accept(JobSpec { id, team: "limited".into(), gang: true, ..spec }, 0.0);
+        let spec = best_effort_job("limited", tasks, cpus, 10.0);
+        self.submit_spec(JobSpec { team: "limited".into(), gang: true, ..spec });
     }
 
     /// A job of the team without a limit.
     pub fn submit_free(&mut self, tasks: u32, cpus: f64) {
-        self.next_job += 1;
-        self.accept(JobSpec { id: JobId(self.next_job), ..guest("free", tasks, cpus, 10.0) }, 0.0);
+        self.submit_spec(best_effort_job("free", tasks, cpus, 10.0));
     }
 
-    /// Users cancel all jobs that are open.
-    pub fn cancel_all(&mut self) {
-        let open = |job: &StoredJob| matches!(job.state, JobState::Open { .. });
-        let ids: Vec<JobId> =
-            self.jobs.iter().filter(|(_, job)| open(job)).map(|(id, _)| *id).collect();
-        for id in ids {
-            self.cancel(id);
+    /// What a guest brings: best-effort jobs of long tasks, an array of very many, single small
+    /// tasks.
+    pub(super) fn submit_guest_jobs(&mut self) {
+        let count = 4 * self.size.max_tasks;
+        for _ in 0..3 {
+            self.submit_spec(best_effort_job("idle", count, 2.0, 60.0));
+        }
+        self.submit_spec(best_effort_job("huge", 20 * count, 0.25, 5.0));
+        for _ in 0..10 * count {
+            self.submit_spec(best_effort_job("swarm", 1, 0.25, 20.0));
         }
     }
 
+    /// A random job.
     pub(super) fn submit(&mut self) {
-        self.submit_with(0.08);
+        self.submit_with(BROKEN_PROBABILITY);
     }
 
+    /// A random job, which with this probability fails on every machine.
     pub(super) fn submit_with(&mut self, broken_probability: f64) {
-        self.next_job += 1;
-        let id = JobId(self.next_job);
-        let (saving, task_cpus) = (self.size.checkpoint_probability, self.size.max_task_cpus);
+        let id = self.next_job_id();
+        let size = self.size;
         let rng = &mut self.rng;
-        let cpus = f64::from(rng.random_range(1..=task_cpus));
+        let cpus = f64::from(rng.random_range(1..=size.max_task_cpus));
         let zone =
             rng.random_bool(0.2).then(|| ZONES[rng.random_range(0..ZONES.len())].to_string());
-        let spec = JobSpec {
+        let mut spec = JobSpec {
             id,
             class: if rng.random_bool(0.5) { "c" } else { "d" }.into(),
             team: if rng.random_bool(0.5) { "free".into() } else { "limited".into() },
             priority: Priority::Normal,
-            tasks: rng.random_range(1..=self.size.max_tasks),
+            tasks: rng.random_range(1..=size.max_tasks),
             gang: false,
             demand: Demand { cpus, gpus: 0.0, memory_gb: cpus },
             types: rng.random_bool(0.2).then(|| vec!["large".to_string()]),
@@ -170,42 +204,31 @@
             image: "i".into(),
             image_gb: 1.0,
             estimate_s: rng.random_range(1.0..30.0),
-            checkpoint_s: if rng.random_bool(saving) { 3.0 } else { 0.0 },
+            checkpoint_s: if rng.random_bool(size.checkpoint_probability) { 3.0 } else { 0.0 },
             save_s: 1.0,
             deadline_s: rng.random_bool(0.4).then(|| rng.random_range(10.0..80.0)),
         };
-        let mut spec = spec;
         if spec.one_zone {
             spec.spread = false;
         }
-        if self.size.gang_probability > 0.0 && self.rng.random_bool(self.size.gang_probability) {
-            make_gang(&mut spec, self.size.limited_team_cpus);
+        if size.gang_probability > 0.0 && self.chance(size.gang_probability) {
+            make_gang(&mut spec, size.limited_team_cpus);
         }
         self.accept(spec, broken_probability);
     }
 
-    /// What a guest brings: idle-time work of long tasks, an array of very many, single small tasks.
-    pub(super) fn guests(&mut self) {
-        let many = 4 * self.size.max_tasks;
-        for _ in 0..3 {
-            self.next_job += 1;
-            self.accept(
-                JobSpec { id: JobId(self.next_job), ..guest("idle", many, 2.0, 60.0) },
-                0.0,
-            );
-        }
-        self.next_job += 1;
-        self.accept(
-            JobSpec { id: JobId(self.next_job), ..guest("huge", 20 * many, 0.25, 5.0) },
-            0.0,
-        );
-        for _ in 0..10 * many {
-            self.next_job += 1;
-            self.accept(JobSpec { id: JobId(self.next_job), ..guest("swarm", 1, 0.25, 20.0) }, 0.0);
-        }
+    /// A job of a given form, which can complete.
+    fn submit_spec(&mut self, spec: JobSpec) {
+        let id = self.next_job_id();
+        self.accept(JobSpec { id, ..spec }, 0.0);
+    }
+
+    fn next_job_id(&mut self) -> JobId {
+        self.last_job += 1;
+        JobId(self.last_job)
     }
 
-    /// A job is accepted; with this chance it was submitted with a mistake.
+    /// Stores a job, which with this probability fails on every machine.
     fn accept(&mut self, spec: JobSpec, broken_probability: f64) {
         let id = spec.id;
         let always_fails = self.rng.random_bool(broken_probability);
