--- a/crates/latchtrack-core/tests/simulation/world/federation.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation.rs
@@ -1,8 +1,21 @@
 //! Several cells that share teams: each a world of its own, and one state service for what they share.
 
-use latchtrack_quota::{CellRecord, Presence, SeenLedger, TeamLedger, View};
-
-use super::*;
+use std::collections::BTreeMap;
+
+use latchtrack_core::machine::TaskPhase;
+use latchtrack_core::scheduler::Event;
+use latchtrack_quota::{
+    CellRecord, DeadCell, LedgerWrite, Presence, SeenLedger, TeamLedger, View, WriteOutcome,
+};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+use super::faults::PlannedFault;
+use super::guards::DisabledGuard;
+use super::messages::{Origin, Response};
+use super::size::Size;
+use super::state::{is_started, JobState, StoredJob};
+use super::{World, CPU_TOLERANCE, LEADER_LEASE_MS, WORKER_LEASE_MS};
 
 /// ms between two looks of a leader at what is shared.
 const LOOK_MS: u64 = 250;
@@ -12,16 +25,14 @@
 pub const TEAM: &str = "limited";
 
 /// A change of what is shared, as a leader wants it.
-pub struct SharedWrite {
-    pub node: usize,
-    pub run: u64,
-    pub token: u64,
+pub(super) struct SharedWrite {
+    pub origin: Origin,
     pub write: LedgerWrite,
 }
 
 /// Which condition the shared state service ignores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ignored {
+pub enum IgnoredCondition {
     Nothing,
     /// The revision of the value.
     Revision,
@@ -33,9 +44,9 @@
     Leases,
 }
 
-enum SharedMsg {
-    Carry { cell: usize, shared: SharedWrite, tell: bool },
-    Tell { cell: usize, node: usize, run: u64, token: u64, event: Box<Event> },
+enum SharedMessage {
+    Write { cell: usize, shared: SharedWrite, response: Response },
+    Event { cell: usize, origin: Origin, event: Box<Event> },
 }
 
 /// Several cells and what they share.
@@ -43,20 +54,20 @@
     pub cells: Vec<World>,
     pub violations: Vec<String>,
     /// What came about, so that tests can tell that it did.
-    pub met: BTreeMap<&'static str, u64>,
+    pub occurrences: BTreeMap<&'static str, u64>,
     /// Most of the shared limit in use at a time.
     pub most_used: f64,
     /// Writes of what is shared that were carried out.
     pub writes: u64,
     rng: StdRng,
-    ignored: Ignored,
+    ignored: IgnoredCondition,
     now: u64,
     size: Size,
     /// Common to all cells, so that tokens and revisions can be compared.
     revision: u64,
     /// The stored text of each team's value, with its revision.
     teams: BTreeMap<String, (u64, String)>,
-    queue: BTreeMap<(u64, u64), SharedMsg>,
+    queue: BTreeMap<(u64, u64), SharedMessage>,
     next_id: u64,
     next_look: Vec<u64>,
     /// The last look of anybody, which a watch that skips shows again.
@@ -68,16 +79,16 @@
 }
 
 impl Federation {
-    pub fn new(seed: u64, cells: usize, size: Size, ignored: Ignored) -> Federation {
+    pub fn new(seed: u64, cells: usize, size: Size, ignored: IgnoredCondition) -> Federation {
         let world = |i: usize| {
-            let mut world = World::sized(seed * 31 + i as u64, Broken::Nothing, size);
+            let mut world = World::sized(seed * 31 + i as u64, DisabledGuard::None, size);
             world.cell = Some(name_of(i));
             world
         };
         Federation {
             cells: (0..cells).map(world).collect(),
             violations: Vec::new(),
-            met: BTreeMap::new(),
+            occurrences: BTreeMap::new(),
             most_used: 0.0,
             writes: 0,
             rng: StdRng::seed_from_u64(seed),
@@ -94,7 +105,7 @@
     }
 
     /// With troubles at set times in some cells.
-    pub fn planned(mut self, cells: &[usize], plan: &[(u64, Planned)]) -> Federation {
+    pub fn planned(mut self, cells: &[usize], plan: &[(u64, PlannedFault)]) -> Federation {
         for cell in cells {
             self.cells[*cell].plan.extend_from_slice(plan);
         }
@@ -116,7 +127,7 @@
     pub fn lose_value(&mut self) {
         self.teams.remove(TEAM);
         self.revision += 1;
-        self.meets("value lost");
+        self.record("value lost");
     }
 
     /// An operator changes the stored limit.
@@ -137,9 +148,9 @@
     }
 
     pub fn run(&mut self) {
-        while self.now < self.size.end && self.violations.is_empty() {
+        while self.now < self.size.end_ms && self.violations.is_empty() {
             self.step();
-            if self.now >= self.size.troubled && self.unfinished().is_empty() {
+            if self.now >= self.size.fault_period_ms && self.unfinished().is_empty() {
                 break;
             }
         }
@@ -159,11 +170,11 @@
 
     /// How many jobs of a cell's limited team have begun, of how many.
     pub fn begun(&self, cell: usize) -> (usize, usize) {
-        let counted = |j: &&Stored| {
-            j.spec.team == TEAM && !j.mistaken && !matches!(j.state, State::Cancelled)
+        let counted = |j: &&StoredJob| {
+            j.spec.team == TEAM && !j.always_fails && !matches!(j.state, JobState::Cancelled)
         };
-        let jobs: Vec<&Stored> = self.cells[cell].jobs.values().filter(counted).collect();
-        let begun = |j: &&&Stored| j.begun.is_some() || matches!(j.state, State::Done);
+        let jobs: Vec<&StoredJob> = self.cells[cell].jobs.values().filter(counted).collect();
+        let begun = |j: &&&StoredJob| j.begun.is_some() || matches!(j.state, JobState::Done);
         (jobs.iter().filter(begun).count(), jobs.len())
     }
 
@@ -172,15 +183,13 @@
         (0..self.cells.len()).map(|cell| self.used(cell)).sum()
     }
 
-    fn meets(&mut self, what: &'static str) {
-        *self.met.entry(what).or_default() += 1;
+    fn record(&mut self, what: &'static str) {
+        *self.occurrences.entry(what).or_default() += 1;
     }
 
     /// CPUs of the shared team that are in use in a cell.
     pub fn used(&self, cell: usize) -> f64 {
-        self.cpus_of(cell, |phase| {
-            matches!(phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
-        })
+        self.cpus_of(cell, is_started)
     }
 
     /// CPUs that the tasks of the shared team in these phases take in a cell.
@@ -192,21 +201,21 @@
     }
 
     pub fn step(&mut self) {
-        self.now += self.size.step;
+        self.now += self.size.step_ms;
         for i in 0..self.cells.len() {
             let elsewhere = || (0..self.cells.len()).filter(|other| *other != i);
             let is_live = |phase| !matches!(phase, TaskPhase::Ended(_));
             let used_elsewhere = elsewhere().map(|other| self.used(other)).sum();
-            let taken_elsewhere = elsewhere().map(|other| self.cpus_of(other, is_live)).sum();
+            let claimed_elsewhere = elsewhere().map(|other| self.cpus_of(other, is_live)).sum();
             let cell = &mut self.cells[i];
-            (cell.used_elsewhere, cell.taken_elsewhere) = (used_elsewhere, taken_elsewhere);
+            (cell.used_elsewhere, cell.claimed_elsewhere) = (used_elsewhere, claimed_elsewhere);
             // What came between two steps has its own revisions already.
-            cell.epoch = cell.epoch.max(self.revision);
+            cell.revision = cell.revision.max(self.revision);
             cell.step();
-            self.revision = cell.epoch;
+            self.revision = cell.revision;
             self.violations.append(&mut self.cells[i].violations);
-            for (what, times) in std::mem::take(&mut self.cells[i].met) {
-                *self.met.entry(what).or_default() += times;
+            for (what, times) in std::mem::take(&mut self.cells[i].occurrences) {
+                *self.occurrences.entry(what).or_default() += times;
             }
             for shared in std::mem::take(&mut self.cells[i].shared_writes) {
                 self.send(i, shared);
@@ -220,13 +229,13 @@
     fn check_limit(&mut self) {
         let used = self.total_used();
         self.most_used = self.most_used.max(used);
-        if used > self.size.limit + 1e-6 {
+        if used > self.size.limited_team_cpus + CPU_TOLERANCE {
             let each: Vec<f64> = (0..self.cells.len()).map(|cell| self.used(cell)).collect();
             self.violations.push(format!("quota: {each:?} in use at {}", self.now));
         }
     }
 
-    fn post(&mut self, delay: u64, msg: SharedMsg) {
+    fn post(&mut self, delay: u64, msg: SharedMessage) {
         self.next_id += 1;
         self.queue.insert((self.now + delay, self.next_id), msg);
     }
@@ -237,12 +246,14 @@
                 break;
             }
             match self.queue.remove(&key) {
-                Some(SharedMsg::Carry { cell, shared, tell }) => self.carry_out(cell, shared, tell),
-                Some(SharedMsg::Tell { cell, node, run, token, event }) => {
+                Some(SharedMessage::Write { cell, shared, response }) => {
+                    self.carry_out(cell, shared, response);
+                }
+                Some(SharedMessage::Event { cell, origin, event }) => {
                     let world = &mut self.cells[cell];
-                    world.epoch = world.epoch.max(self.revision);
-                    world.deliver(Msg::Tell { node, run, token, event: *event });
-                    self.revision = world.epoch;
+                    world.revision = world.revision.max(self.revision);
+                    world.deliver_event(origin, *event);
+                    self.revision = world.revision;
                 }
                 None => {}
             }
@@ -256,24 +267,24 @@
         }
         self.next_look[cell] = self.now + LOOK_MS;
         let mut view = self.view();
-        let troubled = self.size.troubles > 0.0 && self.now < self.size.troubled;
+        let troubled = self.size.fault_probability > 0.0 && self.now < self.size.fault_period_ms;
         if troubled && self.rng.random_bool(0.05) {
             view = View { revision: view.revision, ..self.old_view.clone() };
-            self.meets("watch skipped");
+            self.record("watch skipped");
         } else {
             self.old_view = view.clone();
         }
         let world = &self.cells[cell];
         for n in 0..world.nodes.len() {
             let node = &world.nodes[n];
-            if node.cluster.is_none() || !world.awake(n) || !world.reaches_store(n) {
+            if node.scheduler.is_none() || !world.awake(n) || !world.reaches_store(n) {
                 continue;
             }
-            let (run, token) = (node.run, node.token);
+            let origin = Origin { node: n, run: node.run, token: node.token };
             let event = Box::new(Event::QuotaObserved(view.clone()));
             let slow = self.rng.random_bool(0.05);
             let delay = self.rng.random_range(1..if slow { 1_200 } else { 60 });
-            self.post(delay, SharedMsg::Tell { cell, node: n, run, token, event });
+            self.post(delay, SharedMessage::Event { cell, origin, event });
             return;
         }
     }
@@ -285,11 +296,11 @@
             view.teams.insert(team.clone(), seen);
         }
         for (i, world) in self.cells.iter().enumerate().filter(|(_, w)| w.last_token > 0) {
-            let lease = |ms: u64| if self.ignored == Ignored::Leases { 0 } else { ms };
+            let lease = |ms: u64| if self.ignored == IgnoredCondition::Leases { 0 } else { ms };
             let record = CellRecord {
                 cloud: name_of(i),
-                leader_lease_ms: lease(TTL),
-                worker_lease_ms: lease(LEASE),
+                leader_lease_ms: lease(LEADER_LEASE_MS),
+                worker_lease_ms: lease(WORKER_LEASE_MS),
             };
             let presence = Presence {
                 is_led: world.leader.is_some(),
@@ -303,14 +314,14 @@
 
     /// A write leaves a node: it may be slow, late, or lose its answer.
     fn send(&mut self, cell: usize, shared: SharedWrite) {
-        let (node, run, token) = (shared.node, shared.run, shared.token);
+        let origin = shared.origin;
         let outcome = |outcome| {
             let event =
                 Box::new(Event::LedgerWriteFinished { write: shared.write.clone(), outcome });
-            SharedMsg::Tell { cell, node, run, token, event }
+            SharedMessage::Event { cell, origin, event }
         };
-        let troubled = self.size.troubles > 0.0 && self.now < self.size.troubled;
-        let is_reached = self.cells[cell].reaches_store(node);
+        let troubled = self.size.fault_probability > 0.0 && self.now < self.size.fault_period_ms;
+        let is_reached = self.cells[cell].reaches_store(origin.node);
         if !is_reached && self.rng.random_bool(0.5) {
             let refused = outcome(WriteOutcome::NotStored);
             self.post(20, refused);
@@ -321,29 +332,29 @@
         if is_late || is_lost {
             let unknown = outcome(WriteOutcome::Unknown);
             self.post(GIVEN_UP_MS, unknown);
-            self.meets(if is_late { "late write" } else { "lost answer" });
+            self.record(if is_late { "late write" } else { "lost answer" });
         }
         let delay = self.rng.random_range(if is_late { 2_000..20_000 } else { 1..60 });
-        self.post(delay, SharedMsg::Carry { cell, shared, tell: !is_late && !is_lost });
+        let response = Response::lost_if(is_late || is_lost);
+        self.post(delay, SharedMessage::Write { cell, shared, response });
     }
 
-    fn carry_out(&mut self, cell: usize, shared: SharedWrite, tell: bool) {
-        let SharedWrite { node, run, token, write } = shared;
-        let is_down = self.cells[cell].now < self.cells[cell].store_down_until;
-        let outcome = match !is_down && self.may_store(cell, token, &write) {
-            true => {
-                self.note(cell, &write);
-                WriteOutcome::Stored(self.store(&write.team, &write.ledger))
-            }
-            false => WriteOutcome::NotStored,
+    fn carry_out(&mut self, cell: usize, shared: SharedWrite, response: Response) {
+        let SharedWrite { origin, write } = shared;
+        let is_down = self.cells[cell].now < self.cells[cell].faults.store_down_until;
+        let outcome = if !is_down && self.may_store(cell, origin.token, &write) {
+            self.note(cell, &write);
+            WriteOutcome::Stored(self.store(&write.team, &write.ledger))
+        } else {
+            WriteOutcome::NotStored
         };
         if outcome == WriteOutcome::NotStored {
             // Its sender looks again at once.
             self.next_look[cell] = self.now;
         }
-        if tell {
+        if response == Response::Arrives {
             let event = Box::new(Event::LedgerWriteFinished { write, outcome });
-            self.post(5, SharedMsg::Tell { cell, node, run, token, event });
+            self.post(5, SharedMessage::Event { cell, origin, event });
         }
     }
 
@@ -357,38 +368,38 @@
 
     fn note(&mut self, cell: usize, write: &LedgerWrite) {
         if !write.dead.is_empty() {
-            self.meets("reclaimed");
+            self.record("reclaimed");
         }
         let before = self.ledger().map_or(0, |l| l.allotted_to(&name_of(cell)).millicpus);
         let after = write.ledger.allotted_to(&name_of(cell)).millicpus;
         if before != after {
-            self.meets(if after > before { "taken" } else { "given back" });
+            self.record(if after > before { "taken" } else { "given back" });
         }
     }
 
     fn may_store(&mut self, cell: usize, token: u64, write: &LedgerWrite) -> bool {
         let revision = self.teams.get(&write.team).map_or(0, |(revision, _)| *revision);
         if revision != write.expect {
-            self.meets("stale write refused");
-            if self.ignored != Ignored::Revision {
+            self.record("stale write refused");
+            if self.ignored != IgnoredCondition::Revision {
                 return false;
             }
         }
-        if self.cells[cell].leader.map(|(_, token, _)| token) != Some(token) {
-            self.meets("deposed writer refused");
-            if self.ignored != Ignored::Fence {
+        if self.cells[cell].leader.map(|leader| leader.token) != Some(token) {
+            self.record("deposed writer refused");
+            if self.ignored != IgnoredCondition::Fence {
                 return false;
             }
         }
-        let is_dead = |dead: &latchtrack_quota::DeadCell| {
+        let is_dead = |dead: &DeadCell| {
             let found = (0..self.cells.len()).find(|i| name_of(*i) == dead.cell);
             let world = found.map(|i| &self.cells[i]);
             world.is_some_and(|w| w.leader.is_none() && w.last_token == dead.term_revision)
         };
         let are_dead = write.dead.iter().all(is_dead);
         if !are_dead {
-            self.meets("reclaim refused");
+            self.record("reclaim refused");
         }
-        are_dead || self.ignored == Ignored::DeadCells
+        are_dead || self.ignored == IgnoredCondition::DeadCells
     }
 }
--- a/crates/latchtrack/tests/integration/cloud.rs
+++ b/crates/latchtrack/tests/integration/cloud.rs
@@ -66,12 +66,12 @@
     cloud.do_send(terminate(7, "n-000004"));
     cloud.do_send(terminate(9, "n-000005"));
     for _ in 0..600 {
-        let deleted = site.cloud.lock().unwrap().deleted.clone();
+        let deleted = site.cloud.lock().unwrap().terminated.clone();
         if deleted.iter().any(|n| n == "n-000005") && deleted.iter().any(|n| n == "n-000001") {
             assert_eq!(deleted.len(), 2, "{deleted:?}");
             return;
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(50)).await;
     }
-    panic!("not run: {:?}", site.cloud.lock().unwrap().deleted);
+    panic!("not run: {:?}", site.cloud.lock().unwrap().terminated);
 }
--- a/crates/latchtrack/tests/integration/fixtures.rs
+++ b/crates/latchtrack/tests/integration/fixtures.rs
@@ -18,7 +18,7 @@
 pub async fn leader(site: &Site) -> (String, u64, Option<u64>) {
     loop {
         if let Some(leader) = site.state.lock().unwrap().leader() {
-            return leader;
+            return (leader.node, leader.revision, leader.lease);
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(20)).await;
     }
--- a/crates/latchtrack/tests/integration/heartbeats.rs
+++ b/crates/latchtrack/tests/integration/heartbeats.rs
@@ -17,7 +17,7 @@
     let jobs = format!("{two}/api/jobs");
     assert_eq!(post(&jobs, &job("req-000001")).await.0, 201);
     let rented = loop {
-        let first = site.cloud.lock().unwrap().rented.first().cloned();
+        let first = site.cloud.lock().unwrap().provisioned.first().cloned();
         if let Some(name) = first {
             break name;
         }
--- a/crates/latchtrack/tests/integration/leadership.rs
+++ b/crates/latchtrack/tests/integration/leadership.rs
@@ -40,7 +40,7 @@
         actix_web::rt::time::sleep(std::time::Duration::from_millis(30)).await;
     }
     assert!(matches!(answers.last(), Some(503 | 421)), "{answers:?}");
-    site.state.lock().unwrap().end(lease.unwrap());
+    site.state.lock().unwrap().end_lease(lease.unwrap());
     for _ in 0..200 {
         let (status, _, body) = worker.report(new).await;
         if status == 200 {
@@ -64,7 +64,7 @@
         json!({"node": "one", "run": 1, "lease": 900}),
         Some(900),
     );
-    let (_, stale, _) = site.state.lock().unwrap().leader().unwrap();
+    let stale = site.state.lock().unwrap().leader().unwrap().revision;
     let node = site.node("one").await;
     ready(&node).await;
     let worker = Worker::new("n-000777");
