--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use latchtrack_quota::{
-    Amounts, Keeper, KeeperSettings, LedgerWrite, Limit, TeamSummary, TeamTerms, TeamUse, View,
-    WriteOutcome,
+    AllotmentManager, AllotmentManagerSettings, LedgerSnapshot, LedgerWrite, Limit, LocalUsage,
+    MilliResources, TeamQuota, TeamSummary, WriteOutcome,
 };
 
 use super::messages::Effect;
@@ -16,25 +16,25 @@
 use crate::Millis;
 
 /// The keeper for a new leader, if teams are shared.
-pub(super) fn keeper(policy: &Policy, term: u64) -> Option<Keeper> {
+pub(super) fn keeper(policy: &Policy, term: u64) -> Option<AllotmentManager> {
     let cell = policy.quota_cell.clone()?;
-    let terms = |team: &Team| TeamTerms {
+    let terms = |team: &Team| TeamQuota {
         limit: Limit::of(team.cpus_max, team.gpus_max),
-        guarantee: Amounts::covering(team.cpus, team.gpus),
+        guarantee: MilliResources::covering(team.cpus, team.gpus),
     };
     let teams = policy.teams.iter().map(|team| (team.name.clone(), terms(team))).collect();
-    Some(Keeper::new(KeeperSettings { cell, term, teams }))
+    Some(AllotmentManager::new(AllotmentManagerSettings { cell, term, teams }))
 }
 
 /// What so many tasks of a job take.
-fn demand_of(spec: &JobSpec, tasks: u32) -> Amounts {
+fn demand_of(spec: &JobSpec, tasks: u32) -> MilliResources {
     let mut usage = TeamUsage::default();
     usage.add(spec, tasks);
-    Amounts::covering(usage.cpus, usage.gpus)
+    MilliResources::covering(usage.cpus, usage.gpus)
 }
 
 /// What the next of a job's tasks to start needs: a gang starts whole.
-fn next_of(job: &Job) -> Amounts {
+fn next_of(job: &Job) -> MilliResources {
     let tasks = if job.spec.gang { job.spec.tasks } else { 1 };
     demand_of(&job.spec, tasks)
 }
@@ -42,11 +42,11 @@
 /// This cell's part of the teams' limits, where cells share them.
 #[derive(Clone, Debug)]
 pub(super) struct QuotaAccounting {
-    pub cell: Option<Keeper>,
+    pub cell: Option<AllotmentManager>,
     /// What teams need for the first of their jobs that are to start before all others.
-    pub next_of_team: BTreeMap<String, Amounts>,
+    pub next_of_team: BTreeMap<String, MilliResources>,
     /// What was launched of each team in this term.
-    pub launched: BTreeMap<String, Amounts>,
+    pub launched: BTreeMap<String, MilliResources>,
 }
 
 impl QuotaAccounting {
@@ -60,7 +60,7 @@
 }
 
 impl Scheduler {
-    pub(super) fn on_quota_observed(&mut self, now: Millis, view: View) {
+    pub(super) fn on_quota_observed(&mut self, now: Millis, view: LedgerSnapshot) {
         let Some(keeper) = self.quota.cell.as_mut() else { return };
         keeper.observe(now, view);
         // At once, before others have changed what was seen.
@@ -74,7 +74,7 @@
         outcome: WriteOutcome,
     ) {
         let Some(keeper) = self.quota.cell.as_mut() else { return };
-        keeper.written(now, write, outcome);
+        keeper.handle_write_outcome(now, write, outcome);
         self.after_quota();
     }
 
@@ -90,7 +90,7 @@
 
     /// The teams that cells share, for an operator.
     pub fn quota_summary(&self) -> Option<Vec<TeamSummary>> {
-        self.quota.cell.as_ref().map(Keeper::summary)
+        self.quota.cell.as_ref().map(AllotmentManager::summary)
     }
 
     /// A team's guarantee here: the cell's part of it where teams are shared.
@@ -113,16 +113,20 @@
     }
 
     /// What each team uses and waits for in this cell.
-    fn team_uses(&self, now: Millis) -> BTreeMap<String, TeamUse> {
+    fn team_uses(&self, now: Millis) -> BTreeMap<String, LocalUsage> {
         let used = self.usage_of_all_teams();
-        let is_settled = self.all_reconciled() && !used.unknown_runs;
+        let is_reconciled = self.all_reconciled() && !used.unknown_runs;
         let team_use = |team: &Team| {
             let usage = used.of(&team.name);
-            let used = Amounts::covering(usage.cpus, usage.gpus);
+            let used = MilliResources::covering(usage.cpus, usage.gpus);
             let started = self.quota.launched.get(&team.name).copied().unwrap_or_default();
-            (team.name.clone(), TeamUse { is_settled, used, started, ..TeamUse::default() })
+            (
+                team.name.clone(),
+                LocalUsage { is_reconciled, used, started, ..LocalUsage::default() },
+            )
         };
-        let mut uses: BTreeMap<String, TeamUse> = self.policy.teams.iter().map(team_use).collect();
+        let mut uses: BTreeMap<String, LocalUsage> =
+            self.policy.teams.iter().map(team_use).collect();
         let mut oldest: BTreeMap<&str, &Job> = BTreeMap::new();
         // What pauses asks for nothing: a suspect job is tried now and then.
         let is_waiting = |job: &&Job| job.schedulable_tasks() > 0 && job.backoff_until <= now;
@@ -142,7 +146,7 @@
         for (team, job) in oldest {
             let noted = self.quota.next_of_team.get(team).copied();
             if let Some(team_use) = uses.get_mut(team) {
-                team_use.next = noted.unwrap_or_else(|| next_of(job));
+                team_use.next_start = noted.unwrap_or_else(|| next_of(job));
             }
         }
         uses
--- a/crates/latchtrack-core/src/scheduler/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use latchtrack_quota::{LedgerWrite, View, WriteOutcome};
+use latchtrack_quota::{LedgerSnapshot, LedgerWrite, WriteOutcome};
 
 use crate::bitmap::Bitmap;
 use crate::job::{JobId, JobSpec};
@@ -148,7 +148,7 @@
     /// The cloud's types and prices.
     MachineTypes(Vec<MachineType>),
     /// A look at what the cells share, which began in this term.
-    QuotaObserved(View),
+    QuotaObserved(LedgerSnapshot),
     LedgerWriteFinished {
         write: LedgerWrite,
         outcome: WriteOutcome,
--- a/crates/latchtrack-core/tests/simulation/quota.rs
+++ b/crates/latchtrack-core/tests/simulation/quota.rs
@@ -334,7 +334,7 @@
     federation.cells[2].submit_limited(4, 1.0);
     run_until(&mut federation, 30_000);
     let ledger = federation.ledger().expect("a value");
-    assert!(!ledger.is_overdrawn(), "{ledger:?}");
+    assert!(!ledger.is_overallotted(), "{ledger:?}");
     run_until(&mut federation, 90_000);
     assert_eq!(federation.unfinished(), Vec::<String>::new());
 }
--- a/crates/latchtrack-core/tests/simulation/world/federation.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation.rs
@@ -1,6 +1,6 @@
 //! Several cells that share teams: each a world of its own, and one state service for what they share.
 
-use latchtrack_quota::{CellRecord, Presence, SeenLedger, TeamLedger, View};
+use latchtrack_quota::{CellRecord, CellStatus, LedgerSnapshot, StoredLedger, TeamLedger};
 
 use super::*;
 
@@ -60,7 +60,7 @@
     next_id: u64,
     next_look: Vec<u64>,
     /// The last look of anybody, which a watch that skips shows again.
-    old_view: View,
+    old_view: LedgerSnapshot,
 }
 
 fn name_of(cell: usize) -> String {
@@ -89,7 +89,7 @@
             queue: BTreeMap::new(),
             next_id: 0,
             next_look: vec![0; cells],
-            old_view: View::default(),
+            old_view: LedgerSnapshot::default(),
         }
     }
 
@@ -258,7 +258,7 @@
         let mut view = self.view();
         let troubled = self.size.troubles > 0.0 && self.now < self.size.troubled;
         if troubled && self.rng.random_bool(0.05) {
-            view = View { revision: view.revision, ..self.old_view.clone() };
+            view = LedgerSnapshot { revision: view.revision, ..self.old_view.clone() };
             self.meets("watch skipped");
         } else {
             self.old_view = view.clone();
@@ -278,10 +278,10 @@
         }
     }
 
-    fn view(&self) -> View {
-        let mut view = View { revision: self.revision, ..View::default() };
+    fn view(&self) -> LedgerSnapshot {
+        let mut view = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
         for (team, (revision, text)) in &self.teams {
-            let seen = SeenLedger { revision: *revision, ledger: TeamLedger::parse(text) };
+            let seen = StoredLedger { revision: *revision, ledger: TeamLedger::parse(text) };
             view.teams.insert(team.clone(), seen);
         }
         for (i, world) in self.cells.iter().enumerate().filter(|(_, w)| w.last_token > 0) {
@@ -291,8 +291,8 @@
                 leader_lease_ms: lease(TTL),
                 worker_lease_ms: lease(LEASE),
             };
-            let presence = Presence {
-                is_led: world.leader.is_some(),
+            let presence = CellStatus {
+                has_leader: world.leader.is_some(),
                 term_revision: world.last_token,
                 record: Some(record),
             };
@@ -368,7 +368,7 @@
 
     fn may_store(&mut self, cell: usize, token: u64, write: &LedgerWrite) -> bool {
         let revision = self.teams.get(&write.team).map_or(0, |(revision, _)| *revision);
-        if revision != write.expect {
+        if revision != write.expected_revision {
             self.meets("stale write refused");
             if self.ignored != Ignored::Revision {
                 return false;
--- a/crates/latchtrack-core/tests/simulation/world/trace.rs
+++ b/crates/latchtrack-core/tests/simulation/world/trace.rs
@@ -89,7 +89,7 @@
                 .map(|cell| format!("{}@{}", cell.cell, cell.term_revision))
                 .collect();
             let ledger = serde_json::to_string(&write.ledger).expect("a ledger is plain JSON");
-            format!("quota {} {} {ledger} {}", write.team, write.expect, dead.join(" "))
+            format!("quota {} {} {ledger} {}", write.team, write.expected_revision, dead.join(" "))
         }
     }
 }
--- a/crates/latchtrack-quota/src/cells.rs
+++ b/crates/latchtrack-quota/src/cells.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::constants::{DRIFT, RECLAIM_MARGIN_MS};
-use crate::view::{DeadCell, Presence};
+use crate::snapshot::{CellStatus, DeadCell};
 use crate::Millis;
 
 /// What a cell's leaders store of it, under a key whose revision is the token of the last of them.
@@ -34,9 +34,9 @@
 
 impl LeaderlessCells {
     /// Takes in a look. A cell that was led in between has another term, and is counted anew.
-    pub fn observe(&mut self, now: Millis, seen: &BTreeMap<String, Presence>) {
+    pub fn observe(&mut self, now: Millis, seen: &BTreeMap<String, CellStatus>) {
         let mut cells = BTreeMap::new();
-        for (name, presence) in seen.iter().filter(|(_, presence)| !presence.is_led) {
+        for (name, presence) in seen.iter().filter(|(_, presence)| !presence.has_leader) {
             let term_revision = presence.term_revision;
             let known = self.cells.get(name).filter(|cell| cell.term_revision == term_revision);
             let since = known.map_or(now, |cell| cell.since);
@@ -51,7 +51,7 @@
         &self,
         now: Millis,
         name: &str,
-        seen: &BTreeMap<String, Presence>,
+        seen: &BTreeMap<String, CellStatus>,
     ) -> Option<DeadCell> {
         let cell = self.cells.get(name)?;
         let record = seen.get(name)?.record.as_ref()?;
--- a/crates/latchtrack-quota/src/constants.rs
+++ b/crates/latchtrack-quota/src/constants.rs
@@ -8,16 +8,16 @@
 pub const MILLI: f64 = 1_000.0;
 /// Thousandths by which a sum of decimal amounts may be off before it counts as the next whole one.
 pub const ROUNDING: f64 = 1e-3;
-/// ms added to the leases of a dead cell before its account is reclaimed: a lease may end 100 ms late, a
+/// ms added to the leases of a dead cell before its allotment is reclaimed: a lease may end 100 ms late, a
 /// watch and an answer take their time.
 pub const RECLAIM_MARGIN_MS: Millis = 2_000;
 /// Part of the leases added for the drift of two steady clocks, 0.05% each.
 pub const DRIFT: f64 = 0.001;
 /// ms that a request may stand though it could be met; then any cell strikes it off.
-pub const REQUEST_STUCK_MS: Millis = 5_000;
+pub const REQUEST_STALE_MS: Millis = 5_000;
 /// ms for which a cell whose need is met and that has not started it goes before others, whose needs are not: most
-/// boots are over by then, and nobody waits for 90 s for what another holds in vain. Then it takes a new ticket.
-pub const TURN_MS: Millis = 40_000;
+/// boots are over by then, and nobody waits for 90 s for what another holds in vain. Then it takes a new request number.
+pub const GRANT_TIMEOUT_MS: Millis = 40_000;
 /// ms that an allotment lies idle before it is given back unasked: a cell with short pauses keeps what it has.
 pub const IDLE_RETURN_MS: Millis = 30_000;
 /// ms between two changes of a standing request that is still of use as it stands.
--- a/crates/latchtrack-quota/src/ledger.rs
+++ b/crates/latchtrack-quota/src/ledger.rs
@@ -1,40 +1,42 @@
-//! The stored value of a team: its limit, its guarantee and the accounts of the cells. A published format.
+//! The stored value of a team: its limit, its guarantee and the allotments of the cells. A published format.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::amounts::{Amounts, Limit};
 use crate::constants::LEDGER_VERSION;
+use crate::resources::{Limit, MilliResources};
 
 /// Why a stored value can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum LedgerError {
     /// It does not have the form of a ledger.
     #[error("is garbled: {0}")]
-    Garbled(String),
+    Malformed(String),
     /// A later version wrote it.
     #[error("has version {0}, this one reads up to {LEDGER_VERSION}")]
-    Newer(u32),
+    NewerVersion(u32),
 }
 
 /// A cell's request for more.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request {
     /// Lower ones come first.
-    pub ticket: u64,
+    #[serde(rename = "ticket")]
+    pub number: u64,
     /// The allotment with which its next task, slice or gang can start.
-    pub need: Amounts,
+    pub need: MilliResources,
     /// All that the cell could use.
-    pub want: Amounts,
+    pub want: MilliResources,
 }
 
 /// What a cell holds of a team's limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Account {
+pub struct Allotment {
     /// What the cell may use; it counts against the limit whether it is used or not.
-    pub allotted: Amounts,
+    #[serde(rename = "allotted")]
+    pub amount: MilliResources,
     /// Token of the leader that last changed it.
     pub term: u64,
     /// Time of day of that change, ms; for operators only.
@@ -57,16 +59,16 @@
     pub limit: Limit,
     /// What the team is to get at the least.
     #[serde(default)]
-    pub guarantee: Amounts,
-    /// The ticket of the next request.
-    #[serde(default)]
-    pub next_ticket: u64,
+    pub guarantee: MilliResources,
+    /// The request number of the next request.
+    #[serde(rename = "next_ticket", default)]
+    pub next_request_number: u64,
     /// Whether every cell has entered what it runs. Until then nobody takes anything.
     #[serde(default)]
     pub complete: bool,
-    /// The accounts by cell; a cell without one holds nothing.
-    #[serde(default)]
-    pub cells: BTreeMap<String, Account>,
+    /// The allotments by cell; a cell without one holds nothing.
+    #[serde(rename = "cells", default)]
+    pub allotments: BTreeMap<String, Allotment>,
     /// Fields of later versions.
     #[serde(flatten)]
     pub extra: BTreeMap<String, Value>,
@@ -74,14 +76,14 @@
 
 impl TeamLedger {
     /// The value with which a team begins, or begins again after it was lost.
-    pub fn new(limit: Limit, guarantee: Amounts) -> TeamLedger {
+    pub fn new(limit: Limit, guarantee: MilliResources) -> TeamLedger {
         TeamLedger {
             version: LEDGER_VERSION,
             limit,
             guarantee,
-            next_ticket: 0,
+            next_request_number: 0,
             complete: false,
-            cells: BTreeMap::new(),
+            allotments: BTreeMap::new(),
             extra: BTreeMap::new(),
         }
     }
@@ -93,38 +95,40 @@
         struct Version {
             version: u32,
         }
-        let garbled = |e: serde_json::Error| LedgerError::Garbled(e.to_string());
+        let garbled = |e: serde_json::Error| LedgerError::Malformed(e.to_string());
         let Version { version } = serde_json::from_str(text).map_err(garbled)?;
         if version > LEDGER_VERSION {
-            return Err(LedgerError::Newer(version));
+            return Err(LedgerError::NewerVersion(version));
         }
         serde_json::from_str(text).map_err(garbled)
     }
 
     /// Has every cell enter what it runs anew, before anybody takes anything. For a resource that had no limit
-    /// until now, of which no account says anything.
-    pub fn reopen(&mut self) {
-        self.cells.clear();
+    /// until now, of which no allotment says anything.
+    pub fn restart_rebuild(&mut self) {
+        self.allotments.clear();
         self.complete = false;
     }
 
     /// What is allotted to all cells together.
-    pub fn allotted(&self) -> Amounts {
-        self.cells.values().fold(Amounts::NONE, |sum, account| sum.plus(account.allotted))
+    pub fn allotted(&self) -> MilliResources {
+        self.allotments
+            .values()
+            .fold(MilliResources::NONE, |sum, allotment| sum.plus(allotment.amount))
     }
 
     /// Whether more is allotted than the limit: it was lowered, or the value is wrong.
-    pub fn is_overdrawn(&self) -> bool {
+    pub fn is_overallotted(&self) -> bool {
         !self.limit.counted(self.allotted()).fits_in(self.limit.total())
     }
 
     /// What is allotted to nobody.
-    pub fn free(&self) -> Amounts {
+    pub fn unallotted(&self) -> MilliResources {
         self.limit.total().minus(self.limit.counted(self.allotted()))
     }
 
     /// What a cell holds.
-    pub fn allotted_to(&self, cell: &str) -> Amounts {
-        self.cells.get(cell).map_or(Amounts::NONE, |account| account.allotted)
+    pub fn allotted_to(&self, cell: &str) -> MilliResources {
+        self.allotments.get(cell).map_or(MilliResources::NONE, |allotment| allotment.amount)
     }
 }
--- a/crates/latchtrack-quota/src/keeper.rs
+++ b/crates/latchtrack-quota/src/manager.rs
@@ -2,50 +2,51 @@
 
 use std::collections::BTreeMap;
 
-use crate::amounts::Amounts;
+use crate::apportionment::Apportionment;
 use crate::cells::LeaderlessCells;
 use crate::constants::*;
-use crate::decisions::{own_claim, Situation};
-use crate::ledger::{Account, TeamLedger};
+use crate::decision::{own_claim, DecisionContext};
+use crate::ledger::{Allotment, TeamLedger};
 use crate::notices::Notice;
-use crate::requests::Standings;
+use crate::resources::MilliResources;
+use crate::snapshot::{CellStatus, DeadCell, LedgerSnapshot, LedgerWrite, WriteOutcome};
 use crate::team::{
-    differs, trouble, Ceiling, Known, LaunchLimit, Team, TeamSummary, TeamTerms, TeamUse,
+    differs, trouble, AllotmentCap, LaunchLimit, LedgerState, LocalUsage, Team, TeamQuota,
+    TeamSummary,
 };
-use crate::view::{DeadCell, LedgerWrite, Presence, View, WriteOutcome};
 use crate::Millis;
 
-/// Whose keeper this is.
+/// Whose manager this is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeeperSettings {
+pub struct AllotmentManagerSettings {
     /// The cell.
     pub cell: String,
     /// Token of the leader that it serves.
     pub term: u64,
     /// The teams with a limit.
-    pub teams: BTreeMap<String, TeamTerms>,
+    pub teams: BTreeMap<String, TeamQuota>,
 }
 
 /// The quota of one cell, for one term of its leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Keeper {
+pub struct AllotmentManager {
     cell: String,
     term: u64,
     teams: BTreeMap<String, Team>,
     /// Revision of the last look.
     revision: u64,
-    cells: BTreeMap<String, Presence>,
+    cells: BTreeMap<String, CellStatus>,
     leaderless: LeaderlessCells,
     /// The team that is looked at first in the next step.
     first: usize,
     notices: Vec<Notice>,
 }
 
-impl Keeper {
+impl AllotmentManager {
     /// For a new leader, which launches nothing of a team until it has seen its value.
-    pub fn new(settings: KeeperSettings) -> Keeper {
-        let team = |terms| Team { terms, ..Team::default() };
-        Keeper {
+    pub fn new(settings: AllotmentManagerSettings) -> AllotmentManager {
+        let team = |settings| Team { settings, ..Team::default() };
+        AllotmentManager {
             cell: settings.cell,
             term: settings.term,
             teams: settings.teams.into_iter().map(|(name, terms)| (name, team(terms))).collect(),
@@ -59,28 +60,31 @@
 
     /// Takes in a look at the state service. One from before this term is left out, since an earlier leader of
     /// the cell may have written after it, and so is one that is older than the last.
-    pub fn observe(&mut self, now: Millis, view: View) {
-        if view.revision < self.revision.max(self.term) {
+    pub fn observe(&mut self, now: Millis, snapshot: LedgerSnapshot) {
+        if snapshot.revision < self.revision.max(self.term) {
             return;
         }
-        self.leaderless.observe(now, &view.cells);
+        self.leaderless.observe(now, &snapshot.cells);
         for (name, team) in &mut self.teams {
-            let known = match view.teams.get(name) {
-                None => Known::Missing(view.revision),
+            let known = match snapshot.teams.get(name) {
+                None => LedgerState::Missing(snapshot.revision),
                 Some(seen) => match &seen.ledger {
-                    Ok(ledger) => Known::Value(seen.revision, ledger.clone()),
-                    Err(why) => Known::Unusable(seen.revision, why.clone()),
+                    Ok(ledger) => LedgerState::Present(seen.revision, ledger.clone()),
+                    Err(why) => LedgerState::Unusable(seen.revision, why.clone()),
                 },
             };
-            if known.revision() >= team.known.revision() {
-                team.known = known;
+            if known.revision() >= team.ledger_state.revision() {
+                team.ledger_state = known;
             }
-            if team.unresolved.is_some_and(|ceiling| ceiling.expect != team.known.revision()) {
-                team.unresolved = None;
+            if team
+                .unconfirmed
+                .is_some_and(|cap| cap.expected_revision != team.ledger_state.revision())
+            {
+                team.unconfirmed = None;
             }
         }
-        self.revision = view.revision;
-        self.cells = view.cells;
+        self.revision = snapshot.revision;
+        self.cells = snapshot.cells;
         self.set_launch_limits(now);
         self.note_troubles();
     }
@@ -88,7 +92,7 @@
     /// What the cell may use of a team's limit now; None if the team has no limit, here and in a value.
     pub fn launch_limit(&self, team: &str) -> Option<LaunchLimit> {
         let team = self.teams.get(team)?;
-        if matches!(team.known, Known::Unseen | Known::Unusable(..)) {
+        if matches!(team.ledger_state, LedgerState::NotRead | LedgerState::Unusable(..)) {
             return Some(LaunchLimit::NOTHING);
         }
         let limit = team.limit();
@@ -96,20 +100,20 @@
     }
 
     /// The cell's part of a team's guarantee; None if the team has no limit and so is not shared.
-    pub fn guarantee(&self, team: &str) -> Option<Amounts> {
+    pub fn guarantee(&self, team: &str) -> Option<MilliResources> {
         let team = self.teams.get(team)?;
         team.limit().is_set().then_some(team.guarantee)
     }
 
     /// What is to be written, by what the teams use now. Launch limits are lowered before it returns: the
     /// caller launches by the new ones from now on.
-    pub fn step(&mut self, now: Millis, uses: &BTreeMap<String, TeamUse>) -> Vec<LedgerWrite> {
+    pub fn step(&mut self, now: Millis, uses: &BTreeMap<String, LocalUsage>) -> Vec<LedgerWrite> {
         for (name, team) in &mut self.teams {
             team.usage = uses.get(name).copied().unwrap_or_default();
         }
         self.set_launch_limits(now);
         let names: Vec<String> = self.teams.keys().cloned().collect();
-        let open = self.teams.values().filter(|team| team.sent.is_some()).count();
+        let open = self.teams.values().filter(|team| team.in_flight.is_some()).count();
         let mut writes = Vec::new();
         let first = self.first % names.len().max(1);
         for i in 0..names.len() {
@@ -124,20 +128,25 @@
     }
 
     /// Takes in how a write ended.
-    pub fn written(&mut self, now: Millis, write: &LedgerWrite, outcome: WriteOutcome) {
+    pub fn handle_write_outcome(
+        &mut self,
+        now: Millis,
+        write: &LedgerWrite,
+        outcome: WriteOutcome,
+    ) {
         let cell = self.cell.clone();
         let Some(team) = self.teams.get_mut(&write.team) else { return };
-        let sent = team.sent.take();
+        let sent = team.in_flight.take();
         match outcome {
             WriteOutcome::Stored(revision) => {
                 team.not_before = now.saturating_add(WRITE_GAP_MS);
-                if revision > team.known.revision() {
-                    let from = match &team.known {
-                        Known::Value(_, ledger) => ledger.allotted_to(&cell),
-                        _ => Amounts::NONE,
+                if revision > team.ledger_state.revision() {
+                    let from = match &team.ledger_state {
+                        LedgerState::Present(_, ledger) => ledger.allotted_to(&cell),
+                        _ => MilliResources::NONE,
                     };
-                    team.known = Known::Value(revision, write.ledger.clone());
-                    team.unresolved = None;
+                    team.ledger_state = LedgerState::Present(revision, write.ledger.clone());
+                    team.unconfirmed = None;
                     self.note_write(write, from);
                 }
             }
@@ -147,8 +156,9 @@
             WriteOutcome::Unknown => {
                 team.not_before = now.saturating_add(RETRY_MS);
                 if let Some(sent) = sent {
-                    let most = Ceiling::limits(&team.unresolved, sent.expect, sent.most);
-                    team.unresolved = Some(Ceiling { most, ..sent });
+                    let max =
+                        AllotmentCap::apply(&team.unconfirmed, sent.expected_revision, sent.max);
+                    team.unconfirmed = Some(AllotmentCap { max, ..sent });
                 }
             }
         }
@@ -165,9 +175,11 @@
         self.teams
             .iter()
             .map(|(name, team)| {
-                let (cells, guarantee) = match &team.known {
-                    Known::Value(_, ledger) => (ledger.cells.clone(), ledger.guarantee),
-                    _ => (BTreeMap::new(), team.terms.guarantee),
+                let (cells, guarantee) = match &team.ledger_state {
+                    LedgerState::Present(_, ledger) => {
+                        (ledger.allotments.clone(), ledger.guarantee)
+                    }
+                    _ => (BTreeMap::new(), team.settings.guarantee),
                 };
                 TeamSummary {
                     team: name.clone(),
@@ -186,17 +198,17 @@
     fn set_launch_limits(&mut self, now: Millis) {
         let cell = &self.cell;
         for team in self.teams.values_mut() {
-            let held = team.held(cell);
-            team.launch = Amounts::NONE;
-            team.guarantee = Amounts::NONE;
-            let Known::Value(_, ledger) = &team.known else { continue };
-            if !ledger.complete || ledger.is_overdrawn() {
+            let held = team.confirmed_allotment(cell);
+            team.launch = MilliResources::NONE;
+            team.guarantee = MilliResources::NONE;
+            let LedgerState::Present(_, ledger) = &team.ledger_state else { continue };
+            if !ledger.complete || ledger.is_overallotted() {
                 continue;
             }
-            let standings = Standings::of(ledger, cell, own_claim(now, ledger, cell, team));
-            team.guarantee = standings.target().guarantee;
-            team.launch = match standings.others_lack() {
-                true => held.least(standings.target().total()),
+            let apportionment = Apportionment::of(ledger, cell, own_claim(now, ledger, cell, team));
+            team.guarantee = apportionment.target().guarantee;
+            team.launch = match apportionment.must_yield() {
+                true => held.min_each(apportionment.target().total()),
                 false => held,
             };
         }
@@ -204,78 +216,78 @@
 
     fn step_team(&mut self, now: Millis, name: &str) -> Option<LedgerWrite> {
         let team = self.teams.get(name)?;
-        if team.sent.is_some() || now < team.not_before {
+        if team.in_flight.is_some() || now < team.not_before {
             return None;
         }
-        let (expect, ledger, dead) = match &team.known.clone() {
-            Known::Unseen | Known::Unusable(..) => return None,
-            Known::Missing(_) => (0, self.create(team)?, Vec::new()),
-            Known::Value(revision, ledger) => {
+        let (expected_revision, ledger, dead) = match &team.ledger_state.clone() {
+            LedgerState::NotRead | LedgerState::Unusable(..) => return None,
+            LedgerState::Missing(_) => (0, self.create(team)?, Vec::new()),
+            LedgerState::Present(revision, ledger) => {
                 let (ledger, dead) = match (self.reclaim(now, ledger), ledger.complete) {
                     (Some(reclaimed), _) => reclaimed,
-                    (None, false) => self.complete(now, ledger, team)?,
-                    (None, true) => (self.change(now, name)?, Vec::new()),
+                    (None, false) => self.advance_rebuild(now, ledger, team)?,
+                    (None, true) => (self.adjust(now, name)?, Vec::new()),
                 };
                 (*revision, ledger, dead)
             }
         };
         let team = self.teams.get_mut(name)?;
         // Lowered before it is sent, and until it is known to have failed.
-        let most = ledger.allotted_to(&self.cell);
-        team.sent = Some(Ceiling { expect, most });
-        team.launch = team.launch.least(most);
-        Some(LedgerWrite { team: name.to_string(), expect, ledger, dead })
+        let max = ledger.allotted_to(&self.cell);
+        team.in_flight = Some(AllotmentCap { expected_revision, max });
+        team.launch = team.launch.min_each(max);
+        Some(LedgerWrite { team: name.to_string(), expected_revision, ledger, dead })
     }
 
     /// A new value, with what this cell runs.
     fn create(&self, team: &Team) -> Option<TeamLedger> {
-        if !team.terms.limit.is_set() {
+        if !team.settings.limit.is_set() {
             return None;
         }
-        let mut ledger = TeamLedger::new(team.terms.limit, team.terms.guarantee);
-        self.enter(&mut ledger, team)?;
+        let mut ledger = TeamLedger::new(team.settings.limit, team.settings.guarantee);
+        self.record_own_usage(&mut ledger, team)?;
         Some(ledger)
     }
 
-    /// Enters what this cell runs into a value in which it has no account.
-    fn enter(&self, ledger: &mut TeamLedger, team: &Team) -> Option<()> {
-        if !team.usage.is_settled {
+    /// Enters what this cell runs into a value in which it has no allotment.
+    fn record_own_usage(&self, ledger: &mut TeamLedger, team: &Team) -> Option<()> {
+        if !team.usage.is_reconciled {
             return None;
         }
         let allotted = ledger.limit.counted(team.usage.used);
-        let account = Account { allotted, term: self.term, ..Account::default() };
-        ledger.cells.insert(self.cell.clone(), account);
+        let allotment = Allotment { amount: allotted, term: self.term, ..Allotment::default() };
+        ledger.allotments.insert(self.cell.clone(), allotment);
         Some(())
     }
 
-    /// Drops the accounts of dead cells.
+    /// Drops the allotments of dead cells.
     fn reclaim(&self, now: Millis, ledger: &TeamLedger) -> Option<(TeamLedger, Vec<DeadCell>)> {
-        let others = ledger.cells.keys().filter(|cell| **cell != self.cell);
+        let others = ledger.allotments.keys().filter(|cell| **cell != self.cell);
         let dead: Vec<DeadCell> =
             others.filter_map(|cell| self.leaderless.dead(now, cell, &self.cells)).collect();
         if dead.is_empty() {
             return None;
         }
         let mut ledger = ledger.clone();
-        ledger.cells.retain(|name, _| !dead.iter().any(|cell| cell.cell == *name));
-        // Those that have no account in it need not enter one either.
+        ledger.allotments.retain(|name, _| !dead.iter().any(|cell| cell.cell == *name));
+        // Those that have no allotment in it need not enter one either.
         Some((ledger, dead))
     }
 
     /// Brings a value nearer to where every cell has entered what it runs.
-    fn complete(
+    fn advance_rebuild(
         &self,
         now: Millis,
         ledger: &TeamLedger,
         team: &Team,
     ) -> Option<(TeamLedger, Vec<DeadCell>)> {
         let mut ledger = ledger.clone();
-        if !ledger.cells.contains_key(&self.cell) {
-            self.enter(&mut ledger, team)?;
+        if !ledger.allotments.contains_key(&self.cell) {
+            self.record_own_usage(&mut ledger, team)?;
             return Some((ledger, Vec::new()));
         }
         let mut dead = Vec::new();
-        for cell in self.cells.keys().filter(|cell| !ledger.cells.contains_key(*cell)) {
+        for cell in self.cells.keys().filter(|cell| !ledger.allotments.contains_key(*cell)) {
             dead.push(self.leaderless.dead(now, cell, &self.cells)?);
         }
         ledger.complete = true;
@@ -283,42 +295,42 @@
     }
 
     /// Takes, gives back and asks in a value that is complete.
-    fn change(&mut self, now: Millis, name: &str) -> Option<TeamLedger> {
+    fn adjust(&mut self, now: Millis, name: &str) -> Option<TeamLedger> {
         let cell = self.cell.clone();
         let term = self.term;
         let team = self.teams.get_mut(name)?;
-        let Known::Value(_, ledger) = &team.known else { return None };
+        let LedgerState::Present(_, ledger) = &team.ledger_state else { return None };
         let ledger = ledger.clone();
-        let standings = Standings::of(&ledger, &cell, own_claim(now, &ledger, &cell, team));
-        let stuck = team.stuck.observe(now, &standings);
-        if !team.usage.is_settled {
+        let apportionment = Apportionment::of(&ledger, &cell, own_claim(now, &ledger, &cell, team));
+        let stale = team.stale.observe(now, &apportionment);
+        if !team.usage.is_reconciled {
             return None;
         }
         let held = ledger.limit.counted(ledger.allotted_to(&cell));
-        let situation = Situation {
+        let context = DecisionContext {
             now,
             ledger: &ledger,
-            standings: &standings,
+            apportionment: &apportionment,
             used: ledger.limit.counted(team.usage.used),
             want: team.want(&ledger.limit),
         };
-        let allotted = situation.next_allotment(team, held);
+        let allotted = context.next_allotment(team, held);
         let mut next = ledger.clone();
-        for other in &stuck {
-            if let Some(account) = next.cells.get_mut(other) {
-                account.request = None;
+        for other in &stale {
+            if let Some(allotment) = next.allotments.get_mut(other) {
+                allotment.request = None;
             }
         }
-        let account = ledger.cells.get(&cell);
-        let standing = account.and_then(|account| account.request.as_ref());
-        let request = situation.next_request(team, standing, allotted, &mut next.next_ticket);
-        if account.is_some() || allotted != Amounts::NONE || request.is_some() {
-            let account = next.cells.entry(cell).or_default();
-            if account.allotted != allotted {
-                account.term = term;
+        let allotment = ledger.allotments.get(&cell);
+        let standing = allotment.and_then(|allotment| allotment.request.as_ref());
+        let request = context.next_request(team, standing, allotted, &mut next.next_request_number);
+        if allotment.is_some() || allotted != MilliResources::NONE || request.is_some() {
+            let allotment = next.allotments.entry(cell).or_default();
+            if allotment.amount != allotted {
+                allotment.term = term;
             }
-            account.allotted = allotted;
-            account.request = request;
+            allotment.amount = allotted;
+            allotment.request = request;
         }
         (next != ledger).then(|| {
             team.refreshed = Some(now);
@@ -326,7 +338,7 @@
         })
     }
 
-    fn note_write(&mut self, write: &LedgerWrite, from: Amounts) {
+    fn note_write(&mut self, write: &LedgerWrite, from: MilliResources) {
         let (team, to) = (write.team.clone(), write.ledger.allotted_to(&self.cell));
         if from != to {
             self.notices.push(Notice::Allotted { team: team.clone(), from, to });
--- a/crates/latchtrack-quota/src/notices.rs
+++ b/crates/latchtrack-quota/src/notices.rs
@@ -1,9 +1,9 @@
-//! What a keeper has to tell: lines for the log.
+//! What a manager has to tell: lines for the log.
 
 use std::fmt;
 
-use crate::amounts::Amounts;
 use crate::ledger::LedgerError;
+use crate::resources::MilliResources;
 
 /// Something for the log, once each.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -13,9 +13,9 @@
         /// The team.
         team: String,
         /// From this.
-        from: Amounts,
+        from: MilliResources,
         /// To this.
-        to: Amounts,
+        to: MilliResources,
     },
     /// A dead cell's allotment was reclaimed.
     Reclaimed {
@@ -37,7 +37,7 @@
         team: String,
     },
     /// More is allotted than the limit.
-    Overdrawn {
+    Overallotted {
         /// The team.
         team: String,
     },
@@ -48,7 +48,7 @@
     },
 }
 
-fn cpus_and_gpus(f: &mut fmt::Formatter<'_>, amounts: &Amounts) -> fmt::Result {
+fn cpus_and_gpus(f: &mut fmt::Formatter<'_>, amounts: &MilliResources) -> fmt::Result {
     let (cpus, gpus) = amounts.decimal();
     write!(f, "{cpus} CPUs and {gpus} GPUs")
 }
@@ -71,7 +71,7 @@
             Notice::Missing { team } => {
                 write!(f, "quota: quota/team/{team} is missing; made from what the cells run")
             }
-            Notice::Overdrawn { team } => {
+            Notice::Overallotted { team } => {
                 write!(f, "quota: quota/team/{team} allots more than its limit; nothing is launched")
             }
             Notice::Differs { team } => write!(
--- a/crates/latchtrack-quota/src/amounts.rs
+++ b/crates/latchtrack-quota/src/resources.rs
@@ -1,4 +1,4 @@
-//! Amounts in whole thousandths, so that sums over cells are exact.
+//! MilliResources in whole thousandths, so that sums over cells are exact.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(default)]
-pub struct Amounts {
+pub struct MilliResources {
     /// Thousandths of a CPU.
     #[serde(skip_serializing_if = "is_zero")]
     pub millicpus: u64,
@@ -22,50 +22,50 @@
     *amount == 0
 }
 
-impl Amounts {
+impl MilliResources {
     /// Nothing.
-    pub const NONE: Amounts = Amounts { millicpus: 0, milligpus: 0 };
+    pub const NONE: MilliResources = MilliResources { millicpus: 0, milligpus: 0 };
 
     /// What tasks take, rounded up.
-    pub fn covering(cpus: f64, gpus: f64) -> Amounts {
-        Amounts { millicpus: round_up(cpus), milligpus: round_up(gpus) }
+    pub fn covering(cpus: f64, gpus: f64) -> MilliResources {
+        MilliResources { millicpus: round_up(cpus), milligpus: round_up(gpus) }
     }
 
-    fn each(self, other: Amounts, f: impl Fn(u64, u64) -> u64) -> Amounts {
-        Amounts {
+    fn each(self, other: MilliResources, f: impl Fn(u64, u64) -> u64) -> MilliResources {
+        MilliResources {
             millicpus: f(self.millicpus, other.millicpus),
             milligpus: f(self.milligpus, other.milligpus),
         }
     }
 
     /// The sum of both.
-    pub fn plus(self, other: Amounts) -> Amounts {
+    pub fn plus(self, other: MilliResources) -> MilliResources {
         self.each(other, u64::saturating_add)
     }
 
     /// What is left without `other`, never below 0.
-    pub fn minus(self, other: Amounts) -> Amounts {
+    pub fn minus(self, other: MilliResources) -> MilliResources {
         self.each(other, u64::saturating_sub)
     }
 
     /// The smaller of both, of each resource.
-    pub fn least(self, other: Amounts) -> Amounts {
+    pub fn min_each(self, other: MilliResources) -> MilliResources {
         self.each(other, u64::min)
     }
 
     /// The larger of both, of each resource.
-    pub fn most(self, other: Amounts) -> Amounts {
+    pub fn max_each(self, other: MilliResources) -> MilliResources {
         self.each(other, u64::max)
     }
 
     /// One of so many equal parts, rounded down.
-    pub fn part(self, parts: u64) -> Amounts {
-        self.each(Amounts::NONE, |amount, _| amount / parts.max(1))
+    pub fn divided_by(self, parts: u64) -> MilliResources {
+        self.each(MilliResources::NONE, |amount, _| amount / parts.max(1))
     }
 
     /// Whether all of this goes into `room`.
-    pub fn fits_in(self, room: Amounts) -> bool {
-        self.minus(room) == Amounts::NONE
+    pub fn fits_in(self, room: MilliResources) -> bool {
+        self.minus(room) == MilliResources::NONE
     }
 
     /// CPUs and GPUs as decimal numbers.
@@ -107,13 +107,16 @@
     }
 
     /// All that may be allotted; 0 of a resource without a limit.
-    pub fn total(&self) -> Amounts {
-        Amounts { millicpus: self.millicpus.unwrap_or(0), milligpus: self.milligpus.unwrap_or(0) }
+    pub fn total(&self) -> MilliResources {
+        MilliResources {
+            millicpus: self.millicpus.unwrap_or(0),
+            milligpus: self.milligpus.unwrap_or(0),
+        }
     }
 
     /// An amount as it counts against this limit: nothing of a resource without one.
-    pub fn counted(&self, amounts: Amounts) -> Amounts {
-        Amounts {
+    pub fn counted(&self, amounts: MilliResources) -> MilliResources {
+        MilliResources {
             millicpus: if self.millicpus.is_some() { amounts.millicpus } else { 0 },
             milligpus: if self.milligpus.is_some() { amounts.milligpus } else { 0 },
         }
--- a/crates/latchtrack-quota/src/view.rs
+++ b/crates/latchtrack-quota/src/snapshot.rs
@@ -7,7 +7,7 @@
 
 /// A team's value as it was seen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct SeenLedger {
+pub struct StoredLedger {
     /// Revision of its last change.
     pub revision: u64,
     /// The value, or why it can't be used.
@@ -16,9 +16,9 @@
 
 /// A cell as it was seen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Presence {
+pub struct CellStatus {
     /// Whether somebody leads it.
-    pub is_led: bool,
+    pub has_leader: bool,
     /// Revision of its record: the token of its last leader.
     pub term_revision: u64,
     /// Its record; None if it can't be read.
@@ -27,13 +27,13 @@
 
 /// All that one look at the state service shows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct View {
+pub struct LedgerSnapshot {
     /// Revision of the state service at the look.
     pub revision: u64,
     /// The values by team.
-    pub teams: BTreeMap<String, SeenLedger>,
+    pub teams: BTreeMap<String, StoredLedger>,
     /// All cells that were ever led.
-    pub cells: BTreeMap<String, Presence>,
+    pub cells: BTreeMap<String, CellStatus>,
 }
 
 /// A cell that must still be without a leader, and in the same term, when a write is carried out.
@@ -52,10 +52,10 @@
     /// The team.
     pub team: String,
     /// Revision that the value must have; 0 if there must be none.
-    pub expect: u64,
+    pub expected_revision: u64,
     /// The new value.
     pub ledger: TeamLedger,
-    /// Cells whose accounts it drops or does without.
+    /// Cells whose allotments it drops or does without.
     pub dead: Vec<DeadCell>,
 }
 
--- a/crates/latchtrack-quota/tests/ledger.rs
+++ b/crates/latchtrack-quota/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! The stored value: a published format, byte for byte, and what is refused.
 
-use latchtrack_quota::{Amounts, LedgerError, Limit, TeamLedger};
+use latchtrack_quota::{LedgerError, Limit, MilliResources, TeamLedger};
 
 /// As the first version with shared limits stores it.
 const STORED: &str = concat!(
@@ -15,9 +15,9 @@
 fn a_value_is_read_and_stored_byte_for_byte() {
     let ledger = TeamLedger::parse(STORED).unwrap();
     assert_eq!(ledger.limit, Limit::of(40.0, 8.0));
-    assert_eq!(ledger.allotted_to("east"), Amounts { millicpus: 12_500, milligpus: 2_000 });
-    assert_eq!(ledger.allotted_to("north"), Amounts::NONE);
-    assert_eq!(ledger.free(), Amounts { millicpus: 27_500, milligpus: 6_000 });
+    assert_eq!(ledger.allotted_to("east"), MilliResources { millicpus: 12_500, milligpus: 2_000 });
+    assert_eq!(ledger.allotted_to("north"), MilliResources::NONE);
+    assert_eq!(ledger.unallotted(), MilliResources { millicpus: 27_500, milligpus: 6_000 });
     assert_eq!(serde_json::to_string(&ledger).unwrap(), STORED);
 }
 
@@ -33,10 +33,10 @@
 #[test]
 fn what_cannot_be_used_is_told_by_its_kind() {
     let newer = STORED.replace(r#""version":1"#, r#""version":2"#);
-    assert_eq!(TeamLedger::parse(&newer), Err(LedgerError::Newer(2)));
+    assert_eq!(TeamLedger::parse(&newer), Err(LedgerError::NewerVersion(2)));
     for text in ["", "null", "{}", "7", r#"{"version":1}"#, &STORED.replace("12500", "-1")] {
         let error = TeamLedger::parse(text).unwrap_err();
-        assert!(matches!(error, LedgerError::Garbled(_)), "{text}: {error}");
+        assert!(matches!(error, LedgerError::Malformed(_)), "{text}: {error}");
     }
 }
 
@@ -44,16 +44,16 @@
 fn a_resource_without_a_limit_is_not_counted() {
     let mut ledger = TeamLedger::parse(STORED).unwrap();
     ledger.limit.milligpus = None;
-    assert!(!ledger.is_overdrawn());
-    assert_eq!(ledger.free(), Amounts { millicpus: 27_500, milligpus: 0 });
+    assert!(!ledger.is_overallotted());
+    assert_eq!(ledger.unallotted(), MilliResources { millicpus: 27_500, milligpus: 0 });
     ledger.limit.millicpus = Some(12_499);
-    assert!(ledger.is_overdrawn());
+    assert!(ledger.is_overallotted());
 }
 
 #[test]
 fn amounts_are_rounded_so_that_the_limit_is_never_passed() {
     assert_eq!(Limit::of(1.9999, 0.0).millicpus, Some(1_999));
     assert_eq!(Limit::of(0.0, 0.0), Limit::default());
-    assert_eq!(Amounts::covering(1.0001, 0.1 + 0.2).millicpus, 1_001);
-    assert_eq!(Amounts::covering(0.0, 0.1 + 0.2).milligpus, 300);
+    assert_eq!(MilliResources::covering(1.0001, 0.1 + 0.2).millicpus, 1_001);
+    assert_eq!(MilliResources::covering(0.0, 0.1 + 0.2).milligpus, 300);
 }
--- a/crates/latchtrack-quota/tests/model/world.rs
+++ b/crates/latchtrack-quota/tests/model/world.rs
@@ -50,7 +50,7 @@
     Fence,
     /// Leases are waited for.
     Leases,
-    /// A dead cell must still be dead when its account is dropped.
+    /// A dead cell must still be dead when its allotment is dropped.
     DeadStill,
     /// All cells must have entered what they run.
     Complete,
@@ -66,10 +66,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Cell {
-    keeper: Option<Keeper>,
+    manager: Option<AllotmentManager>,
     /// The launch limit by which it launches.
     launch: u64,
-    is_led: bool,
+    has_leader: bool,
     term: u64,
     running: u64,
     waiting: u64,
@@ -124,17 +124,17 @@
 
 const NAMES: [&str; 2] = ["east", "west"];
 
-fn amounts(millicpus: u64) -> Amounts {
-    Amounts { millicpus, milligpus: 0 }
+fn amounts(millicpus: u64) -> MilliResources {
+    MilliResources { millicpus, milligpus: 0 }
 }
 
 fn limit() -> Limit {
     Limit { millicpus: Some(LIMIT), milligpus: None }
 }
 
-fn keeper(cell: &str, term: u64) -> Keeper {
-    let terms = TeamTerms { limit: limit(), guarantee: Amounts::NONE };
-    Keeper::new(KeeperSettings {
+fn manager(cell: &str, term: u64) -> AllotmentManager {
+    let terms = TeamQuota { limit: limit(), guarantee: MilliResources::NONE };
+    AllotmentManager::new(AllotmentManagerSettings {
         cell: cell.into(),
         term,
         teams: BTreeMap::from([(TEAM.to_string(), terms)]),
@@ -144,9 +144,9 @@
 impl World {
     fn with(budget: Budget, removed: Option<Guard>, running: [u64; 2]) -> World {
         let cell = |i: usize| Cell {
-            keeper: Some(keeper(NAMES[i], i as u64 + 1)),
+            manager: Some(manager(NAMES[i], i as u64 + 1)),
             launch: 0,
-            is_led: true,
+            has_leader: true,
             term: i as u64 + 1,
             running: running[i],
             waiting: 2,
@@ -161,14 +161,14 @@
     /// East holds the whole limit and uses half of it; both have work waiting.
     pub fn east_holds_all(budget: Budget, removed: Option<Guard>) -> World {
         let mut world = World::with(budget, removed, [1, 0]);
-        let mut ledger = TeamLedger::new(limit(), Amounts::NONE);
+        let mut ledger = TeamLedger::new(limit(), MilliResources::NONE);
         ledger.complete = true;
-        let account = Account { allotted: amounts(LIMIT), ..Account::default() };
-        ledger.cells.insert("east".into(), account);
-        let request = Request { ticket: 0, need: amounts(TASK), want: amounts(LIMIT) };
-        let account = Account { request: Some(request), ..Account::default() };
-        ledger.cells.insert("west".into(), account);
-        ledger.next_ticket = 1;
+        let allotment = Allotment { amount: amounts(LIMIT), ..Allotment::default() };
+        ledger.allotments.insert("east".into(), allotment);
+        let request = Request { number: 0, need: amounts(TASK), want: amounts(LIMIT) };
+        let allotment = Allotment { request: Some(request), ..Allotment::default() };
+        ledger.allotments.insert("west".into(), allotment);
+        ledger.next_request_number = 1;
         world.value = Some((10, ledger));
         world
     }
@@ -176,7 +176,7 @@
     /// Nothing is allotted, and both have work waiting.
     pub fn all_is_free(budget: Budget, removed: Option<Guard>) -> World {
         let mut world = World::with(budget, removed, [0, 0]);
-        let mut ledger = TeamLedger::new(limit(), Amounts::NONE);
+        let mut ledger = TeamLedger::new(limit(), MilliResources::NONE);
         ledger.complete = true;
         world.value = Some((10, ledger));
         world
@@ -187,10 +187,10 @@
         let mut world = World::east_holds_all(budget, removed);
         world.cells[0].waiting = 0;
         (world.cells[0].running, world.cells[0].counted) = (0, 0);
-        let account = Account { allotted: amounts(LIMIT), ..Account::default() };
-        let value = world.value.as_mut().map(|(_, ledger)| &mut ledger.cells);
+        let allotment = Allotment { amount: amounts(LIMIT), ..Allotment::default() };
+        let value = world.value.as_mut().map(|(_, ledger)| &mut ledger.allotments);
         if let Some(cells) = value {
-            *cells = BTreeMap::from([("east".to_string(), account)]);
+            *cells = BTreeMap::from([("east".to_string(), allotment)]);
         }
         world
     }
@@ -249,13 +249,13 @@
         World { state: self.state.clone(), last: what.into() }
     }
 
-    fn view(&self) -> View {
-        let mut view = View { revision: self.revision, ..View::default() };
+    fn snapshot(&self) -> LedgerSnapshot {
+        let mut snapshot = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
         if let Some((revision, ledger)) = &self.value {
             let mut ledger = ledger.clone();
             ledger.complete |= self.removed == Some(Guard::Complete);
-            let seen = SeenLedger { revision: *revision, ledger: Ok(ledger) };
-            view.teams.insert(TEAM.into(), seen);
+            let seen = StoredLedger { revision: *revision, ledger: Ok(ledger) };
+            snapshot.teams.insert(TEAM.into(), seen);
         }
         let lease_ms = if self.removed == Some(Guard::Leases) { 0 } else { LEASE_MS };
         for (name, cell) in NAMES.iter().zip(&self.cells) {
@@ -264,11 +264,14 @@
                 leader_lease_ms: lease_ms,
                 worker_lease_ms: lease_ms,
             };
-            let presence =
-                Presence { is_led: cell.is_led, term_revision: cell.term, record: Some(record) };
-            view.cells.insert(name.to_string(), presence);
+            let presence = CellStatus {
+                has_leader: cell.has_leader,
+                term_revision: cell.term,
+                record: Some(record),
+            };
+            snapshot.cells.insert(name.to_string(), presence);
         }
-        view
+        snapshot
     }
 
     /// A cell looks at the state service.
@@ -278,8 +281,8 @@
         }
         let mut next = self.after(format!("{} looks", NAMES[i]));
         next.budget.looks -= 1;
-        let (now, view) = (next.now, next.view());
-        next.cells[i].keeper.as_mut()?.observe(now, view);
+        let (now, snapshot) = (next.now, next.snapshot());
+        next.cells[i].manager.as_mut()?.observe(now, snapshot);
         next.take_launch_limit(i);
         Some(next)
     }
@@ -287,9 +290,9 @@
     fn take_launch_limit(&mut self, i: usize) {
         let cell = &mut self.cells[i];
         // What is logged tells no two states apart.
-        cell.keeper.as_mut().map(Keeper::take_notices);
-        let keeper = cell.keeper.as_ref();
-        let limit = keeper.and_then(|keeper| keeper.launch_limit(TEAM)?.millicpus);
+        cell.manager.as_mut().map(AllotmentManager::take_notices);
+        let manager = cell.manager.as_ref();
+        let limit = manager.and_then(|manager| manager.launch_limit(TEAM)?.millicpus);
         cell.launch = limit.unwrap_or(0);
     }
 
@@ -306,15 +309,15 @@
         let cell = &mut next.cells[i];
         let is_known = cell.counted == cell.running;
         let used = if removed == Some(Guard::Used) { 0 } else { cell.counted * TASK };
-        let usage = TeamUse {
-            is_settled: is_known || removed == Some(Guard::Settled),
+        let usage = LocalUsage {
+            is_reconciled: is_known || removed == Some(Guard::Settled),
             used: amounts(used),
             waiting: amounts(cell.waiting * TASK),
-            next: amounts(TASK),
-            started: Amounts::NONE,
+            next_start: amounts(TASK),
+            started: MilliResources::NONE,
         };
         let uses = BTreeMap::from([(TEAM.to_string(), usage)]);
-        let writes = cell.keeper.as_mut()?.step(now, &uses);
+        let writes = cell.manager.as_mut()?.step(now, &uses);
         let term = cell.term;
         let sent = writes.into_iter().map(|write| Write { write, term, is_given_up: false });
         cell.writes.extend(sent);
@@ -329,8 +332,8 @@
     /// A cell starts a task, if its launch limit allows.
     fn start(&self, i: usize) -> Option<World> {
         let cell = &self.cells[i];
-        let room = cell.is_led && (cell.counted + 1) * TASK <= cell.launch;
-        if cell.keeper.is_none() || cell.waiting == 0 || !room || cell.counted != cell.running {
+        let room = cell.has_leader && (cell.counted + 1) * TASK <= cell.launch;
+        if cell.manager.is_none() || cell.waiting == 0 || !room || cell.counted != cell.running {
             return None;
         }
         let mut next = self.after(format!("{} starts a task", NAMES[i]));
@@ -344,7 +347,7 @@
     /// A task ends, if its leader knows of it.
     fn end(&self, i: usize) -> Option<World> {
         let cell = &self.cells[i];
-        if cell.running == 0 || cell.counted != cell.running || !cell.is_led {
+        if cell.running == 0 || cell.counted != cell.running || !cell.has_leader {
             return None;
         }
         let mut next = self.after(format!("a task of {} ends", NAMES[i]));
@@ -355,28 +358,28 @@
 
     /// The leader of a cell dies, or its lease ends.
     fn crash(&self, i: usize) -> Option<World> {
-        if self.budget.crashes == 0 || !self.cells[i].is_led {
+        if self.budget.crashes == 0 || !self.cells[i].has_leader {
             return None;
         }
         let mut next = self.after(format!("{} loses its leader", NAMES[i]));
         next.budget.crashes -= 1;
         next.revision += 1;
         let cell = &mut next.cells[i];
-        (cell.is_led, cell.keeper) = (false, None);
+        (cell.has_leader, cell.manager) = (false, None);
         Some(next)
     }
 
     /// Another leads, and does not know at first what runs.
     fn elect(&self, i: usize) -> Option<World> {
-        if self.cells[i].is_led {
+        if self.cells[i].has_leader {
             return None;
         }
         let mut next = self.after(format!("{} has a new leader", NAMES[i]));
         next.revision += 1;
         let term = next.revision;
         let cell = &mut next.cells[i];
-        (cell.is_led, cell.term, cell.launch, cell.counted) = (true, term, 0, 0);
-        cell.keeper = Some(keeper(NAMES[i], term));
+        (cell.has_leader, cell.term, cell.launch, cell.counted) = (true, term, 0, 0);
+        cell.manager = Some(manager(NAMES[i], term));
         Some(next)
     }
 
@@ -389,11 +392,11 @@
         if self.budget.waits > 0 {
             next.budget.waits -= 1;
             next.now += WAIT_MS;
-            for cell in next.cells.iter_mut().filter(|cell| !cell.is_led) {
+            for cell in next.cells.iter_mut().filter(|cell| !cell.has_leader) {
                 cell.running = 0;
             }
         }
-        for cell in next.cells.iter_mut().filter(|cell| cell.is_led) {
+        for cell in next.cells.iter_mut().filter(|cell| cell.has_leader) {
             cell.counted = cell.running;
         }
         Some(next)
@@ -421,12 +424,12 @@
     fn may_store(&self, i: usize, write: &Write) -> bool {
         let removed = |guard: Guard| self.removed == Some(guard);
         let revision = self.value.as_ref().map_or(0, |(revision, _)| *revision);
-        let is_fenced = self.cells[i].is_led && self.cells[i].term == write.term;
+        let is_fenced = self.cells[i].has_leader && self.cells[i].term == write.term;
         let are_dead = write.write.dead.iter().all(|dead| {
             let cell = &self.cells[NAMES.iter().position(|name| *name == dead.cell).unwrap()];
-            !cell.is_led && cell.term == dead.term_revision
+            !cell.has_leader && cell.term == dead.term_revision
         });
-        (revision == write.write.expect || removed(Guard::Revision))
+        (revision == write.write.expected_revision || removed(Guard::Revision))
             && (is_fenced || removed(Guard::Fence))
             && (are_dead || removed(Guard::DeadStill))
     }
@@ -436,8 +439,8 @@
         if self.cells[i].term != write.term {
             return;
         }
-        if let Some(keeper) = self.cells[i].keeper.as_mut() {
-            keeper.written(now, &write.write, outcome);
+        if let Some(manager) = self.cells[i].manager.as_mut() {
+            manager.handle_write_outcome(now, &write.write, outcome);
             self.take_launch_limit(i);
         }
     }
--- a/crates/latchtrack-quota/tests/targets.rs
+++ b/crates/latchtrack-quota/tests/targets.rs
@@ -1,20 +1,20 @@
-//! Who is to get how much: the guarantee, the needs by ticket, the rest evenly.
+//! Who is to get how much: the guarantee, the needs by request_number, the rest evenly.
 
-use latchtrack_quota::{targets, Amounts, Claim, Limit};
+use latchtrack_quota::{targets, DemandClaim, Limit, MilliResources};
 
-fn cpus(millicpus: u64) -> Amounts {
-    Amounts { millicpus, milligpus: 0 }
+fn cpus(millicpus: u64) -> MilliResources {
+    MilliResources { millicpus, milligpus: 0 }
 }
 
-fn asks(ticket: u64, need: u64, want: u64) -> Claim {
-    Claim { ticket: Some(ticket), need: cpus(need), want: cpus(want) }
+fn asks(request_number: u64, need: u64, want: u64) -> DemandClaim {
+    DemandClaim { request_number: Some(request_number), need: cpus(need), want: cpus(want) }
 }
 
-fn holds(want: u64) -> Claim {
-    Claim { want: cpus(want), ..Claim::default() }
+fn holds(want: u64) -> DemandClaim {
+    DemandClaim { want: cpus(want), ..DemandClaim::default() }
 }
 
-fn totals(limit: u64, guarantee: u64, claims: &[Claim]) -> Vec<u64> {
+fn totals(limit: u64, guarantee: u64, claims: &[DemandClaim]) -> Vec<u64> {
     let limit = Limit { millicpus: Some(limit), milligpus: None };
     targets(&limit, cpus(guarantee), claims).iter().map(|t| t.total().millicpus).collect()
 }
@@ -49,9 +49,9 @@
 #[test]
 fn a_resource_without_a_limit_has_no_targets() {
     let limit = Limit { millicpus: Some(10), milligpus: None };
-    let both = Amounts { millicpus: 4, milligpus: 9 };
-    let claim = Claim { ticket: Some(1), need: both, want: both };
-    assert_eq!(targets(&limit, Amounts::NONE, &[claim])[0].total(), cpus(4));
+    let both = MilliResources { millicpus: 4, milligpus: 9 };
+    let claim = DemandClaim { request_number: Some(1), need: both, want: both };
+    assert_eq!(targets(&limit, MilliResources::NONE, &[claim])[0].total(), cpus(4));
 }
 
 #[test]
@@ -65,10 +65,10 @@
     };
     for _ in 0..20_000 {
         let limit = random(200);
-        let claims: Vec<Claim> = (0..1 + random(5))
-            .map(|ticket| match random(3) {
+        let claims: Vec<DemandClaim> = (0..1 + random(5))
+            .map(|request_number| match random(3) {
                 0 => holds(random(150)),
-                _ => asks(ticket, random(150), random(250)),
+                _ => asks(request_number, random(150), random(250)),
             })
             .collect();
         let totals = totals(limit, random(100), &claims);
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -4,7 +4,7 @@
 
 use actix::prelude::*;
 use latchtrack_core::scheduler::Event;
-use latchtrack_quota::{Amounts, LedgerWrite, WriteOutcome};
+use latchtrack_quota::{LedgerWrite, MilliResources, WriteOutcome};
 
 use super::leader::{Came, Leader};
 use super::store::{self, Answered, Class, Reply, Store, StoreError, StoreRequest};
@@ -121,9 +121,9 @@
     fn date(&self, write: &mut LedgerWrite) {
         let view = self.keys.view(0);
         let known = view.teams.get(&write.team).and_then(|seen| seen.ledger.as_ref().ok());
-        let before = known.map_or(Amounts::NONE, |ledger| ledger.allotted_to(&self.cell));
-        if let Some(account) = write.ledger.cells.get_mut(&self.cell) {
-            if account.since_ms == 0 || account.allotted != before {
+        let before = known.map_or(MilliResources::NONE, |ledger| ledger.allotted_to(&self.cell));
+        if let Some(account) = write.ledger.allotments.get_mut(&self.cell) {
+            if account.since_ms == 0 || account.amount != before {
                 account.since_ms = wall_ms();
             }
         }
--- a/crates/latchtrack/src/limit.rs
+++ b/crates/latchtrack/src/limit.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use actix::prelude::*;
-use latchtrack_quota::{Account, Amounts, LedgerError, Limit, TeamLedger};
+use latchtrack_quota::{Allotment, LedgerError, Limit, MilliResources, TeamLedger};
 use serde::Serialize;
 use serde_json::value::to_raw_value;
 
@@ -89,9 +89,9 @@
         if is_new(before.millicpus, ledger.limit.millicpus)
             || is_new(before.milligpus, ledger.limit.milligpus)
         {
-            ledger.reopen();
+            ledger.restart_rebuild();
         }
-        let new = Amounts::covering(self.cpus.unwrap_or(0.0), self.gpus.unwrap_or(0.0));
+        let new = MilliResources::covering(self.cpus.unwrap_or(0.0), self.gpus.unwrap_or(0.0));
         if self.cpus.is_some() {
             ledger.guarantee.millicpus = new.millicpus;
         }
@@ -160,11 +160,11 @@
 }
 
 fn shown(team: &str, ledger: TeamLedger) -> SharedTeam {
-    let view = |(cell, account): (String, Account)| (cell, account.into());
+    let view = |(cell, account): (String, Allotment)| (cell, account.into());
     SharedTeam {
         team: team.into(),
         limit: ledger.limit.total().into(),
         guarantee: ledger.guarantee.into(),
-        cells: ledger.cells.into_iter().map(view).collect(),
+        cells: ledger.allotments.into_iter().map(view).collect(),
     }
 }
--- a/crates/latchtrack/src/wire/quota.rs
+++ b/crates/latchtrack/src/wire/quota.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use latchtrack_quota::{CellRecord, LedgerWrite, Presence, SeenLedger, TeamLedger, View};
+use latchtrack_quota::{
+    CellRecord, CellStatus, LedgerSnapshot, LedgerWrite, StoredLedger, TeamLedger,
+};
 use serde_json::value::{to_raw_value, RawValue};
 
 use super::records::LEADER;
@@ -50,7 +52,7 @@
     let key = team_key(&write.team);
     let mut conditions = vec![
         Condition { key: LEADER.into(), version: token },
-        Condition { key: key.clone(), version: write.expect },
+        Condition { key: key.clone(), version: write.expected_revision },
     ];
     for dead in &write.dead {
         conditions.push(Condition { key: live_key(&dead.cell), version: 0 });
@@ -87,16 +89,16 @@
     }
 
     /// What a cell's keeper makes of it.
-    pub fn view(&self, revision: u64) -> View {
-        let mut view = View { revision, ..View::default() };
+    pub fn view(&self, revision: u64) -> LedgerSnapshot {
+        let mut view = LedgerSnapshot { revision, ..LedgerSnapshot::default() };
         for (key, (revision, value)) in &self.values {
             if let Some(team) = key.strip_prefix(TEAMS) {
                 let ledger = TeamLedger::parse(value.get());
-                let seen = SeenLedger { revision: *revision, ledger };
+                let seen = StoredLedger { revision: *revision, ledger };
                 view.teams.insert(team.to_string(), seen);
             } else if let Some(cell) = key.strip_prefix(TERMS) {
-                let presence = Presence {
-                    is_led: self.values.contains_key(&live_key(cell)),
+                let presence = CellStatus {
+                    has_leader: self.values.contains_key(&live_key(cell)),
                     term_revision: *revision,
                     record: serde_json::from_str(value.get()).ok(),
                 };
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use latchtrack_core::scheduler::BalanceSummary;
-use latchtrack_quota::{Account, Amounts, TeamSummary};
+use latchtrack_quota::{Allotment, MilliResources, TeamSummary};
 use serde::{Deserialize, Serialize};
 
 /// A node's view of itself and, if it leads, of the cluster.
@@ -79,8 +79,8 @@
     pub gpus: f64,
 }
 
-impl From<Amounts> for AmountsView {
-    fn from(amounts: Amounts) -> Self {
+impl From<MilliResources> for AmountsView {
+    fn from(amounts: MilliResources) -> Self {
         let (cpus, gpus) = amounts.decimal();
         AmountsView { cpus, gpus }
     }
@@ -98,13 +98,13 @@
     pub ticket: Option<u64>,
 }
 
-impl From<Account> for AccountView {
-    fn from(account: Account) -> Self {
+impl From<Allotment> for AccountView {
+    fn from(account: Allotment) -> Self {
         AccountView {
-            allotted: account.allotted.into(),
+            allotted: account.amount.into(),
             since_ms: account.since_ms,
             wants: account.request.as_ref().map(|request| request.want.into()),
-            ticket: account.request.map(|request| request.ticket),
+            ticket: account.request.map(|request| request.number),
         }
     }
 }
--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -7,7 +7,9 @@
 use latchtrack::settings::{QuotaTuning, Tuning};
 use latchtrack::wire::quota::{campaign_changes, transaction, SharedKeys};
 use latchtrack::wire::store::{Change, Condition, Txn};
-use latchtrack_quota::{Account, Amounts, CellRecord, DeadCell, LedgerWrite, Limit, TeamLedger};
+use latchtrack_quota::{
+    Allotment, CellRecord, DeadCell, LedgerWrite, Limit, MilliResources, TeamLedger,
+};
 use latchtrack_standins::site::{site_at, Site};
 use latchtrack_standins::until;
 use serde_json::json;
@@ -50,9 +52,9 @@
             r#"{"cloud":"10.0.0.1:80","leader_lease_ms":3000,"worker_lease_ms":30000}}]"#
         )
     );
-    let ledger = TeamLedger::new(Limit::of(4.0, 0.0), Amounts::NONE);
+    let ledger = TeamLedger::new(Limit::of(4.0, 0.0), MilliResources::NONE);
     let dead = vec![DeadCell { cell: "west".into(), term_revision: 9 }];
-    let write = LedgerWrite { team: "t".into(), expect: 12, ledger, dead };
+    let write = LedgerWrite { team: "t".into(), expected_revision: 12, ledger, dead };
     let txn = transaction(5, &write).unwrap();
     let conditions: Vec<(&str, u64)> =
         txn.conditions.iter().map(|c| (c.key.as_str(), c.version)).collect();
@@ -76,11 +78,11 @@
     keys.put("quota/team/t".into(), 7, raw("null"));
     keys.delete("quota/live/east", 4);
     let view = keys.view(8);
-    assert!(view.cells["east"].is_led && view.cells["east"].term_revision == 5);
-    assert!(!view.cells["west"].is_led && view.cells["west"].record.is_none());
+    assert!(view.cells["east"].has_leader && view.cells["east"].term_revision == 5);
+    assert!(!view.cells["west"].has_leader && view.cells["west"].record.is_none());
     assert!(view.teams["t"].ledger.is_ok());
     keys.delete("quota/live/east", 9);
-    assert!(!keys.view(9).cells["east"].is_led);
+    assert!(!keys.view(9).cells["east"].has_leader);
 }
 
 fn cell_site(state: latchtrack_standins::Shared<latchtrack_standins::State>) -> Site {
@@ -114,7 +116,7 @@
 
 #[test]
 fn new_terms_change_what_they_name_and_refuse_what_makes_no_sense() {
-    let mut ledger = TeamLedger::new(Limit::of(8.0, 2.0), Amounts::covering(4.0, 0.0));
+    let mut ledger = TeamLedger::new(Limit::of(8.0, 2.0), MilliResources::covering(4.0, 0.0));
     let raised = NewTerms { cpus_max: Some(16.0), ..NewTerms::default() };
     raised.apply(&mut ledger).unwrap();
     assert_eq!(ledger.limit, Limit::of(16.0, 2.0));
@@ -123,11 +125,11 @@
     assert_eq!(ledger.limit, Limit::of(16.0, 0.0));
     // What cells use of a resource without a limit stands in no account.
     ledger.complete = true;
-    ledger.cells.insert("east".into(), Account::default());
+    ledger.allotments.insert("east".into(), Allotment::default());
     raised.apply(&mut ledger).unwrap();
-    assert!(ledger.complete && ledger.cells.len() == 1);
+    assert!(ledger.complete && ledger.allotments.len() == 1);
     NewTerms { gpus_max: Some(2.0), ..NewTerms::default() }.apply(&mut ledger).unwrap();
-    assert!(!ledger.complete && ledger.cells.is_empty());
+    assert!(!ledger.complete && ledger.allotments.is_empty());
     let below = NewTerms { cpus_max: Some(2.0), ..NewTerms::default() };
     assert!(matches!(below.apply(&mut ledger), Err(LimitError::BelowGuarantee)));
     for number in [f64::NAN, -1.0, f64::INFINITY] {
