--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -97,10 +97,7 @@
     pub(super) fn guarantee_of(&self, team: &Team) -> TeamUsage {
         let shared = self.quota.cell.as_ref().and_then(|keeper| keeper.guarantee(&team.name));
         match shared {
-            Some(part) => {
-                let (cpus, gpus) = part.decimal();
-                TeamUsage { cpus, gpus }
-            }
+            Some(part) => TeamUsage { cpus: part.cpus(), gpus: part.gpus() },
             None => TeamUsage { cpus: team.cpus, gpus: team.gpus },
         }
     }
--- a/crates/latchtrack-quota/src/apportionment.rs
+++ b/crates/latchtrack-quota/src/apportionment.rs
@@ -1,12 +1,9 @@
-//! Requests of a team's value: who lacks what, and which of them nobody takes care of.
+//! The apportionment of a ledger among its cells: each cell's claim, its target and what it lacks
+//! of that.
 
-use std::collections::BTreeMap;
-
-use crate::constants::REQUEST_STALE_MS;
-use crate::ledger::{Request, TeamLedger};
+use crate::ledger::TeamLedger;
 use crate::resources::MilliResources;
-use crate::targets::{targets, DemandClaim, Target};
-use crate::Millis;
+use crate::targets::{targets, DemandClaim, Target, TARGET_PARTS};
 
 /// A cell's claim with its target and what it holds.
 #[derive(Clone, Debug)]
@@ -20,25 +17,33 @@
 
 impl ClaimStatus {
     /// What it lacks of each part of its target, if it asks for more.
-    fn shortfall(&self) -> [MilliResources; 3] {
+    fn shortfall(&self) -> [MilliResources; TARGET_PARTS] {
         match self.request_number {
             Some(_) => self.target.shortfall(self.held),
-            None => [MilliResources::NONE; 3],
+            None => [MilliResources::NONE; TARGET_PARTS],
         }
     }
 }
 
-/// The claims of a value as one cell sees them, its own as it is now and those of the others as stored.
+/// A request that stands in a ledger.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct OpenRequest {
+    pub cell: String,
+    pub number: u64,
+}
+
+/// The claims on a ledger as one cell sees them: its own as it is now, those of the others as
+/// stored.
 #[derive(Clone, Debug)]
 pub(crate) struct Apportionment {
-    /// The own first.
-    all: Vec<ClaimStatus>,
-    free: MilliResources,
+    own: ClaimStatus,
+    others: Vec<ClaimStatus>,
+    unallotted: MilliResources,
 }
 
 impl Apportionment {
-    /// Of a value, for a cell that claims this much.
-    pub fn of(ledger: &TeamLedger, cell: &str, own: DemandClaim) -> Apportionment {
+    /// Of a ledger, as `cell` sees it with its own claim.
+    pub(crate) fn of(ledger: &TeamLedger, cell: &str, own: DemandClaim) -> Apportionment {
         let mut names = vec![cell.to_string()];
         let mut claims = vec![own];
         for (name, allotment) in ledger.allotments.iter().filter(|(name, _)| *name != cell) {
@@ -53,116 +58,83 @@
             });
         }
         let targets = targets(&ledger.limit, ledger.guarantee, &claims);
-        let standing = |((cell, claim), target): ((String, DemandClaim), Target)| ClaimStatus {
+        let status = |((cell, claim), target): ((String, DemandClaim), Target)| ClaimStatus {
             held: ledger.limit.counted(ledger.allotted_to(&cell)),
             cell,
             request_number: claim.request_number,
             need: ledger.limit.counted(claim.need),
             target,
         };
-        let all = names.into_iter().zip(claims).zip(targets).map(standing).collect();
-        Apportionment { all, free: ledger.unallotted() }
-    }
-
-    fn others(&self) -> &[ClaimStatus] {
-        &self.all[1..]
+        let mut all: Vec<ClaimStatus> =
+            names.into_iter().zip(claims).zip(targets).map(status).collect();
+        let others = all.split_off(1);
+        let own = all.remove(0);
+        Apportionment { own, others, unallotted: ledger.unallotted() }
     }
 
     /// The target of the cell itself.
-    pub fn target(&self) -> Target {
-        self.all[0].target
+    pub(crate) fn target(&self) -> Target {
+        self.own.target
     }
 
-    /// Whether others lack what is not free.
-    pub fn must_yield(&self) -> bool {
-        let shortfall = self.others().iter().flat_map(ClaimStatus::shortfall);
-        !shortfall.fold(MilliResources::NONE, MilliResources::plus).fits_in(self.free)
+    /// Whether other cells lack more than what is allotted to nobody, so that this one must keep to
+    /// its target.
+    pub(crate) fn must_yield(&self) -> bool {
+        let shortfalls = self.others.iter().flat_map(ClaimStatus::shortfall);
+        !shortfalls.fold(MilliResources::NONE, MilliResources::plus).fits_in(self.unallotted)
     }
 
     /// Whether any other cell asks for more.
-    pub fn is_contended(&self) -> bool {
-        self.others().iter().any(|other| other.request_number.is_some())
+    pub(crate) fn is_contended(&self) -> bool {
+        self.others.iter().any(|other| other.request_number.is_some())
     }
 
-    /// Whether the need of any other cell is not met.
-    pub fn others_have_unmet_needs(&self) -> bool {
-        self.others().iter().any(|other| !other.need.fits_in(other.held))
+    /// Whether the need of any other cell is not covered by what it holds.
+    pub(crate) fn others_have_unmet_needs(&self) -> bool {
+        self.others.iter().any(|other| !other.need.fits_in(other.held))
     }
 
-    /// What the cell may take now.
-    pub fn grantable(&self) -> MilliResources {
+    /// What the cell may take now of what is allotted to nobody.
+    pub(crate) fn grantable(&self) -> MilliResources {
         self.grants()[0]
     }
 
-    /// What is free, as it goes to the claims: the parts of the targets in their order, each by request number.
+    /// The cell itself first, then the others.
+    fn all(&self) -> Vec<&ClaimStatus> {
+        std::iter::once(&self.own).chain(&self.others).collect()
+    }
+
+    /// How what is allotted to nobody goes to the claims, in the order of [`Apportionment::all`]:
+    /// first to the first part of all targets, then to the second and so on, within a part by
+    /// request number.
     fn grants(&self) -> Vec<MilliResources> {
-        let mut order: Vec<usize> = (0..self.all.len()).collect();
-        order.sort_by_key(|i| self.all[*i].request_number);
-        let mut free = self.free;
-        let mut out = vec![MilliResources::NONE; self.all.len()];
-        for part in 0..3 {
+        let all = self.all();
+        let mut order: Vec<usize> = (0..all.len()).collect();
+        order.sort_by_key(|i| all[*i].request_number);
+        let mut unallotted = self.unallotted;
+        let mut grants = vec![MilliResources::NONE; all.len()];
+        for part in 0..TARGET_PARTS {
             for i in &order {
-                let taken = self.all[*i].shortfall()[part].min_each(free);
-                out[*i] = out[*i].plus(taken);
-                free = free.minus(taken);
+                let granted = all[*i].shortfall()[part].min_each(unallotted);
+                grants[*i] = grants[*i].plus(granted);
+                unallotted = unallotted.minus(granted);
             }
         }
-        out
+        grants
     }
 
-    /// Requests of others that could be met as things are.
-    fn grantable_requests(&self) -> Vec<(String, u64)> {
-        let shares = self.grants();
-        let mut out = Vec::new();
-        for (other, share) in self.others().iter().zip(&shares[1..]) {
-            let shortfall =
-                other.shortfall().into_iter().fold(MilliResources::NONE, MilliResources::plus);
-            if let Some(request_number) = other
-                .request_number
-                .filter(|_| shortfall != MilliResources::NONE && shortfall == *share)
-            {
-                out.push((other.cell.clone(), request_number));
+    /// Requests of other cells that what is allotted to nobody would cover.
+    pub(crate) fn grantable_requests(&self) -> Vec<OpenRequest> {
+        let grants = self.grants();
+        let mut requests = Vec::new();
+        for (other, grant) in self.others.iter().zip(&grants[1..]) {
+            let shortfalls = other.shortfall().into_iter();
+            let shortfall = shortfalls.fold(MilliResources::NONE, MilliResources::plus);
+            let is_covered = shortfall != MilliResources::NONE && shortfall == *grant;
+            if let Some(number) = other.request_number.filter(|_| is_covered) {
+                requests.push(OpenRequest { cell: other.cell.clone(), number });
             }
         }
-        out
+        requests
     }
 }
-
-/// Since when requests of other cells could have been met and were not.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct StaleRequests {
-    since: BTreeMap<(String, u64), Millis>,
-}
-
-impl StaleRequests {
-    /// Takes in what stands now, and names the cells whose requests have been stuck for too long.
-    pub fn observe(&mut self, now: Millis, apportionment: &Apportionment) -> Vec<String> {
-        let mut since = BTreeMap::new();
-        for key in apportionment.grantable_requests() {
-            let began = self.since.get(&key).copied().unwrap_or(now);
-            since.insert(key, began);
-        }
-        self.since = since;
-        let stale = |began: Millis| now >= began.saturating_add(REQUEST_STALE_MS);
-        let cells = self.since.iter().filter(|(_, began)| stale(**began));
-        cells.map(|((cell, _), _)| cell.clone()).collect()
-    }
-}
-
-/// The request that a cell should have, beside the one that it has. It keeps its request number while it needs no
-/// more than before.
-pub(crate) fn renew_request(
-    standing: Option<&Request>,
-    need: MilliResources,
-    want: MilliResources,
-    next_request_number: &mut u64,
-) -> Request {
-    let request_number = match standing {
-        Some(request) if need.fits_in(request.need) => request.number,
-        _ => {
-            *next_request_number += 1;
-            *next_request_number - 1
-        }
-    };
-    Request { number: request_number, need, want }
-}
--- a/crates/latchtrack-quota/src/decision.rs
+++ b/crates/latchtrack-quota/src/decision.rs
@@ -1,38 +1,47 @@
-//! What a cell claims, should hold and should ask for, in a value that is complete.
+//! What a cell claims, should hold and should ask for, in a ledger that is complete.
 
-use crate::apportionment::{renew_request, Apportionment};
-use crate::constants::*;
+use crate::apportionment::Apportionment;
+use crate::constants::{HEADROOM_PART, IDLE_RETURN_MS, REQUEST_REFRESH_MS, WANT_CHANGE_PART};
 use crate::ledger::{Request, TeamLedger};
 use crate::resources::MilliResources;
 use crate::targets::DemandClaim;
-use crate::team::{GrantState, Team};
+use crate::team_state::{GrantState, TeamState};
 use crate::Millis;
 
-/// What this cell claims of a value now. A request that it does not have yet is the newest.
-pub(crate) fn own_claim(now: Millis, ledger: &TeamLedger, cell: &str, team: &Team) -> DemandClaim {
+/// What this cell claims of a ledger now. While it has no request, its claim is the newest.
+pub(crate) fn own_claim(
+    now: Millis,
+    ledger: &TeamLedger,
+    cell: &str,
+    team: &TeamState,
+) -> DemandClaim {
     let want = team.want(&ledger.limit);
-    let allotment = ledger.allotments.get(cell);
-    let standing = allotment.and_then(|allotment| allotment.request.as_ref());
     let asks = team.usage.waiting != MilliResources::NONE;
-    let (request_number, need) = match standing {
+    let (request_number, need) = match ledger.request_of(cell) {
         Some(request) => (request.number, request.need),
         None => (ledger.next_request_number, team.need(now, &ledger.limit)),
     };
     DemandClaim { request_number: asks.then_some(request_number), need, want }
 }
 
-/// A value that is complete, as one cell sees it at a moment.
+/// A complete ledger as one cell sees it at a moment.
 pub(crate) struct DecisionContext<'a> {
     pub now: Millis,
     pub ledger: &'a TeamLedger,
     pub apportionment: &'a Apportionment,
+    /// What the team uses in the cell, as far as it counts against the limit.
     pub used: MilliResources,
+    /// What it could use.
     pub want: MilliResources,
 }
 
 impl DecisionContext<'_> {
     /// What the cell should hold, never less than it uses.
-    pub(crate) fn next_allotment(&self, team: &mut Team, held: MilliResources) -> MilliResources {
+    pub(crate) fn next_allotment(
+        &self,
+        team: &mut TeamState,
+        held: MilliResources,
+    ) -> MilliResources {
         let headroom = self.ledger.limit.total().divided_by(HEADROOM_PART);
         let is_idle = !held.fits_in(self.want.plus(headroom));
         team.idle_since = is_idle.then(|| team.idle_since.unwrap_or(self.now));
@@ -46,48 +55,73 @@
         if team.idle_since.is_some_and(|since| self.now >= since + IDLE_RETURN_MS) {
             return held.min_each(self.used.max_each(self.want));
         }
-        let taken = self.apportionment.grantable();
-        if taken == MilliResources::NONE || self.apportionment.is_contended() {
-            return held.plus(taken);
+        let granted = self.apportionment.grantable();
+        if granted == MilliResources::NONE || self.apportionment.is_contended() {
+            return held.plus(granted);
         }
-        // A little more, which nobody asks for, so that not each new job is a write.
-        held.plus(taken.plus(headroom).min_each(self.ledger.unallotted()))
+        // A little more, for which nobody asks, so that not each new job costs a write.
+        held.plus(granted.plus(headroom).min_each(self.ledger.unallotted()))
     }
 
-    /// The request that the cell should have beside an allotment.
+    /// The request that the cell should have beside the allotment `allotted`, given the one that it
+    /// has.
     pub(crate) fn next_request(
         &self,
-        team: &mut Team,
-        standing: Option<&Request>,
+        team: &mut TeamState,
+        current: Option<&Request>,
         allotted: MilliResources,
         next_request_number: &mut u64,
     ) -> Option<Request> {
         let is_covered = self.want.fits_in(allotted);
         if !self.apportionment.is_contended() && is_covered {
-            // Whether it stands or not: nobody else asks.
-            return standing.cloned();
+            // Nobody else asks, so a request that stands harms nobody and its removal is not worth
+            // a write.
+            return current.cloned();
         }
         if team.usage.waiting == MilliResources::NONE {
             return None;
         }
-        let grant = standing.map(|request| team.track_grant(self.now, request, allotted));
-        // While every other need is met, all have their turns at once.
-        let had_its_turn = match grant {
+        let grant = current.map(|request| team.track_grant(self.now, request, allotted));
+        let is_over = match grant {
+            // While every other need is met, nobody has to be let pass.
             Some(GrantState::Used) => self.apportionment.others_have_unmet_needs(),
             Some(GrantState::TimedOut) => true,
             Some(GrantState::Active) | None => false,
         };
         let need = team.need(self.now, &self.ledger.limit);
-        let Some(standing) = standing.filter(|_| !had_its_turn) else {
+        let Some(current) = current.filter(|_| !is_over) else {
             return Some(renew_request(None, need, self.want, next_request_number));
         };
-        let tolerated = self.ledger.limit.total().divided_by(WANT_CHANGE_PART);
-        let change = self.want.minus(standing.want).max_each(standing.want.minus(self.want));
-        let is_of_use = need == standing.need && change.fits_in(tolerated);
-        let is_fresh = |at: Millis| self.now < at.saturating_add(REQUEST_REFRESH_MS);
-        if is_of_use || team.refreshed.is_some_and(is_fresh) {
-            return Some(standing.clone());
+        let was_refreshed_lately =
+            team.refreshed.is_some_and(|at| self.now < at.saturating_add(REQUEST_REFRESH_MS));
+        if self.is_still_of_use(current, need) || was_refreshed_lately {
+            return Some(current.clone());
         }
-        Some(renew_request(Some(standing), need, self.want, next_request_number))
+        Some(renew_request(Some(current), need, self.want, next_request_number))
+    }
+
+    /// Whether a request has the right need, and a want that is near enough to the present one.
+    fn is_still_of_use(&self, current: &Request, need: MilliResources) -> bool {
+        let tolerated = self.ledger.limit.total().divided_by(WANT_CHANGE_PART);
+        let change = self.want.minus(current.want).max_each(current.want.minus(self.want));
+        need == current.need && change.fits_in(tolerated)
     }
 }
+
+/// A request with this need and want. It keeps the number of the current one unless it needs more
+/// than that.
+fn renew_request(
+    current: Option<&Request>,
+    need: MilliResources,
+    want: MilliResources,
+    next_request_number: &mut u64,
+) -> Request {
+    let number = match current {
+        Some(request) if need.fits_in(request.need) => request.number,
+        _ => {
+            *next_request_number += 1;
+            *next_request_number - 1
+        }
+    };
+    Request { number, need, want }
+}
--- a/crates/latchtrack-quota/src/ledger.rs
+++ b/crates/latchtrack-quota/src/ledger.rs
@@ -1,4 +1,5 @@
-//! The stored value of a team: its limit, its guarantee and the allotments of the cells. A published format.
+//! The ledger of a team: its limit, its guarantee and the allotments of the cells. Its JSON is a
+//! published format, whose names are those of the first version.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +9,7 @@
 use crate::constants::LEDGER_VERSION;
 use crate::resources::{Limit, MilliResources};
 
-/// Why a stored value can't be used.
+/// Why a stored ledger can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum LedgerError {
     /// It does not have the form of a ledger.
@@ -22,7 +23,7 @@
 /// A cell's request for more.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request {
-    /// Lower ones come first.
+    /// Requests are granted in the order of their numbers.
     #[serde(rename = "ticket")]
     pub number: u64,
     /// The allotment with which its next task, slice or gang can start.
@@ -31,15 +32,17 @@
     pub want: MilliResources,
 }
 
-/// What a cell holds of a team's limit.
+/// What a cell holds of a team's limit. The name for serde is part of the text of its errors, which
+/// operators see.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(rename = "Account")]
 pub struct Allotment {
-    /// What the cell may use; it counts against the limit whether it is used or not.
+    /// What the cell may use. It counts against the limit whether it is used or not.
     #[serde(rename = "allotted")]
     pub amount: MilliResources,
-    /// Token of the leader that last changed it.
+    /// Fencing token of the leader that last changed the amount.
     pub term: u64,
-    /// Time of day of that change, ms; for operators only.
+    /// Time of day of that change, ms since the epoch; for operators only.
     #[serde(default)]
     pub since_ms: u64,
     /// What the cell asks for, if it asks for more.
@@ -50,23 +53,23 @@
     pub extra: BTreeMap<String, Value>,
 }
 
-/// The stored value of a team.
+/// The stored ledger of a team.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TeamLedger {
     /// Version of the format.
     pub version: u32,
     /// What all cells together may use.
     pub limit: Limit,
-    /// What the team is to get at the least.
+    /// What the team is to get in any case.
     #[serde(default)]
     pub guarantee: MilliResources,
-    /// The request number of the next request.
+    /// The number of the next request.
     #[serde(rename = "next_ticket", default)]
     pub next_request_number: u64,
-    /// Whether every cell has entered what it runs. Until then nobody takes anything.
+    /// Whether every cell has recorded what it uses. Until then no cell takes more.
     #[serde(default)]
     pub complete: bool,
-    /// The allotments by cell; a cell without one holds nothing.
+    /// The allotments by cell. A cell without one holds nothing.
     #[serde(rename = "cells", default)]
     pub allotments: BTreeMap<String, Allotment>,
     /// Fields of later versions.
@@ -75,7 +78,7 @@
 }
 
 impl TeamLedger {
-    /// The value with which a team begins, or begins again after it was lost.
+    /// The ledger with which a team begins, or begins again after its ledger was lost.
     pub fn new(limit: Limit, guarantee: MilliResources) -> TeamLedger {
         TeamLedger {
             version: LEDGER_VERSION,
@@ -88,23 +91,23 @@
         }
     }
 
-    /// Reads a stored value.
+    /// Reads a stored ledger.
     pub fn parse(text: &str) -> Result<TeamLedger, LedgerError> {
         // The version first: a later one may have another form.
         #[derive(Deserialize)]
         struct Version {
             version: u32,
         }
-        let garbled = |e: serde_json::Error| LedgerError::Malformed(e.to_string());
-        let Version { version } = serde_json::from_str(text).map_err(garbled)?;
+        let malformed = |e: serde_json::Error| LedgerError::Malformed(e.to_string());
+        let Version { version } = serde_json::from_str(text).map_err(malformed)?;
         if version > LEDGER_VERSION {
             return Err(LedgerError::NewerVersion(version));
         }
-        serde_json::from_str(text).map_err(garbled)
+        serde_json::from_str(text).map_err(malformed)
     }
 
-    /// Has every cell enter what it runs anew, before anybody takes anything. For a resource that had no limit
-    /// until now, of which no allotment says anything.
+    /// Has every cell record anew what it uses, before any takes more: needed when a resource gets
+    /// a limit that had none, since no allotment says what is used of it.
     pub fn restart_rebuild(&mut self) {
         self.allotments.clear();
         self.complete = false;
@@ -117,7 +120,7 @@
             .fold(MilliResources::NONE, |sum, allotment| sum.plus(allotment.amount))
     }
 
-    /// Whether more is allotted than the limit: it was lowered, or the value is wrong.
+    /// Whether more is allotted than the limit: it was lowered, or the ledger is wrong.
     pub fn is_overallotted(&self) -> bool {
         !self.limit.counted(self.allotted()).fits_in(self.limit.total())
     }
@@ -131,4 +134,9 @@
     pub fn allotted_to(&self, cell: &str) -> MilliResources {
         self.allotments.get(cell).map_or(MilliResources::NONE, |allotment| allotment.amount)
     }
+
+    /// The request of a cell, if it asks for more.
+    pub fn request_of(&self, cell: &str) -> Option<&Request> {
+        self.allotments.get(cell)?.request.as_ref()
+    }
 }
--- /dev/null
+++ b/crates/latchtrack-quota/src/manager/ledger_changes.rs
@@ -0,0 +1,158 @@
+//! Decides how a team's ledger is to change: create it, rebuild it, reclaim from dead cells, or
+//! adjust this cell's allotment and request.
+
+use super::AllotmentManager;
+use crate::apportionment::Apportionment;
+use crate::cells::DeadCell;
+use crate::decision::{own_claim, DecisionContext};
+use crate::ledger::{Allotment, TeamLedger};
+use crate::resources::MilliResources;
+use crate::snapshot::LedgerWrite;
+use crate::team_state::{AllotmentCap, LedgerState, TeamState};
+use crate::Millis;
+
+/// A new ledger, with the cells that must still be dead when it is written.
+type LedgerChange = (TeamLedger, Vec<DeadCell>);
+
+impl AllotmentManager {
+    /// The next write of a team's ledger, if one is due. `apportionment` is that of the ledger as
+    /// it is known now, if it was made already.
+    pub(super) fn step_team(
+        &mut self,
+        now: Millis,
+        name: &str,
+        apportionment: Option<Apportionment>,
+    ) -> Option<LedgerWrite> {
+        let team = self.teams.get(name)?;
+        if team.in_flight.is_some() || now < team.not_before {
+            return None;
+        }
+        let (expected_revision, (ledger, dead)) = match &team.ledger_state {
+            LedgerState::NotRead | LedgerState::Unusable(..) => return None,
+            LedgerState::Missing(_) => (0, (self.create(team)?, Vec::new())),
+            LedgerState::Present(revision, ledger) => {
+                let revision = *revision;
+                let change = match (self.reclaim(now, ledger), ledger.complete) {
+                    (Some(reclaimed), _) => reclaimed,
+                    (None, false) => self.advance_rebuild(now, ledger, team)?,
+                    (None, true) => (self.adjust(now, name, apportionment)?, Vec::new()),
+                };
+                (revision, change)
+            }
+        };
+        let team = self.teams.get_mut(name)?;
+        // Lowered before it is sent, and until it is known to have failed.
+        let max = ledger.allotted_to(&self.cell);
+        team.in_flight = Some(AllotmentCap { expected_revision, max });
+        team.launch_limit = team.launch_limit.min_each(max);
+        Some(LedgerWrite { team: name.to_string(), expected_revision, ledger, dead })
+    }
+
+    /// A new ledger, with what this cell uses.
+    fn create(&self, team: &TeamState) -> Option<TeamLedger> {
+        if !team.settings.limit.is_set() {
+            return None;
+        }
+        let mut ledger = TeamLedger::new(team.settings.limit, team.settings.guarantee);
+        self.record_own_usage(&mut ledger, team)?;
+        Some(ledger)
+    }
+
+    /// Makes what this cell uses its allotment in a ledger in which it has none; None, and no
+    /// change, while that is not known.
+    fn record_own_usage(&self, ledger: &mut TeamLedger, team: &TeamState) -> Option<()> {
+        if !team.usage.is_reconciled {
+            return None;
+        }
+        let amount = ledger.limit.counted(team.usage.used);
+        let allotment = Allotment { amount, term: self.term, ..Allotment::default() };
+        ledger.allotments.insert(self.cell.clone(), allotment);
+        Some(())
+    }
+
+    /// Drops the allotments of dead cells. Dead cells that have none in it need not be named.
+    fn reclaim(&self, now: Millis, ledger: &TeamLedger) -> Option<LedgerChange> {
+        let others = ledger.allotments.keys().filter(|cell| **cell != self.cell);
+        let dead: Vec<DeadCell> = others
+            .filter_map(|cell| self.leaderless.confirmed_dead(now, cell, &self.cells))
+            .collect();
+        if dead.is_empty() {
+            return None;
+        }
+        let mut ledger = ledger.clone();
+        ledger.allotments.retain(|name, _| !dead.iter().any(|cell| cell.cell == *name));
+        Some((ledger, dead))
+    }
+
+    /// Brings a ledger nearer to completeness: records this cell's usage, or declares the ledger
+    /// complete if every cell that is not dead has done so.
+    fn advance_rebuild(
+        &self,
+        now: Millis,
+        ledger: &TeamLedger,
+        team: &TeamState,
+    ) -> Option<LedgerChange> {
+        let mut ledger = ledger.clone();
+        if !ledger.allotments.contains_key(&self.cell) {
+            self.record_own_usage(&mut ledger, team)?;
+            return Some((ledger, Vec::new()));
+        }
+        let mut dead = Vec::new();
+        for cell in self.cells.keys().filter(|cell| !ledger.allotments.contains_key(*cell)) {
+            dead.push(self.leaderless.confirmed_dead(now, cell, &self.cells)?);
+        }
+        ledger.complete = true;
+        Some((ledger, dead))
+    }
+
+    /// Changes this cell's allotment and request in a complete ledger, and removes stale requests
+    /// of others; None if there is nothing to change.
+    fn adjust(
+        &mut self,
+        now: Millis,
+        name: &str,
+        apportionment: Option<Apportionment>,
+    ) -> Option<TeamLedger> {
+        let team = self.teams.get_mut(name)?;
+        let LedgerState::Present(_, ledger) = &team.ledger_state else { return None };
+        let ledger = ledger.clone();
+        let apportionment = apportionment.unwrap_or_else(|| {
+            Apportionment::of(&ledger, &self.cell, own_claim(now, &ledger, &self.cell, team))
+        });
+        let stale = team.stale_requests.observe(now, &apportionment);
+        if !team.usage.is_reconciled {
+            return None;
+        }
+        let held = ledger.limit.counted(ledger.allotted_to(&self.cell));
+        let context = DecisionContext {
+            now,
+            ledger: &ledger,
+            apportionment: &apportionment,
+            used: ledger.limit.counted(team.usage.used),
+            want: team.want(&ledger.limit),
+        };
+        let amount = context.next_allotment(team, held);
+        let mut next = ledger.clone();
+        for cell in &stale {
+            if let Some(allotment) = next.allotments.get_mut(cell) {
+                allotment.request = None;
+            }
+        }
+        let current = ledger.request_of(&self.cell);
+        let request = context.next_request(team, current, amount, &mut next.next_request_number);
+        let has_allotment = ledger.allotments.contains_key(&self.cell);
+        if has_allotment || amount != MilliResources::NONE || request.is_some() {
+            let allotment = next.allotments.entry(self.cell.clone()).or_default();
+            if allotment.amount != amount {
+                allotment.term = self.term;
+            }
+            allotment.amount = amount;
+            allotment.request = request;
+        }
+        if next == ledger {
+            return None;
+        }
+        team.refreshed = Some(now);
+        Some(next)
+    }
+}
--- /dev/null
+++ b/crates/latchtrack-quota/src/manager/write_outcomes.rs
@@ -0,0 +1,61 @@
+//! Takes in how writes of ledgers ended.
+
+use super::AllotmentManager;
+use crate::constants::{RETRY_MS, WRITE_GAP_MS};
+use crate::notices::Notice;
+use crate::resources::MilliResources;
+use crate::snapshot::{LedgerWrite, WriteOutcome};
+use crate::team_state::{AllotmentCap, LedgerState};
+use crate::Millis;
+
+impl AllotmentManager {
+    /// Takes in how a write ended.
+    pub fn handle_write_outcome(
+        &mut self,
+        now: Millis,
+        write: &LedgerWrite,
+        outcome: WriteOutcome,
+    ) {
+        let Some(team) = self.teams.get_mut(&write.team) else { return };
+        let sent = team.in_flight.take();
+        match outcome {
+            WriteOutcome::Stored(revision) => {
+                team.not_before = now.saturating_add(WRITE_GAP_MS);
+                // A snapshot may have shown a later ledger already.
+                if revision > team.ledger_state.revision() {
+                    let before = match &team.ledger_state {
+                        LedgerState::Present(_, ledger) => ledger.allotted_to(&self.cell),
+                        _ => MilliResources::NONE,
+                    };
+                    team.ledger_state = LedgerState::Present(revision, write.ledger.clone());
+                    team.unconfirmed = None;
+                    self.note_stored(write, before);
+                }
+            }
+            WriteOutcome::NotStored => {
+                team.not_before = now.saturating_add(RETRY_MS);
+            }
+            WriteOutcome::Unknown => {
+                team.not_before = now.saturating_add(RETRY_MS);
+                if let Some(sent) = sent {
+                    let max =
+                        AllotmentCap::apply(&team.unconfirmed, sent.expected_revision, sent.max);
+                    team.unconfirmed = Some(AllotmentCap { max, ..sent });
+                }
+            }
+        }
+        self.update_launch_limits(now);
+    }
+
+    fn note_stored(&mut self, write: &LedgerWrite, before: MilliResources) {
+        let (team, allotted) = (write.team.clone(), write.ledger.allotted_to(&self.cell));
+        if before != allotted {
+            let notice = Notice::Allotted { team: team.clone(), from: before, to: allotted };
+            self.notices.push(notice);
+        }
+        if !write.dead.is_empty() {
+            let cells = write.dead.iter().map(|dead| dead.cell.clone()).collect();
+            self.notices.push(Notice::Reclaimed { team, cells });
+        }
+    }
+}
--- a/crates/latchtrack-quota/src/notices.rs
+++ b/crates/latchtrack-quota/src/notices.rs
@@ -1,10 +1,38 @@
-//! What a manager has to tell: lines for the log.
+//! What an allotment manager has to tell: lines for the log, and problems for the status page.
 
 use std::fmt;
 
 use crate::ledger::LedgerError;
 use crate::resources::MilliResources;
 
+/// Why nothing of a team may be launched beyond what its ledger covers.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum LedgerProblem {
+    /// The ledger can't be used; nothing of the team is launched.
+    Unusable(LedgerError),
+    /// The ledger is missing; it is rebuilt from what the cells run.
+    Missing,
+    /// More is allotted than the limit.
+    Overallotted,
+}
+
+impl LedgerProblem {
+    /// As `latchtrack status` prints it. Operators may compare this text: it stays as it is.
+    pub fn status_text(&self, team: &str) -> String {
+        match self {
+            LedgerProblem::Unusable(error) => {
+                format!("quota: quota/team/{team} {error}; nothing of the team is launched")
+            }
+            LedgerProblem::Missing => {
+                format!("quota: quota/team/{team} is missing; made from what the cells run")
+            }
+            LedgerProblem::Overallotted => {
+                format!("quota: quota/team/{team} allots more than its limit; nothing is launched")
+            }
+        }
+    }
+}
+
 /// Something for the log, once each.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
@@ -12,72 +40,62 @@
     Allotted {
         /// The team.
         team: String,
-        /// From this.
+        /// The allotment before.
         from: MilliResources,
-        /// To this.
+        /// The allotment now.
         to: MilliResources,
     },
-    /// A dead cell's allotment was reclaimed.
+    /// Allotments of dead cells were reclaimed.
     Reclaimed {
         /// The team.
         team: String,
         /// The dead cells.
         cells: Vec<String>,
     },
-    /// The value can't be used; nothing of the team is launched beyond what runs.
-    Unusable {
+    /// A ledger keeps a team from being launched.
+    Problem {
         /// The team.
         team: String,
-        /// Why.
-        why: LedgerError,
+        /// What is wrong with its ledger.
+        problem: LedgerProblem,
     },
-    /// The value is missing; it is made anew from what the cells run.
-    Missing {
-        /// The team.
-        team: String,
-    },
-    /// More is allotted than the limit.
-    Overallotted {
-        /// The team.
-        team: String,
-    },
-    /// The value's limit or guarantee is not that of the settings; the value's counts.
+    /// The ledger's limit or guarantee is not that of the settings; the ledger's counts.
     Differs {
         /// The team.
         team: String,
     },
 }
 
-fn cpus_and_gpus(f: &mut fmt::Formatter<'_>, amounts: &MilliResources) -> fmt::Result {
-    let (cpus, gpus) = amounts.decimal();
-    write!(f, "{cpus} CPUs and {gpus} GPUs")
-}
-
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Notice::Allotted { team, from, to } => {
-                write!(f, "quota: allotment of team {team} changes from ")?;
-                cpus_and_gpus(f, from)?;
-                write!(f, " to ")?;
-                cpus_and_gpus(f, to)
-            }
+            Notice::Allotted { team, from, to } => write!(
+                f,
+                "allotment changed team={team} from_cpus={} from_gpus={} to_cpus={} to_gpus={}",
+                from.cpus(),
+                from.gpus(),
+                to.cpus(),
+                to.gpus()
+            ),
             Notice::Reclaimed { team, cells } => {
-                write!(f, "quota: allotments of team {team} reclaimed from {}", cells.join(", "))
+                write!(
+                    f,
+                    "allotments of dead cells reclaimed team={team} cells={}",
+                    cells.join(",")
+                )
             }
-            Notice::Unusable { team, why } => {
-                write!(f, "quota: quota/team/{team} {why}; nothing of the team is launched")
+            Notice::Problem { team, problem: LedgerProblem::Unusable(error) } => {
+                write!(f, "ledger unusable, launching nothing team={team} error=\"{error}\"")
             }
-            Notice::Missing { team } => {
-                write!(f, "quota: quota/team/{team} is missing; made from what the cells run")
+            Notice::Problem { team, problem: LedgerProblem::Missing } => {
+                write!(f, "ledger missing, rebuilding it from the usage of the cells team={team}")
             }
-            Notice::Overallotted { team } => {
-                write!(f, "quota: quota/team/{team} allots more than its limit; nothing is launched")
+            Notice::Problem { team, problem: LedgerProblem::Overallotted } => {
+                write!(f, "ledger allots more than its limit, launching nothing team={team}")
+            }
+            Notice::Differs { team } => {
+                write!(f, "settings differ from the ledger, which counts team={team}")
             }
-            Notice::Differs { team } => write!(
-                f,
-                "quota: limit or guarantee of team {team} differ from quota/team/{team}, which counts"
-            ),
         }
     }
 }
--- a/crates/latchtrack-quota/src/resources.rs
+++ b/crates/latchtrack-quota/src/resources.rs
@@ -1,14 +1,15 @@
-//! MilliResources in whole thousandths, so that sums over cells are exact.
+//! CPUs and GPUs in whole thousandths, so that sums over cells are exact.
 
 use serde::{Deserialize, Serialize};
 
 use crate::constants::{MILLI, ROUNDING};
 
-/// Thousandths of CPUs and GPUs.
+/// Thousandths of CPUs and GPUs. The name for serde is part of the text of its errors, which
+/// operators see.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-#[serde(default)]
+#[serde(rename = "Amounts", default)]
 pub struct MilliResources {
     /// Thousandths of a CPU.
     #[serde(skip_serializing_if = "is_zero")]
@@ -26,12 +27,12 @@
     /// Nothing.
     pub const NONE: MilliResources = MilliResources { millicpus: 0, milligpus: 0 };
 
-    /// What tasks take, rounded up.
+    /// What covers these numbers of CPUs and GPUs: rounded up.
     pub fn covering(cpus: f64, gpus: f64) -> MilliResources {
         MilliResources { millicpus: round_up(cpus), milligpus: round_up(gpus) }
     }
 
-    fn each(self, other: MilliResources, f: impl Fn(u64, u64) -> u64) -> MilliResources {
+    fn combine(self, other: MilliResources, f: impl Fn(u64, u64) -> u64) -> MilliResources {
         MilliResources {
             millicpus: f(self.millicpus, other.millicpus),
             milligpus: f(self.milligpus, other.milligpus),
@@ -40,37 +41,42 @@
 
     /// The sum of both.
     pub fn plus(self, other: MilliResources) -> MilliResources {
-        self.each(other, u64::saturating_add)
+        self.combine(other, u64::saturating_add)
     }
 
     /// What is left without `other`, never below 0.
     pub fn minus(self, other: MilliResources) -> MilliResources {
-        self.each(other, u64::saturating_sub)
+        self.combine(other, u64::saturating_sub)
     }
 
     /// The smaller of both, of each resource.
     pub fn min_each(self, other: MilliResources) -> MilliResources {
-        self.each(other, u64::min)
+        self.combine(other, u64::min)
     }
 
     /// The larger of both, of each resource.
     pub fn max_each(self, other: MilliResources) -> MilliResources {
-        self.each(other, u64::max)
+        self.combine(other, u64::max)
     }
 
-    /// One of so many equal parts, rounded down.
+    /// One of `parts` equal parts, rounded down.
     pub fn divided_by(self, parts: u64) -> MilliResources {
-        self.each(MilliResources::NONE, |amount, _| amount / parts.max(1))
+        self.combine(MilliResources::NONE, |amount, _| amount / parts.max(1))
+    }
+
+    /// Whether this is at most `available`, of each resource.
+    pub fn fits_in(self, available: MilliResources) -> bool {
+        self.minus(available) == MilliResources::NONE
     }
 
-    /// Whether all of this goes into `room`.
-    pub fn fits_in(self, room: MilliResources) -> bool {
-        self.minus(room) == MilliResources::NONE
+    /// CPUs as a decimal number.
+    pub fn cpus(self) -> f64 {
+        self.millicpus as f64 / MILLI
     }
 
-    /// CPUs and GPUs as decimal numbers.
-    pub fn decimal(self) -> (f64, f64) {
-        (self.millicpus as f64 / MILLI, self.milligpus as f64 / MILLI)
+    /// GPUs as a decimal number.
+    pub fn gpus(self) -> f64 {
+        self.milligpus as f64 / MILLI
     }
 }
 
@@ -82,7 +88,7 @@
     (amount * MILLI + ROUNDING).floor().max(0.0) as u64
 }
 
-/// A limit of each resource; None is no limit, and that resource is not counted.
+/// A limit of each resource. None is no limit, and that resource is not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limit {
@@ -95,7 +101,7 @@
 }
 
 impl Limit {
-    /// A limit as settings have it, rounded down; 0 is none.
+    /// A limit as settings have it, in CPUs and GPUs, rounded down; 0 is none.
     pub fn of(cpus: f64, gpus: f64) -> Limit {
         let limit = |amount: f64| (amount > 0.0).then(|| round_down(amount));
         Limit { millicpus: limit(cpus), milligpus: limit(gpus) }
@@ -114,11 +120,11 @@
         }
     }
 
-    /// An amount as it counts against this limit: nothing of a resource without one.
-    pub fn counted(&self, amounts: MilliResources) -> MilliResources {
+    /// What of `amount` counts against this limit: nothing of a resource without one.
+    pub fn counted(&self, amount: MilliResources) -> MilliResources {
         MilliResources {
-            millicpus: if self.millicpus.is_some() { amounts.millicpus } else { 0 },
-            milligpus: if self.milligpus.is_some() { amounts.milligpus } else { 0 },
+            millicpus: if self.millicpus.is_some() { amount.millicpus } else { 0 },
+            milligpus: if self.milligpus.is_some() { amount.milligpus } else { 0 },
         }
     }
 }
--- a/crates/latchtrack-quota/src/targets.rs
+++ b/crates/latchtrack-quota/src/targets.rs
@@ -1,11 +1,12 @@
-//! Who is to get how much of a limit. Every cell computes the same from the same claims.
+//! How a limit is to be divided among the claims of the cells. Every cell computes the same from
+//! the same claims.
 
 use crate::resources::{Limit, MilliResources};
 
 /// What a cell claims of a limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DemandClaim {
-    /// Of its request; None if it asks for nothing more than it holds.
+    /// The number of its request; None if it asks for nothing more than it holds.
     pub request_number: Option<u64>,
     /// The allotment with which its next task, slice or gang can start.
     pub need: MilliResources,
@@ -13,7 +14,10 @@
     pub want: MilliResources,
 }
 
-/// What a claim is to get, by the reason; earlier reasons are served first.
+/// Parts of a target.
+pub(crate) const TARGET_PARTS: usize = 3;
+
+/// What a claim is to get, by the reason. Earlier reasons are served first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Target {
     /// Its part of the guarantee.
@@ -31,7 +35,7 @@
     }
 
     /// What of each part is not covered by what is held.
-    pub(crate) fn shortfall(&self, held: MilliResources) -> [MilliResources; 3] {
+    pub(crate) fn shortfall(&self, held: MilliResources) -> [MilliResources; TARGET_PARTS] {
         let with_need = self.guarantee.plus(self.need);
         [
             self.guarantee.minus(held),
@@ -43,62 +47,87 @@
 
 /// The target of each claim. Together they never pass the limit.
 ///
-/// First claims that fit into the guarantee, those that ask for nothing before the others and these by
-/// request number; then the needs by request number, each whole or not at all; the rest evenly over the wants.
+/// The limit goes first to claims that fit into the guarantee (those without a request before the
+/// others, and these by request number), then to the needs by request number, each whole or not at
+/// all, and the rest evenly to the wants (max-min fairness).
 pub fn targets(limit: &Limit, guarantee: MilliResources, claims: &[DemandClaim]) -> Vec<Target> {
-    let mut left = limit.total();
-    let mut out = vec![Target::default(); claims.len()];
-    for (target, part) in out.iter_mut().zip(guarantee_parts(limit, guarantee, claims)) {
-        target.guarantee = part;
-        left = left.minus(part);
-    }
-    for i in by_request_number(claims).into_iter().filter(|i| claims[*i].request_number.is_some()) {
-        let lacking = limit.counted(claims[i].need).minus(out[i].guarantee);
-        if lacking.fits_in(left) {
-            out[i].need = lacking;
-            left = left.minus(lacking);
-        }
-    }
-    let base: Vec<MilliResources> = out.iter().map(Target::total).collect();
-    let wants = claims.iter().map(|claim| limit.counted(claim.want));
-    let open: Vec<MilliResources> =
-        wants.zip(&base).map(|(want, base)| want.minus(*base)).collect();
-    let cpus = even(left.millicpus, &base, &open, |amounts| amounts.millicpus);
-    let gpus = even(left.milligpus, &base, &open, |amounts| amounts.milligpus);
-    for (target, (millicpus, milligpus)) in out.iter_mut().zip(cpus.into_iter().zip(gpus)) {
-        target.share = MilliResources { millicpus, milligpus };
-    }
-    out
+    let mut targets: Vec<Target> = guarantee_parts(limit, guarantee, claims)
+        .into_iter()
+        .map(|guarantee| Target { guarantee, ..Target::default() })
+        .collect();
+    let in_guarantee = targets.iter().map(|target| target.guarantee);
+    let left = in_guarantee.fold(limit.total(), MilliResources::minus);
+    let left = assign_needs(limit, left, claims, &mut targets);
+    assign_shares(limit, left, claims, &mut targets);
+    targets
 }
 
 /// What of the guarantee goes to each claim: all that it wants, to those that fit into it.
-pub fn guarantee_parts(
+fn guarantee_parts(
     limit: &Limit,
     guarantee: MilliResources,
     claims: &[DemandClaim],
 ) -> Vec<MilliResources> {
     let mut left = limit.counted(guarantee).min_each(limit.total());
-    let mut out = vec![MilliResources::NONE; claims.len()];
+    let mut parts = vec![MilliResources::NONE; claims.len()];
     for i in by_request_number(claims) {
         let want = limit.counted(claims[i].want);
         if want.fits_in(left) {
-            out[i] = want;
+            parts[i] = want;
             left = left.minus(want);
         }
     }
-    out
+    parts
+}
+
+/// Gives each need what its part of the guarantee does not cover, if all of that is left; returns
+/// what is left then.
+fn assign_needs(
+    limit: &Limit,
+    mut left: MilliResources,
+    claims: &[DemandClaim],
+    targets: &mut [Target],
+) -> MilliResources {
+    let order = by_request_number(claims).into_iter();
+    for i in order.filter(|i| claims[*i].request_number.is_some()) {
+        let lacking = limit.counted(claims[i].need).minus(targets[i].guarantee);
+        if lacking.fits_in(left) {
+            targets[i].need = lacking;
+            left = left.minus(lacking);
+        }
+    }
+    left
+}
+
+/// Divides what is left evenly over what the wants still lack.
+fn assign_shares(
+    limit: &Limit,
+    left: MilliResources,
+    claims: &[DemandClaim],
+    targets: &mut [Target],
+) {
+    let base: Vec<MilliResources> = targets.iter().map(Target::total).collect();
+    let wants = claims.iter().map(|claim| limit.counted(claim.want));
+    let open: Vec<MilliResources> =
+        wants.zip(&base).map(|(want, base)| want.minus(*base)).collect();
+    let cpus = even_shares(left.millicpus, &base, &open, |resources| resources.millicpus);
+    let gpus = even_shares(left.milligpus, &base, &open, |resources| resources.milligpus);
+    for (target, (millicpus, milligpus)) in targets.iter_mut().zip(cpus.into_iter().zip(gpus)) {
+        target.share = MilliResources { millicpus, milligpus };
+    }
 }
 
-/// The claims in the order in which they are served: those without a request first, then by request number.
+/// Indices of the claims in the order in which they are served: those without a request first, then
+/// by request number.
 fn by_request_number(claims: &[DemandClaim]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by_key(|i| claims[*i].request_number);
     order
 }
 
-/// What is added to each so that the totals are as even as the wants allow. What whole thousandths leave
-/// over goes to the first.
-fn even(
+/// What of one resource is added to each base, at most `open`, so that the totals are as even as
+/// possible. What whole thousandths leave over goes to the first.
+fn even_shares(
     left: u64,
     base: &[MilliResources],
     open: &[MilliResources],
@@ -106,16 +135,17 @@
 ) -> Vec<u64> {
     let base: Vec<u64> = base.iter().map(&resource).collect();
     let open: Vec<u64> = open.iter().map(&resource).collect();
-    let level = |level: u64| -> Vec<u64> {
+    // What each is given if all are to be raised to `level`.
+    let raised_to = |level: u64| -> Vec<u64> {
         let added = |(base, open): (&u64, &u64)| level.saturating_sub(*base).min(*open);
         base.iter().zip(&open).map(added).collect()
     };
-    let cost = |at: u64| level(at).iter().fold(0u64, |sum, added| sum.saturating_add(*added));
+    let cost = |level: u64| raised_to(level).iter().fold(0u64, |sum, n| sum.saturating_add(*n));
     let highest = base.iter().zip(&open).map(|(b, o)| b.saturating_add(*o)).max().unwrap_or(0);
     if cost(highest) <= left {
         return open;
     }
-    // The highest level that can be afforded.
+    // Binary search for the highest level that can be afforded.
     let (mut low, mut high) = (0, highest);
     while low + 1 < high {
         let middle = low + (high - low) / 2;
@@ -125,12 +155,12 @@
             high = middle;
         }
     }
-    let mut out = level(low);
+    let mut shares = raised_to(low);
     let mut rest = left - cost(low);
-    for (added, open) in out.iter_mut().zip(&open) {
-        let more = u64::from(rest > 0 && *added < *open);
-        *added += more;
+    for (share, open) in shares.iter_mut().zip(&open) {
+        let more = u64::from(rest > 0 && *share < *open);
+        *share += more;
         rest -= more;
     }
-    out
+    shares
 }
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -81,8 +81,7 @@
 
 impl From<MilliResources> for AmountsView {
     fn from(amounts: MilliResources) -> Self {
-        let (cpus, gpus) = amounts.decimal();
-        AmountsView { cpus, gpus }
+        AmountsView { cpus: amounts.cpus(), gpus: amounts.gpus() }
     }
 }
 
