--- a/crates/latchtrack-core/tests/simulation/world/federation.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation.rs
@@ -5,7 +5,8 @@
 use latchtrack_core::machine::TaskPhase;
 use latchtrack_core::scheduler::Event;
 use latchtrack_quota::{
-    CellRecord, DeadCell, LedgerWrite, Presence, SeenLedger, TeamLedger, View, WriteOutcome,
+    CellRecord, CellStatus, DeadCell, LedgerSnapshot, LedgerWrite, StoredLedger, TeamLedger,
+    WriteOutcome,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -71,7 +72,7 @@
     next_id: u64,
     next_look: Vec<u64>,
     /// The last look of anybody, which a watch that skips shows again.
-    old_view: View,
+    old_view: LedgerSnapshot,
 }
 
 fn name_of(cell: usize) -> String {
@@ -100,7 +101,7 @@
             queue: BTreeMap::new(),
             next_id: 0,
             next_look: vec![0; cells],
-            old_view: View::default(),
+            old_view: LedgerSnapshot::default(),
         }
     }
 
@@ -269,7 +270,7 @@
         let mut view = self.view();
         let troubled = self.size.fault_probability > 0.0 && self.now < self.size.fault_period_ms;
         if troubled && self.rng.random_bool(0.05) {
-            view = View { revision: view.revision, ..self.old_view.clone() };
+            view = LedgerSnapshot { revision: view.revision, ..self.old_view.clone() };
             self.record("watch skipped");
         } else {
             self.old_view = view.clone();
@@ -289,10 +290,10 @@
         }
     }
 
-    fn view(&self) -> View {
-        let mut view = View { revision: self.revision, ..View::default() };
+    fn view(&self) -> LedgerSnapshot {
+        let mut view = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
         for (team, (revision, text)) in &self.teams {
-            let seen = SeenLedger { revision: *revision, ledger: TeamLedger::parse(text) };
+            let seen = StoredLedger { revision: *revision, ledger: TeamLedger::parse(text) };
             view.teams.insert(team.clone(), seen);
         }
         for (i, world) in self.cells.iter().enumerate().filter(|(_, w)| w.last_token > 0) {
@@ -302,8 +303,8 @@
                 leader_lease_ms: lease(LEADER_LEASE_MS),
                 worker_lease_ms: lease(WORKER_LEASE_MS),
             };
-            let presence = Presence {
-                is_led: world.leader.is_some(),
+            let presence = CellStatus {
+                has_leader: world.leader.is_some(),
                 term_revision: world.last_token,
                 record: Some(record),
             };
@@ -379,7 +380,7 @@
 
     fn may_store(&mut self, cell: usize, token: u64, write: &LedgerWrite) -> bool {
         let revision = self.teams.get(&write.team).map_or(0, |(revision, _)| *revision);
-        if revision != write.expect {
+        if revision != write.expected_revision {
             self.record("stale write refused");
             if self.ignored != IgnoredCondition::Revision {
                 return false;
