--- a/crates/latchtrack-core/src/bitmap.rs
+++ b/crates/latchtrack-core/src/bitmap.rs
@@ -1,6 +1,6 @@
-//! A set of task indexes, one bit each.
+//! A set of task indexes, one bit each, and the chunks in which it is stored.
 
-use crate::constants::*;
+use crate::constants::{CHUNK_TASKS, FIRST_CHUNK_INDEX, LEGACY_CHUNK_TASKS, MAX_TASKS};
 
 /// The stored chunk that holds a task of a job with so many tasks.
 pub fn chunk_of(index: u32, tasks: u32) -> u32 {
@@ -28,13 +28,26 @@
     (first..).zip(parts.map(<[u8]>::len))
 }
 
-/// The first task of a stored chunk, and how many it covers; None past every job.
-fn chunk_span(chunk: u32) -> Option<(u32, u32)> {
-    let (number, tasks) = match chunk.checked_sub(FIRST_CHUNK_INDEX) {
-        Some(number) => (number, CHUNK_TASKS),
-        None => (chunk, LEGACY_CHUNK_TASKS),
-    };
-    Some((number.checked_mul(tasks)?, tasks))
+/// The tasks that a stored chunk covers.
+struct ChunkSpan {
+    first: u32,
+    tasks: u32,
+}
+
+impl ChunkSpan {
+    /// The span of a chunk; `None` past the last task of every job.
+    fn of(chunk: u32) -> Option<Self> {
+        let (number, tasks) = match chunk.checked_sub(FIRST_CHUNK_INDEX) {
+            Some(number) => (number, CHUNK_TASKS),
+            None => (chunk, LEGACY_CHUNK_TASKS),
+        };
+        Some(ChunkSpan { first: number.checked_mul(tasks)?, tasks })
+    }
+
+    /// Bytes of a bitmap that it takes.
+    fn bytes(&self) -> usize {
+        (self.tasks / 8) as usize
+    }
 }
 
 /// Which tasks of a job are in the set.
@@ -61,43 +74,43 @@
         self.ones == self.len
     }
 
-    /// Whether task `i` is in the set; false past the end.
-    pub fn get(&self, i: u32) -> bool {
-        i < self.len && self.bytes[(i / 8) as usize] & (1 << (i % 8)) != 0
+    /// Whether task `index` is in the set; false past the end.
+    pub fn get(&self, index: u32) -> bool {
+        index < self.len && self.bytes[(index / 8) as usize] & (1 << (index % 8)) != 0
     }
 
-    /// Puts task `i` in; true if it was not there and exists.
-    pub fn set(&mut self, i: u32) -> bool {
-        if i >= self.len || self.get(i) {
+    /// Puts task `index` in; true if it was not there and exists.
+    pub fn set(&mut self, index: u32) -> bool {
+        if index >= self.len || self.get(index) {
             return false;
         }
-        self.bytes[(i / 8) as usize] |= 1 << (i % 8);
+        self.bytes[(index / 8) as usize] |= 1 << (index % 8);
         self.ones += 1;
         true
     }
 
     /// Puts every task in.
-    pub fn backfill(&mut self) {
-        for i in 0..self.len {
-            self.set(i);
+    pub fn set_all(&mut self) {
+        for index in 0..self.len {
+            self.set(index);
         }
     }
 
     /// The bytes of one stored chunk.
     pub fn chunk(&self, chunk: u32) -> &[u8] {
-        let Some((first, tasks)) = chunk_span(chunk) else { return &[] };
-        let from = ((first / 8) as usize).min(self.bytes.len());
-        let to = (from + (tasks / 8) as usize).min(self.bytes.len());
+        let Some(span) = ChunkSpan::of(chunk) else { return &[] };
+        let from = ((span.first / 8) as usize).min(self.bytes.len());
+        let to = (from + span.bytes()).min(self.bytes.len());
         &self.bytes[from..to]
     }
 
     /// Adds the tasks of a stored chunk. Bits past the last task are ignored.
     pub fn merge_chunk(&mut self, chunk: u32, bytes: &[u8]) {
-        let Some((from, tasks)) = chunk_span(chunk) else { return };
-        for (at, byte) in bytes.iter().enumerate().take((tasks / 8) as usize) {
+        let Some(span) = ChunkSpan::of(chunk) else { return };
+        for (at, byte) in bytes.iter().enumerate().take(span.bytes()) {
             for bit in 0..8 {
                 if byte & (1 << bit) != 0 {
-                    self.set(from.saturating_add(at as u32 * 8 + bit));
+                    self.set(span.first.saturating_add(at as u32 * 8 + bit));
                 }
             }
         }
--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -1,56 +1,75 @@
-//! Machines, the reports of their workers and the runs on them.
+//! Machines, the heartbeats of their workers and the task runs on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::constants::SLOW_VOTES;
 use crate::job::{Demand, JobId, JobSpec, TaskId};
+use crate::scheduler::CallId;
 use crate::Millis;
 
-/// A type of machine that the cloud rents out.
+/// A type of machine that the cloud offers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
+    /// Its name.
     pub name: String,
+    /// CPUs of a machine.
     pub cpus: f64,
+    /// GPUs of a machine.
     pub gpus: f64,
+    /// Memory of a machine, in GB.
     pub memory_gb: f64,
+    /// Price of an on-demand machine.
     pub price: f64,
+    /// Price of a spot machine.
     pub spot_price: f64,
+    /// How long a machine takes to come up, in s, by what the cloud says.
     pub boot_s: f64,
-    /// Room for images, and how fast one is fetched; 0 where the cloud does not say.
+    /// Space for images, in GB; 0 where the cloud does not say.
     pub cache_gb: f64,
+    /// How fast an image is fetched, in GB a second; 0 where the cloud does not say.
     pub fetch_gb_per_s: f64,
+    /// Zones that have it.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// How many tasks of this demand an empty machine takes.
-    pub fn holds(&self, d: &Demand) -> u32 {
-        fits(d, self.cpus, self.gpus, self.memory_gb)
+    /// How many tasks of this demand fit on an empty machine.
+    pub fn holds(&self, demand: &Demand) -> u32 {
+        fits(demand, self.cpus, self.gpus, self.memory_gb)
     }
 }
 
-/// How many tasks of a demand go into this much room.
-pub fn fits(d: &Demand, cpus: f64, gpus: f64, memory_gb: f64) -> u32 {
-    // A hair of slack: amounts are decimal numbers, their sums are not.
-    let part = |need: f64, have: f64| {
+/// Slack in comparing sums of amounts: amounts are decimal numbers, their sums as floats are not.
+const AMOUNT_SLACK: f64 = 1e-6;
+
+/// How many tasks of a demand fit into these free amounts.
+pub fn fits(demand: &Demand, cpus: f64, gpus: f64, memory_gb: f64) -> u32 {
+    let times = |need: f64, free: f64| {
         if need > 0.0 {
-            ((have + 1e-6) / need).floor().max(0.0)
+            ((free + AMOUNT_SLACK) / need).floor().max(0.0)
         } else {
             f64::from(u32::MAX)
         }
     };
-    part(d.cpus, cpus).min(part(d.gpus, gpus)).min(part(d.memory_gb, memory_gb)) as u32
+    times(demand.cpus, cpus).min(times(demand.gpus, gpus)).min(times(demand.memory_gb, memory_gb))
+        as u32
 }
 
-/// How a run ended.
+/// How a task run ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ExitCause {
+    /// The task is done.
     Done,
+    /// It was told to stop.
     Stopped,
+    /// It failed.
     Failed,
+    /// Its machine has not enough free capacity for it.
     InsufficientResources,
+    /// Another attempt at the task is on its machine.
     DuplicateTask,
+    /// Its machine can't find out what the task is.
     UnknownTask,
     /// Another task of its gang was gone.
     GangPeerLost,
@@ -60,201 +79,325 @@
     Unrecognised,
 }
 
-/// What a machine says of a run, or `Assigned` while it has said nothing.
+/// What a machine says of a task run, or `Assigned` while it has said nothing.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TaskPhase {
+    /// Bound to its machine, which has not yet been seen to start it.
     Assigned,
+    /// It fetches its image.
     Fetching,
     /// Of a gang: it waits for the other tasks of its attempt.
     Waiting,
+    /// It runs.
     Running,
+    /// It was told to stop, and saves its progress.
     Checkpointing,
-    /// A state that this version does not know: the run is on the machine, and takes its room.
+    /// A phase that this version does not know: the run is on the machine, and takes capacity.
     Unrecognised,
+    /// It is over.
     Ended(ExitCause),
 }
 
-/// One line of a report.
+/// What a heartbeat says of one task run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct TaskStatus {
+    /// The task.
     pub task: TaskId,
+    /// The attempt at it.
     pub attempt: u64,
+    /// Where the run stands.
     pub phase: TaskPhase,
 }
 
 /// What a worker says of its machine.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Heartbeat {
+    /// The machine's name.
     pub machine: String,
+    /// Where the worker takes direct calls.
     pub addr: String,
+    /// The machine's type.
     pub kind: String,
+    /// The machine's zone.
     pub zone: String,
+    /// Whether the cloud may preempt it.
     pub spot: bool,
+    /// How often the worker's lease has expired.
     pub agent_epoch: u64,
+    /// The number of this message in its agent epoch.
     pub sequence: u64,
+    /// The highest fencing token that the worker has seen.
     pub token: u64,
+    /// s until the cloud preempts it, if it has said so.
     pub notice_s: Option<f64>,
+    /// The task runs on it.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker.
+/// Where a message stands among all messages of its worker: later ones are greater.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct MessageNumber {
+    /// How often the worker's lease has expired.
+    pub agent_epoch: u64,
+    /// The number of the message in its agent epoch.
+    pub sequence: u64,
+}
+
+impl MessageNumber {
+    /// That of a heartbeat.
+    pub fn of(heartbeat: &Heartbeat) -> Self {
+        MessageNumber { agent_epoch: heartbeat.agent_epoch, sequence: heartbeat.sequence }
+    }
+
+    /// Before all messages of the next agent epoch, and after all of this one.
+    pub fn next_epoch(self) -> Self {
+        MessageNumber { agent_epoch: self.agent_epoch + 1, sequence: 0 }
+    }
+}
+
+/// A command to a worker. Each is idempotent.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Command {
-    Launch { task: TaskId, attempt: u64 },
-    Stop { task: TaskId, attempt: u64, grace_s: f64 },
-    Forget { task: TaskId, attempt: u64 },
+    /// Start a task.
+    Launch {
+        /// The task.
+        task: TaskId,
+        /// The attempt at it.
+        attempt: u64,
+    },
+    /// Stop a task.
+    Stop {
+        /// The task.
+        task: TaskId,
+        /// The attempt at it.
+        attempt: u64,
+        /// s in which it may save its progress.
+        grace_s: f64,
+    },
+    /// Drop an attempt that has ended from the list of tasks.
+    Forget {
+        /// The task.
+        task: TaskId,
+        /// The attempt at it.
+        attempt: u64,
+    },
 }
 
-/// That a run is to stop.
+/// That a task run is to stop.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct StopRequest {
+    /// s in which it may save its progress.
     pub grace_s: f64,
     /// When it was last sent.
     pub sent_at: Option<Millis>,
 }
 
+impl StopRequest {
+    /// To be sent, without time to save progress.
+    pub const AT_ONCE: StopRequest = StopRequest { grace_s: 0.0, sent_at: None };
+}
+
 /// One attempt at a task on a machine.
 #[derive(Clone, Debug)]
 pub struct TaskRun {
+    /// The task.
     pub task: TaskId,
+    /// The number of the attempt.
     pub attempt: u64,
-    /// None for a job that is closed or unknown: such a run is stopped.
+    /// `None` for a job that is closed or unknown: such a run is stopped.
     pub spec: Option<Arc<JobSpec>>,
+    /// Where it stands.
     pub phase: TaskPhase,
+    /// Set if it is to stop.
     pub stop: Option<StopRequest>,
-    /// How often its launch has left for the machine, and when first.
+    /// How often its launch was sent to the machine.
     pub launch_sends: u32,
+    /// When its launch was first sent.
     pub first_launch_at: Millis,
-    /// A direct command with its launch was never answered: it may still execute while the
-    /// session and our token stand, so the attempt must never be forgotten in this session.
+    /// A direct call with its launch was never answered: it may still execute while the agent epoch
+    /// and this term's token stand, so the attempt must never be forgotten in this agent epoch.
     pub launch_outcome_unknown: bool,
-    /// When it was seen to run.
+    /// When it was first seen to run.
     pub running_since: Option<Millis>,
 }
 
 impl TaskRun {
-    /// Its launch leaves for the machine.
-    pub fn sent(&mut self, now: Millis) {
+    /// Its launch is sent to the machine.
+    pub fn launch_sent(&mut self, now: Millis) {
         if self.launch_sends == 0 {
             self.first_launch_at = now;
         }
         self.launch_sends = self.launch_sends.saturating_add(1);
     }
 
-    /// Still takes room.
+    /// Whether it still takes capacity.
     pub fn is_live(&self) -> bool {
         !matches!(self.phase, TaskPhase::Ended(_))
     }
 }
 
-/// The images that a machine holds, the last used first: it keeps those for which it has room.
+/// An image on a machine.
+#[derive(Clone, Debug, PartialEq)]
+struct CachedImage {
+    name: String,
+    gb: f64,
+}
+
+/// The images that a machine holds, the last used first: it keeps those for which it has space.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Images(Vec<(String, f64)>);
+pub struct Images(Vec<CachedImage>);
 
 impl Images {
+    /// Whether the machine holds this image.
     pub fn contains(&self, image: &str) -> bool {
-        self.0.iter().any(|(name, _)| name == image)
+        self.0.iter().any(|cached| cached.name == image)
     }
 
     /// Whether using this image changes nothing.
     pub fn is_last_used(&self, image: &str) -> bool {
-        self.0.first().is_some_and(|(name, _)| name == image)
+        self.0.first().is_some_and(|cached| cached.name == image)
     }
 
-    /// A task with this image runs; `cache_gb` 0 is no bound known.
-    pub fn used(&mut self, image: &str, gb: f64, cache_gb: f64) {
-        self.0.retain(|(name, _)| name != image);
-        self.0.insert(0, (image.to_string(), gb));
-        let mut sum = 0.0;
-        let keep = self.0.iter().take_while(|(_, gb)| {
-            sum += gb;
-            cache_gb <= 0.0 || sum <= cache_gb
+    /// A task with this image of `gb` GB runs; `cache_gb` is the space for images, 0 if unknown.
+    pub fn record_use(&mut self, image: &str, gb: f64, cache_gb: f64) {
+        self.0.retain(|cached| cached.name != image);
+        self.0.insert(0, CachedImage { name: image.to_string(), gb });
+        let mut sum_gb = 0.0;
+        let fitting = self.0.iter().take_while(|cached| {
+            sum_gb += cached.gb;
+            cache_gb <= 0.0 || sum_gb <= cache_gb
         });
-        let keep = keep.count().max(1);
-        self.0.truncate(keep);
+        let kept = fitting.count().max(1);
+        self.0.truncate(kept);
     }
 
+    /// The names of the images, the last used first.
     pub fn names(&self) -> impl Iterator<Item = &str> {
-        self.0.iter().map(|(name, _)| name.as_str())
+        self.0.iter().map(|cached| cached.name.as_str())
     }
 }
 
-/// A rented machine.
+/// A provisioned machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
+    /// Its name, by which the cloud knows it.
     pub name: Arc<str>,
+    /// Its machine type.
     pub kind: Arc<str>,
+    /// Its zone.
     pub zone: Arc<str>,
+    /// Whether the cloud may preempt it.
     pub spot: bool,
+    /// Where its worker takes direct calls, once known.
     pub addr: Option<String>,
-    pub rented_at: Millis,
-    /// The list has it as up.
+    /// When it was provisioned, as far as this term knows.
+    pub provisioned_at: Millis,
+    /// The cloud's list has it as up.
     pub listed_as_running: bool,
-    /// In the stored set; nothing is launched before.
+    /// In the stored set; nothing is launched on it before.
     pub persisted: bool,
-    /// In the stored set when this term began: until it is seen to hold our token, an earlier
-    /// leader's commands may still arrive, so tasks may be on it that we do not know of.
+    /// In the stored set when this term began: until it is seen to hold this term's token, an
+    /// earlier leader's commands may still arrive, so tasks may be on it that this term does not
+    /// know.
     pub inherited: bool,
-    /// Session and number of the newest message.
-    pub latest_message: (u64, u64),
-    /// When it was last heard holding our token; None: not yet. What it says with an older one
-    /// proves nothing: that may be a late copy from before this term, even of a machine long gone.
+    /// The number of its newest message.
+    pub latest_message: MessageNumber,
+    /// When it was last heard holding this term's token; `None`: not yet. What it says with an
+    /// older one proves nothing: that may be a late copy from before this term, even of a machine
+    /// long gone.
     pub last_heartbeat_at: Option<Millis>,
-    /// Since when it should be answering us: its first sign in this term, or the take-over.
+    /// Since when it should send heartbeats to this node: its first sign in this term, or the start
+    /// of the term.
     pub heartbeat_expected_since: Option<Millis>,
     /// Direct calls in a row that it did not answer since it was last heard.
     pub unanswered_calls: u32,
-    /// When the cloud takes it, by its own notice.
+    /// When the cloud preempts it, by its own notice.
     pub preempt_at: Option<Millis>,
+    /// The task runs on it, by task and attempt.
     pub runs: BTreeMap<(TaskId, u64), TaskRun>,
-    /// The open direct call.
-    pub open_call: Option<u64>,
+    /// The open direct call to it.
+    pub open_call: Option<CallId>,
     /// No direct call before this time.
     pub next_call_at: Millis,
-    /// Slow tasks in a row; too many, and it gets no more and goes back once it is empty.
+    /// Slow tasks in a row; too many, and it gets no more and is terminated once it is empty.
     pub slow_votes: u32,
-    /// Is to be deleted; no launches any more.
+    /// Is to be terminated; no launches any more.
     pub to_terminate: bool,
-    /// A delete is under way.
+    /// The cloud was asked to terminate it.
     pub termination_sent: bool,
+    /// Since when it has no live task run.
     pub idle_since: Option<Millis>,
-    /// Jobs that failed here.
+    /// Jobs that failed on it.
     pub failed_jobs: BTreeSet<JobId>,
+    /// Until when it is on probation and gets no tasks.
     pub quarantined_until: Millis,
-    /// A task was done here, and none has failed since.
+    /// A task was done on it, and none has failed since.
     pub proven: bool,
     /// Images that it has fetched, as far as this term has seen.
     pub images: Arc<Images>,
 }
 
 impl Machine {
+    /// A machine of which nothing is known yet but that it was provisioned.
+    pub fn new(name: &str, kind: &str, zone: &str, spot: bool, now: Millis) -> Self {
+        Machine {
+            name: name.into(),
+            kind: kind.into(),
+            zone: zone.into(),
+            spot,
+            addr: None,
+            provisioned_at: now,
+            listed_as_running: false,
+            persisted: false,
+            inherited: false,
+            latest_message: MessageNumber::default(),
+            last_heartbeat_at: None,
+            heartbeat_expected_since: None,
+            unanswered_calls: 0,
+            preempt_at: None,
+            runs: BTreeMap::new(),
+            open_call: None,
+            next_call_at: 0,
+            slow_votes: 0,
+            to_terminate: false,
+            termination_sent: false,
+            idle_since: None,
+            failed_jobs: BTreeSet::new(),
+            quarantined_until: 0,
+            proven: false,
+            images: Arc::default(),
+        }
+    }
+
     /// Whether its worker has been heard in this term.
     pub fn is_up(&self) -> bool {
         self.last_heartbeat_at.is_some()
     }
 
-    /// Whether tasks may be on it that this term knows nothing of.
+    /// Whether tasks may be on it that this term does not know.
     pub fn is_unreconciled(&self) -> bool {
         self.inherited && self.last_heartbeat_at.is_none()
     }
 
-    /// For how long it has been silent, if it should speak.
+    /// For how long it has been silent, in ms; `None` if no heartbeat is expected of it yet.
     pub fn heartbeat_age(&self, now: Millis) -> Option<Millis> {
         self.last_heartbeat_at
             .or(self.heartbeat_expected_since)
             .map(|since| now.saturating_sub(since))
     }
 
-    /// Whether it was up and has not been heard for so many ms.
+    /// Whether it is up and has not been heard for at least `ms`.
     pub fn heartbeat_older_than(&self, now: Millis, ms: Millis) -> bool {
         self.last_heartbeat_at.is_some_and(|last_heartbeat_at| now >= last_heartbeat_at + ms)
     }
 
-    /// Whether it should have spoken by now, so that a list without it says that it is gone.
+    /// Whether it is silent, for at least `ms` if it was heard in this term, so that a list of the
+    /// cloud without it says that it is gone.
     pub fn presumed_lost(&self, now: Millis, ms: Millis) -> bool {
-        match self.is_unreconciled() {
-            true => self.unanswered_calls > 0,
-            false => self.heartbeat_older_than(now, ms),
+        if self.is_unreconciled() {
+            self.unanswered_calls > 0
+        } else {
+            self.heartbeat_older_than(now, ms)
         }
     }
 
@@ -263,15 +406,15 @@
         self.slow_votes >= SLOW_VOTES
     }
 
-    /// Room taken by live runs; None when a run of unknown size is on it.
+    /// Capacity taken by live runs; `None` when a run of unknown size is on it.
     pub fn allocated(&self) -> Option<Demand> {
-        let mut d = Demand::default();
-        for run in self.runs.values().filter(|r| r.is_live()) {
+        let mut sum = Demand::default();
+        for run in self.runs.values().filter(|run| run.is_live()) {
             let spec = run.spec.as_ref()?;
-            d.cpus += spec.demand.cpus;
-            d.gpus += spec.demand.gpus;
-            d.memory_gb += spec.demand.memory_gb;
+            sum.cpus += spec.demand.cpus;
+            sum.gpus += spec.demand.gpus;
+            sum.memory_gb += spec.demand.memory_gb;
         }
-        Some(d)
+        Some(sum)
     }
 }
--- a/crates/latchtrack-core/src/record_shards.rs
+++ b/crates/latchtrack-core/src/record_shards.rs
@@ -1,45 +1,67 @@
-//! Entries spread over a few stored values of bounded size, so that many changes cost few writes.
+//! Small records that share a few stored values of bounded size, so that many changes cost few
+//! writes.
 //!
 //! A write of a value whose outcome is unknown may be applied late, after a newer one. So each write
-//! carries the stamp that its value must still have, and a value whose stamp is a suspect is retired:
-//! its entries move to a new name and the old name is dropped, never to be used again. An entry is
-//! thus always in at least one value that no late write can take it out of.
+//! carries the revision that its value must still have, and a value whose revision is in doubt is
+//! retired: its entries move to a new name and the old name is dropped, never to be used again. An
+//! entry is thus always in at least one value that no late write can take it out of.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::Millis;
 
+/// How soon a changed value is to be written.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Urgency {
+    /// When the write interval since its last write is over: nobody waits for it.
+    #[default]
+    Deferred,
+    /// At once.
+    Urgent,
+}
+
 /// One value to write.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardWrite<K> {
+    /// The value's name under its prefix.
     pub name: String,
-    /// The stamp that it must have, 0 for none; None: drop it whatever it is.
+    /// The revision that it must have, 0 for none; `None`: drop it whatever it is.
     pub expect: Option<u64>,
-    /// Without any it is a drop.
+    /// What is in it; without entries it is dropped.
     pub entries: Vec<K>,
 }
 
 /// How a write ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardOutcome {
-    /// With the stamp that the value has now.
+    /// Written, with the revision that the value has now.
     Committed(u64),
-    /// Surely not, and never will be.
+    /// Surely not written, and never will be.
     NotExecuted,
+    /// May have been written, or may be later.
     Unknown,
 }
 
+/// What happens to a stored value that the state service rejected by itself.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RejectedShard {
+    /// Its entries are stored in smaller values.
+    Split,
+    /// It has one entry alone, which is not stored at all, so that it blocks no other.
+    Abandoned,
+}
+
 #[derive(Clone, Debug)]
 struct Shard<K> {
-    /// None: in doubt, to be dropped.
+    /// `None`: retired, to be dropped.
     revision: Option<u64>,
     /// Entries that must be in another stored value before this one is dropped.
     moving: BTreeSet<K>,
-    /// Entries with their sizes.
+    /// Entries with their sizes in bytes.
     entries: BTreeMap<K, usize>,
     bytes: usize,
     written_at: Option<Millis>,
-    writing: bool,
+    is_writing: bool,
 }
 
 impl<K: Ord> Shard<K> {
@@ -50,228 +72,237 @@
             entries: BTreeMap::new(),
             bytes: 0,
             written_at: None,
-            writing: false,
+            is_writing: false,
         }
     }
+
+    /// Whether it has no entries and was never written.
+    fn is_unused(&self) -> bool {
+        self.entries.is_empty() && self.revision == Some(0)
+    }
 }
 
 /// The values under one prefix.
 #[derive(Clone, Debug)]
 pub struct RecordShards<K> {
     token: u64,
-    next: u64,
-    /// Bytes of entries in one value.
-    most: usize,
-    /// ms between two writes of a value that nobody waits for.
-    gap: Millis,
-    of: BTreeMap<K, String>,
-    packs: BTreeMap<String, Shard<K>>,
-    /// To be written, at once (true) or after the gap.
-    dirty: BTreeMap<String, bool>,
+    last_number: u64,
+    /// Bytes of entries in one value at most.
+    max_bytes: usize,
+    /// ms between two writes of a value for which nobody waits.
+    write_interval_ms: Millis,
+    shard_of: BTreeMap<K, String>,
+    shards: BTreeMap<String, Shard<K>>,
+    /// Values to be written.
+    dirty: BTreeMap<String, Urgency>,
 }
 
 impl<K: Ord + Clone> RecordShards<K> {
-    /// `token` makes the names of new values; no other leader has them.
-    pub fn new(token: u64, most: usize, gap: Millis) -> Self {
+    /// No values yet. The fencing `token` makes the names of new values, which no other leader has;
+    /// each is filled with at most `max_bytes` of entries.
+    pub fn new(token: u64, max_bytes: usize, write_interval_ms: Millis) -> Self {
         RecordShards {
             token,
-            next: 0,
-            most,
-            gap,
-            of: BTreeMap::new(),
-            packs: BTreeMap::new(),
+            last_number: 0,
+            max_bytes,
+            write_interval_ms,
+            shard_of: BTreeMap::new(),
+            shards: BTreeMap::new(),
             dirty: BTreeMap::new(),
         }
     }
 
-    /// Takes in a stored value. One without entries of use, or with an entry that another has too,
-    /// is written anew.
+    /// Takes in a stored value, with the size of each entry in bytes. One without entries of use,
+    /// or with an entry that another value has too, is written anew.
     pub fn load(
         &mut self,
         name: &str,
         revision: u64,
         entries: impl IntoIterator<Item = (K, usize)>,
     ) {
-        let mut pack = Shard::new(Some(revision));
-        let mut clean = true;
-        for (k, size) in entries {
-            if self.of.contains_key(&k) {
-                clean = false;
+        let mut shard = Shard::new(Some(revision));
+        let mut has_duplicate = false;
+        for (key, bytes) in entries {
+            if self.shard_of.contains_key(&key) {
+                has_duplicate = true;
                 continue;
             }
-            self.of.insert(k.clone(), name.to_string());
-            pack.bytes += size;
-            pack.entries.insert(k, size);
+            self.shard_of.insert(key.clone(), name.to_string());
+            shard.bytes += bytes;
+            shard.entries.insert(key, bytes);
         }
-        if !clean || pack.entries.is_empty() {
-            self.dirty.insert(name.to_string(), false);
+        if has_duplicate || shard.entries.is_empty() {
+            self.dirty.insert(name.to_string(), Urgency::Deferred);
         }
-        self.packs.insert(name.to_string(), pack);
+        self.shards.insert(name.to_string(), shard);
     }
 
-    /// Takes in a stored value that is to go: its entries move to new values, and it is dropped when they
-    /// are stored there.
+    /// Takes in a stored value that is to go: its entries move to new values, and it is dropped
+    /// when they are stored there.
     pub fn load_to_replace(&mut self, name: &str, entries: impl IntoIterator<Item = (K, usize)>) {
-        let mut pack = Shard::new(None);
-        for (k, size) in entries {
+        let mut shard = Shard::new(None);
+        for (key, bytes) in entries {
             // Another value has it already.
-            if self.of.contains_key(&k) {
+            if self.shard_of.contains_key(&key) {
                 continue;
             }
-            pack.moving.insert(k.clone());
-            let to = self.place(k, size);
-            self.dirty.entry(to).or_default();
+            shard.moving.insert(key.clone());
+            let target = self.assign_shard(key, bytes);
+            self.dirty.entry(target).or_default();
         }
-        self.packs.insert(name.to_string(), pack);
-        self.dirty.insert(name.to_string(), false);
+        self.shards.insert(name.to_string(), shard);
+        self.dirty.insert(name.to_string(), Urgency::Deferred);
     }
 
-    /// Puts an entry in, or marks it as changed. `urgent`: somebody waits for it.
-    pub fn put(&mut self, k: K, size: usize, urgent: bool) {
-        let name = match self.of.get(&k) {
+    /// Puts an entry of this size in, or marks it as changed.
+    pub fn put(&mut self, key: K, bytes: usize, urgency: Urgency) {
+        let name = match self.shard_of.get(&key) {
             Some(name) => name.clone(),
-            None => self.place(k, size),
+            None => self.assign_shard(key, bytes),
         };
-        *self.dirty.entry(name).or_default() |= urgent;
+        let dirty = self.dirty.entry(name).or_default();
+        *dirty = urgency.max(*dirty);
     }
 
-    fn place(&mut self, k: K, size: usize) -> String {
-        let fits = |p: &Shard<K>| p.revision.is_some() && p.bytes + size <= self.most;
-        let name = match self.packs.iter().find(|(_, p)| fits(p)) {
+    /// Puts a new entry into the first value that has space, or a new one; returns its name.
+    fn assign_shard(&mut self, key: K, bytes: usize) -> String {
+        let has_space =
+            |shard: &Shard<K>| shard.revision.is_some() && shard.bytes + bytes <= self.max_bytes;
+        let name = match self.shards.iter().find(|(_, shard)| has_space(shard)) {
             Some((name, _)) => name.clone(),
             None => {
-                self.next += 1;
-                let name = format!("{}-{}", self.token, self.next);
-                self.packs.insert(name.clone(), Shard::new(Some(0)));
-                name
+                self.last_number += 1;
+                format!("{}-{}", self.token, self.last_number)
             }
         };
-        if let Some(p) = self.packs.get_mut(&name) {
-            p.bytes += size;
-            p.entries.insert(k.clone(), size);
-        }
-        self.of.insert(k, name.clone());
+        let shard = self.shards.entry(name.clone()).or_insert_with(|| Shard::new(Some(0)));
+        shard.bytes += bytes;
+        shard.entries.insert(key.clone(), bytes);
+        self.shard_of.insert(key, name.clone());
         name
     }
 
     /// Takes an entry out; its value is written anew when there is time.
-    pub fn remove(&mut self, k: &K) {
-        let Some(name) = self.of.remove(k) else { return };
-        if let Some(p) = self.packs.get_mut(&name) {
-            p.bytes -= p.entries.remove(k).unwrap_or(0);
+    pub fn remove(&mut self, key: &K) {
+        let Some(name) = self.shard_of.remove(key) else { return };
+        if let Some(shard) = self.shards.get_mut(&name) {
+            shard.bytes -= shard.entries.remove(key).unwrap_or(0);
         }
         self.dirty.entry(name).or_default();
-        self.forget_moving(std::slice::from_ref(k));
+        self.forget_moving(std::slice::from_ref(key));
     }
 
     /// These entries are stored elsewhere or not needed: what waited for them may be dropped.
     fn forget_moving(&mut self, entries: &[K]) {
-        for p in self.packs.values_mut().filter(|p| !p.moving.is_empty()) {
-            p.moving.retain(|k| !entries.contains(k));
+        for shard in self.shards.values_mut().filter(|shard| !shard.moving.is_empty()) {
+            shard.moving.retain(|key| !entries.contains(key));
         }
     }
 
-    fn is_due(&self, now: Millis, name: &str, urgent: bool) -> bool {
-        self.packs.get(name).is_some_and(|p| {
-            !p.writing
-                && p.moving.is_empty()
-                && (urgent || p.written_at.is_none_or(|at| now >= at + self.gap))
+    fn is_due(&self, now: Millis, name: &str, urgency: Urgency) -> bool {
+        self.shards.get(name).is_some_and(|shard| {
+            let is_interval_over =
+                || shard.written_at.is_none_or(|at| now >= at + self.write_interval_ms);
+            !shard.is_writing
+                && shard.moving.is_empty()
+                && (urgency == Urgency::Urgent || is_interval_over())
         })
     }
 
     /// Whether a value is to be written now.
-    pub fn due(&self, now: Millis) -> bool {
-        self.dirty.iter().any(|(name, urgent)| self.is_due(now, name, *urgent))
+    pub fn has_due_write(&self, now: Millis) -> bool {
+        self.dirty.iter().any(|(name, urgency)| self.is_due(now, name, *urgency))
     }
 
-    /// The next value to write, if there is one that is due. Its outcome must be told.
-    pub fn next(&mut self, now: Millis) -> Option<ShardWrite<K>> {
+    /// The next value to write, if there is one that is due: urgent ones first. How the write ended
+    /// must be told by [`Self::write_finished`] or [`Self::write_rejected`].
+    pub fn next_write(&mut self, now: Millis) -> Option<ShardWrite<K>> {
         loop {
             let name = self
                 .dirty
                 .iter()
-                .filter(|(name, urgent)| self.is_due(now, name, **urgent))
-                .min_by_key(|(_, urgent)| !**urgent)
+                .filter(|(name, urgency)| self.is_due(now, name, **urgency))
+                .min_by_key(|(_, urgency)| std::cmp::Reverse(**urgency))
                 .map(|(name, _)| name.clone())?;
             self.dirty.remove(&name);
             // Written under a higher limit than today's.
-            let is_too_large = |p: &Shard<K>| p.bytes > self.most && p.entries.len() > 1;
-            if self.packs.get(&name).is_some_and(is_too_large) {
+            let is_too_large =
+                |shard: &Shard<K>| shard.bytes > self.max_bytes && shard.entries.len() > 1;
+            if self.shards.get(&name).is_some_and(is_too_large) {
                 self.retire(&name);
                 continue;
             }
-            let p = self.packs.get_mut(&name)?;
-            if p.entries.is_empty() && p.revision == Some(0) {
-                // Was never written.
-                self.packs.remove(&name);
+            let shard = self.shards.get_mut(&name)?;
+            if shard.is_unused() {
+                self.shards.remove(&name);
                 continue;
             }
-            p.writing = true;
-            p.written_at = Some(now);
-            let entries = p.entries.keys().cloned().collect();
-            return Some(ShardWrite { name, expect: p.revision, entries });
+            shard.is_writing = true;
+            shard.written_at = Some(now);
+            let entries = shard.entries.keys().cloned().collect();
+            return Some(ShardWrite { name, expect: shard.revision, entries });
         }
     }
 
-    /// How the write of a value ended.
-    pub fn wrote(&mut self, write: &ShardWrite<K>, outcome: ShardOutcome) {
+    /// Takes in how the write of a value ended.
+    pub fn write_finished(&mut self, write: &ShardWrite<K>, outcome: ShardOutcome) {
         let name = write.name.as_str();
         if let ShardOutcome::Committed(_) = outcome {
             self.forget_moving(&write.entries);
         }
-        let Some(p) = self.packs.get_mut(name) else { return };
-        p.writing = false;
+        let Some(shard) = self.shards.get_mut(name) else { return };
+        shard.is_writing = false;
         match outcome {
             ShardOutcome::Committed(revision) => {
-                if write.entries.is_empty() && !p.entries.is_empty() {
+                if !write.entries.is_empty() {
+                    shard.revision = Some(revision);
+                } else if !shard.entries.is_empty() {
                     // Dropped while something new was put in.
-                    p.revision = Some(0);
-                } else if write.entries.is_empty() {
-                    self.packs.remove(name);
-                    self.dirty.remove(name);
+                    shard.revision = Some(0);
                 } else {
-                    p.revision = Some(revision);
+                    self.shards.remove(name);
+                    self.dirty.remove(name);
                 }
             }
             ShardOutcome::NotExecuted => {
-                p.written_at = None;
-                self.dirty.insert(name.to_string(), true);
+                shard.written_at = None;
+                self.dirty.insert(name.to_string(), Urgency::Urgent);
             }
             ShardOutcome::Unknown => self.retire(name),
         }
     }
 
-    /// A value was refused for its size: its entries are stored in smaller ones from now on. True if it has
-    /// one alone, which can't be stored: it is given up, so that it blocks no other.
-    pub fn refused(&mut self, write: &ShardWrite<K>) -> bool {
-        self.wrote(write, ShardOutcome::NotExecuted);
+    /// The state service rejected a value for its size: its entries are stored in smaller ones from
+    /// now on. A single entry can't be stored, and is taken out.
+    pub fn write_rejected(&mut self, write: &ShardWrite<K>) -> RejectedShard {
+        self.write_finished(write, ShardOutcome::NotExecuted);
         match write.entries.as_slice() {
-            [] => false,
+            [] => RejectedShard::Split,
             [entry] => {
                 self.remove(entry);
-                true
+                RejectedShard::Abandoned
             }
             _ => {
-                let bytes = self.packs.get(&write.name).map_or(self.most, |p| p.bytes);
-                self.most = self.most.min(bytes / 2).max(1);
+                let bytes = self.shards.get(&write.name).map_or(self.max_bytes, |s| s.bytes);
+                self.max_bytes = self.max_bytes.min(bytes / 2).max(1);
                 self.retire(&write.name);
-                false
+                RejectedShard::Split
             }
         }
     }
 
     /// Moves a value's entries to others; it is dropped when they are stored there.
     fn retire(&mut self, name: &str) {
-        let Some(p) = self.packs.get_mut(name) else { return };
-        p.revision = None;
-        p.bytes = 0;
-        let entries = std::mem::take(&mut p.entries);
-        p.moving.extend(entries.keys().cloned());
-        for (k, size) in entries {
-            self.of.remove(&k);
-            let to = self.place(k, size);
-            self.dirty.insert(to, true);
+        let Some(shard) = self.shards.get_mut(name) else { return };
+        shard.revision = None;
+        shard.bytes = 0;
+        let entries = std::mem::take(&mut shard.entries);
+        shard.moving.extend(entries.keys().cloned());
+        for (key, bytes) in entries {
+            self.shard_of.remove(&key);
+            let target = self.assign_shard(key, bytes);
+            self.dirty.insert(target, Urgency::Urgent);
         }
-        self.dirty.insert(name.to_string(), true);
+        self.dirty.insert(name.to_string(), Urgency::Urgent);
     }
 }
--- a/crates/latchtrack-core/src/scheduler/cycle.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle.rs
@@ -462,7 +462,7 @@
             );
         }
         m.idle_since = None;
-        self.dispatcher.pending.insert(machine.to_string());
+        self.dispatcher.wake(machine);
         self.note_launched(spec, tasks.len() as u32);
     }
 }
--- a/crates/latchtrack-core/src/scheduler/direct_calls.rs
+++ b/crates/latchtrack-core/src/scheduler/direct_calls.rs
@@ -3,136 +3,160 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use super::dispatcher::CallKind;
 use super::log_events::ResignReason;
-use super::messages::{CallOutcome, Effect};
+use super::messages::{CallId, CallOutcome, Effect};
 use super::Scheduler;
-use crate::constants::{MAX_OPEN_PROBES, MAX_PROBES_PER_UNREACHABLE_ZONE, ZONE_UNANSWERED_CALLS};
-use crate::machine::Command;
+use crate::constants::{MAX_PROBES_PER_UNREACHABLE_ZONE, ZONE_UNANSWERED_CALLS};
+use crate::machine::{Command, Heartbeat, Machine};
 use crate::Millis;
 
+/// ms until a machine is called again after a call that could not be sent, which says little.
+const NOT_SENT_BACKOFF_MS: Millis = 500;
+/// ms until a machine is called again that did not answer, or rejected what it was told: it asks by
+/// its next heartbeat in that time if it can.
+const CALL_BACKOFF_MS: Millis = 1_000;
+
+/// A machine that is to be probed. Sorted, those that were called longest ago come first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ProbeCandidate {
+    next_call_at: Millis,
+    machine: String,
+    zone: Arc<str>,
+}
+
 impl Scheduler {
-    /// Asks machines that are silent, or that have not yet shown our token. Paced: a new leader has
-    /// a whole fleet to ask.
+    /// Calls machines that are silent, or that have not yet shown this term's token. Paced: a new
+    /// leader has all machines to call.
     pub(super) fn probe_silent_machines(&mut self, now: Millis) {
-        let probe_ms = self.policy.probe_ms();
-        let mut due: Vec<(Millis, String, Arc<str>)> = Vec::new();
-        let mut open: BTreeMap<Arc<str>, usize> = BTreeMap::new();
-        for m in self.inventory.iter() {
-            if m.open_call.is_some() {
-                *open.entry(m.zone.clone()).or_default() += 1;
-            }
-            if m.open_call.is_some()
-                || m.termination_sent
-                || m.addr.is_none()
-                || now < m.next_call_at
-            {
-                continue;
-            }
-            let asks = match m.heartbeat_age(now) {
-                Some(s) if m.is_up() => s >= probe_ms,
-                Some(_) => true,
-                None => false,
-            };
-            if asks {
-                due.push((m.next_call_at, m.name.to_string(), m.zone.clone()));
-            }
-        }
-        // Those asked longest ago first.
-        due.sort();
-        for (_, name, zone) in due {
-            if self.dispatcher.open_probes >= MAX_OPEN_PROBES
-                || self.dispatcher.open_calls.len() >= self.policy.max_open_calls
-            {
+        let mut open_calls = self.open_calls_by_zone();
+        for candidate in self.probe_candidates(now) {
+            if !self.dispatcher.may_probe() {
                 return;
             }
-            let open = open.entry(zone.clone()).or_default();
-            let unanswered_calls =
-                self.failure_detector.zones.get(&zone).map_or(0, |s| s.unanswered_calls);
-            if unanswered_calls >= ZONE_UNANSWERED_CALLS && *open >= MAX_PROBES_PER_UNREACHABLE_ZONE
-            {
+            let open = open_calls.entry(candidate.zone.clone()).or_default();
+            let unanswered = self.failure_detector.unanswered_calls(&candidate.zone);
+            // Each call holds its place for its whole timeout, and those that would answer
+            // elsewhere wait behind it.
+            if unanswered >= ZONE_UNANSWERED_CALLS && *open >= MAX_PROBES_PER_UNREACHABLE_ZONE {
                 continue;
             }
             *open += 1;
-            self.call(&name, Vec::new());
+            self.call(&candidate.machine, Vec::new());
+        }
+    }
+
+    fn open_calls_by_zone(&self) -> BTreeMap<Arc<str>, usize> {
+        let mut open_calls = BTreeMap::new();
+        for machine in self.inventory.iter().filter(|machine| machine.open_call.is_some()) {
+            *open_calls.entry(machine.zone.clone()).or_default() += 1;
         }
+        open_calls
+    }
+
+    fn probe_candidates(&self, now: Millis) -> Vec<ProbeCandidate> {
+        let probe_ms = self.policy.probe_ms();
+        let mut candidates: Vec<ProbeCandidate> = self
+            .inventory
+            .iter()
+            .filter(|machine| needs_probe(machine, now, probe_ms))
+            .map(|machine| ProbeCandidate {
+                next_call_at: machine.next_call_at,
+                machine: machine.name.to_string(),
+                zone: machine.zone.clone(),
+            })
+            .collect();
+        candidates.sort();
+        candidates
     }
 
+    /// Calls a machine with these commands; without any the call is a probe.
     pub(super) fn call(&mut self, machine: &str, commands: Vec<Command>) {
-        let Some(m) = self.inventory.get_mut(machine) else { return };
-        let Some(addr) = m.addr.clone() else { return };
-        self.dispatcher.last_call_id += 1;
-        m.open_call = Some(self.dispatcher.last_call_id);
-        let probing = commands.is_empty();
-        self.dispatcher.open_calls.insert(self.dispatcher.last_call_id, probing);
-        self.dispatcher.open_probes += usize::from(probing);
+        let Some(machine) = self.inventory.get_mut(machine) else { return };
+        let Some(addr) = machine.addr.clone() else { return };
+        let kind = if commands.is_empty() { CallKind::Probe } else { CallKind::Commands };
+        let call = self.dispatcher.open_call(kind);
+        machine.open_call = Some(call);
         self.out.push(Effect::CallWorker {
-            machine: machine.to_string(),
+            machine: machine.name.to_string(),
             addr,
-            agent_epoch: m.latest_message.0.max(1),
-            call: self.dispatcher.last_call_id,
+            agent_epoch: machine.latest_message.agent_epoch.max(1),
+            call,
             commands,
         });
     }
 
+    /// Takes in how a direct call ended.
     pub(super) fn on_call_finished(
         &mut self,
         now: Millis,
-        machine: &str,
-        call: u64,
+        name: &str,
+        call: CallId,
         outcome: CallOutcome,
     ) {
-        // Over for the count, be it that the machine is gone meanwhile.
-        let probing = self.dispatcher.open_calls.remove(&call).unwrap_or(false);
-        self.dispatcher.open_probes -= usize::from(probing);
-        let Some(m) = self.inventory.get_mut(machine) else { return };
-        if m.open_call != Some(call) {
+        // It counts as closed even if its machine is gone meanwhile.
+        let kind = self.dispatcher.close_call(call);
+        let Some(machine) = self.inventory.get_mut(name).filter(|m| m.open_call == Some(call))
+        else {
             return;
-        }
-        m.open_call = None;
-        self.dispatcher.pending.insert(machine.to_string());
-        match outcome {
-            CallOutcome::Executed(_) | CallOutcome::Rejected(_) => {
-                self.failure_detector.relayed_since = None
-            }
-            CallOutcome::NotSent | CallOutcome::NoAnswer => {
-                self.failure_detector.zones.entry(m.zone.clone()).or_default().unanswered_calls +=
-                    1;
-            }
-        }
+        };
+        machine.open_call = None;
+        self.dispatcher.wake(name);
         match outcome {
-            CallOutcome::Executed(r) => {
-                m.unanswered_calls = 0;
-                if r.machine == machine {
-                    self.reconcile(now, &r);
-                }
+            CallOutcome::Executed(heartbeat) => {
+                self.failure_detector.worker_reached_directly();
+                machine.unanswered_calls = 0;
+                self.reconcile_answer(now, name, &heartbeat);
             }
-            CallOutcome::Rejected(r) => {
-                if r.token > self.token {
+            CallOutcome::Rejected(heartbeat) => {
+                self.failure_detector.worker_reached_directly();
+                if heartbeat.token > self.token {
                     self.out.push(Effect::Resign(ResignReason::HigherToken));
                     return;
                 }
-                // Not executed: the launches in it go again with the next answer.
-                m.unanswered_calls = 0;
-                let known = m.latest_message.0;
-                m.next_call_at = if r.agent_epoch > known { now } else { now + 1_000 };
-                if r.machine == machine {
-                    self.reconcile(now, &r);
-                }
+                // Not executed: its launches are sent again with the next response.
+                machine.unanswered_calls = 0;
+                let is_new_epoch = heartbeat.agent_epoch > machine.latest_message.agent_epoch;
+                machine.next_call_at = if is_new_epoch { now } else { now + CALL_BACKOFF_MS };
+                self.reconcile_answer(now, name, &heartbeat);
             }
             CallOutcome::NotSent => {
-                m.unanswered_calls += 1;
-                m.next_call_at = now + 500;
+                self.failure_detector.call_unanswered(&machine.zone);
+                machine.unanswered_calls += 1;
+                machine.next_call_at = now + NOT_SENT_BACKOFF_MS;
             }
             CallOutcome::NoAnswer => {
-                m.unanswered_calls += 1;
-                m.next_call_at = now + 1_000;
-                // Which launches were in it is not kept: each one not yet seen, or ended, counts as
-                // possibly in it. Never forgetting one too many costs a line; a question had none.
-                for run in m.runs.values_mut().filter(|_| !probing) {
-                    run.launch_outcome_unknown = true;
+                self.failure_detector.call_unanswered(&machine.zone);
+                machine.unanswered_calls += 1;
+                machine.next_call_at = now + CALL_BACKOFF_MS;
+                if kind != Some(CallKind::Probe) {
+                    mark_launches_unknown(machine);
                 }
             }
         }
         self.dispatch(now, None);
     }
+
+    /// Takes in the heartbeat in a worker's answer, unless another machine has its address now.
+    fn reconcile_answer(&mut self, now: Millis, machine: &str, heartbeat: &Heartbeat) {
+        if heartbeat.machine == machine {
+            self.reconcile(now, heartbeat);
+        }
+    }
+}
+
+/// Which launches were in a call that got no answer is not kept: each one not yet seen, or ended,
+/// counts as possibly in it. Never forgetting one too many costs a line in each heartbeat.
+fn mark_launches_unknown(machine: &mut Machine) {
+    for run in machine.runs.values_mut() {
+        run.launch_outcome_unknown = true;
+    }
+}
+
+fn needs_probe(machine: &Machine, now: Millis, probe_ms: Millis) -> bool {
+    let may_call = machine.open_call.is_none()
+        && !machine.termination_sent
+        && machine.addr.is_some()
+        && now >= machine.next_call_at;
+    may_call && machine.heartbeat_age(now).is_some_and(|age| !machine.is_up() || age >= probe_ms)
 }
--- a/crates/latchtrack-core/src/scheduler/dispatcher.rs
+++ b/crates/latchtrack-core/src/scheduler/dispatcher.rs
@@ -1,98 +1,170 @@
-//! Commands to machines: with the response to a heartbeat, or by a direct call.
+//! Commands to machines: in the response to a heartbeat, or by a direct call that need not wait for
+//! the next one.
 
-use std::collections::{BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
+use super::messages::CallId;
 use super::Scheduler;
-use crate::constants::{MIN_FORGET_BATCH, STOP_RETRY_MS};
-use crate::machine::{Command, ExitCause, TaskPhase, TaskRun};
+use crate::constants::{MAX_OPEN_PROBES, MIN_FORGET_BATCH, STOP_RETRY_MS};
+use crate::job::{Job, JobId};
+use crate::machine::{Command, ExitCause, Machine, TaskPhase, TaskRun};
 use crate::Millis;
 
-/// Machines that are owed commands, and the direct calls that are open.
-#[derive(Clone, Debug, Default)]
+/// What a direct call is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CallKind {
+    /// It carries commands.
+    Commands,
+    /// It only asks whether the worker is there.
+    Probe,
+}
+
+/// Machines that may be owed commands, and the direct calls that are open.
+#[derive(Clone, Debug)]
 pub(super) struct CommandDispatcher {
-    /// Machines for which there may be something to send now, or at the next tick.
-    pub pending: BTreeSet<String>,
-    pub next_tick: BTreeSet<String>,
-    /// Direct calls that are open, and whether each only asks.
-    pub open_calls: HashMap<u64, bool>,
-    pub open_probes: usize,
-    pub last_call_id: u64,
+    max_open_calls: usize,
+    /// Machines for which there may be something to send now.
+    woken: BTreeSet<String>,
+    /// Machines that are woken by the next tick.
+    deferred: BTreeSet<String>,
+    open_calls: HashMap<CallId, CallKind>,
+    open_probes: usize,
+    last_call: u64,
+}
+
+impl CommandDispatcher {
+    /// A dispatcher that never has more than `max_open_calls` direct calls open.
+    pub fn new(max_open_calls: usize) -> Self {
+        CommandDispatcher {
+            max_open_calls,
+            woken: BTreeSet::new(),
+            deferred: BTreeSet::new(),
+            open_calls: HashMap::new(),
+            open_probes: 0,
+            last_call: 0,
+        }
+    }
+
+    /// Has the next dispatch look for commands to this machine.
+    pub fn wake(&mut self, machine: &str) {
+        self.woken.insert(machine.to_string());
+    }
+
+    /// Has the first dispatch after the next tick look for commands to this machine.
+    pub fn wake_at_next_tick(&mut self, machine: String) {
+        self.deferred.insert(machine);
+    }
+
+    /// Wakes the machines that waited for a tick.
+    pub fn observe_tick(&mut self) {
+        self.woken.append(&mut self.deferred);
+    }
+
+    /// There is nothing to send to this machine now.
+    pub fn forget(&mut self, machine: &str) {
+        self.woken.remove(machine);
+    }
+
+    /// Whether another direct call may be opened.
+    pub fn may_call(&self) -> bool {
+        self.open_calls.len() < self.max_open_calls
+    }
+
+    /// Whether another probe may be opened.
+    pub fn may_probe(&self) -> bool {
+        self.open_probes < MAX_OPEN_PROBES && self.may_call()
+    }
+
+    /// Opens a direct call.
+    pub fn open_call(&mut self, kind: CallKind) -> CallId {
+        self.last_call += 1;
+        let call = CallId(self.last_call);
+        self.open_calls.insert(call, kind);
+        self.open_probes += usize::from(kind == CallKind::Probe);
+        call
+    }
+
+    /// Closes a direct call; returns its kind, `None` if it is not open.
+    pub fn close_call(&mut self, call: CallId) -> Option<CallKind> {
+        let kind = self.open_calls.remove(&call)?;
+        self.open_probes -= usize::from(kind == CallKind::Probe);
+        Some(kind)
+    }
+}
+
+/// Whether a stop that was sent before is sent again.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum StopResend {
+    /// Each time, as with the response to a heartbeat, which costs nothing.
+    Always,
+    /// Only if the last one was sent a while ago.
+    AfterInterval,
 }
 
 impl Scheduler {
-    /// The commands of a report's answer: everything that the machine has not yet been seen to do.
+    /// The commands in the response to a heartbeat: everything that the machine has not yet been
+    /// seen to do.
     pub(super) fn heartbeat_response(&mut self, now: Millis, machine: &str) -> Vec<Command> {
-        let Some(m) = self.inventory.get_mut(machine) else { return Vec::new() };
-        if !m.is_up() {
+        let Some(machine) = self.inventory.get_mut(machine) else { return Vec::new() };
+        if !machine.is_up() {
             return Vec::new();
         }
-        self.dispatcher.pending.remove(machine);
+        self.dispatcher.forget(&machine.name);
         let mut commands = Vec::new();
         let mut forgets = Vec::new();
-        let call_open = m.open_call.is_some();
-        for ((task, attempt), run) in &mut m.runs {
-            let (task, attempt) = (*task, *attempt);
+        let has_open_call = machine.open_call.is_some();
+        for run in machine.runs.values_mut() {
+            let (task, attempt) = (run.task, run.attempt);
             match run.phase {
                 TaskPhase::Assigned => {
                     commands.push(Command::Launch { task, attempt });
-                    run.sent(now);
-                    // A cancelled launch may still arrive directly. Started and stopped here, the
-                    // attempt is known to the machine and the late command does nothing.
-                    push_stop(run, now, true, &mut commands);
+                    run.launch_sent(now);
+                    // A cancelled launch may still arrive by a direct call. Started and stopped
+                    // here, the attempt is known to the machine and the late command does nothing.
+                    push_stop(run, now, StopResend::Always, &mut commands);
                 }
                 TaskPhase::Fetching
                 | TaskPhase::Waiting
                 | TaskPhase::Running
                 | TaskPhase::Checkpointing
                 | TaskPhase::Unrecognised => {
-                    push_stop(run, now, true, &mut commands);
+                    push_stop(run, now, StopResend::Always, &mut commands);
                 }
                 TaskPhase::Ended(cause) => {
-                    let reserved_exclusively = cause == ExitCause::Done
-                        && self.jobs.get(&task.job).is_some_and(|j| !j.persisted.get(task.index));
-                    if !reserved_exclusively && !run.launch_outcome_unknown && !call_open {
+                    let may_arrive_late = run.launch_outcome_unknown || has_open_call;
+                    if !may_arrive_late && !is_unstored_result(run, cause, &self.jobs) {
                         forgets.push(Command::Forget { task, attempt });
                     }
                 }
             }
         }
-        // Forgetting is a change that the worker reports; by itself it is not worth that.
+        // A forget changes what the worker lists, which costs another heartbeat; by itself it is
+        // not worth that.
         if !commands.is_empty() || forgets.len() >= MIN_FORGET_BATCH {
             commands.append(&mut forgets);
         }
         commands
     }
 
-    /// Sends what should not wait for the next report, to the machines that were woken.
+    /// Sends what should not wait for the next heartbeat to the machines that were woken, other
+    /// than `except`, which has just got its response.
     pub(super) fn dispatch(&mut self, now: Millis, except: Option<&str>) {
-        for name in std::mem::take(&mut self.dispatcher.pending) {
+        for name in std::mem::take(&mut self.dispatcher.woken) {
             // With a call open, its end wakes the machine again.
-            let Some(m) = self.inventory.get_mut(&name).filter(|m| m.open_call.is_none()) else {
+            let Some(machine) = self.inventory.get_mut(&name).filter(|m| m.open_call.is_none())
+            else {
                 continue;
             };
-            if except == Some(name.as_str()) || !m.is_up() || m.termination_sent {
+            if except == Some(name.as_str()) || !machine.is_up() || machine.termination_sent {
                 continue;
             }
-            if now < m.next_call_at
-                || self.dispatcher.open_calls.len() >= self.policy.max_open_calls
-            {
-                self.dispatcher.next_tick.insert(name);
+            if now < machine.next_call_at || !self.dispatcher.may_call() {
+                self.dispatcher.wake_at_next_tick(name);
                 continue;
             }
-            let mut commands = Vec::new();
-            let mut stops = false;
-            for ((task, attempt), run) in &mut m.runs {
-                if run.phase == TaskPhase::Assigned && run.launch_sends == 0 {
-                    commands.push(Command::Launch { task: *task, attempt: *attempt });
-                    run.sent(now);
-                }
-                if run.is_live() {
-                    push_stop(run, now, false, &mut commands);
-                    stops |= run.stop.is_some();
-                }
-            }
-            if stops {
-                self.dispatcher.next_tick.insert(name.clone());
+            let commands = direct_commands(machine, now);
+            if machine.runs.values().any(|run| run.is_live() && run.stop.is_some()) {
+                self.dispatcher.wake_at_next_tick(name.clone());
             }
             if !commands.is_empty() {
                 self.call(&name, commands);
@@ -101,18 +173,38 @@
     }
 }
 
+/// The commands that a machine is owed at once: launches that were never sent, and stops.
+fn direct_commands(machine: &mut Machine, now: Millis) -> Vec<Command> {
+    let mut commands = Vec::new();
+    for run in machine.runs.values_mut() {
+        if run.phase == TaskPhase::Assigned && run.launch_sends == 0 {
+            commands.push(Command::Launch { task: run.task, attempt: run.attempt });
+            run.launch_sent(now);
+        }
+        if run.is_live() {
+            push_stop(run, now, StopResend::AfterInterval, &mut commands);
+        }
+    }
+    commands
+}
+
+/// Whether a run that ended is done and its result is not stored yet: its machine keeps it.
+fn is_unstored_result(run: &TaskRun, cause: ExitCause, jobs: &BTreeMap<JobId, Job>) -> bool {
+    cause == ExitCause::Done
+        && jobs.get(&run.task.job).is_some_and(|job| !job.persisted.get(run.task.index))
+}
+
 /// Adds the stop of a run, if there is one to send now.
-fn push_stop(run: &mut TaskRun, now: Millis, again: bool, commands: &mut Vec<Command>) {
+fn push_stop(run: &mut TaskRun, now: Millis, resend: StopResend, commands: &mut Vec<Command>) {
     let Some(stop) = &mut run.stop else { return };
-    // A task that is saving is only told again to end it at once.
+    // A task that saves its progress is told again only to end at once.
     if run.phase == TaskPhase::Checkpointing && stop.grace_s > 0.0 {
         return;
     }
-    let due = match stop.sent_at {
-        None => true,
-        Some(t) => again || now >= t + STOP_RETRY_MS,
-    };
-    if due {
+    let is_due = stop
+        .sent_at
+        .is_none_or(|sent_at| resend == StopResend::Always || now >= sent_at + STOP_RETRY_MS);
+    if is_due {
         stop.sent_at = Some(now);
         commands.push(Command::Stop {
             task: run.task,
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -37,7 +37,7 @@
         let reserved = self.reserved_on(&m.name);
         // One on its way in a zone that is not heard will not be of use soon.
         let late = || self.is_late(now, m);
-        if !m.is_up() && (self.failure_detector.unreachable_zones.contains(&m.zone) || late()) {
+        if !m.is_up() && (self.failure_detector.is_unreachable(&m.zone) || late()) {
             return None;
         }
         Some(FreeCapacity {
@@ -74,9 +74,9 @@
             }
             rooms.push(room);
         }
-        for h in self.provisioning.pending.values() {
-            if let Some(t) = self.inventory.type_named(&h.offer.kind) {
-                rooms.extend((0..h.number).map(|_| pending_capacity(&h.offer, t)));
+        for request in self.provisioning.open_requests() {
+            if let Some(t) = self.inventory.type_named(&request.offer.kind) {
+                rooms.extend((0..request.number).map(|_| pending_capacity(&request.offer, t)));
             }
         }
         (rooms, total)
--- a/crates/latchtrack-core/src/scheduler/gangs.rs
+++ b/crates/latchtrack-core/src/scheduler/gangs.rs
@@ -1,17 +1,17 @@
 //! Gangs: jobs whose tasks run all at the same time or not at all.
 //!
-//! All tasks of a gang are placed in one round under one attempt number. What becomes of the attempt is
-//! told by the reports of its machines alone. As soon as one task is off its machine without a result the
-//! attempt is over: its other tasks are told to stop, and keep their places until they are surely gone. Only
-//! then does the next attempt start. A new leader leaves an attempt alone whose tasks are all there, and
-//! ends any other.
+//! All tasks of a gang are placed in one scheduling cycle under one attempt number. What becomes of
+//! the attempt is told by the heartbeats of its machines alone. As soon as one task is off its
+//! machine without a result the attempt is over: its other tasks are told to stop, and keep their
+//! assignments until they are surely gone. Only then does the next attempt start. A new leader
+//! leaves an attempt alone whose tasks are all there, and ends any other.
 
 use std::sync::Arc;
 
 use super::Scheduler;
 use crate::constants::{FETCH_GRACE_MS, STOP_GRACE_S};
 use crate::job::{Job, JobId, TaskId};
-use crate::machine::{StopRequest, TaskPhase, TaskRun};
+use crate::machine::{ExitCause, StopRequest, TaskPhase, TaskRun};
 use crate::Millis;
 
 /// How the attempt of a gang stands.
@@ -27,16 +27,51 @@
     Stopping,
 }
 
+/// What becomes of tasks that fetch their image when their attempt ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum FetchesOnEnd {
+    /// They go on: the next attempt needs the image.
+    Continue,
+    /// They are stopped like any other.
+    Stop,
+}
+
+impl FetchesOnEnd {
+    /// After the end of this run: if only time was too short for the gang, fetches go on.
+    pub fn after(run: &TaskRun) -> Self {
+        if run.phase == TaskPhase::Ended(ExitCause::GangIncomplete) {
+            FetchesOnEnd::Continue
+        } else {
+            FetchesOnEnd::Stop
+        }
+    }
+}
+
 /// What is to be done with a task of an attempt that is over.
-enum Ending {
-    /// It was never sent: there is nothing to stop.
-    NeverSent,
+enum EndAction {
+    /// Its launch was never sent: there is nothing to stop.
+    Remove,
     Stop,
     Nothing,
 }
 
+/// Where a task of a gang is assigned.
+struct GangTask {
+    index: u32,
+    machine: Arc<str>,
+    attempt: u64,
+}
+
+/// An attempt of a gang of which tasks are missing.
+struct BrokenAttempt {
+    job: JobId,
+    /// The attempt numbers of its tasks.
+    attempts: Vec<u64>,
+    fetches: FetchesOnEnd,
+}
+
 impl Scheduler {
-    /// How the attempt of a gang stands, by what its machines report.
+    /// How the attempt of a gang stands, by what its machines say.
     pub fn attempt_state(&self, job: &Job) -> AttemptState {
         if job.placed.is_empty() {
             return AttemptState::Ended;
@@ -51,16 +86,16 @@
         }
     }
 
-    /// Open gangs, which a version that knows none would run task by task.
+    /// How many gangs are open, which a version that knows none would run task by task.
     pub fn open_gangs(&self) -> usize {
         self.jobs.values().filter(|job| job.spec.gang).count()
     }
 
-    /// The runs of a job on the machines where its tasks have their places.
+    /// The runs of a job on the machines to which its tasks are assigned.
     fn placed_runs<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a TaskRun> + 'a {
-        job.placed.iter().filter_map(|(index, place)| {
+        job.placed.iter().filter_map(|(index, assignment)| {
             let task = TaskId { job: job.spec.id, index: *index };
-            self.inventory.get(&place.machine)?.runs.get(&(task, place.attempt))
+            self.inventory.get(&assignment.machine)?.runs.get(&(task, assignment.attempt))
         })
     }
 
@@ -70,102 +105,114 @@
         for index in 0..job.spec.tasks {
             job.complete(index, attempt);
         }
-        self.persistence.completed_jobs.insert(id);
+        self.persistence.put_completed_job(id);
     }
 
-    /// A task of the attempt is off its machine without a result: the others go too. Those that fetch may
-    /// go on if only time was short.
+    /// A task of the attempt is off its machine without a result: the others go too.
     pub(super) fn end_attempt(
         &mut self,
         now: Millis,
         id: JobId,
         attempt: u64,
-        keeps_fetching: bool,
+        fetches: FetchesOnEnd,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.attempt_ended_at.get_or_insert(now);
-        let places: Vec<(u32, Arc<str>)> =
-            job.placed.iter().map(|(index, place)| (*index, place.machine.clone())).collect();
-        for (index, machine) in places {
-            let Some(m) = self.inventory.get_mut(&machine) else { continue };
+        for GangTask { index, machine, .. } in assigned_tasks(job) {
+            let Some(machine) = self.inventory.get_mut(&machine) else { continue };
             let key = (TaskId { job: id, index }, attempt);
-            // Of another attempt, or already off its machine.
-            let Some(run) = m.runs.get_mut(&key) else { continue };
-            match ending(run, keeps_fetching) {
-                Ending::NeverSent => {
-                    m.runs.remove(&key);
+            // Without a run it is of another attempt, or already off its machine.
+            let Some(run) = machine.runs.get_mut(&key) else { continue };
+            match end_action(run, fetches) {
+                EndAction::Remove => {
+                    machine.runs.remove(&key);
                     job.requeue(index);
                 }
-                Ending::Stop => {
-                    run.stop = Some(StopRequest { grace_s: 0.0, sent_at: None });
-                    self.dispatcher.pending.insert(machine.to_string());
+                EndAction::Stop => {
+                    run.stop = Some(StopRequest::AT_ONCE);
+                    self.dispatcher.wake(&machine.name);
                 }
-                Ending::Nothing => {}
+                EndAction::Nothing => {}
             }
         }
     }
 
-    /// Ends attempts of which tasks are missing: those that an earlier leader did not bring to a start, once
-    /// all that may be on machines is known; and what was left fetching of those that have ended.
+    /// Ends attempts of which tasks are missing: those that an earlier leader did not bring to a
+    /// start, once all that may be on machines is known; and what was left fetching of those that
+    /// have ended.
     pub(super) fn end_broken_gang_attempts(&mut self, now: Millis) {
+        for BrokenAttempt { job, mut attempts, fetches } in self.broken_attempts(now) {
+            attempts.dedup();
+            for attempt in attempts {
+                self.end_attempt(now, job, attempt, fetches);
+            }
+        }
+    }
+
+    fn broken_attempts(&self, now: Millis) -> Vec<BrokenAttempt> {
         let all_known = self.all_reconciled();
-        let broken =
-            |job: &&Job| job.spec.gang && !job.placed.is_empty() && !job.has_complete_attempt();
-        let ended: Vec<(JobId, Vec<u64>, bool)> = self
-            .jobs
+        self.jobs
             .values()
-            .filter(broken)
+            .filter(|job| job.spec.gang && !job.placed.is_empty() && !job.has_complete_attempt())
             .filter(|job| all_known || job.attempt_ended_at.is_some())
             .map(|job| {
-                let attempts = job.placed.values().map(|place| place.attempt).collect();
-                let since = job.attempt_ended_at;
-                let keeps = since.is_some_and(|at| now < at.saturating_add(FETCH_GRACE_MS));
-                (job.spec.id, attempts, keeps)
+                let may_fetch =
+                    job.attempt_ended_at.is_some_and(|at| now < at.saturating_add(FETCH_GRACE_MS));
+                let attempts = job.placed.values().map(|assignment| assignment.attempt).collect();
+                let fetches = if may_fetch { FetchesOnEnd::Continue } else { FetchesOnEnd::Stop };
+                BrokenAttempt { job: job.spec.id, attempts, fetches }
             })
-            .collect();
-        for (id, mut attempts, keeps_fetching) in ended {
-            attempts.dedup();
-            for attempt in attempts {
-                self.end_attempt(now, id, attempt, keeps_fetching);
-            }
-        }
+            .collect()
     }
 
-    /// Tells all tasks of a running gang to save and stop, if all of them can be told now.
+    /// Tells all tasks of a running gang to save their progress and stop, if all of them can be
+    /// told now.
     pub(super) fn stop_gang(&mut self, now: Millis, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let probe_ms = self.policy.probe_ms();
-        let hears = |machine: &str| {
+        let is_heard = |machine: &str| {
             self.inventory
                 .get(machine)
                 .is_some_and(|m| m.is_up() && !m.heartbeat_older_than(now, probe_ms))
         };
-        let all_hear = job.placed.values().all(|place| hears(&place.machine));
-        if self.attempt_state(job) != AttemptState::Running || !all_hear {
+        let all_heard = job.placed.values().all(|assignment| is_heard(&assignment.machine));
+        if self.attempt_state(job) != AttemptState::Running || !all_heard {
             return;
         }
         let grace_s = job.spec.save_s + STOP_GRACE_S;
-        let places: Vec<(u32, Arc<str>, u64)> =
-            job.placed.iter().map(|(i, p)| (*i, p.machine.clone(), p.attempt)).collect();
-        for (index, machine, attempt) in places {
-            let Some(m) = self.inventory.get_mut(&machine) else { continue };
+        for GangTask { index, machine, attempt } in assigned_tasks(job) {
+            let Some(machine) = self.inventory.get_mut(&machine) else { continue };
             let key = (TaskId { job: id, index }, attempt);
-            if let Some(run) = m.runs.get_mut(&key) {
+            if let Some(run) = machine.runs.get_mut(&key) {
                 run.stop = Some(StopRequest { grace_s, sent_at: None });
-                self.dispatcher.pending.insert(machine.to_string());
+                self.dispatcher.wake(&machine.name);
             }
         }
     }
 }
 
+/// The tasks of a gang that are assigned to machines, by index.
+fn assigned_tasks(job: &Job) -> Vec<GangTask> {
+    job.placed
+        .iter()
+        .map(|(index, assignment)| GangTask {
+            index: *index,
+            machine: assignment.machine.clone(),
+            attempt: assignment.attempt,
+        })
+        .collect()
+}
+
 /// What is to be done with a run of an attempt that is over.
-fn ending(run: &TaskRun, keeps_fetching: bool) -> Ending {
+fn end_action(run: &TaskRun, fetches: FetchesOnEnd) -> EndAction {
+    let stops_at_once = run.stop.is_some_and(|stop| stop.grace_s == 0.0);
     match run.phase {
-        TaskPhase::Ended(_) => Ending::Nothing,
-        TaskPhase::Assigned if run.launch_sends == 0 => Ending::NeverSent,
-        TaskPhase::Fetching if keeps_fetching && run.stop.is_none() => Ending::Nothing,
-        // Told already to end at once.
-        _ if run.stop.is_some_and(|stop| stop.grace_s == 0.0) => Ending::Nothing,
-        _ => Ending::Stop,
+        TaskPhase::Ended(_) => EndAction::Nothing,
+        TaskPhase::Assigned if run.launch_sends == 0 => EndAction::Remove,
+        TaskPhase::Fetching if fetches == FetchesOnEnd::Continue && run.stop.is_none() => {
+            EndAction::Nothing
+        }
+        _ if stops_at_once => EndAction::Nothing,
+        _ => EndAction::Stop,
     }
 }
--- a/crates/latchtrack-core/src/scheduler/heartbeats.rs
+++ b/crates/latchtrack-core/src/scheduler/heartbeats.rs
@@ -4,166 +4,215 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use super::inventory::new_machine;
 use super::log_events::{AdoptionSource, LogEvent, ResignReason};
 use super::messages::Effect;
-use super::persistence::stored_machine;
 use super::task_runs::adopt_run;
 use super::Scheduler;
 use crate::constants::NEW_MACHINE_PROBE_DELAY_MS;
 use crate::job::TaskId;
-use crate::machine::{Heartbeat, TaskPhase, TaskRun, TaskStatus};
+use crate::machine::{Heartbeat, Machine, MessageNumber, TaskPhase, TaskRun, TaskStatus};
 use crate::Millis;
 
+/// What came of a heartbeat.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReconcileOutcome {
+    /// What the scheduler holds to be on the machine is what the heartbeat says.
+    Reconciled,
+    /// It is stale, of an unknown machine, or shows an older token and so proves nothing.
+    Ignored,
+}
+
 impl Scheduler {
-    pub(super) fn on_heartbeat(&mut self, now: Millis, r: &Heartbeat) {
-        if r.token > self.token {
+    /// Takes in a heartbeat, and responds to it.
+    pub(super) fn on_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
+        if heartbeat.token > self.token {
             self.out.push(Effect::Resign(ResignReason::HigherToken));
             return;
         }
-        if !self.inventory.was_terminated(&r.machine) {
-            self.register(now, r);
-            if self.reconcile(now, r) {
+        if !self.inventory.was_terminated(&heartbeat.machine) {
+            self.register(now, heartbeat);
+            if self.reconcile(now, heartbeat) == ReconcileOutcome::Reconciled {
                 if self.cycle_due(now) {
                     self.run_cycle(now);
                 }
-                self.backfill(now, &r.machine);
-                let answer = self.heartbeat_response(now, &r.machine);
-                self.out.push(Effect::Respond(answer));
-                self.dispatch(now, Some(&r.machine));
+                self.backfill(now, &heartbeat.machine);
+                let commands = self.heartbeat_response(now, &heartbeat.machine);
+                self.out.push(Effect::Respond(commands));
+                self.dispatch(now, Some(&heartbeat.machine));
                 return;
             }
         }
-        // Old news, or a machine that has yet to see our token: it hears it now, and reports again
-        // at once. A late copy gets the same answer, which nobody reads.
+        // Stale, or of a machine that has yet to see this term's token: it sees it with this
+        // response, and sends another heartbeat at once. A late copy gets the same response, which
+        // nobody reads.
         self.out.push(Effect::Respond(Vec::new()));
     }
 
-    /// A report of a machine that we do not know: a rental that was executed late, or whose answer
-    /// was lost. It is not in the stored set, so no leader has launched anything on it. Only with
-    /// our token it is surely there: a copy from before this term may be of a machine long gone.
-    fn register(&mut self, now: Millis, r: &Heartbeat) {
-        if r.token < self.token || self.inventory.contains(&r.machine) {
+    /// Registers a machine that the scheduler does not know: a provision request that was executed
+    /// late, or whose answer was lost. It is not in the stored set, so no leader has launched
+    /// anything on it. Only with this term's token it is surely there: a copy of a heartbeat from
+    /// before this term may be of a machine that is long gone.
+    fn register(&mut self, now: Millis, heartbeat: &Heartbeat) {
+        if heartbeat.token < self.token || self.inventory.contains(&heartbeat.machine) {
             return;
         }
-        let m = new_machine(&r.machine, &r.kind, &r.zone, r.spot, now);
-        self.inventory.insert(m);
+        let Heartbeat { machine, kind, zone, spot, .. } = heartbeat;
+        self.inventory.insert(Machine::new(machine, kind, zone, *spot, now));
         self.out.push(Effect::Log(LogEvent::MachineAdopted {
-            machine: r.machine.clone(),
+            machine: machine.clone(),
             source: AdoptionSource::Heartbeat,
         }));
     }
 
-    /// Takes in what a machine says; false if it is old news or proves nothing.
-    pub(super) fn reconcile(&mut self, now: Millis, r: &Heartbeat) -> bool {
-        let Some(m) = self.inventory.get_mut(&r.machine) else { return false };
-        if (r.agent_epoch, r.sequence) <= m.latest_message {
-            return false;
+    /// Squares what a machine says with what the scheduler holds to be on it.
+    pub(super) fn reconcile(&mut self, now: Millis, heartbeat: &Heartbeat) -> ReconcileOutcome {
+        let Some(machine) = self.inventory.get_mut(&heartbeat.machine) else {
+            return ReconcileOutcome::Ignored;
+        };
+        let number = MessageNumber::of(heartbeat);
+        if number <= machine.latest_message {
+            return ReconcileOutcome::Ignored;
         }
-        let moved = r.agent_epoch > m.latest_message.0;
-        m.latest_message = (r.agent_epoch, r.sequence);
-        if r.token < self.token {
-            // It may be a late copy. Where to ask is learnt from it, no more.
-            if m.addr.is_none() {
-                m.addr = Some(r.addr.clone());
-                m.heartbeat_expected_since = Some(now);
-                m.next_call_at = now + NEW_MACHINE_PROBE_DELAY_MS;
-            }
-            return false;
+        let is_new_epoch = number.agent_epoch > machine.latest_message.agent_epoch;
+        machine.latest_message = number;
+        if heartbeat.token < self.token {
+            learn_address(machine, now, heartbeat);
+            return ReconcileOutcome::Ignored;
         }
-        let first = m.last_heartbeat_at.is_none();
-        m.last_heartbeat_at = Some(now);
-        m.unanswered_calls = 0;
-        let sight = self.failure_detector.zones.entry(m.zone.clone()).or_default();
-        (sight.last_heartbeat_at, sight.unanswered_calls) = (Some(now), 0);
-        m.addr = Some(r.addr.clone());
-        m.preempt_at = r.notice_s.map(|s| now.saturating_add((s.max(0.0) * 1000.0) as Millis));
-        if first {
-            self.cycle_timer.requested = true;
-            self.provisioning.boots.record_boot(now, m);
-            if !m.persisted {
-                let size = stored_machine(m).bytes();
-                self.persistence.machine_sets.put(r.machine.clone(), size, true);
-            }
+        self.record_heartbeat(now, heartbeat);
+        if is_new_epoch {
+            self.release_lost_runs(now, &heartbeat.machine);
         }
-        if moved && !m.runs.is_empty() {
-            // The worker's lease ran out: it has killed and forgotten everything, and late
-            // commands for the old session are void.
-            let runs = std::mem::take(&mut m.runs);
-            self.out.push(Effect::Log(LogEvent::AgentEpochAdvanced {
-                machine: r.machine.clone(),
-                task_runs: runs.len(),
-            }));
-            for run in runs.into_values() {
-                self.release_run(now, &r.machine, &run);
-            }
-            self.cycle_timer.requested = true;
+        self.release_vanished_runs(now, heartbeat);
+        for status in &heartbeat.tasks {
+            self.reconcile_task(now, &heartbeat.machine, status);
+        }
+        self.update_idle_since(now, &heartbeat.machine);
+        ReconcileOutcome::Reconciled
+    }
+
+    /// Notes that a machine was heard holding this term's token. The first time it is up: it is
+    /// stored, so that tasks may be launched on it.
+    fn record_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
+        let Some(machine) = self.inventory.get_mut(&heartbeat.machine) else { return };
+        let was_up = machine.is_up();
+        machine.last_heartbeat_at = Some(now);
+        machine.unanswered_calls = 0;
+        machine.addr = Some(heartbeat.addr.clone());
+        machine.preempt_at = heartbeat
+            .notice_s
+            .map(|notice_s| now.saturating_add((notice_s.max(0.0) * 1000.0) as Millis));
+        self.failure_detector.heartbeat_observed(now, &machine.zone);
+        if was_up {
+            return;
+        }
+        self.cycle_timer.requested = true;
+        self.boot_tracker.record_boot(now, machine);
+        if !machine.persisted {
+            self.persistence.put_machine(machine);
+        }
+    }
+
+    /// A machine has a new agent epoch: its worker lease expired, and the worker has killed and
+    /// forgotten all its tasks. Late commands for the old epoch are void.
+    fn release_lost_runs(&mut self, now: Millis, name: &str) {
+        let Some(machine) = self.inventory.get_mut(name) else { return };
+        let runs = std::mem::take(&mut machine.runs);
+        if runs.is_empty() {
+            return;
+        }
+        self.out.push(Effect::Log(LogEvent::AgentEpochAdvanced {
+            machine: name.to_string(),
+            task_runs: runs.len(),
+        }));
+        for run in runs.values() {
+            self.release_run(now, name, run);
         }
-        let Some(m) = self.inventory.get_mut(&r.machine) else { return false };
-        let listed: HashSet<(TaskId, u64)> = r.tasks.iter().map(|t| (t.task, t.attempt)).collect();
-        let vanished: Vec<(TaskId, u64)> = m
+        self.cycle_timer.requested = true;
+    }
+
+    /// Releases the runs that a machine listed before and lists no more.
+    fn release_vanished_runs(&mut self, now: Millis, heartbeat: &Heartbeat) {
+        let Some(machine) = self.inventory.get(&heartbeat.machine) else { return };
+        let listed: HashSet<(TaskId, u64)> =
+            heartbeat.tasks.iter().map(|status| (status.task, status.attempt)).collect();
+        let vanished: Vec<(TaskId, u64)> = machine
             .runs
             .iter()
-            .filter(|(k, run)| run.phase != TaskPhase::Assigned && !listed.contains(k))
-            .map(|(k, _)| *k)
+            .filter(|(key, run)| run.phase != TaskPhase::Assigned && !listed.contains(key))
+            .map(|(key, _)| *key)
             .collect();
         for key in vanished {
-            if let Some(run) = self.inventory.get_mut(&r.machine).and_then(|m| m.runs.remove(&key))
-            {
-                if run.is_live() {
-                    self.release_run(now, &r.machine, &run);
-                }
+            let Some(machine) = self.inventory.get_mut(&heartbeat.machine) else { return };
+            if let Some(run) = machine.runs.remove(&key).filter(TaskRun::is_live) {
+                self.release_run(now, &heartbeat.machine, &run);
             }
         }
-        for t in &r.tasks {
-            self.reconcile_task(now, &r.machine, t);
-        }
-        self.update_idle_since(now, &r.machine);
-        true
     }
 
-    pub(super) fn reconcile_task(&mut self, now: Millis, machine: &str, t: &TaskStatus) {
-        let key = (t.task, t.attempt);
-        let kind = self.inventory.get(machine).map(|m| m.kind.clone()).unwrap_or_default();
-        let cache_gb = self.inventory.type_named(&kind).map_or(0.0, |t| t.cache_gb);
-        let Some(m) = self.inventory.get_mut(machine) else { return };
-        let run = match m.runs.entry(key) {
+    /// Takes in what a machine says of one task.
+    fn reconcile_task(&mut self, now: Millis, name: &str, status: &TaskStatus) {
+        let machine_type = self.inventory.get(name).map(|m| m.kind.clone()).unwrap_or_default();
+        let cache_gb = self.inventory.type_named(&machine_type).map_or(0.0, |t| t.cache_gb);
+        let Some(machine) = self.inventory.get_mut(name) else { return };
+        let run = match machine.runs.entry((status.task, status.attempt)) {
             Entry::Occupied(run) => run.into_mut(),
             Entry::Vacant(free) => {
-                let job = self.jobs.get_mut(&t.task.job).filter(|j| t.task.index < j.spec.tasks);
-                free.insert(adopt_run(machine, t, job))
+                let job = self.jobs.get_mut(&status.task.job);
+                let job = job.filter(|job| status.task.index < job.spec.tasks);
+                free.insert(adopt_run(name, status, job))
             }
         };
-        if !run.is_live() || run.phase == t.phase {
+        if !run.is_live() || run.phase == status.phase {
             return;
         }
-        run.phase = t.phase;
-        if t.phase == TaskPhase::Unrecognised {
-            self.out.push(Effect::Log(LogEvent::UnrecognisedPhase {
-                machine: machine.to_string(),
-                task: t.task,
-            }));
-        }
-        if t.phase == TaskPhase::Running {
-            run.running_since.get_or_insert(now);
-            if let Some(spec) = &run.spec {
-                if !m.images.is_last_used(&spec.image) {
-                    Arc::make_mut(&mut m.images).used(&spec.image, spec.image_gb, cache_gb);
+        run.phase = status.phase;
+        match status.phase {
+            TaskPhase::Running => {
+                run.running_since.get_or_insert(now);
+                if let Some(spec) =
+                    run.spec.as_ref().filter(|s| !machine.images.is_last_used(&s.image))
+                {
+                    Arc::make_mut(&mut machine.images).record_use(
+                        &spec.image,
+                        spec.image_gb,
+                        cache_gb,
+                    );
                 }
             }
-        }
-        if let TaskPhase::Ended(cause) = t.phase {
-            let run = run.clone();
-            self.on_run_ended(now, machine, &run, cause);
+            TaskPhase::Unrecognised => {
+                self.out.push(Effect::Log(LogEvent::UnrecognisedPhase {
+                    machine: name.to_string(),
+                    task: status.task,
+                }));
+            }
+            TaskPhase::Ended(cause) => {
+                let run = run.clone();
+                self.on_run_ended(now, name, &run, cause);
+            }
+            TaskPhase::Assigned
+            | TaskPhase::Fetching
+            | TaskPhase::Waiting
+            | TaskPhase::Checkpointing => {}
         }
     }
 
-    pub(super) fn update_idle_since(&mut self, now: Millis, machine: &str) {
-        let Some(m) = self.inventory.get_mut(machine) else { return };
-        if m.runs.values().any(TaskRun::is_live) {
-            m.idle_since = None;
+    fn update_idle_since(&mut self, now: Millis, machine: &str) {
+        let Some(machine) = self.inventory.get_mut(machine) else { return };
+        if machine.runs.values().any(TaskRun::is_live) {
+            machine.idle_since = None;
         } else {
-            m.idle_since.get_or_insert(now);
+            machine.idle_since.get_or_insert(now);
         }
     }
 }
+
+/// Learns from a heartbeat with an older token where to call the machine, and no more: it may be a
+/// late copy.
+fn learn_address(machine: &mut Machine, now: Millis, heartbeat: &Heartbeat) {
+    if machine.addr.is_none() {
+        machine.addr = Some(heartbeat.addr.clone());
+        machine.heartbeat_expected_since = Some(now);
+        machine.next_call_at = now + NEW_MACHINE_PROBE_DELAY_MS;
+    }
+}
--- a/crates/latchtrack-core/src/scheduler/inventory.rs
+++ b/crates/latchtrack-core/src/scheduler/inventory.rs
@@ -1,9 +1,8 @@
-//! The machines that are rented, the types that the cloud rents out, and the names of machines that were
-//! terminated in this term.
+//! The inventory: provisioned machines, the machine types of the cloud, and the names of machines
+//! that were terminated in this term.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Index;
-use std::sync::Arc;
 
 use super::messages::StoredMachine;
 use crate::constants::MAX_TERMINATED_NAMES;
@@ -15,25 +14,29 @@
 pub(super) struct MachineInventory {
     machines: BTreeMap<String, Machine>,
     types: Vec<MachineType>,
-    /// Names of machines whose deletion was answered: late messages of them mean nothing.
+    /// Names of machines of which the termination was answered.
     terminated: BTreeSet<String>,
     /// The same names, the oldest first.
     terminated_order: VecDeque<String>,
 }
 
 impl MachineInventory {
+    /// An inventory without machines.
     pub fn new(types: Vec<MachineType>) -> Self {
         MachineInventory { types, ..MachineInventory::default() }
     }
 
+    /// The machine of this name.
     pub fn get(&self, name: &str) -> Option<&Machine> {
         self.machines.get(name)
     }
 
+    /// The same, to be changed.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Machine> {
         self.machines.get_mut(name)
     }
 
+    /// Whether there is a machine of this name.
     pub fn contains(&self, name: &str) -> bool {
         self.machines.contains_key(name)
     }
@@ -43,15 +46,17 @@
         self.machines.values()
     }
 
+    /// The same, to be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
         self.machines.values_mut()
     }
 
-    /// The runs on all machines.
+    /// The task runs on all machines.
     pub fn runs(&self) -> impl Iterator<Item = &TaskRun> {
         self.machines.values().flat_map(|machine| machine.runs.values())
     }
 
+    /// How many machines there are.
     pub fn len(&self) -> usize {
         self.machines.len()
     }
@@ -61,18 +66,22 @@
         self.machines.insert(machine.name.to_string(), machine);
     }
 
+    /// Takes a machine out.
     pub fn remove(&mut self, name: &str) -> Option<Machine> {
         self.machines.remove(name)
     }
 
+    /// All machines by name.
     pub fn by_name(&self) -> &BTreeMap<String, Machine> {
         &self.machines
     }
 
+    /// The machine types that the cloud offers.
     pub fn types(&self) -> &[MachineType] {
         &self.types
     }
 
+    /// Replaces the machine types.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         self.types = types;
     }
@@ -82,6 +91,8 @@
         self.types.iter().find(|machine_type| machine_type.name == name)
     }
 
+    /// Whether a machine of this name was terminated in this term, so that late messages of it
+    /// mean nothing.
     pub fn was_terminated(&self, name: &str) -> bool {
         self.terminated.contains(name)
     }
@@ -103,6 +114,7 @@
 impl Index<&str> for MachineInventory {
     type Output = Machine;
 
+    /// The machine of this name. Panics if there is none.
     fn index(&self, name: &str) -> &Machine {
         &self.machines[name]
     }
@@ -110,40 +122,11 @@
 
 /// A machine of the stored set, as a new leader finds it.
 pub(super) fn inherited_machine(stored: StoredMachine, now: Millis) -> Machine {
-    let mut machine = new_machine(&stored.name, &stored.kind, &stored.zone, stored.spot, now);
-    machine.addr = Some(stored.addr);
-    machine.persisted = true;
-    machine.inherited = true;
-    machine.heartbeat_expected_since = Some(now);
-    machine
-}
-
-pub(super) fn new_machine(name: &str, kind: &str, zone: &str, spot: bool, now: Millis) -> Machine {
     Machine {
-        name: name.into(),
-        kind: kind.into(),
-        zone: zone.into(),
-        spot,
-        addr: None,
-        rented_at: now,
-        listed_as_running: false,
-        persisted: false,
-        inherited: false,
-        latest_message: (0, 0),
-        last_heartbeat_at: None,
-        heartbeat_expected_since: None,
-        unanswered_calls: 0,
-        preempt_at: None,
-        runs: BTreeMap::new(),
-        open_call: None,
-        next_call_at: 0,
-        slow_votes: 0,
-        to_terminate: false,
-        termination_sent: false,
-        idle_since: None,
-        failed_jobs: BTreeSet::new(),
-        quarantined_until: 0,
-        proven: false,
-        images: Arc::default(),
+        addr: Some(stored.addr),
+        persisted: true,
+        inherited: true,
+        heartbeat_expected_since: Some(now),
+        ..Machine::new(&stored.name, &stored.kind, &stored.zone, stored.spot, now)
     }
 }
--- a/crates/latchtrack-core/src/scheduler/log_events.rs
+++ b/crates/latchtrack-core/src/scheduler/log_events.rs
@@ -8,6 +8,8 @@
 use latchtrack_quota::Notice;
 
 use super::moves::BalanceSummary;
+pub use crate::record_shards::RejectedShard;
+
 use crate::job::{JobId, TaskId};
 use crate::Millis;
 
@@ -20,15 +22,6 @@
     CloudList,
 }
 
-/// What happens to a stored value that the state service rejected by itself.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RejectedShard {
-    /// Its entries are stored in smaller values.
-    Split,
-    /// It has one entry alone, which is not stored at all.
-    Abandoned,
-}
-
 /// An event for the log, emitted once each.
 ///
 /// `Display` writes a constant message, followed by the values as `key=value`.
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -1,12 +1,15 @@
-//! The cluster as its leader sees it: an event goes in, a list of effects comes out.
+//! The scheduler: a leader's pure state machine. An event goes in, a list of effects comes out.
 //!
-//! What keeps the rules, in short (docs/design.md has the reasoning):
-//! - a task has one place at a time, and keeps it until its machine reports the attempt ended,
-//!   moved to another session, or is surely gone;
-//! - a machine of an earlier leader is unsettled until a report of it carries our token or a
-//!   delete of it was answered; while one is, no inherited job starts anything;
+//! Its invariants, in short (docs/design.md has the reasoning):
+//! - a task has one assignment at a time, and keeps it until its machine says that the attempt has
+//!   ended, is in a later agent epoch, or is surely gone;
+//! - a machine of an earlier leader is unreconciled until a heartbeat of it carries this term's
+//!   fencing token or its termination was answered; while one is, no inherited job starts anything;
 //! - a launch whose direct call was never answered may execute later, so its attempt is never
-//!   forgotten in that session.
+//!   forgotten in that agent epoch.
+//!
+//! Each part of the state is a struct in the module that owns it; [`Scheduler::handle`] routes
+//! events to the modules, and [`Scheduler::on_tick`] lists the steps of a tick.
 
 mod backfill;
 mod boot_tracking;
@@ -48,6 +51,7 @@
 pub use policy::*;
 pub use summary::SchedulerSummary;
 
+use boot_tracking::BootTracker;
 use cell_quota::QuotaAccounting;
 use cycle::CycleTimer;
 use dispatcher::CommandDispatcher;
@@ -63,7 +67,7 @@
 use task_runs::stop_job_runs;
 
 use crate::bitmap::Bitmap;
-use crate::constants::{MAX_TICK_GAP_MS, VALUE_FILL_FACTOR};
+use crate::constants::VALUE_FILL_FACTOR;
 use crate::job::{Job, JobId, JobSpec};
 use crate::machine::{Machine, MachineType};
 use crate::Millis;
@@ -72,16 +76,19 @@
 #[derive(Clone)]
 pub struct Scheduler {
     policy: Policy,
+    /// The fencing token of this term.
     token: u64,
     /// Jobs accepted from this revision on were never launched by an earlier leader.
     leaderless_since: u64,
     term_started_at: Millis,
     next_attempt: u64,
+    /// The unfinished jobs.
     jobs: BTreeMap<JobId, Job>,
     inventory: MachineInventory,
     failure_detector: FailureDetector,
     dispatcher: CommandDispatcher,
     provisioning: Provisioning,
+    boot_tracker: BootTracker,
     persistence: RecordPersistence,
     quota: QuotaAccounting,
     queue: JobQueue,
@@ -90,12 +97,13 @@
     image_locality: ImageLocality,
     cycle_timer: CycleTimer,
     load_balancing: LoadBalancing,
+    /// The effects of the event at hand.
     out: Vec<Effect>,
 }
 
 impl Scheduler {
-    /// What a new leader begins with: `inherited` is the stored set of machines, `results` what is stored
-    /// of jobs that are open.
+    /// The scheduler of a new term: `inherited` is the stored machine set, `results` what is stored
+    /// of open jobs.
     pub fn new(
         policy: Policy,
         revisions: TermRevisions,
@@ -122,8 +130,9 @@
             jobs: BTreeMap::new(),
             inventory: machines,
             failure_detector: FailureDetector::new(now),
-            dispatcher: CommandDispatcher::default(),
+            dispatcher: CommandDispatcher::new(policy.max_open_calls),
             provisioning: Provisioning::new(token),
+            boot_tracker: BootTracker::default(),
             persistence,
             quota: QuotaAccounting::new(&policy, token),
             queue: JobQueue::default(),
@@ -137,13 +146,14 @@
         }
     }
 
+    /// The fencing token of this term.
     pub fn token(&self) -> u64 {
         self.token
     }
 
     /// Whether all that may be on machines is known: no earlier leader's command can still arrive.
     fn all_reconciled(&self) -> bool {
-        self.persistence.unreadable_machine_sets.is_empty()
+        self.persistence.is_machine_set_known()
             && !self.inventory.iter().any(Machine::is_unreconciled)
     }
 
@@ -157,12 +167,12 @@
         self.jobs.iter().filter(|(_, job)| job.is_quarantined).map(|(id, _)| *id)
     }
 
-    /// Zones of which nothing is heard.
+    /// Unreachable zones, for display.
     pub fn unreachable_zones(&self) -> Vec<String> {
-        self.failure_detector.unreachable_zones.iter().map(|z| z.to_string()).collect()
+        self.failure_detector.unreachable_zones().map(|zone| zone.to_string()).collect()
     }
 
-    /// Rounds of placing in this term, for checks.
+    /// Scheduling cycles in this term, for checks.
     pub fn cycles(&self) -> u64 {
         self.cycle_timer.count
     }
@@ -172,20 +182,20 @@
         &self.jobs
     }
 
-    /// Takes one event.
+    /// Takes one event; returns what is to be done, in this order.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Effect> {
         match event {
             Event::JobOpened { spec, submitted_at, revision, done } => {
                 self.on_job_opened(spec, submitted_at, revision, done)
             }
             Event::JobClosed(job) => self.on_job_closed(now, job),
-            Event::Heartbeat(report) => {
-                self.failure_detector.relayed_since = None;
-                self.on_heartbeat(now, &report);
+            Event::Heartbeat(heartbeat) => {
+                self.failure_detector.worker_reached_directly();
+                self.on_heartbeat(now, &heartbeat);
             }
-            Event::RelayedHeartbeat(report) => {
-                self.failure_detector.relayed_since.get_or_insert(now);
-                self.on_heartbeat(now, &report);
+            Event::RelayedHeartbeat(heartbeat) => {
+                self.failure_detector.heartbeat_relayed(now);
+                self.on_heartbeat(now, &heartbeat);
             }
             Event::CallFinished { machine, call, outcome } => {
                 self.on_call_finished(now, &machine, call, outcome)
@@ -205,24 +215,18 @@
             }
             Event::Tick => self.on_tick(now),
         }
-        if !self.persistence.completed_jobs.is_empty()
-            || self.persistence.machine_sets.due(now)
-            || self.persistence.results.due(now)
-        {
+        if self.persistence.has_due_write(now) {
             self.out.push(Effect::WritesReady);
         }
         std::mem::take(&mut self.out)
     }
 
+    /// The steps of a tick, in their order.
     fn on_tick(&mut self, now: Millis) {
-        self.provisioning.exhausted.retain(|_, until| *until > now);
-        // Not leading for a while, or standing still: the machines spoke, and nobody listened.
-        if now > self.failure_detector.last_tick_at.saturating_add(MAX_TICK_GAP_MS) {
-            self.failure_detector.listening_since = now;
-        }
-        self.failure_detector.last_tick_at = now;
+        self.provisioning.expire_exhausted(now);
+        self.failure_detector.observe_tick(now);
         self.request_machine_list(now);
-        self.detect_silent_machines(now);
+        self.detect_failures(now);
         self.stop_preempted_tasks(now);
         self.end_broken_gang_attempts(now);
         self.track_boots(now);
@@ -232,7 +236,7 @@
         self.balance_load(now);
         self.step_cell_quota(now);
         self.probe_silent_machines(now);
-        self.dispatcher.pending.append(&mut self.dispatcher.next_tick);
+        self.dispatcher.observe_tick();
         if self.cycle_due(now) {
             self.run_cycle(now);
         }
@@ -253,10 +257,10 @@
         let mut done = done.unwrap_or_else(|| Bitmap::new(spec.tasks));
         if spec.gang && done.ones() > 0 {
             // They complete together: if one is done, all are.
-            done.backfill();
+            done.set_all();
         }
-        let completed_jobs = done.full();
-        // The record's stamp is that of its creation while the job is open.
+        let is_done = done.full();
+        // The record's revision is that of its creation while the job is open.
         let inherited = revision < self.leaderless_since;
         let equivalence_class = self.equivalence_classes.of(&spec);
         self.note_gang_arrival(&spec, equivalence_class, submitted_at);
@@ -264,8 +268,8 @@
         let mut job = Job::new(spec, submitted_at, revision, inherited, done);
         job.equivalence_class = equivalence_class;
         self.jobs.insert(id, job);
-        if completed_jobs {
-            self.persistence.completed_jobs.insert(id);
+        if is_done {
+            self.persistence.put_completed_job(id);
         }
         self.cycle_timer.requested = true;
     }
@@ -274,11 +278,10 @@
         if self.jobs.remove(&id).is_none() {
             return;
         }
-        self.persistence.completed_jobs.remove(&id);
-        self.forget_job_results(id);
-        for m in self.inventory.iter_mut() {
-            if stop_job_runs(m, id) {
-                self.dispatcher.pending.insert(m.name.to_string());
+        self.persistence.remove_job(id);
+        for machine in self.inventory.iter_mut() {
+            if stop_job_runs(machine, id) {
+                self.dispatcher.wake(&machine.name);
             }
         }
         self.cycle_timer.requested = true;
--- a/crates/latchtrack-core/src/scheduler/moves.rs
+++ b/crates/latchtrack-core/src/scheduler/moves.rs
@@ -173,9 +173,9 @@
     /// Whether tasks may be moved now: all is known and calm, and nobody waits for room.
     fn moves_allowed(&self, now: Millis) -> bool {
         let calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
-            && now >= self.failure_detector.listening_since.saturating_add(self.policy.probe_ms());
+            && self.failure_detector.has_listened_for(now, self.policy.probe_ms());
         calm && self.all_reconciled()
-            && self.failure_detector.unreachable_zones.is_empty()
+            && self.failure_detector.all_zones_reachable()
             && !self.overloaded(now)
     }
 
@@ -342,7 +342,7 @@
         let Some(run) = m.runs.get_mut(&key).filter(|run| is_movable(run)) else { return false };
         let save_s = run.spec.as_ref().map_or(0.0, |spec| spec.save_s);
         run.stop = Some(StopRequest { grace_s: save_s + STOP_GRACE_S, sent_at: None });
-        self.dispatcher.pending.insert(leg.source.to_string());
+        self.dispatcher.wake(&leg.source);
         true
     }
 
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -1,176 +1,234 @@
-//! What is rented, and what machines on their way are counted for.
+//! Provisioning machines, and the pending capacity of those that still boot.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::boot_tracking::BootTracker;
 use super::free_capacity::SchedulingCycle;
-use super::inventory::new_machine;
 use super::messages::{Effect, ProvisionOutcome};
 use super::Scheduler;
-use crate::constants::*;
+use crate::constants::{MAX_OPEN_PROVISIONS, OFFER_EXHAUSTED_MS};
 use crate::job::{Demand, JobSpec};
-use crate::machine::MachineType;
+use crate::machine::{Machine, MachineType};
 use crate::placement;
 use crate::placement::{FreeCapacity, Offer};
 use crate::Millis;
 
 /// Machines asked of the cloud, and what is known of its capacity.
-#[derive(Clone, Debug, Default)]
+#[derive(Clone, Debug)]
 pub(super) struct Provisioning {
+    token: u64,
     /// Requests without an outcome, by their id.
-    pub pending: BTreeMap<String, ProvisionRequest>,
-    /// Offers that had no machine, and until when they are left alone.
-    pub exhausted: BTreeMap<Offer, Millis>,
-    pub last_request_id: u64,
+    open: BTreeMap<String, ProvisionRequest>,
+    /// Offers that had no machine, and until when they are not asked for.
+    exhausted: BTreeMap<Offer, Millis>,
+    last_request_number: u64,
     /// Turns the order of zones, so that machines spread over them.
-    pub zone_rotation: usize,
-    pub listed_at: Option<Millis>,
-    pub boots: BootTracker,
+    zone_rotation: usize,
+    /// When the cloud's list was last asked for.
+    listed_at: Option<Millis>,
 }
 
 /// A request for machines.
 #[derive(Clone, Debug)]
 pub(super) struct ProvisionRequest {
+    /// What is asked for.
     pub offer: Offer,
+    /// How many machines.
     pub number: u32,
 }
 
 impl Provisioning {
+    /// Nothing is asked for yet in the term of this fencing token.
     pub fn new(token: u64) -> Self {
-        Provisioning { zone_rotation: token as usize, ..Provisioning::default() }
+        Provisioning {
+            token,
+            open: BTreeMap::new(),
+            exhausted: BTreeMap::new(),
+            last_request_number: 0,
+            zone_rotation: token as usize,
+            listed_at: None,
+        }
+    }
+
+    /// Requests without an outcome, by their id.
+    pub fn open_requests(&self) -> impl Iterator<Item = &ProvisionRequest> {
+        self.open.values()
+    }
+
+    /// Notes a request, and returns its id, which no other leader uses.
+    fn open_request(&mut self, request: ProvisionRequest) -> String {
+        self.last_request_number += 1;
+        self.zone_rotation = self.zone_rotation.wrapping_add(1);
+        let id = format!("h-{}-{}", self.token, self.last_request_number);
+        self.open.insert(id.clone(), request);
+        id
+    }
+
+    /// The offer had no machine: it is not asked for again for a while.
+    fn mark_exhausted(&mut self, now: Millis, offer: Offer) {
+        self.exhausted.insert(offer, now + OFFER_EXHAUSTED_MS);
+    }
+
+    fn is_exhausted(&self, now: Millis, offer: &Offer) -> bool {
+        self.exhausted.get(offer).is_some_and(|until| *until > now)
+    }
+
+    /// The cloud has a machine of this offer again, as one was terminated.
+    pub fn capacity_returned(&mut self, offer: &Offer) {
+        self.exhausted.remove(offer);
+    }
+
+    /// Forgets offers that may be asked for again.
+    pub fn expire_exhausted(&mut self, now: Millis) {
+        self.exhausted.retain(|_, until| *until > now);
+    }
+
+    /// Whether the cloud's list is due, asked for each `interval_ms`; if so, it counts as asked for.
+    pub fn start_list_if_due(&mut self, now: Millis, interval_ms: Millis) -> bool {
+        let is_due = self.listed_at.is_none_or(|at| now >= at + interval_ms);
+        if is_due {
+            self.listed_at = Some(now);
+        }
+        is_due
     }
 }
 
 impl Scheduler {
+    /// Takes in the outcome of a request for machines.
     pub(super) fn on_provision_finished(
         &mut self,
         now: Millis,
         request_id: &str,
         outcome: ProvisionOutcome,
     ) {
-        let Some(h) = self.provisioning.pending.remove(request_id) else { return };
+        let Some(request) = self.provisioning.open.remove(request_id) else { return };
         match outcome {
-            ProvisionOutcome::Provisioned(names) => {
-                if (names.len() as u32) < h.number {
-                    self.provisioning.exhausted.insert(h.offer.clone(), now + OFFER_EXHAUSTED_MS);
-                }
-                for name in names {
-                    if self.inventory.was_terminated(&name) || self.inventory.contains(&name) {
-                        continue;
-                    }
-                    let o = &h.offer;
-                    self.inventory.insert(new_machine(&name, &o.kind, &o.zone, o.spot, now));
-                }
-            }
-            ProvisionOutcome::NoCapacity => {
-                self.provisioning.exhausted.insert(h.offer, now + OFFER_EXHAUSTED_MS);
-            }
+            ProvisionOutcome::Provisioned(names) => self.on_provisioned(now, request, names),
+            ProvisionOutcome::NoCapacity => self.provisioning.mark_exhausted(now, request.offer),
             ProvisionOutcome::NotExecuted => {}
             ProvisionOutcome::Unknown => {
-                // The name must not be used for anything else, and may have rented machines:
-                // asked again, it names them or rents them now.
+                // The id must not be used for anything else, and may have provisioned machines:
+                // asked again under it, the cloud names them or provisions them now.
                 self.out.push(Effect::Provision {
                     request_id: request_id.to_string(),
-                    offer: h.offer.clone(),
-                    number: h.number,
+                    offer: request.offer.clone(),
+                    number: request.number,
                 });
-                self.provisioning.pending.insert(request_id.to_string(), h);
+                self.provisioning.open.insert(request_id.to_string(), request);
             }
         }
         self.cycle_timer.requested = true;
     }
 
-    /// Rents the first choice that is not known to be exhausted, in the zone alone in which the job must
-    /// stay; returns for how many tasks.
+    fn on_provisioned(&mut self, now: Millis, request: ProvisionRequest, names: Vec<String>) {
+        let ProvisionRequest { offer, number } = request;
+        if (names.len() as u32) < number {
+            self.provisioning.mark_exhausted(now, offer.clone());
+        }
+        for name in names {
+            if !self.inventory.was_terminated(&name) && !self.inventory.contains(&name) {
+                let machine = Machine::new(&name, &offer.kind, &offer.zone, offer.spot, now);
+                self.inventory.insert(machine);
+            }
+        }
+    }
+
+    /// Provisions machines for `tasks` tasks of a job that has found no capacity for `waited_ms`,
+    /// in the zone `only` if it must stay there. Returns for how many tasks there is capacity then.
     pub(super) fn provision(
         &mut self,
         now: Millis,
         spec: &JobSpec,
         only: Option<&str>,
-        left: u32,
-        passed: Millis,
+        tasks: u32,
+        waited_ms: Millis,
         cycle: &mut SchedulingCycle,
     ) -> u32 {
-        if self.provisioning.pending.len() >= MAX_OPEN_PROVISIONS {
+        if self.provisioning.open.len() >= MAX_OPEN_PROVISIONS {
             return 0;
         }
-        let offers =
-            placement::offers(spec, self.inventory.types(), self.provisioning.zone_rotation);
-        let policy = &self.policy;
-        let spare = self.is_best_effort(spec);
-        let Some(offer) = offers.into_iter().find(|o| {
-            if only.is_some_and(|zone| zone != o.zone) {
-                return false;
-            }
-            // A job that may not use spot machines has nothing to wait for; one that takes what would
-            // stand idle is not worth an ordinary one.
-            let cheapest = o.spot || !spec.spot;
-            let wait = if cheapest {
-                policy.spot_provision_delay_ms
-            } else {
-                policy.on_demand_provision_delay_ms
-            };
-            passed >= wait
-                && (cheapest || !spare)
-                && self.provisioning.exhausted.get(o).is_none_or(|until| *until <= now)
-                && !self.failure_detector.unreachable_zones.contains(o.zone.as_str())
-                && self.max_provisionable(now, o) > 0
-        }) else {
-            return 0;
-        };
-        let Some(t) = self.inventory.type_named(&offer.kind).cloned() else { return 0 };
-        let per_machine = t.holds(&spec.demand).max(1);
-        // Like tasks are decided as a class: one call for all of this shape, not one a job. Team
-        // limits are left to each job.
+        let Some(offer) = self.choose_offer(now, spec, only, waited_ms) else { return 0 };
+        let Some(machine_type) = self.inventory.type_named(&offer.kind).cloned() else { return 0 };
+        let per_machine = machine_type.holds(&spec.demand).max(1);
+        // Jobs of an equivalence class are decided together: one request for all of it, not one a
+        // job. Team limits are left to each job.
         let alike = match self.tasks_within_limit(spec, &cycle.used) {
             u32::MAX => {
                 self.jobs.get(&spec.id).map_or(0, |j| cycle.searches[j.equivalence_class].to_come)
             }
             _ => 0,
         };
-        let number = left
+        let number = tasks
             .saturating_add(alike)
             .div_ceil(per_machine)
-            .min(self.max_provisionable(now, &offer));
-        self.rented(now, &offer);
-        self.provisioning.last_request_id += 1;
-        self.provisioning.zone_rotation = self.provisioning.zone_rotation.wrapping_add(1);
-        let request_id = format!("h-{}-{}", self.token, self.provisioning.last_request_id);
+            .min(self.boot_tracker.max_provisionable(now, &offer));
+        self.boot_tracker.record_provision(now, &offer);
         for _ in 0..number {
-            cycle.rooms.push(pending_capacity(&offer, &t));
+            cycle.rooms.push(pending_capacity(&offer, &machine_type));
         }
-        self.provisioning
-            .pending
-            .insert(request_id.clone(), ProvisionRequest { offer: offer.clone(), number });
+        let request = ProvisionRequest { offer: offer.clone(), number };
+        let request_id = self.provisioning.open_request(request);
         self.out.push(Effect::Provision { request_id, offer, number });
-        // What is left of the new machines is promised room for other shapes.
+        // What is left of the new machines is pending capacity for other classes.
         for found in &mut cycle.searches {
             found.no_pending = false;
         }
-        place_on_pending(spec, only, left, cycle)
+        place_on_pending(spec, only, tasks, cycle)
+    }
+
+    /// The first choice among the offers that the job may use and that may have machines.
+    fn choose_offer(
+        &self,
+        now: Millis,
+        spec: &JobSpec,
+        only: Option<&str>,
+        waited_ms: Millis,
+    ) -> Option<Offer> {
+        let offers =
+            placement::offers(spec, self.inventory.types(), self.provisioning.zone_rotation);
+        let is_best_effort = self.is_best_effort(spec);
+        offers.into_iter().find(|offer| {
+            // A job that may not use spot machines has nothing to wait for; best-effort work is not
+            // worth an on-demand machine.
+            let is_cheapest = offer.spot || !spec.spot;
+            let delay_ms = if is_cheapest {
+                self.policy.spot_provision_delay_ms
+            } else {
+                self.policy.on_demand_provision_delay_ms
+            };
+            only.is_none_or(|zone| zone == offer.zone)
+                && waited_ms >= delay_ms
+                && (is_cheapest || !is_best_effort)
+                && !self.provisioning.is_exhausted(now, offer)
+                && !self.failure_detector.is_unreachable(&offer.zone)
+                && self.boot_tracker.max_provisionable(now, offer) > 0
+        })
     }
 }
 
-/// The room of a machine that is being rented.
-pub(super) fn pending_capacity(offer: &Offer, t: &MachineType) -> FreeCapacity {
+/// The pending capacity of a machine that is being provisioned.
+pub(super) fn pending_capacity(offer: &Offer, machine_type: &MachineType) -> FreeCapacity {
     FreeCapacity {
         machine: None,
         kind: offer.kind.as_str().into(),
         zone: offer.zone.as_str().into(),
         spot: offer.spot,
-        size: t.cpus,
+        size: machine_type.cpus,
         images: Arc::default(),
         may_hold: false,
-        free: Demand { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
+        free: Demand {
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
+        },
         ready: false,
         held: None,
         balance: None,
     }
 }
 
-/// Counts waiting tasks against machines that will be up, in the zone alone in which the job must stay;
-/// returns for how many there is room.
+/// Counts `want` waiting tasks of a job against the pending capacity, in the zone `only` if it must
+/// stay there. Returns how many of them fit.
 pub(super) fn place_on_pending(
     spec: &JobSpec,
     only: Option<&str>,
@@ -178,15 +236,15 @@
     cycle: &mut SchedulingCycle,
 ) -> u32 {
     let mut left = want;
-    for room in cycle.rooms.iter_mut().filter(|r| !r.ready) {
+    for capacity in cycle.rooms.iter_mut().filter(|capacity| !capacity.ready) {
         if left == 0 {
             break;
         }
-        let there = only.is_none_or(|zone| zone == &*room.zone);
-        if there && placement::allowed(spec, &room.kind, &room.zone, room.spot) {
-            let n = room.holds(&spec.demand).min(left);
-            room.take(&spec.demand, n);
-            left -= n;
+        let in_zone = only.is_none_or(|zone| zone == &*capacity.zone);
+        if in_zone && placement::allowed(spec, &capacity.kind, &capacity.zone, capacity.spot) {
+            let fitting = capacity.holds(&spec.demand).min(left);
+            capacity.take(&spec.demand, fitting);
+            left -= fitting;
         }
     }
     want - left
--- a/crates/latchtrack-core/src/scheduler/task_runs.rs
+++ b/crates/latchtrack-core/src/scheduler/task_runs.rs
@@ -1,8 +1,8 @@
 //! What becomes of task runs: adopted from a heartbeat, ended, released, stopped with their job.
 
+use super::gangs::FetchesOnEnd;
 use super::log_events::LogEvent;
 use super::messages::Effect;
-use super::persistence::result_entry_bytes;
 use super::Scheduler;
 use crate::bitmap::chunk_of;
 use crate::constants::{ATTEMPT_BITS, GANG_INCOMPLETE_BACKOFF_MS, REFUSED_BACKOFF_MS};
@@ -11,6 +11,8 @@
 use crate::Millis;
 
 impl Scheduler {
+    /// A machine says that a run has ended. Done, its task is complete; otherwise the task may go
+    /// elsewhere.
     pub(super) fn on_run_ended(
         &mut self,
         now: Millis,
@@ -19,54 +21,19 @@
         cause: ExitCause,
     ) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
-        let Some(m) = self.inventory.get_mut(machine) else { return };
+        if !self.inventory.contains(machine) {
+            return;
+        }
         match cause {
             ExitCause::Done => {
-                m.failed_jobs.clear();
-                m.quarantined_until = 0;
-                m.proven = true;
-                if job.spec.gang {
-                    // Its pace is that of its slowest machine, whichever that is.
-                    self.complete_gang(run.task.job, run.attempt);
-                    self.restore_job(now, run.task.job);
-                    self.cycle_timer.requested |=
-                        run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec));
-                    return;
-                }
-                // Only runs seen from their start: one that an earlier leader launched has run for
-                // longer than we know, and would make all its like look slow.
-                let ours = run.attempt >> ATTEMPT_BITS == self.token;
-                if let Some(since) = run.running_since.filter(|_| ours) {
-                    if !job.record_run_time(now.saturating_sub(since)) {
-                        m.slow_votes = 0;
-                    } else if !m.is_slow() {
-                        m.slow_votes += 1;
-                        if m.is_slow() {
-                            self.out.push(Effect::Log(LogEvent::MachineSlow {
-                                machine: machine.to_string(),
-                            }));
-                        }
-                    }
-                }
-                let news = job.complete(run.task.index, run.attempt);
-                if job.done.full() {
-                    self.persistence.completed_jobs.insert(run.task.job);
-                } else if news {
-                    let chunk = chunk_of(run.task.index, job.spec.tasks);
-                    let size = result_entry_bytes(job.done.chunk(chunk).len());
-                    self.persistence.results.put((run.task.job, chunk), size, false);
-                }
-                self.restore_job(now, run.task.job);
-                // What a team with a limit may use again is given out in rounds alone.
-                self.cycle_timer.requested |=
-                    run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec));
+                self.on_run_done(now, machine, run);
                 return;
             }
             // What follows the first failure of a gang says nothing more.
             ExitCause::Failed if job.spec.gang && !job.has_complete_attempt() => {}
             ExitCause::Failed => {
-                let ran = run.running_since.map_or(0, |since| now.saturating_sub(since));
-                self.on_run_failed(now, machine, run.task.job, ran);
+                let ran_ms = run.running_since.map_or(0, |since| now.saturating_sub(since));
+                self.on_run_failed(now, machine, run.task.job, ran_ms);
             }
             ExitCause::InsufficientResources
             | ExitCause::DuplicateTask
@@ -74,53 +41,101 @@
                 job.backoff_until = job.backoff_until.max(now + REFUSED_BACKOFF_MS);
             }
             ExitCause::GangIncomplete => {
-                job.backoff_until = job.backoff_until.max(now + GANG_INCOMPLETE_BACKOFF_MS)
+                job.backoff_until = job.backoff_until.max(now + GANG_INCOMPLETE_BACKOFF_MS);
             }
             // Neither the machine's fault nor the job's.
             ExitCause::Stopped | ExitCause::GangPeerLost => {}
             ExitCause::Unrecognised => {
-                let task = run.task;
                 self.out.push(Effect::Log(LogEvent::UnrecognisedExitCause {
                     machine: machine.to_string(),
-                    task,
+                    task: run.task,
                 }));
             }
         }
         self.release_run(now, machine, run);
     }
 
+    fn on_run_done(&mut self, now: Millis, name: &str, run: &TaskRun) {
+        let id = run.task.job;
+        let Some(machine) = self.inventory.get_mut(name) else { return };
+        machine.failed_jobs.clear();
+        machine.quarantined_until = 0;
+        machine.proven = true;
+        if self.jobs.get(&id).is_some_and(|job| job.spec.gang) {
+            // The pace of a gang is that of its slowest machine, whichever that is.
+            self.complete_gang(id, run.attempt);
+        } else {
+            self.judge_pace(now, name, run);
+            self.complete_task(run);
+        }
+        self.restore_job(now, id);
+        // What a team with a limit may use again is given out by scheduling cycles alone.
+        self.cycle_timer.requested |=
+            run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec));
+    }
+
+    /// Compares how long a task ran with its like: one that ran much longer speaks against its
+    /// machine. Only runs seen from their start count: one that an earlier leader launched has run
+    /// for longer than this term knows, and would make all its like look slow.
+    fn judge_pace(&mut self, now: Millis, name: &str, run: &TaskRun) {
+        let is_of_this_term = run.attempt >> ATTEMPT_BITS == self.token;
+        let Some(since) = run.running_since.filter(|_| is_of_this_term) else { return };
+        let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
+        let Some(machine) = self.inventory.get_mut(name) else { return };
+        if !job.record_run_time(now.saturating_sub(since)) {
+            machine.slow_votes = 0;
+        } else if !machine.is_slow() {
+            machine.slow_votes += 1;
+            if machine.is_slow() {
+                self.out.push(Effect::Log(LogEvent::MachineSlow { machine: name.to_string() }));
+            }
+        }
+    }
+
+    fn complete_task(&mut self, run: &TaskRun) {
+        let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
+        let is_new = job.complete(run.task.index, run.attempt);
+        if job.done.full() {
+            self.persistence.put_completed_job(run.task.job);
+        } else if is_new {
+            let chunk = chunk_of(run.task.index, job.spec.tasks);
+            self.persistence.put_result(run.task.job, chunk, job.done.chunk(chunk).len());
+        }
+    }
+
     /// A run is surely off its machine without a result: its task may go elsewhere.
     pub(super) fn release_run(&mut self, now: Millis, machine: &str, run: &TaskRun) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         let index = run.task.index;
-        let here = |p: &Assignment| *p.machine == *machine && p.attempt == run.attempt;
-        if !job.placed.get(&index).is_some_and(here) {
+        let is_this_run = |assignment: &Assignment| {
+            *assignment.machine == *machine && assignment.attempt == run.attempt
+        };
+        if !job.placed.get(&index).is_some_and(is_this_run) {
             return;
         }
         job.requeue(index);
         self.cycle_timer.requested = true;
         if job.spec.gang {
-            let time_was_short = run.phase == TaskPhase::Ended(ExitCause::GangIncomplete);
-            self.end_attempt(now, run.task.job, run.attempt, time_was_short);
+            self.end_attempt(now, run.task.job, run.attempt, FetchesOnEnd::after(run));
         }
     }
 }
 
-/// A run that an earlier leader launched. It keeps its place if its job is open and has no other
-/// place for the task; otherwise it is stopped.
-pub(super) fn adopt_run(machine: &str, t: &TaskStatus, job: Option<&mut Job>) -> TaskRun {
-    let spec = job.as_ref().map(|j| j.spec.clone());
-    let mut stop = Some(StopRequest { grace_s: 0.0, sent_at: None });
+/// A run that an earlier leader launched. It keeps its assignment if its job is open and the task
+/// is not assigned elsewhere; otherwise it is stopped.
+pub(super) fn adopt_run(machine: &str, status: &TaskStatus, job: Option<&mut Job>) -> TaskRun {
+    let TaskStatus { task, attempt, .. } = *status;
+    let spec = job.as_ref().map(|job| job.spec.clone());
+    let mut stop = Some(StopRequest::AT_ONCE);
     if let Some(job) = job {
-        if !job.done.get(t.task.index) && !job.placed.contains_key(&t.task.index) {
-            let place = Assignment { machine: machine.into(), attempt: t.attempt };
-            job.place(t.task.index, place);
+        if !job.done.get(task.index) && !job.placed.contains_key(&task.index) {
+            job.place(task.index, Assignment { machine: machine.into(), attempt });
             stop = None;
         }
     }
     TaskRun {
-        task: t.task,
-        attempt: t.attempt,
+        task,
+        attempt,
         spec,
         phase: TaskPhase::Assigned,
         stop,
@@ -131,14 +146,15 @@
     }
 }
 
-/// Stops the runs of a closed job; what was never sent simply goes. True if there is one to stop.
-pub(super) fn stop_job_runs(m: &mut Machine, id: JobId) -> bool {
-    m.runs.retain(|(task, _), run| {
+/// Stops the runs of a closed job; those of which the launch was never sent simply go. True if
+/// there is one to stop.
+pub(super) fn stop_job_runs(machine: &mut Machine, id: JobId) -> bool {
+    machine.runs.retain(|(task, _), run| {
         task.job != id || run.phase != TaskPhase::Assigned || run.launch_sends > 0
     });
     let mut any = false;
-    for run in m.runs.values_mut().filter(|r| r.task.job == id && r.is_live()) {
-        run.stop = Some(StopRequest { grace_s: 0.0, sent_at: None });
+    for run in machine.runs.values_mut().filter(|run| run.task.job == id && run.is_live()) {
+        run.stop = Some(StopRequest::AT_ONCE);
         any = true;
     }
     any
--- a/crates/latchtrack-core/src/scheduler/termination.rs
+++ b/crates/latchtrack-core/src/scheduler/termination.rs
@@ -1,35 +1,26 @@
-//! Terminating machines: idle, preempted and given up ones.
+//! Terminating machines: those that are idle, about to be preempted, slow or given up.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
 use super::messages::Effect;
+use super::policy::Policy;
 use super::Scheduler;
 use crate::constants::STOP_GRACE_S;
-use crate::machine::{ExitCause, StopRequest, TaskPhase, TaskRun};
+use crate::job::{Job, JobId};
+use crate::machine::{ExitCause, Machine, StopRequest, TaskPhase, TaskRun};
 use crate::placement::Offer;
 use crate::Millis;
 
 impl Scheduler {
+    /// Takes in whether the cloud deleted these machines. Of those that it deleted the task runs
+    /// are surely gone; the others are asked for again.
     pub(super) fn on_terminate_finished(&mut self, now: Millis, names: Vec<String>, ok: bool) {
         for name in names {
-            if !ok {
-                if let Some(m) = self.inventory.get_mut(&name) {
-                    m.termination_sent = false;
-                }
-                continue;
-            }
-            if let Some(m) = self.inventory.remove(&name) {
-                // What went back can be had again.
-                let offer =
-                    Offer { kind: m.kind.to_string(), zone: m.zone.to_string(), spot: m.spot };
-                self.provisioning.exhausted.remove(&offer);
-                for run in m.runs.values().filter(|r| r.is_live()) {
-                    self.release_run(now, &name, run);
-                }
-                self.persistence.machine_sets.remove(&name);
-                self.dispatcher.pending.remove(&name);
+            if ok {
+                self.remove_terminated(now, name);
+            } else if let Some(machine) = self.inventory.get_mut(&name) {
+                machine.termination_sent = false;
             }
-            self.inventory.remember_terminated(name);
         }
         self.cycle_timer.requested = true;
         if self.cycle_due(now) {
@@ -38,21 +29,40 @@
         }
     }
 
-    /// A machine that is to be taken: tasks that can save do so now, the others finish if they can.
+    fn remove_terminated(&mut self, now: Millis, name: String) {
+        if let Some(machine) = self.inventory.remove(&name) {
+            // The cloud has a machine of this offer again.
+            self.provisioning.capacity_returned(&Offer {
+                kind: machine.kind.to_string(),
+                zone: machine.zone.to_string(),
+                spot: machine.spot,
+            });
+            for run in machine.runs.values().filter(|run| run.is_live()) {
+                self.release_run(now, &name, run);
+            }
+            self.persistence.remove_machine(&name);
+            self.dispatcher.forget(&name);
+        }
+        self.inventory.remember_terminated(name);
+    }
+
+    /// On machines that are about to be preempted, stops the tasks that can save their progress;
+    /// the others finish if they can.
     pub(super) fn stop_preempted_tasks(&mut self, now: Millis) {
-        let mut gangs = BTreeSet::new();
-        for m in self.inventory.iter_mut().filter(|m| m.preempt_at.is_some()) {
-            for run in m.runs.values_mut().filter(|r| r.phase == TaskPhase::Running) {
+        let mut gangs: BTreeSet<JobId> = BTreeSet::new();
+        for machine in self.inventory.iter_mut().filter(|machine| machine.preempt_at.is_some()) {
+            for run in machine.runs.values_mut().filter(|run| run.phase == TaskPhase::Running) {
                 let Some(spec) = &run.spec else { continue };
-                if spec.checkpoint_s > 0.0 && run.stop.is_none() {
-                    if spec.gang {
-                        gangs.insert(spec.id);
-                        continue;
-                    }
-                    run.stop =
-                        Some(StopRequest { grace_s: spec.save_s + STOP_GRACE_S, sent_at: None });
-                    self.dispatcher.pending.insert(m.name.to_string());
+                let can_save = spec.checkpoint_s > 0.0;
+                if !can_save || run.stop.is_some() {
+                    continue;
                 }
+                if spec.gang {
+                    gangs.insert(spec.id);
+                    continue;
+                }
+                run.stop = Some(StopRequest { grace_s: spec.save_s + STOP_GRACE_S, sent_at: None });
+                self.dispatcher.wake(&machine.name);
             }
         }
         for id in gangs {
@@ -60,44 +70,59 @@
         }
     }
 
+    /// Decides which idle machines go, and asks the cloud to delete all machines that are to go.
     pub(super) fn terminate_idle_machines(&mut self, now: Millis) {
-        let mut back = Vec::new();
         let probe_ms = self.policy.probe_ms();
-        for m in self.inventory.iter_mut().filter(|m| !m.termination_sent) {
-            let no_runs = !m.runs.values().any(TaskRun::is_live);
-            // A result that is not stored is lost with its machine.
-            let owes = m.runs.values().any(|r| {
-                r.phase == TaskPhase::Ended(ExitCause::Done)
-                    && self.jobs.get(&r.task.job).is_some_and(|j| !j.persisted.get(r.task.index))
-            });
-            // A silent one is not idle: it may be working, or cut off, and is judged by its silence.
-            let quiet = m.heartbeat_older_than(now, probe_ms);
-            if m.is_up() && no_runs && !m.to_terminate && !quiet {
-                let since = *m.idle_since.get_or_insert(now);
-                let wait = if m.spot {
-                    self.policy.spot_idle_timeout_ms
-                } else {
-                    self.policy.on_demand_idle_timeout_ms
-                };
-                // Kept for tasks to come, for instance until the last machine of a gang is up.
-                let is_kept = self.reservations.by_machine.contains_key(&m.name)
-                    || self.reservations.exclusive.contains(&m.name)
-                    || self.load_balancing.balancer.is_reserved(&m.name);
-                let is_idle = now.saturating_sub(since) >= wait && !is_kept;
-                if m.preempt_at.is_some() || m.is_slow() || is_idle {
-                    m.to_terminate = true;
-                }
+        let mut terminated = Vec::new();
+        for machine in self.inventory.iter_mut().filter(|machine| !machine.termination_sent) {
+            if may_count_as_idle(machine, now, probe_ms) {
+                let since = *machine.idle_since.get_or_insert(now);
+                let name = &machine.name;
+                // Reserved for tasks to come, for instance until the last machine of a gang is up.
+                let is_reserved = self.reservations.by_machine.contains_key(name)
+                    || self.reservations.exclusive.contains(name)
+                    || self.load_balancing.balancer.is_reserved(name);
+                let timeout_ms = idle_timeout_ms(&self.policy, machine);
+                let is_idle = now.saturating_sub(since) >= timeout_ms && !is_reserved;
+                machine.to_terminate = machine.preempt_at.is_some() || machine.is_slow() || is_idle;
             }
-            let hears_us = m
-                .last_heartbeat_at
-                .is_some_and(|h| now.saturating_sub(h) < self.policy.heartbeat_timeout_ms);
-            if m.to_terminate && !(owes && hears_us) {
-                m.termination_sent = true;
-                back.push(m.name.to_string());
+            let is_heard = machine.is_up()
+                && !machine.heartbeat_older_than(now, self.policy.heartbeat_timeout_ms);
+            // A result that is not stored is lost with its machine.
+            let waits = is_heard && has_unstored_result(machine, &self.jobs);
+            if machine.to_terminate && !waits {
+                machine.termination_sent = true;
+                terminated.push(machine.name.to_string());
             }
         }
-        if !back.is_empty() {
-            self.out.push(Effect::Terminate(back));
+        if !terminated.is_empty() {
+            self.out.push(Effect::Terminate(terminated));
         }
     }
 }
+
+/// Whether a machine has no tasks and is heard. A silent one is not idle: it may be working while
+/// it is cut off, and is judged by its silence.
+fn may_count_as_idle(machine: &Machine, now: Millis, probe_ms: Millis) -> bool {
+    machine.is_up()
+        && !machine.to_terminate
+        && !machine.heartbeat_older_than(now, probe_ms)
+        && !machine.runs.values().any(TaskRun::is_live)
+}
+
+/// For how long a machine may be idle before it is terminated, in ms.
+fn idle_timeout_ms(policy: &Policy, machine: &Machine) -> Millis {
+    if machine.spot {
+        policy.spot_idle_timeout_ms
+    } else {
+        policy.on_demand_idle_timeout_ms
+    }
+}
+
+/// Whether a task was done on the machine of which the result is not stored yet.
+fn has_unstored_result(machine: &Machine, jobs: &BTreeMap<JobId, Job>) -> bool {
+    machine.runs.values().any(|run| {
+        run.phase == TaskPhase::Ended(ExitCause::Done)
+            && jobs.get(&run.task.job).is_some_and(|job| !job.persisted.get(run.task.index))
+    })
+}
--- a/crates/latchtrack-core/tests/common/mod.rs
+++ b/crates/latchtrack-core/tests/common/mod.rs
@@ -161,7 +161,7 @@
 /// Ticks from one time to another, every direct call ending as `outcome` says 1 s later.
 pub fn ticks(c: &mut Scheduler, from: u64, to: u64, outcome: &CallOutcome) -> Vec<Effect> {
     let mut out = Vec::new();
-    let mut open: Vec<(u64, String, u64)> = Vec::new();
+    let mut open: Vec<(u64, String, CallId)> = Vec::new();
     for now in (from..to).step_by(200) {
         for (at, machine, call) in std::mem::take(&mut open) {
             if at > now {
--- a/crates/latchtrack-core/tests/gangs.rs
+++ b/crates/latchtrack-core/tests/gangs.rs
@@ -48,7 +48,7 @@
     site.set(2, TaskPhase::Waiting, |i| i > 0);
     site.pass(2_000);
     assert_eq!(site.state(2), AttemptState::Starting);
-    let running = |site: &Site| site.leader.progress().find(|(id, ..)| id.0 == 2).unwrap().2;
+    let running = |site: &Site| site.leader.progress().find(|job| job.job.0 == 2).unwrap().running;
     assert_eq!(running(&site), 0);
     site.set(2, TaskPhase::Running, |_| true);
     site.pass(1_000);
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -121,10 +121,10 @@
 fn images_go_in_the_order_of_their_last_use() {
     let mut images = Images::default();
     for (name, gb) in [("a", 2.0), ("b", 2.0), ("a", 2.0), ("c", 1.5)] {
-        images.used(name, gb, 4.0);
+        images.record_use(name, gb, 4.0);
     }
     assert!(images.contains("a") && images.contains("c") && !images.contains("b"));
-    images.used("huge", 9.0, 4.0);
+    images.record_use("huge", 9.0, 4.0);
     assert!(images.contains("huge") && !images.contains("a"), "it runs, so it is there");
 }
 
--- a/crates/latchtrack-core/tests/record_shards.rs
+++ b/crates/latchtrack-core/tests/record_shards.rs
@@ -22,7 +22,7 @@
             match rng.random_range(0..3) {
                 0 => {
                     next += 1;
-                    packs.put(next, 10, true);
+                    packs.put(next, 10, Urgency::Urgent);
                 }
                 1 => {
                     let k = rng.random_range(0..=next);
@@ -48,18 +48,18 @@
                 let w = late.swap_remove(rng.random_range(0..late.len()));
                 late_applied += u32::from(apply(&w, &mut epoch));
             }
-            let Some(w) = packs.next(now) else { continue };
+            let Some(w) = packs.next_write(now) else { continue };
             match rng.random_range(0..4) {
                 0 => {
                     late.push(w.clone());
-                    packs.wrote(&w, ShardOutcome::Unknown);
+                    packs.write_finished(&w, ShardOutcome::Unknown);
                 }
-                1 => packs.wrote(&w, ShardOutcome::NotExecuted),
+                1 => packs.write_finished(&w, ShardOutcome::NotExecuted),
                 _ if apply(&w, &mut epoch) => {
                     stored.extend(w.entries.iter().copied());
-                    packs.wrote(&w, ShardOutcome::Committed(epoch));
+                    packs.write_finished(&w, ShardOutcome::Committed(epoch));
                 }
-                _ => packs.wrote(&w, ShardOutcome::Unknown),
+                _ => packs.write_finished(&w, ShardOutcome::Unknown),
             }
             let found: BTreeSet<u32> =
                 store.values().flat_map(|(_, entries)| entries.iter().copied()).collect();
@@ -74,15 +74,15 @@
 fn many_entries_cost_few_writes() {
     let mut packs: RecordShards<u32> = RecordShards::new(7, 4_000, 500);
     for k in 0..1_000 {
-        packs.put(k, 80, true);
+        packs.put(k, 80, Urgency::Urgent);
     }
     let mut writes = 0;
-    while let Some(w) = packs.next(0) {
+    while let Some(w) = packs.next_write(0) {
         assert!(w.entries.len() <= 50);
         writes += 1;
     }
     assert_eq!(writes, 20);
-    assert!(!packs.due(0));
+    assert!(!packs.has_due_write(0));
 }
 
 /// Values written under a higher limit are read, and split when they are next written: no value above
@@ -97,12 +97,12 @@
         packs.load(&name, u64::from(value) + 1, entries.iter().map(|k| (*k, 10)));
         store.insert(name, entries);
     }
-    assert!(!packs.due(0), "what is only read is not written");
+    assert!(!packs.has_due_write(0), "what is only read is not written");
     for value in 0..5u32 {
         packs.remove(&(value * 30));
     }
     let mut epoch = 10;
-    while let Some(write) = packs.next(0) {
+    while let Some(write) = packs.next_write(0) {
         assert!(write.entries.len() <= 10, "{} entries of 10 bytes", write.entries.len());
         epoch += 1;
         if write.entries.is_empty() {
@@ -110,7 +110,7 @@
         } else {
             store.insert(write.name.clone(), write.entries.clone());
         }
-        packs.wrote(&write, ShardOutcome::Committed(epoch));
+        packs.write_finished(&write, ShardOutcome::Committed(epoch));
         let found: BTreeSet<u32> = store.values().flatten().copied().collect();
         let missing = (0..150).filter(|k| k % 30 != 0 && !found.contains(k)).count();
         assert_eq!(missing, 0, "after {}", write.name);
@@ -125,14 +125,14 @@
     packs.load_to_replace("7-1", (0..25).map(|k| (k, 10)));
     let mut stored = BTreeSet::new();
     let mut dropped = false;
-    while let Some(write) = packs.next(0) {
+    while let Some(write) = packs.next_write(0) {
         if write.name == "7-1" {
             assert!(write.entries.is_empty());
             assert_eq!(stored.len(), 25, "dropped before all were stored");
             dropped = true;
         }
         stored.extend(write.entries.iter().copied());
-        packs.wrote(&write, ShardOutcome::Committed(1));
+        packs.write_finished(&write, ShardOutcome::Committed(1));
     }
     assert!(dropped);
 }
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -353,7 +353,7 @@
         worker: String,
         token: u64,
         agent_epoch: u64,
-        call: u64,
+        call: CallId,
         commands: Vec<Command>,
         late: bool,
     },
@@ -362,7 +362,7 @@
         run: u64,
         token: u64,
         worker: String,
-        call: u64,
+        call: CallId,
         outcome: CallOutcome,
     },
     Provision {
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -38,7 +38,7 @@
     sequence: u64,
     agent_epoch: BTreeMap<u64, u64>,
     /// Open calls into the silence: when each ends, machine and number.
-    calls: Vec<(u64, String, u64)>,
+    calls: Vec<(u64, String, CallId)>,
     notes: Vec<LogEvent>,
     returned: Vec<u64>,
     resigned: Vec<ResignReason>,
--- a/crates/latchtrack/src/actors/leader.rs
+++ b/crates/latchtrack/src/actors/leader.rs
@@ -282,7 +282,7 @@
         machine: String,
         addr: String,
         agent_epoch: u64,
-        call: u64,
+        call: latchtrack_core::scheduler::CallId,
         commands: &[Command],
         ctx: &mut Context<Self>,
     ) {
@@ -498,9 +498,9 @@
             if let Some(c) = &self.cluster {
                 let jobs: Vec<(u64, u32, u32)> = c
                     .progress()
-                    .filter(|(_, done, running)| done + running > 0)
+                    .filter(|job| job.done + job.running > 0)
                     .take(PROGRESS_JOBS)
-                    .map(|(id, done, running)| (id.0, done, running))
+                    .map(|job| (job.job.0, job.done, job.running))
                     .collect();
                 self.cache.do_send(Counts(jobs.clone()));
                 let overdue = c.overdue(now);
