--- a/crates/latchtrack-core/src/lib.rs
+++ b/crates/latchtrack-core/src/lib.rs
@@ -11,6 +11,8 @@
 pub mod record_shards;
 pub mod rules;
 pub mod scheduler;
+pub mod task_run;
+pub mod worker_messages;
 
 /// Milliseconds on the local steady clock, or on the wall clock where a name says so.
 pub type Millis = u64;
--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -1,13 +1,16 @@
-//! Machines, the heartbeats of their workers and the task runs on them.
+//! Machines and their types.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::constants::SLOW_VOTES;
-use crate::job::{Demand, JobId, JobSpec, TaskId};
+use crate::job::{Demand, JobId, TaskId};
 use crate::scheduler::CallId;
 use crate::Millis;
 
+pub use crate::task_run::{ExitCause, StopRequest, TaskPhase, TaskRun};
+pub use crate::worker_messages::{Command, Heartbeat, MessageNumber, TaskStatus};
+
 /// A type of machine that the cloud offers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
@@ -56,186 +59,6 @@
         as u32
 }
 
-/// How a task run ended.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ExitCause {
-    /// The task is done.
-    Done,
-    /// It was told to stop.
-    Stopped,
-    /// It failed.
-    Failed,
-    /// Its machine has not enough free capacity for it.
-    InsufficientResources,
-    /// Another attempt at the task is on its machine.
-    DuplicateTask,
-    /// Its machine can't find out what the task is.
-    UnknownTask,
-    /// Another task of its gang was gone.
-    GangPeerLost,
-    /// Its gang was not complete in time.
-    GangIncomplete,
-    /// A cause that this version does not know: the run is over, without a result.
-    Unrecognised,
-}
-
-/// What a machine says of a task run, or `Assigned` while it has said nothing.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum TaskPhase {
-    /// Bound to its machine, which has not yet been seen to start it.
-    Assigned,
-    /// It fetches its image.
-    Fetching,
-    /// Of a gang: it waits for the other tasks of its attempt.
-    Waiting,
-    /// It runs.
-    Running,
-    /// It was told to stop, and saves its progress.
-    Checkpointing,
-    /// A phase that this version does not know: the run is on the machine, and takes capacity.
-    Unrecognised,
-    /// It is over.
-    Ended(ExitCause),
-}
-
-/// What a heartbeat says of one task run.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct TaskStatus {
-    /// The task.
-    pub task: TaskId,
-    /// The attempt at it.
-    pub attempt: u64,
-    /// Where the run stands.
-    pub phase: TaskPhase,
-}
-
-/// What a worker says of its machine.
-#[derive(Clone, PartialEq, Debug)]
-pub struct Heartbeat {
-    /// The machine's name.
-    pub machine: String,
-    /// Where the worker takes direct calls.
-    pub addr: String,
-    /// The machine's type.
-    pub kind: String,
-    /// The machine's zone.
-    pub zone: String,
-    /// Whether the cloud may preempt it.
-    pub spot: bool,
-    /// How often the worker's lease has expired.
-    pub agent_epoch: u64,
-    /// The number of this message in its agent epoch.
-    pub sequence: u64,
-    /// The highest fencing token that the worker has seen.
-    pub token: u64,
-    /// s until the cloud preempts it, if it has said so.
-    pub notice_s: Option<f64>,
-    /// The task runs on it.
-    pub tasks: Vec<TaskStatus>,
-}
-
-/// Where a message stands among all messages of its worker: later ones are greater.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MessageNumber {
-    /// How often the worker's lease has expired.
-    pub agent_epoch: u64,
-    /// The number of the message in its agent epoch.
-    pub sequence: u64,
-}
-
-impl MessageNumber {
-    /// That of a heartbeat.
-    pub fn of(heartbeat: &Heartbeat) -> Self {
-        MessageNumber { agent_epoch: heartbeat.agent_epoch, sequence: heartbeat.sequence }
-    }
-
-    /// Before all messages of the next agent epoch, and after all of this one.
-    pub fn next_epoch(self) -> Self {
-        MessageNumber { agent_epoch: self.agent_epoch + 1, sequence: 0 }
-    }
-}
-
-/// A command to a worker. Each is idempotent.
-#[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Command {
-    /// Start a task.
-    Launch {
-        /// The task.
-        task: TaskId,
-        /// The attempt at it.
-        attempt: u64,
-    },
-    /// Stop a task.
-    Stop {
-        /// The task.
-        task: TaskId,
-        /// The attempt at it.
-        attempt: u64,
-        /// s in which it may save its progress.
-        grace_s: f64,
-    },
-    /// Drop an attempt that has ended from the list of tasks.
-    Forget {
-        /// The task.
-        task: TaskId,
-        /// The attempt at it.
-        attempt: u64,
-    },
-}
-
-/// That a task run is to stop.
-#[derive(Clone, Copy, PartialEq, Debug)]
-pub struct StopRequest {
-    /// s in which it may save its progress.
-    pub grace_s: f64,
-    /// When it was last sent.
-    pub sent_at: Option<Millis>,
-}
-
-impl StopRequest {
-    /// To be sent, without time to save progress.
-    pub const AT_ONCE: StopRequest = StopRequest { grace_s: 0.0, sent_at: None };
-}
-
-/// One attempt at a task on a machine.
-#[derive(Clone, Debug)]
-pub struct TaskRun {
-    /// The task.
-    pub task: TaskId,
-    /// The number of the attempt.
-    pub attempt: u64,
-    /// `None` for a job that is closed or unknown: such a run is stopped.
-    pub spec: Option<Arc<JobSpec>>,
-    /// Where it stands.
-    pub phase: TaskPhase,
-    /// Set if it is to stop.
-    pub stop: Option<StopRequest>,
-    /// How often its launch was sent to the machine.
-    pub launch_sends: u32,
-    /// When its launch was first sent.
-    pub first_launch_at: Millis,
-    /// A direct call with its launch was never answered: it may still execute while the agent epoch
-    /// and this term's token stand, so the attempt must never be forgotten in this agent epoch.
-    pub launch_outcome_unknown: bool,
-    /// When it was first seen to run.
-    pub running_since: Option<Millis>,
-}
-
-impl TaskRun {
-    /// Its launch is sent to the machine.
-    pub fn launch_sent(&mut self, now: Millis) {
-        if self.launch_sends == 0 {
-            self.first_launch_at = now;
-        }
-        self.launch_sends = self.launch_sends.saturating_add(1);
-    }
-
-    /// Whether it still takes capacity.
-    pub fn is_live(&self) -> bool {
-        !matches!(self.phase, TaskPhase::Ended(_))
-    }
-}
-
 /// An image on a machine.
 #[derive(Clone, Debug, PartialEq)]
 struct CachedImage {
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -9,7 +9,7 @@
 //!   forgotten in that agent epoch.
 //!
 //! Each part of the state is a struct in the module that owns it; [`Scheduler::handle`] routes
-//! events to the modules, and [`Scheduler::on_tick`] lists the steps of a tick.
+//! events to the modules, and `Scheduler::on_tick` lists the steps of a tick.
 
 mod backfill;
 mod boot_tracking;
