--- a/crates/latchtrack-core/src/scheduler/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -114,20 +114,29 @@
     Unknown,
 }
 
+/// How a request to terminate machines ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TerminateOutcome {
+    /// The cloud has terminated them, or has them no more.
+    Terminated,
+    /// Unknown, or not executed: to be asked again.
+    Failed,
+}
+
 /// One change for the state service; it costs one put or delete.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordWrite {
     /// A value of the machine set.
     MachineSet {
         /// The value.
-        pack: ShardWrite<String>,
+        shard: ShardWrite<String>,
         /// What is in it; without machines it is dropped.
         machines: Vec<StoredMachine>,
     },
     /// A value of results.
     Results {
         /// The value.
-        pack: ShardWrite<(JobId, u32)>,
+        shard: ShardWrite<(JobId, u32)>,
         /// Bits of done tasks, by job and chunk; without any the value is dropped.
         chunks: Vec<(JobId, u32, Vec<u8>)>,
     },
@@ -159,7 +168,7 @@
         /// Jobs that somebody else has closed.
         jobs: Vec<JobId>,
         /// Values of the machine set of which an earlier write came late.
-        fleet: Vec<String>,
+        machine_sets: Vec<String>,
         /// Values of results of which an earlier write came late.
         results: Vec<String>,
     },
@@ -205,8 +214,8 @@
     TerminateFinished {
         /// The machines.
         names: Vec<String>,
-        /// Whether the cloud has terminated them.
-        ok: bool,
+        /// How it ended.
+        outcome: TerminateOutcome,
     },
     /// The cloud's list of machines.
     MachinesListed(Vec<ListedMachine>),
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -203,7 +203,9 @@
             Event::ProvisionFinished { request_id, outcome } => {
                 self.on_provision_finished(now, &request_id, outcome)
             }
-            Event::TerminateFinished { names, ok } => self.on_terminate_finished(now, names, ok),
+            Event::TerminateFinished { names, outcome } => {
+                self.on_terminate_finished(now, names, outcome)
+            }
             Event::MachinesListed(listed) => self.on_machines_listed(now, listed),
             Event::WritesFinished { writes, outcome } => {
                 self.on_writes_finished(now, writes, outcome)
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -185,11 +185,11 @@
     /// name; `None` if the write was that of a job's record.
     fn split_rejected_shard(&mut self, write: &RecordWrite) -> Option<(String, RejectedShard)> {
         match write {
-            RecordWrite::MachineSet { pack, .. } => {
-                Some((pack.name.clone(), self.machine_sets.write_rejected(pack)))
+            RecordWrite::MachineSet { shard, .. } => {
+                Some((shard.name.clone(), self.machine_sets.write_rejected(shard)))
             }
-            RecordWrite::Results { pack, .. } => {
-                Some((pack.name.clone(), self.results.write_rejected(pack)))
+            RecordWrite::Results { shard, .. } => {
+                Some((shard.name.clone(), self.results.write_rejected(shard)))
             }
             RecordWrite::JobDone { .. } => None,
         }
@@ -206,7 +206,9 @@
     fn of_machine_set(&self, name: &str) -> ShardOutcome {
         let is_late = |names: &[String]| names.iter().any(|late| late == name);
         match self {
-            BatchOutcome::Conflict { fleet, .. } if is_late(fleet) => ShardOutcome::Unknown,
+            BatchOutcome::Conflict { machine_sets, .. } if is_late(machine_sets) => {
+                ShardOutcome::Unknown
+            }
             _ => self.of_shard(),
         }
     }
@@ -245,19 +247,19 @@
             }
         }
         while writes.len() < max_changes {
-            let Some(pack) = self.persistence.machine_sets.next_write(now) else { break };
-            let machines = pack.entries.iter().filter_map(|name| self.inventory.get(name));
+            let Some(shard) = self.persistence.machine_sets.next_write(now) else { break };
+            let machines = shard.entries.iter().filter_map(|name| self.inventory.get(name));
             let machines = machines.map(stored_machine).collect();
-            writes.push(RecordWrite::MachineSet { pack, machines });
+            writes.push(RecordWrite::MachineSet { shard, machines });
         }
         while writes.len() < max_changes {
-            let Some(pack) = self.persistence.results.next_write(now) else { break };
-            let chunks = pack.entries.iter().filter_map(|(id, chunk)| {
+            let Some(shard) = self.persistence.results.next_write(now) else { break };
+            let chunks = shard.entries.iter().filter_map(|(id, chunk)| {
                 let job = self.jobs.get(id)?;
                 Some((*id, *chunk, job.done.chunk(*chunk).to_vec()))
             });
             let chunks = chunks.collect();
-            writes.push(RecordWrite::Results { pack, chunks });
+            writes.push(RecordWrite::Results { shard, chunks });
         }
         writes
     }
@@ -306,16 +308,16 @@
     fn on_write_finished(&mut self, now: Millis, write: RecordWrite, outcome: &BatchOutcome) {
         let is_committed = outcome.is_committed();
         match write {
-            RecordWrite::MachineSet { pack, machines } => {
-                let shard_outcome = outcome.of_machine_set(&pack.name);
-                self.persistence.machine_sets.write_finished(&pack, shard_outcome);
+            RecordWrite::MachineSet { shard, machines } => {
+                let shard_outcome = outcome.of_machine_set(&shard.name);
+                self.persistence.machine_sets.write_finished(&shard, shard_outcome);
                 if is_committed {
                     self.on_machines_persisted(now, &machines);
                 }
             }
-            RecordWrite::Results { pack, chunks } => {
-                let shard_outcome = outcome.of_results(&pack.name);
-                self.persistence.results.write_finished(&pack, shard_outcome);
+            RecordWrite::Results { shard, chunks } => {
+                let shard_outcome = outcome.of_results(&shard.name);
+                self.persistence.results.write_finished(&shard, shard_outcome);
                 for (id, chunk, bytes) in chunks.iter().filter(|_| is_committed) {
                     if let Some(job) = self.jobs.get_mut(id) {
                         job.persisted.merge_chunk(*chunk, bytes);
--- a/crates/latchtrack-core/src/scheduler/termination.rs
+++ b/crates/latchtrack-core/src/scheduler/termination.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::messages::Effect;
+use super::messages::{Effect, TerminateOutcome};
 use super::policy::Policy;
 use super::Scheduler;
 use crate::constants::STOP_GRACE_S;
@@ -14,12 +14,20 @@
 impl Scheduler {
     /// Takes in whether the cloud deleted these machines. Of those that it deleted the task runs
     /// are surely gone; the others are asked for again.
-    pub(super) fn on_terminate_finished(&mut self, now: Millis, names: Vec<String>, ok: bool) {
+    pub(super) fn on_terminate_finished(
+        &mut self,
+        now: Millis,
+        names: Vec<String>,
+        outcome: TerminateOutcome,
+    ) {
         for name in names {
-            if ok {
-                self.remove_terminated(now, name);
-            } else if let Some(machine) = self.inventory.get_mut(&name) {
-                machine.termination_sent = false;
+            match outcome {
+                TerminateOutcome::Terminated => self.remove_terminated(now, name),
+                TerminateOutcome::Failed => {
+                    if let Some(machine) = self.inventory.get_mut(&name) {
+                        machine.termination_sent = false;
+                    }
+                }
             }
         }
         self.cycle_timer.requested = true;
--- a/crates/latchtrack-core/tests/common/site.rs
+++ b/crates/latchtrack-core/tests/common/site.rs
@@ -136,7 +136,10 @@
                     for name in &names {
                         self.tasks.remove(&number(name));
                     }
-                    self.drive(Event::TerminateFinished { names, ok: true });
+                    self.drive(Event::TerminateFinished {
+                        names,
+                        outcome: TerminateOutcome::Terminated,
+                    });
                 }
                 Effect::Log(event) => self.notes.push(event.to_string()),
                 _ => {}
--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -125,7 +125,7 @@
     }
     assert!(first.is_some_and(|at| at > 1_000 + LEASE), "{first:?}");
     let writes = c.next_writes(70_000, 8);
-    let drops = |w: &RecordWrite| matches!(w, RecordWrite::MachineSet { pack, machines } if pack.name == "3-2" && machines.is_empty());
+    let drops = |w: &RecordWrite| matches!(w, RecordWrite::MachineSet { shard, machines } if shard.name == "3-2" && machines.is_empty());
     assert!(writes.iter().any(drops), "dropped then: {writes:?}");
 }
 
--- a/crates/latchtrack-core/tests/failure_detection.rs
+++ b/crates/latchtrack-core/tests/failure_detection.rs
@@ -151,7 +151,10 @@
     }
     assert!(given >= 4, "repeated with each answer: {given}");
     assert_eq!(gone, [name(0)]);
-    c.handle(30_000, Event::TerminateFinished { names: gone, ok: true });
+    c.handle(
+        30_000,
+        Event::TerminateFinished { names: gone, outcome: TerminateOutcome::Terminated },
+    );
     assert_eq!(c.jobs()[&JobId(1)].waiting(), 2);
 }
 
@@ -177,7 +180,10 @@
     let effects = c.handle(9_000, Event::Heartbeat(report(0, 49, 7, Vec::new())));
     assert_eq!((c.machines()[&name(0)].last_heartbeat_at, launches(&effects)), (Some(2_000), 0));
     // Deleted in this term: not brought back, whatever token the copy shows.
-    c.handle(9_100, Event::TerminateFinished { names: vec![name(0)], ok: true });
+    c.handle(
+        9_100,
+        Event::TerminateFinished { names: vec![name(0)], outcome: TerminateOutcome::Terminated },
+    );
     c.handle(80_000, Event::Heartbeat(report(0, 51, 7, Vec::new())));
     assert!(!c.machines().contains_key(&name(0)));
     // A rental carried out late shows our token half a second after it first hears it.
@@ -229,7 +235,10 @@
         assert_eq!(launches(&effects), 0, "at {now}");
         for e in effects {
             if let Effect::Terminate(names) = e {
-                c.handle(now + 3_000, Event::TerminateFinished { names, ok: false });
+                c.handle(
+                    now + 3_000,
+                    Event::TerminateFinished { names, outcome: TerminateOutcome::Failed },
+                );
             }
         }
     }
--- /dev/null
+++ b/crates/latchtrack-core/tests/log_events.rs
@@ -0,0 +1,94 @@
+//! Log events and reasons to resign as operators read them: a message, then the values as fields.
+
+use latchtrack_balance::balancer::MoveCounts;
+use latchtrack_balance::moves::{Reason, Stage};
+use latchtrack_balance::spread::Spread;
+use latchtrack_core::job::{JobId, TaskId};
+use latchtrack_core::scheduler::{
+    AdoptionSource, BalanceSummary, LogEvent, RejectedShard, ResignReason,
+};
+use latchtrack_quota::Notice;
+
+#[test]
+fn a_log_event_is_a_message_followed_by_its_fields() {
+    let machine = || "m-1".to_string();
+    let task = TaskId { job: JobId(5), index: 2 };
+    let (job, shard) = (JobId(5), "41-1".to_string());
+    for (event, text) in [
+        (
+            LogEvent::MachineAdopted { machine: machine(), source: AdoptionSource::CloudList },
+            "machine adopted machine=m-1 source=cloud_list".to_string(),
+        ),
+        (
+            LogEvent::MachineUnreachable { machine: machine(), silent_ms: 9_000 },
+            "heartbeat timeout of machine, terminating it machine=m-1 silent_ms=9000".to_string(),
+        ),
+        (
+            LogEvent::WorkerLeaseExpired { machine: machine(), task_runs: 3 },
+            "worker lease expired, task runs released machine=m-1 task_runs=3".to_string(),
+        ),
+        (LogEvent::ZoneUnreachable { zone: "b".into() }, "zone is unreachable zone=b".to_string()),
+        (
+            LogEvent::BootsLate { machine_type: "c8".into(), zone: "b".into() },
+            "boots are late machine_type=c8 zone=b".to_string(),
+        ),
+        (
+            LogEvent::UnrecognisedPhase { machine: machine(), task },
+            format!("task is in a phase unknown to this version machine=m-1 task={task}"),
+        ),
+        (
+            LogEvent::JobQuarantined { job, failed_machines: 3 },
+            format!("job quarantined, trying one task at a time job={job} failed_machines=3"),
+        ),
+        (
+            LogEvent::RecordShardRejected { shard, action: RejectedShard::Abandoned },
+            "record shard rejected by the state service shard=41-1 action=abandoned".to_string(),
+        ),
+        (
+            LogEvent::MoveEnded {
+                unit: "gang 5".to_string(),
+                stage: Stage::Abandoned(Reason::TargetFull),
+            },
+            format!(
+                "move ended unit=\"gang 5\" stage=\"{}\"",
+                Stage::Abandoned(Reason::TargetFull)
+            ),
+        ),
+    ] {
+        assert_eq!(event.to_string(), text);
+    }
+}
+
+#[test]
+fn the_balance_summary_is_fields_alone() {
+    let summary = BalanceSummary {
+        spread: Spread { greatest: 0.9, mean: 0.45, machines: 4 },
+        over_bound: 1,
+        hot_teams: vec!["red".to_string(), "blue".to_string()],
+        counts: MoveCounts { begun: 3, settled: 2, abandoned: 1 },
+        ..BalanceSummary::default()
+    };
+    assert_eq!(
+        LogEvent::Balance(Box::new(summary)).to_string(),
+        "balance spread=2.00 greatest_load=0.90 mean_load=0.45 over_bound=1 \
+         hot_teams=\"red, blue\" moves_begun=3 moves_settled=2 moves_abandoned=1"
+    );
+}
+
+#[test]
+fn a_notice_of_the_quota_keeps_its_own_words() {
+    let notice = Notice::Missing { team: "red".to_string() };
+    assert_eq!(LogEvent::Quota(notice.clone()).to_string(), notice.to_string());
+}
+
+#[test]
+fn each_reason_to_resign_has_its_own_words() {
+    let reasons = [
+        ResignReason::HigherToken,
+        ResignReason::NoZoneReachable,
+        ResignReason::HeartbeatsOnlyRelayed,
+    ];
+    let texts: std::collections::BTreeSet<String> =
+        reasons.iter().map(ResignReason::to_string).collect();
+    assert_eq!(texts.len(), reasons.len());
+}
--- a/crates/latchtrack-core/tests/provisioning.rs
+++ b/crates/latchtrack-core/tests/provisioning.rs
@@ -53,7 +53,13 @@
                     Effect::Terminate(names) => {
                         back += names.len();
                         boots.retain(|(_, i)| !names.contains(&name(*i)));
-                        c.handle(now, Event::TerminateFinished { names, ok: true });
+                        c.handle(
+                            now,
+                            Event::TerminateFinished {
+                                names,
+                                outcome: TerminateOutcome::Terminated,
+                            },
+                        );
                     }
                     _ => {}
                 }
--- a/crates/latchtrack-core/tests/simulation/world/nodes.rs
+++ b/crates/latchtrack-core/tests/simulation/world/nodes.rs
@@ -518,7 +518,9 @@
                     }
                 }
                 let ok = up && tell;
-                let event = Event::TerminateFinished { names, ok };
+                let outcome =
+                    if ok { TerminateOutcome::Terminated } else { TerminateOutcome::Failed };
+                let event = Event::TerminateFinished { names, outcome };
                 self.post(if ok { 50 } else { 800 }, Msg::Tell { node, run, token, event });
             }
             Msg::Write { node, run, token, writes, tell } => {
--- a/crates/latchtrack-core/tests/simulation/world/store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/store.rs
@@ -39,7 +39,8 @@
         if writes.iter().any(|w| value_size(w) > self.kept_to.0) {
             self.meets("value above what leaders keep to");
         }
-        let none = || BatchOutcome::Conflict { jobs: vec![], fleet: vec![], results: vec![] };
+        let none =
+            || BatchOutcome::Conflict { jobs: vec![], machine_sets: vec![], results: vec![] };
         self.puts += writes.len() as u64;
         if self.broken != Broken::NoFence {
             if self.leader.map(|l| l.1) != Some(token) {
@@ -56,52 +57,53 @@
                     _ => None,
                 })
                 .collect();
-            let (mut fleet, mut results) = (Vec::new(), Vec::new());
+            let (mut machine_sets, mut results) = (Vec::new(), Vec::new());
             for w in writes {
                 let strict = self.broken != Broken::NoPackStamp;
                 let differs = |expect: Option<u64>, have: Option<u64>| {
                     strict && expect.is_some_and(|e| e != have.unwrap_or(0))
                 };
                 match w {
-                    RecordWrite::MachineSet { pack, .. } => {
+                    RecordWrite::MachineSet { shard, .. } => {
                         if differs(
-                            pack.expect,
-                            self.machine_sets.get(&pack.name).map(|f| f.revision),
+                            shard.expect,
+                            self.machine_sets.get(&shard.name).map(|f| f.revision),
                         ) {
-                            fleet.push(pack.name.clone());
+                            machine_sets.push(shard.name.clone());
                         }
                     }
-                    RecordWrite::Results { pack, .. } => {
-                        if differs(pack.expect, self.results.get(&pack.name).map(|r| r.revision)) {
-                            results.push(pack.name.clone());
+                    RecordWrite::Results { shard, .. } => {
+                        if differs(shard.expect, self.results.get(&shard.name).map(|r| r.revision))
+                        {
+                            results.push(shard.name.clone());
                         }
                     }
                     RecordWrite::JobDone { .. } => {}
                 }
             }
             let stale = if self.broken == Broken::DoneAnyway { Vec::new() } else { stale };
-            if !(stale.is_empty() && fleet.is_empty() && results.is_empty()) {
-                return BatchOutcome::Conflict { jobs: stale, fleet, results };
+            if !(stale.is_empty() && machine_sets.is_empty() && results.is_empty()) {
+                return BatchOutcome::Conflict { jobs: stale, machine_sets, results };
             }
         }
         self.epoch += 1;
         for w in writes {
             match w.clone() {
-                RecordWrite::MachineSet { pack, machines } => {
+                RecordWrite::MachineSet { shard, machines } => {
                     if machines.is_empty() {
-                        self.machine_sets.remove(&pack.name);
+                        self.machine_sets.remove(&shard.name);
                     } else if self.broken != Broken::NotStored {
-                        let (name, revision) = (pack.name, self.epoch);
+                        let (name, revision) = (shard.name, self.epoch);
                         let machines = Some(machines);
                         self.machine_sets
                             .insert(name.clone(), StoredMachineSet { name, revision, machines });
                     }
                 }
-                RecordWrite::Results { pack, chunks } => {
+                RecordWrite::Results { shard, chunks } => {
                     if chunks.is_empty() {
-                        self.results.remove(&pack.name);
+                        self.results.remove(&shard.name);
                     } else {
-                        let (name, revision) = (pack.name, self.epoch);
+                        let (name, revision) = (shard.name, self.epoch);
                         self.results.insert(name.clone(), StoredResults { name, revision, chunks });
                     }
                 }
--- a/crates/latchtrack-core/tests/simulation/world/trace.rs
+++ b/crates/latchtrack-core/tests/simulation/world/trace.rs
@@ -96,9 +96,9 @@
 
 fn describe_write(write: &RecordWrite) -> String {
     match write {
-        RecordWrite::MachineSet { pack, machines } => {
-            let mut out = format!("machines {} {:?}", pack.name, pack.expect);
-            for entry in &pack.entries {
+        RecordWrite::MachineSet { shard, machines } => {
+            let mut out = format!("machines {} {:?}", shard.name, shard.expect);
+            for entry in &shard.entries {
                 let _ = write!(out, " {entry}");
             }
             for m in machines {
@@ -106,9 +106,9 @@
             }
             out
         }
-        RecordWrite::Results { pack, chunks } => {
-            let mut out = format!("results {} {:?}", pack.name, pack.expect);
-            for (job, chunk) in &pack.entries {
+        RecordWrite::Results { shard, chunks } => {
+            let mut out = format!("results {} {:?}", shard.name, shard.expect);
+            for (job, chunk) in &shard.entries {
                 let _ = write!(out, " {job} {chunk}");
             }
             for (job, chunk, bytes) in chunks {
--- a/crates/latchtrack/src/actors/cloud.rs
+++ b/crates/latchtrack/src/actors/cloud.rs
@@ -6,7 +6,7 @@
 use actix::prelude::*;
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::placement::Offer;
-use latchtrack_core::scheduler::{Event, ListedMachine, ProvisionOutcome};
+use latchtrack_core::scheduler::{Event, ListedMachine, ProvisionOutcome, TerminateOutcome};
 
 use super::intake::{Intake, Types};
 use super::leader::{Came, Leader, LeaderTerm, Leadership};
@@ -138,7 +138,7 @@
             CloudRequest::Return { token, names } => {
                 self.tell(
                     token,
-                    Event::TerminateFinished { names, ok: false },
+                    Event::TerminateFinished { names, outcome: TerminateOutcome::Failed },
                     CLOUD_RETRY_MS,
                     ctx,
                 );
@@ -190,7 +190,9 @@
                 };
                 ctx.spawn(work.into_actor(self).map(move |(names, ok), act, ctx| {
                     let wait = if ok { 0 } else { CLOUD_RETRY_MS };
-                    act.tell(token, Event::TerminateFinished { names, ok }, wait, ctx);
+                    let outcome =
+                        if ok { TerminateOutcome::Terminated } else { TerminateOutcome::Failed };
+                    act.tell(token, Event::TerminateFinished { names, outcome }, wait, ctx);
                 }));
             }
             CloudRequest::List { token } => {
--- a/crates/latchtrack/src/actors/leader.rs
+++ b/crates/latchtrack/src/actors/leader.rs
@@ -10,7 +10,7 @@
 use latchtrack_core::machine::{Command, Heartbeat, MachineType};
 use latchtrack_core::scheduler::{
     BatchOutcome, CallOutcome, Effect, Event, Policy, ProvisionOutcome, RecordWrite, Scheduler,
-    TermRevisions,
+    TermRevisions, TerminateOutcome,
 };
 use latchtrack_quota::WriteOutcome;
 
@@ -240,7 +240,10 @@
                     );
                 }
                 Effect::Terminate(names) if !may_act => {
-                    self.put_off(Event::TerminateFinished { names, ok: false }, ctx);
+                    self.put_off(
+                        Event::TerminateFinished { names, outcome: TerminateOutcome::Failed },
+                        ctx,
+                    );
                 }
                 Effect::CallWorker { machine, addr, agent_epoch, call, commands } => {
                     self.call(machine, addr, agent_epoch, call, &commands, ctx);
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -29,14 +29,14 @@
     let put = |key, value| Change::Put { key, value, lease: None };
     for w in writes {
         let (key, expect, value) = match w {
-            RecordWrite::MachineSet { pack, machines } => (
-                fleet_key(&pack.name),
-                pack.expect,
+            RecordWrite::MachineSet { shard, machines } => (
+                fleet_key(&shard.name),
+                shard.expect,
                 packed(machines.is_empty(), || fleet(machines))?,
             ),
-            RecordWrite::Results { pack, chunks } => (
-                results_key(&pack.name),
-                pack.expect,
+            RecordWrite::Results { shard, chunks } => (
+                results_key(&shard.name),
+                shard.expect,
                 packed(chunks.is_empty(), || results(chunks))?,
             ),
             RecordWrite::JobDone { job, revision, tasks } => {
@@ -73,7 +73,7 @@
         keys.iter().filter_map(|k| k.strip_prefix(prefix)).map(str::to_string).collect()
     };
     let jobs = under(JOBS).iter().filter_map(|t| t.parse().ok()).collect();
-    BatchOutcome::Conflict { jobs, fleet: under(FLEET), results: under(RESULTS) }
+    BatchOutcome::Conflict { jobs, machine_sets: under(FLEET), results: under(RESULTS) }
 }
 
 /// Reads open jobs, results and machine set; None if the state service can't be asked. All of it
--- a/crates/latchtrack/tests/stored.rs
+++ b/crates/latchtrack/tests/stored.rs
@@ -9,11 +9,11 @@
 
 #[test]
 fn every_write_of_the_leader_is_fenced() {
-    let pack = |expect| ShardWrite { name: "41-1".into(), expect, entries: Vec::new() };
+    let shard = |expect| ShardWrite { name: "41-1".into(), expect, entries: Vec::new() };
     let writes = vec![
-        RecordWrite::MachineSet { pack: pack(Some(7)), machines: Vec::new() },
+        RecordWrite::MachineSet { shard: shard(Some(7)), machines: Vec::new() },
         RecordWrite::Results {
-            pack: ShardWrite { name: "41-1".into(), expect: None, entries: Vec::new() },
+            shard: ShardWrite { name: "41-1".into(), expect: None, entries: Vec::new() },
             chunks: vec![(JobId(5), 0, vec![3])],
         },
         RecordWrite::JobDone { job: JobId(5), revision: 9, tasks: 2 },
@@ -25,6 +25,6 @@
     assert_eq!(txn.changes.len(), 3);
     assert!(matches!(&txn.changes[0], Change::Delete { key } if key == "fleet/41-1"));
     let failed = ["fleet/41-1".to_string(), "live/job/req-000005".to_string()];
-    let BatchOutcome::Conflict { jobs, fleet, .. } = conflict(&failed) else { panic!() };
-    assert_eq!((jobs, fleet), (vec![JobId(5)], vec!["41-1".to_string()]));
+    let BatchOutcome::Conflict { jobs, machine_sets, .. } = conflict(&failed) else { panic!() };
+    assert_eq!((jobs, machine_sets), (vec![JobId(5)], vec!["41-1".to_string()]));
 }
