--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -174,9 +174,9 @@
     /// much of the cluster.
     fn moves_allowed(&self, now: Millis) -> bool {
         let calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
-            && now >= self.failure_detector.listening_since.saturating_add(self.policy.probe_ms());
+            && self.failure_detector.has_listened_for(now, self.policy.probe_ms());
         calm && self.all_reconciled()
-            && self.failure_detector.unreachable_zones.is_empty()
+            && self.failure_detector.all_zones_reachable()
             && !self.is_overloaded(now)
     }
 
--- a/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
@@ -75,7 +75,7 @@
         };
         let save_s = run.spec.as_ref().map_or(0.0, |spec| spec.save_s);
         run.stop = Some(StopRequest { grace_s: save_s + STOP_GRACE_S, sent_at: None });
-        self.dispatcher.pending.insert(task_move.source.to_string());
+        self.dispatcher.wake(&task_move.source);
         StopResult::Requested
     }
 
--- a/crates/latchtrack-core/tests/simulation/world/messages.rs
+++ b/crates/latchtrack-core/tests/simulation/world/messages.rs
@@ -2,7 +2,9 @@
 
 use latchtrack_core::machine::{Command, Heartbeat, TaskPhase};
 use latchtrack_core::placement::Offer;
-use latchtrack_core::scheduler::{BatchOutcome, CallOutcome, Event, ProvisionOutcome, RecordWrite};
+use latchtrack_core::scheduler::{
+    BatchOutcome, CallId, CallOutcome, Event, ProvisionOutcome, RecordWrite, TerminateOutcome,
+};
 use rand::Rng;
 
 use super::guards::DisabledGuard;
@@ -74,7 +76,7 @@
     pub origin: Origin,
     pub worker: String,
     pub agent_epoch: u64,
-    pub call: u64,
+    pub call: CallId,
     pub commands: Vec<Command>,
     /// It arrives after its node has given it up.
     pub is_late: bool,
@@ -324,7 +326,8 @@
             }
         }
         let ok = is_up && response == Response::Arrives;
-        let event = Event::TerminateFinished { names, ok };
+        let outcome = if ok { TerminateOutcome::Terminated } else { TerminateOutcome::Failed };
+        let event = Event::TerminateFinished { names, outcome };
         let wait = if ok { CLOUD_MS } else { CLOUD_FAILURE_MS };
         self.post(wait, Message::Event { origin, event });
     }
--- a/crates/latchtrack-core/tests/simulation/world/store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/store.rs
@@ -28,20 +28,20 @@
 #[derive(Default)]
 struct Conflicts {
     jobs: Vec<JobId>,
-    fleet: Vec<String>,
+    machine_sets: Vec<String>,
     results: Vec<String>,
 }
 
 impl Conflicts {
     fn is_empty(&self) -> bool {
-        self.jobs.is_empty() && self.fleet.is_empty() && self.results.is_empty()
+        self.jobs.is_empty() && self.machine_sets.is_empty() && self.results.is_empty()
     }
 }
 
 impl From<Conflicts> for BatchOutcome {
     fn from(conflicts: Conflicts) -> BatchOutcome {
-        let Conflicts { jobs, fleet, results } = conflicts;
-        BatchOutcome::Conflict { jobs, fleet, results }
+        let Conflicts { jobs, machine_sets, results } = conflicts;
+        BatchOutcome::Conflict { jobs, machine_sets, results }
     }
 }
 
@@ -101,16 +101,16 @@
         let mut conflicts = Conflicts::default();
         for write in writes {
             match write {
-                RecordWrite::MachineSet { pack, .. } => {
-                    let stored = self.machine_sets.get(&pack.name).map(|set| set.revision);
-                    if differs(pack.expect, stored) {
-                        conflicts.fleet.push(pack.name.clone());
+                RecordWrite::MachineSet { shard, .. } => {
+                    let stored = self.machine_sets.get(&shard.name).map(|set| set.revision);
+                    if differs(shard.expect, stored) {
+                        conflicts.machine_sets.push(shard.name.clone());
                     }
                 }
-                RecordWrite::Results { pack, .. } => {
-                    let stored = self.results.get(&pack.name).map(|results| results.revision);
-                    if differs(pack.expect, stored) {
-                        conflicts.results.push(pack.name.clone());
+                RecordWrite::Results { shard, .. } => {
+                    let stored = self.results.get(&shard.name).map(|results| results.revision);
+                    if differs(shard.expect, stored) {
+                        conflicts.results.push(shard.name.clone());
                     }
                 }
                 RecordWrite::JobDone { job, revision, .. } => {
@@ -126,8 +126,8 @@
     fn apply(&mut self, write: RecordWrite) {
         let revision = self.revision;
         match write {
-            RecordWrite::MachineSet { pack, machines } => {
-                let name = pack.name;
+            RecordWrite::MachineSet { shard, machines } => {
+                let name = shard.name;
                 if machines.is_empty() {
                     self.machine_sets.remove(&name);
                 } else if self.disabled_guard != DisabledGuard::MachineRecords {
@@ -136,8 +136,8 @@
                     self.machine_sets.insert(name, set);
                 }
             }
-            RecordWrite::Results { pack, chunks } => {
-                let name = pack.name;
+            RecordWrite::Results { shard, chunks } => {
+                let name = shard.name;
                 if chunks.is_empty() {
                     self.results.remove(&name);
                 } else {
--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -10,7 +10,7 @@
 use actix::prelude::*;
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::placement::Offer;
-use latchtrack_core::scheduler::{Event, ListedMachine, ProvisionOutcome};
+use latchtrack_core::scheduler::{Event, ListedMachine, ProvisionOutcome, TerminateOutcome};
 
 use self::budget::CallBudget;
 use self::requests::{CloudApi, ListedPage};
@@ -103,7 +103,7 @@
                 self.report(token, event, CLOUD_RETRY_MS, ctx);
             }
             CloudRequest::Terminate { token, names } => {
-                let event = Event::TerminateFinished { names, ok: false };
+                let event = Event::TerminateFinished { names, outcome: TerminateOutcome::Failed };
                 self.report(token, event, CLOUD_RETRY_MS, ctx);
             }
             // The scheduler asks for a list again by itself.
@@ -166,8 +166,12 @@
     fn terminate(&mut self, token: u64, names: Vec<String>, ctx: &mut Context<Self>) {
         let terminated = self.api.terminate(names.clone());
         ctx.spawn(terminated.into_actor(self).map(move |ok, act, ctx| {
-            let wait_ms = if ok { 0 } else { CLOUD_RETRY_MS };
-            act.report(token, Event::TerminateFinished { names, ok }, wait_ms, ctx);
+            let (outcome, wait_ms) = if ok {
+                (TerminateOutcome::Terminated, 0)
+            } else {
+                (TerminateOutcome::Failed, CLOUD_RETRY_MS)
+            };
+            act.report(token, Event::TerminateFinished { names, outcome }, wait_ms, ctx);
         }));
     }
 
--- a/crates/latchtrack/src/actors/scheduler_driver/effects.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/effects.rs
@@ -4,7 +4,7 @@
 
 use actix::prelude::*;
 use latchtrack_core::machine::Command;
-use latchtrack_core::scheduler::{CallOutcome, Effect, Event, ProvisionOutcome};
+use latchtrack_core::scheduler::{CallOutcome, Effect, Event, ProvisionOutcome, TerminateOutcome};
 use latchtrack_quota::{LedgerWrite, WriteOutcome};
 
 use super::SchedulerDriver;
@@ -70,7 +70,8 @@
                 self.report_later(Event::ProvisionFinished { request_id, outcome }, ctx);
             }
             Effect::Terminate(names) => {
-                self.report_later(Event::TerminateFinished { names, ok: false }, ctx);
+                let outcome = TerminateOutcome::Failed;
+                self.report_later(Event::TerminateFinished { names, outcome }, ctx);
             }
             Effect::WriteLedger(write) => self.report_ledger_not_stored(write, ctx),
             effect => self.execute_without_lease(effect, ctx),
--- a/crates/latchtrack/src/actors/scheduler_driver/mod.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/mod.rs
@@ -133,9 +133,9 @@
         let Some(scheduler) = &self.scheduler else { return };
         let counts: Vec<TaskCounts> = scheduler
             .progress()
-            .filter(|(_, done, running)| done + running > 0)
+            .filter(|job| job.done + job.running > 0)
             .take(PROGRESS_JOBS)
-            .map(|(job, done, running)| TaskCounts { job, done, running })
+            .map(|job| TaskCounts { job: job.job, done: job.done, running: job.running })
             .collect();
         let jobs = counts.iter().map(|count| (count.job.0, count.done, count.running)).collect();
         self.cache.do_send(UpdateTaskCounts(counts));
--- a/crates/latchtrack/src/actors/scheduler_driver/worker_calls.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/worker_calls.rs
@@ -3,7 +3,7 @@
 use actix::prelude::*;
 use actix_web::http::StatusCode;
 use latchtrack_core::machine::Command;
-use latchtrack_core::scheduler::{CallOutcome, Event};
+use latchtrack_core::scheduler::{CallId, CallOutcome, Event};
 
 use super::SchedulerDriver;
 use crate::constants::CALL_TIMEOUT;
@@ -17,7 +17,7 @@
         machine: String,
         addr: &str,
         agent_epoch: u64,
-        call: u64,
+        call: CallId,
         commands: &[Command],
         ctx: &mut Context<Self>,
     ) {
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -55,14 +55,14 @@
     let mut changes = Vec::new();
     for write in writes {
         let (key, expect, value) = match write {
-            RecordWrite::MachineSet { pack, machines } => (
-                fleet_key(&pack.name),
-                pack.expect,
+            RecordWrite::MachineSet { shard, machines } => (
+                fleet_key(&shard.name),
+                shard.expect,
                 ShardValue::new(machines.is_empty(), || fleet(machines))?,
             ),
-            RecordWrite::Results { pack, chunks } => (
-                results_key(&pack.name),
-                pack.expect,
+            RecordWrite::Results { shard, chunks } => (
+                results_key(&shard.name),
+                shard.expect,
                 ShardValue::new(chunks.is_empty(), || results(chunks))?,
             ),
             RecordWrite::JobDone { job, revision, tasks } => {
@@ -87,7 +87,7 @@
         keys.iter().filter_map(|key| key.strip_prefix(prefix)).map(str::to_string).collect()
     };
     let jobs = under(JOBS).iter().filter_map(|id| id.parse().ok()).collect();
-    BatchOutcome::Conflict { jobs, fleet: under(FLEET), results: under(RESULTS) }
+    BatchOutcome::Conflict { jobs, machine_sets: under(FLEET), results: under(RESULTS) }
 }
 
 /// Reads open jobs, results and machine set; None if the state service can't be asked. All of it
