--- a/crates/latchtrack-core/src/constants.rs
+++ b/crates/latchtrack-core/src/constants.rs
@@ -2,6 +2,9 @@
 
 use crate::Millis;
 
+/// Slack when sums of CPUs, GPUs or GB are compared: amounts are decimal numbers, their sums are not exact.
+pub const AMOUNT_ROUNDING: f64 = 1e-6;
+
 /// Weight of free cores in a machine's score (Eq. 5: the two weights add up to 1; 0.8 is the
 /// paper's choice, section 6.6).
 pub const ALPHA: f64 = 0.8;
--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -39,6 +39,11 @@
     }
 }
 
+/// The id of an equivalence class: jobs with equal demands and constraints. Classes are numbered as a leader
+/// sees them first in its term.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
+pub struct ClassId(pub usize);
+
 /// One task of a job.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
@@ -145,8 +150,8 @@
     pub again: BTreeSet<u32>,
     /// Tasks neither done nor on a machine.
     left: u32,
-    /// What it is alike with others in; see [`crate::leader`].
-    pub equivalence_class: usize,
+    /// Its equivalence class, which the scheduler sets.
+    pub equivalence_class: ClassId,
     cursor: u32,
     /// Nothing of it is placed before this time.
     pub backoff_until: Millis,
@@ -176,7 +181,7 @@
     ) -> Self {
         Job {
             left: spec.tasks - done.ones(),
-            equivalence_class: 0,
+            equivalence_class: ClassId::default(),
             spec,
             submitted_at,
             revision,
--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -2,74 +2,94 @@
 
 use std::sync::Arc;
 
-use crate::job::Demand;
+use crate::job::{ClassId, Demand};
 use crate::machine::{fits, Images};
 
-/// Room on one machine.
+/// What of a machine is free.
 #[derive(Clone, Debug)]
 pub struct FreeCapacity {
-    /// None for a machine that is still being rented.
+    /// None for a machine that has only been requested.
     pub machine: Option<Arc<str>>,
+    /// The machine type.
     pub kind: Arc<str>,
+    /// The zone.
     pub zone: Arc<str>,
+    /// Whether it is a spot machine.
     pub spot: bool,
     /// CPUs of the whole machine.
-    pub size: f64,
-    /// Images that it holds.
+    pub total_cpus: f64,
+    /// Images that it holds, as far as this term has seen.
     pub images: Arc<Images>,
-    /// Whether it may hold others, from before this term.
-    pub may_hold: bool,
+    /// It may hold others, from before this term.
+    pub images_incomplete: bool,
+    /// What no task uses and no move reserves.
     pub free: Demand,
-    /// Up and able to take launches now; otherwise promised.
+    /// It is up and takes launches now; otherwise its capacity is pending.
     pub ready: bool,
-    /// Kept for jobs that have waited too long.
-    pub held: Option<Reservation>,
+    /// Set if it is kept for jobs that have waited too long, or for gangs to come.
+    pub reservation: Option<Reservation>,
     /// What load balancing knows of it, if that is switched on.
     pub balance: Option<LoadInfo>,
 }
 
-/// What weighs against a place beside its score.
+/// What load balancing knows of a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadInfo {
     /// All that the machine has.
     pub capacity: Demand,
-    /// The mean load of the machines alike, in parts of a machine.
+    /// The mean load of the machines of its pool, as a part of a machine.
     pub mean_load: f64,
     /// GB of images that it is fetching.
     pub fetching_gb: f64,
 }
 
-/// That a machine is kept for the tasks of jobs of a shape as they find room on it.
+/// For whom a machine is reserved.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReservedFor {
+    /// For the jobs of an equivalence class.
+    Class(ClassId),
+    /// For a starving job, which takes it before all others.
+    Exclusive,
+}
+
+/// That a machine is kept for the tasks of certain jobs, which start there as they find capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
-    pub equivalence_class: usize,
-    /// What those tasks can't use, however much of the machine comes free.
+    /// Who may use all of the machine.
+    pub reserved_for: ReservedFor,
+    /// What these jobs can't use, however much of the machine comes free. It is open to all.
     pub spare: Demand,
 }
 
 impl FreeCapacity {
-    /// How many tasks a job of this shape may put here: of a machine that is kept for others no more
-    /// than they leave.
-    pub fn admits(&self, d: &Demand, equivalence_class: usize) -> u32 {
-        let all = self.holds(d);
-        match &self.held {
-            Some(h) if h.equivalence_class != equivalence_class => {
-                all.min(fits(d, h.spare.cpus, h.spare.gpus, h.spare.memory_gb))
+    /// How many tasks with this demand a job of this class may put here: on a machine that is reserved for
+    /// others, no more than these leave.
+    pub fn admits(&self, demand: &Demand, class: ClassId) -> u32 {
+        let by_size = self.holds(demand);
+        match &self.reservation {
+            Some(reservation) if reservation.reserved_for != ReservedFor::Class(class) => {
+                let spare = &reservation.spare;
+                by_size.min(fits(demand, spare.cpus, spare.gpus, spare.memory_gb))
             }
-            _ => all,
+            _ => by_size,
         }
     }
 
-    /// How many tasks of a job it takes by size alone.
-    pub fn holds(&self, d: &Demand) -> u32 {
-        fits(d, self.free.cpus, self.free.gpus, self.free.memory_gb)
+    /// How many tasks with this demand fit, by size alone.
+    pub fn holds(&self, demand: &Demand) -> u32 {
+        fits(demand, self.free.cpus, self.free.gpus, self.free.memory_gb)
     }
 
-    /// Takes `n` tasks out of it.
-    pub fn take(&mut self, d: &Demand, n: u32) {
-        self.free.take(d, n);
-        if let Some(held) = &mut self.held {
-            held.spare.take(d, n);
+    /// Takes the demand of so many tasks out of it.
+    pub fn take(&mut self, demand: &Demand, tasks: u32) {
+        self.free.take(demand, tasks);
+        if let Some(reservation) = &mut self.reservation {
+            reservation.spare.take(demand, tasks);
         }
     }
+
+    /// Whether the machine would surely have to fetch this image.
+    pub fn surely_lacks(&self, image: &str) -> bool {
+        !self.images_incomplete && !self.images.contains(image)
+    }
 }
--- a/crates/latchtrack-core/src/placement/mod.rs
+++ b/crates/latchtrack-core/src/placement/mod.rs
@@ -6,7 +6,7 @@
 mod offers;
 mod scoring;
 
-pub use capacity::{FreeCapacity, LoadInfo, Reservation};
+pub use capacity::{FreeCapacity, LoadInfo, Reservation, ReservedFor};
 pub use deferral::{deferred, TimedDemand};
 pub use offers::{allowed, offers, Offer};
 pub use scoring::{job_demand, score, ScoreWeights};
--- a/crates/latchtrack-core/src/rules.rs
+++ b/crates/latchtrack-core/src/rules.rs
@@ -1,15 +1,13 @@
 //! The checks behind the protocol's rules. The leader asks them before every launch; the tests
 //! ask them of a simulated world after every step.
 
+use crate::constants::AMOUNT_ROUNDING;
 use crate::job::JobSpec;
 use crate::placement::allowed;
 
-/// Slack for sums of decimal amounts.
-const HAIR: f64 = 1e-6;
-
 /// `quota`: whether a team may use this much more of a resource. A limit of 0 is none.
 pub fn within_limit(used: f64, more: f64, limit: f64) -> bool {
-    limit <= 0.0 || used + more <= limit + HAIR
+    limit <= 0.0 || used + more <= limit + AMOUNT_ROUNDING
 }
 
 /// Most tasks of a job that may be in one zone when it is to be spread: half, rounded up.
--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -1,172 +1,229 @@
-//! What a single report frees is filled in its answer, by the order of the last round.
+//! Backfill: what a heartbeat has freed on its machine is filled at once, by the order of the last
+//! scheduling cycle.
 
 use super::Scheduler;
-use crate::constants::*;
-use crate::job::Job;
-use crate::placement;
-use crate::placement::FreeCapacity;
+use crate::constants::IMAGE_LOOKAHEAD_JOBS;
+use crate::job::{ClassId, Job, JobId};
+use crate::placement::{self, FreeCapacity, ReservedFor};
 use crate::Millis;
 
-/// Which turn of the queue takes a room next.
+/// Which queue entry takes capacity of a machine next.
 struct BackfillChoice {
-    /// Its place in the queue, and with how many tasks.
-    turn: Option<(usize, u32)>,
-    /// How many turns of the queue had nothing left.
-    empty: usize,
-    /// A gang that lacks room comes before the rest of the queue.
+    /// Its index in the queue, and how many of its tasks.
+    entry: Option<(usize, u32)>,
+    /// Entries passed that have nothing left to place.
+    closed: usize,
+    /// A gang that lacks capacity comes before the rest of the queue.
     awaited_by_gang: bool,
 }
 
+/// The free capacity of a machine as it is open to the entries of the queue, asked in their order.
+struct MachineView<'a> {
+    free: &'a FreeCapacity,
+    /// The class for which the machine is reserved, and what the reservation leaves to others.
+    reserved: Option<(ClassId, FreeCapacity)>,
+    /// The reservation binds from the first job of its class on; it does not bind those before.
+    reservation_binds: bool,
+}
+
+impl MachineView<'_> {
+    /// What is open to the next entry, whose job is of this class.
+    fn open_to(&mut self, class: ClassId) -> &FreeCapacity {
+        match &self.reserved {
+            Some((reserved_for, capacity)) => {
+                self.reservation_binds |= *reserved_for == class;
+                if self.reservation_binds {
+                    capacity
+                } else {
+                    self.free
+                }
+            }
+            None => self.free,
+        }
+    }
+}
+
 impl Scheduler {
-    /// Fills what a machine's own report has freed, by the order of the last round: as that round
-    /// would have done, had it come now. Jobs whose room depends on more than this machine wait for
-    /// the next round.
+    /// Fills what a machine's own heartbeat has freed, as a cycle would have done at this moment. Jobs
+    /// whose placement depends on more than this machine wait for the next cycle.
     pub(super) fn backfill(&mut self, now: Millis, machine: &str) {
-        if self.queue.entries.is_empty() {
+        if self.queue.entries().is_empty() {
             return;
         }
-        let Some(mut room) =
-            self.inventory.get(machine).and_then(|m| self.free_capacity_of(now, m))
+        let Some(mut capacity) = self
+            .inventory
+            .get(machine)
+            .and_then(|m| self.free_capacity_of(now, m))
+            .filter(|capacity| capacity.ready)
         else {
             return;
         };
-        if !room.ready {
+        self.backfill_starving_jobs(now, machine, &mut capacity);
+        let reservation = self.reservations.on_machine(machine);
+        if reservation.is_some_and(|reservation| reservation.reserved_for == ReservedFor::Exclusive)
+        {
             return;
         }
-        for id in std::mem::take(&mut self.queue.starving) {
-            let Some(job) = self.jobs.get(&id).filter(|j| j.schedulable_tasks() > 0) else {
-                continue;
-            };
-            if !job.spec.gang && !job.never_started() {
-                continue;
-            }
-            let (spec, slice) = (job.spec.clone(), self.slice_size(&job.spec));
-            if self.tasks_fitting(now, job, machine, &room) < slice {
-                self.queue.starving.push(id);
-                continue;
-            }
-            room.take(&spec.demand, slice);
-            self.assign(now, id, &spec, machine, slice);
-        }
-        if self.reservations.exclusive.contains(machine) {
+        if self.reservations.wanted_by_gang_reserve(&capacity) {
+            self.cycle_timer.request();
             return;
         }
-        if self.wanted_by_gang_reserve(&room) {
-            self.cycle_timer.requested = true;
-            return;
+        self.backfill_queue(now, machine, &mut capacity);
+    }
+
+    /// Starts a slice of each starving job that fits.
+    fn backfill_starving_jobs(&mut self, now: Millis, machine: &str, capacity: &mut FreeCapacity) {
+        let mut starving = self.queue.take_starving();
+        starving.retain(|id| !self.backfill_starving_job(now, machine, *id, capacity));
+        self.queue.set_starving(starving);
+    }
+
+    /// Starts a slice of a starving job, if it fits; returns whether the job starves no more.
+    fn backfill_starving_job(
+        &mut self,
+        now: Millis,
+        machine: &str,
+        id: JobId,
+        capacity: &mut FreeCapacity,
+    ) -> bool {
+        let Some(job) = self.jobs.get(&id).filter(|job| job.schedulable_tasks() > 0) else {
+            return true;
+        };
+        if !job.spec.gang && !job.never_started() {
+            return true;
         }
-        let mut empty = 0;
-        while room.free.cpus > 0.0 {
-            let next = self.next_for_machine(now, machine, &room);
-            empty = next.empty;
-            self.cycle_timer.requested |= next.awaited_by_gang;
-            let Some((i, n)) = next.turn else { break };
-            let turn = &mut self.queue.entries[i];
-            turn.most -= n;
-            let id = turn.job;
-            let Some(job) = self.jobs.get(&id) else { break };
-            let spec = job.spec.clone();
-            room.take(&spec.demand, n);
-            let equivalence_class = job.equivalence_class;
-            if let Some(held) = self
-                .reservations
-                .by_machine
-                .get_mut(machine)
-                .filter(|h| h.equivalence_class != equivalence_class)
-            {
-                held.spare.take(&spec.demand, n);
+        let (spec, slice) = (job.spec.clone(), self.slice_size(&job.spec));
+        if self.tasks_fitting(now, job, machine, capacity) < slice {
+            return false;
+        }
+        capacity.take(&spec.demand, slice);
+        self.assign(now, &spec, machine, slice);
+        true
+    }
+
+    fn backfill_queue(&mut self, now: Millis, machine: &str, capacity: &mut FreeCapacity) {
+        let mut closed = 0;
+        while capacity.free.cpus > 0.0 {
+            let choice = self.next_for_machine(now, machine, capacity);
+            closed = choice.closed;
+            if choice.awaited_by_gang {
+                self.cycle_timer.request();
             }
-            self.assign(now, id, &spec, machine, n);
+            let Some((index, tasks)) = choice.entry else { break };
+            let id = self.queue.take_tasks(index, tasks);
+            let Some(job) = self.jobs.get(&id) else { break };
+            let (spec, class) = (job.spec.clone(), job.equivalence_class);
+            capacity.take(&spec.demand, tasks);
+            self.reservations.take_spare(machine, class, &spec.demand, tasks);
+            self.assign(now, &spec, machine, tasks);
         }
-        if empty * 2 > self.queue.entries.len() {
-            let jobs = &self.jobs;
-            self.queue.entries.retain(|t| {
-                t.most > 0 && jobs.get(&t.job).is_some_and(|j| j.schedulable_tasks() > 0)
-            });
+        if closed * 2 > self.queue.entries().len() {
+            self.queue.drop_closed(&self.jobs);
         }
     }
 
-    /// The turn of the queue that takes this room next, with how many tasks: the first that fits, or
-    /// one of the next few whose image the machine holds, unless that passes a job that is to start
-    /// promptly. Also how many of the queue had nothing left.
-    fn next_for_machine(&self, now: Millis, machine: &str, room: &FreeCapacity) -> BackfillChoice {
-        let mut empty = 0;
+    /// The entry that takes capacity of a machine next: the first that fits, or one of the next few whose
+    /// image the machine holds, unless that passes over a job with a start objective.
+    fn next_for_machine(
+        &self,
+        now: Millis,
+        machine: &str,
+        capacity: &FreeCapacity,
+    ) -> BackfillChoice {
+        let mut view = self.view_of_machine(machine, capacity);
+        let mut closed = 0;
         let mut first = None;
-        let mut looked = 0;
-        // It is kept from those that come after the jobs for which it is held.
-        let held = self.reservations.by_machine.get(machine).copied();
-        let reserved_exclusively =
-            held.map(|h| (h.equivalence_class, FreeCapacity { held, ..room.clone() }));
-        // What is kept for gangs to come is kept from all.
-        let mut room = match &reserved_exclusively {
-            Some((equivalence_class, reserved_exclusively))
-                if self.reservations.gang_reserves.contains_key(equivalence_class) =>
-            {
-                reserved_exclusively
-            }
-            _ => room,
-        };
-        for (i, turn) in self.queue.entries.iter().enumerate() {
-            let Some(job) =
-                self.jobs.get(&turn.job).filter(|j| turn.most > 0 && j.schedulable_tasks() > 0)
-            else {
-                empty += 1;
+        let mut fitting = 0;
+        for (index, entry) in self.queue.entries().iter().enumerate() {
+            let Some(job) = self.jobs.get(&entry.job).filter(|_| entry.is_open(&self.jobs)) else {
+                closed += 1;
                 continue;
             };
-            if let Some((_, reserved_exclusively)) = reserved_exclusively
-                .as_ref()
-                .filter(|(equivalence_class, _)| *equivalence_class == job.equivalence_class)
-            {
-                room = reserved_exclusively;
-            }
-            let slice = self.slice_size(&job.spec);
-            let fits = self.tasks_fitting(now, job, machine, room);
-            let want = job.schedulable_tasks().min(turn.most);
-            let n = if fits < want { fits / slice * slice } else { want };
-            if n == 0 {
-                if self.queue.gangs_lacking_capacity.contains(&turn.job)
-                    && self.useful_to_gang(now, job, machine, room)
+            let open = view.open_to(job.equivalence_class);
+            let tasks = self.whole_slices(now, job, entry.max_tasks, machine, open);
+            if tasks == 0 {
+                if self.queue.lacks_capacity(entry.job)
+                    && self.useful_to_gang(now, job, machine, open)
                 {
-                    // The next round keeps it for that gang.
-                    return BackfillChoice { turn: first, empty, awaited_by_gang: true };
+                    // The next cycle keeps it for that gang.
+                    return BackfillChoice { entry: first, closed, awaited_by_gang: true };
                 }
                 continue;
             }
-            if room.images.contains(&job.spec.image) {
-                return BackfillChoice { turn: Some((i, n)), empty, awaited_by_gang: false };
+            if open.images.contains(&job.spec.image) {
+                let entry = Some((index, tasks));
+                return BackfillChoice { entry, closed, awaited_by_gang: false };
             }
-            first.get_or_insert((i, n));
-            looked += 1;
-            if looked >= IMAGE_LOOKAHEAD_JOBS || self.start_objective_ms(&job.spec).is_some() {
+            first.get_or_insert((index, tasks));
+            fitting += 1;
+            if fitting >= IMAGE_LOOKAHEAD_JOBS || self.start_objective_ms(&job.spec).is_some() {
                 break;
             }
         }
-        BackfillChoice { turn: first, empty, awaited_by_gang: false }
+        BackfillChoice { entry: first, closed, awaited_by_gang: false }
+    }
+
+    /// The machine as the queue sees it. A gang reserve binds all jobs.
+    fn view_of_machine<'a>(&self, machine: &str, free: &'a FreeCapacity) -> MachineView<'a> {
+        let reservation = self.reservations.on_machine(machine);
+        let reserved = match reservation.map(|reservation| reservation.reserved_for) {
+            Some(ReservedFor::Class(class)) => {
+                Some((class, FreeCapacity { reservation, ..free.clone() }))
+            }
+            Some(ReservedFor::Exclusive) | None => None,
+        };
+        let reservation_binds =
+            reserved.as_ref().is_some_and(|(class, _)| self.reservations.has_gang_reserve(*class));
+        MachineView { free, reserved, reservation_binds }
+    }
+
+    /// How many tasks of a job, in whole slices or all that wait, go here.
+    fn whole_slices(
+        &self,
+        now: Millis,
+        job: &Job,
+        max_tasks: u32,
+        machine: &str,
+        capacity: &FreeCapacity,
+    ) -> u32 {
+        let slice = self.slice_size(&job.spec);
+        let fitting = self.tasks_fitting(now, job, machine, capacity);
+        let wanted = job.schedulable_tasks().min(max_tasks);
+        if fitting < wanted {
+            fitting / slice * slice
+        } else {
+            wanted
+        }
     }
 
-    /// How many tasks of a job may go into this room, if that depends on nothing else.
-    fn tasks_fitting(&self, now: Millis, job: &Job, machine: &str, room: &FreeCapacity) -> u32 {
+    /// How many tasks of a job may go here, if that depends on nothing else.
+    fn tasks_fitting(&self, now: Millis, job: &Job, machine: &str, capacity: &FreeCapacity) -> u32 {
         let spec = &job.spec;
         // A gang goes whole onto this machine or not at all, and so in one zone.
         let zones_matter = spec.spread || (spec.one_zone && !spec.gang);
         if job.backoff_until > now
             || zones_matter
-            || !placement::allowed(spec, &room.kind, &room.zone, room.spot)
+            || !placement::allowed(spec, &capacity.kind, &capacity.zone, capacity.spot)
             || self.avoids_machine(now, job, machine)
             || self.has_team_limit(spec)
-            || (!room.may_hold
-                && !room.images.contains(&spec.image)
-                && self.waits_for_image(now, job, &room.kind))
+            || (capacity.surely_lacks(&spec.image)
+                && self.waits_for_image(now, job, &capacity.kind))
         {
             return 0;
         }
-        self.tasks_admitted(now, job, room)
+        self.tasks_admitted(now, job, capacity)
     }
 
-    /// Whether a task of a gang that lacks room could be on this machine.
-    fn useful_to_gang(&self, now: Millis, job: &Job, machine: &str, room: &FreeCapacity) -> bool {
-        placement::allowed(&job.spec, &room.kind, &room.zone, room.spot)
+    /// Whether a task of a gang that lacks capacity could be on this machine.
+    fn useful_to_gang(
+        &self,
+        now: Millis,
+        job: &Job,
+        machine: &str,
+        capacity: &FreeCapacity,
+    ) -> bool {
+        placement::allowed(&job.spec, &capacity.kind, &capacity.zone, capacity.spot)
             && !self.avoids_machine(now, job, machine)
-            && room.admits(&job.spec.demand, job.equivalence_class) > 0
+            && capacity.admits(&job.spec.demand, job.equivalence_class) > 0
     }
 }
--- a/crates/latchtrack-core/src/scheduler/best_effort.rs
+++ b/crates/latchtrack-core/src/scheduler/best_effort.rs
@@ -8,40 +8,40 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// Spare jobs that have waited long enough to go before those that can't be in time, with how
-    /// many tasks: the oldest first, within their share of the cluster. Behind an overload that lasts
-    /// they would else not be served at all.
+    /// Whether a job takes only what would stand idle: it has the lowest priority, and nothing says by when
+    /// it is wanted.
+    pub(super) fn is_best_effort(&self, spec: &JobSpec) -> bool {
+        spec.priority == Priority::Low
+            && spec.deadline_s.is_none()
+            && !self.policy.classes_with_objectives.contains(&spec.class)
+    }
+
+    /// Best-effort jobs that have waited long enough to go before deferred ones, with how many tasks: the
+    /// oldest first, within [`BEST_EFFORT_SHARE`] of the cluster. In an overload that lasts they would
+    /// otherwise not be served at all.
     pub(super) fn best_effort_due(&self, now: Millis, total: &Demand) -> HashMap<JobId, u32> {
-        let mut left = total.cpus * BEST_EFFORT_SHARE;
+        let mut remaining_cpus = total.cpus * BEST_EFFORT_SHARE;
         let mut due: Vec<&Job> = Vec::new();
-        for job in self.jobs.values().filter(|j| self.is_best_effort(&j.spec)) {
-            left -= job.spec.demand.cpus * job.placed.len() as f64;
-            if job.waiting() > 0
-                && !job.is_quarantined
-                && now >= job.submitted_at.saturating_add(STARVATION_MS)
-            {
+        for job in self.jobs.values().filter(|job| self.is_best_effort(&job.spec)) {
+            remaining_cpus -= job.spec.demand.cpus * job.placed.len() as f64;
+            let is_due = now >= job.submitted_at.saturating_add(STARVATION_MS);
+            if job.waiting() > 0 && !job.is_quarantined && is_due {
                 due.push(job);
             }
         }
-        due.sort_by_key(|j| (j.submitted_at, j.spec.id));
-        let mut out = HashMap::new();
+        due.sort_by_key(|job| (job.submitted_at, job.spec.id));
+        let mut tasks_by_job = HashMap::new();
         for job in due {
             let cpus = job.spec.demand.cpus;
-            let n = if cpus > 0.0 { (left / cpus).max(0.0) as u32 } else { u32::MAX };
-            if n == 0 {
+            let fitting =
+                if cpus > 0.0 { (remaining_cpus / cpus).max(0.0) as u32 } else { u32::MAX };
+            if fitting == 0 {
                 break;
             }
-            let n = n.min(job.waiting());
-            left -= cpus * f64::from(n);
-            out.insert(job.spec.id, n);
+            let tasks = fitting.min(job.waiting());
+            remaining_cpus -= cpus * f64::from(tasks);
+            tasks_by_job.insert(job.spec.id, tasks);
         }
-        out
-    }
-    /// Whether a job is to take only what would stand idle: of the lowest priority, and nothing says by
-    /// when anybody wants it.
-    pub(super) fn is_best_effort(&self, spec: &JobSpec) -> bool {
-        spec.priority == Priority::Low
-            && spec.deadline_s.is_none()
-            && !self.policy.classes_with_objectives.contains(&spec.class)
+        tasks_by_job
     }
 }
--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -59,6 +59,19 @@
     }
 }
 
+impl QuotaAccounting {
+    /// The cell's part of a team's guarantee, where cells share the team.
+    pub fn guarantee(&self, team: &str) -> Option<TeamUsage> {
+        let (cpus, gpus) = self.cell.as_ref()?.guarantee(team)?.decimal();
+        Some(TeamUsage { cpus, gpus })
+    }
+
+    /// A scheduling cycle begins, which finds anew what is next to start.
+    pub fn start_cycle(&mut self) {
+        self.next_of_team.clear();
+    }
+}
+
 impl Scheduler {
     pub(super) fn on_quota_observed(&mut self, now: Millis, view: View) {
         let Some(keeper) = self.quota.cell.as_mut() else { return };
@@ -96,7 +109,9 @@
     fn after_quota(&mut self) {
         let Some(keeper) = self.quota.cell.as_mut() else { return };
         let notices = keeper.take_notices();
-        self.cycle_timer.requested |= !notices.is_empty();
+        if !notices.is_empty() {
+            self.cycle_timer.request();
+        }
         self.out.extend(notices.into_iter().map(|notice| Effect::Log(notice.to_string())));
     }
 
--- a/crates/latchtrack-core/src/scheduler/cycle_state.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle_state.rs
@@ -1,30 +1,178 @@
-//! What a scheduling cycle carries from job to job.
+//! The state of one scheduling cycle, shared by its steps.
+
+use std::sync::Arc;
 
 use super::team_limits::UsageByTeam;
-use crate::job::Demand;
-use crate::placement::FreeCapacity;
+use crate::job::{ClassId, Demand, JobSpec};
+use crate::placement::{FreeCapacity, Reservation};
 
-/// What one round of placing carries from job to job.
+/// The state of one scheduling cycle: the free capacity and the usage of the teams as the jobs placed so
+/// far leave them, and what was found for each equivalence class.
 pub(super) struct SchedulingCycle {
-    pub rooms: Vec<FreeCapacity>,
-    pub total: Demand,
-    pub searches: Vec<ClassSearch>,
-    /// What teams use, if any has a limit.
-    pub used: UsageByTeam,
-    /// The same with what this round counts on machines that are on their way.
-    pub expected: UsageByTeam,
+    capacities: Vec<FreeCapacity>,
+    total: Demand,
+    searches: Vec<ClassSearch>,
+    used: UsageByTeam,
+    expected: UsageByTeam,
 }
 
-/// What one round found of a shape.
+impl SchedulingCycle {
+    /// A cycle in which nothing has been placed: `total` is what the machines that are up have, `used` what
+    /// the teams use, if any has a limit.
+    pub fn new(
+        capacities: Vec<FreeCapacity>,
+        total: Demand,
+        searches: Vec<ClassSearch>,
+        used: UsageByTeam,
+    ) -> Self {
+        SchedulingCycle { capacities, total, searches, expected: used.clone(), used }
+    }
+
+    /// The capacities, ready ones and pending ones. An index into them is valid for the whole cycle.
+    pub fn capacities(&self) -> &[FreeCapacity] {
+        &self.capacities
+    }
+
+    /// What all machines that are up have.
+    pub fn total(&self) -> &Demand {
+        &self.total
+    }
+
+    /// The capacity of machines that are not ready for tasks yet.
+    pub fn pending_mut(&mut self) -> impl Iterator<Item = &mut FreeCapacity> {
+        self.capacities.iter_mut().filter(|capacity| !capacity.ready)
+    }
+
+    /// Adds machines that were just requested. What the job they are for leaves of them is pending capacity
+    /// for jobs of all classes.
+    pub fn add_pending(&mut self, capacity: &FreeCapacity, machines: u32) {
+        self.capacities.extend((0..machines).map(|_| capacity.clone()));
+        for search in &mut self.searches {
+            search.pending_exhausted = false;
+        }
+    }
+
+    /// Takes the demand of tasks out of a capacity; returns its machine, if it has been provisioned.
+    pub fn take(&mut self, index: usize, demand: &Demand, tasks: u32) -> Option<Arc<str>> {
+        let capacity = &mut self.capacities[index];
+        capacity.take(demand, tasks);
+        capacity.machine.clone()
+    }
+
+    /// Keeps a capacity from all but the jobs for which it is reserved.
+    pub fn reserve(&mut self, index: usize, reservation: Reservation) {
+        self.capacities[index].reservation = Some(reservation);
+    }
+
+    /// The reservations made in this cycle, by machine.
+    pub fn into_reservations(self) -> impl Iterator<Item = (Arc<str>, Reservation)> {
+        self.capacities
+            .into_iter()
+            .filter_map(|capacity| Some((capacity.machine?, capacity.reservation?)))
+    }
+
+    /// What was found for an equivalence class.
+    pub fn search(&self, class: ClassId) -> &ClassSearch {
+        &self.searches[class.0]
+    }
+
+    /// What was found for an equivalence class, to note more.
+    pub fn search_mut(&mut self, class: ClassId) -> &mut ClassSearch {
+        &mut self.searches[class.0]
+    }
+
+    /// What the teams use.
+    pub fn used(&self) -> &UsageByTeam {
+        &self.used
+    }
+
+    /// What the teams will use once the tasks counted on pending machines run too.
+    pub fn expected(&self) -> &UsageByTeam {
+        &self.expected
+    }
+
+    /// Counts tasks that were placed, or for which a part of their team's limit is reserved.
+    pub fn count_used(&mut self, spec: &JobSpec, tasks: u32) {
+        self.used.add(spec, tasks);
+        self.expected.add(spec, tasks);
+    }
+
+    /// Counts tasks that pending machines are to take.
+    pub fn count_expected(&mut self, spec: &JobSpec, tasks: u32) {
+        self.expected.add(spec, tasks);
+    }
+}
+
+/// Whether a job may use what is reserved for jobs of other classes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReservationAccess {
+    /// The reservations of others bind it.
+    Respects,
+    /// It has waited so long that they don't, unless they are exclusive.
+    Ignores,
+}
+
+/// What a cycle has found for an equivalence class: a search that failed for one of its jobs is not
+/// repeated for the others.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ClassSearch {
-    /// No ready room, no promised room, nothing to rent; room is held for it.
-    pub no_ready: bool,
-    pub no_pending: bool,
-    pub no_offer: bool,
-    pub held: bool,
-    /// No room is left that is kept for others either.
-    pub no_reserved: bool,
-    /// Waiting tasks of the jobs not yet looked at.
-    pub to_come: u32,
+    ready_exhausted: bool,
+    reserved_exhausted: bool,
+    pending_exhausted: bool,
+    offers_exhausted: bool,
+    has_reservation: bool,
+    tasks_behind: u32,
+}
+
+impl ClassSearch {
+    /// Counts waiting tasks of a job further back in the queue.
+    pub fn add_behind(&mut self, tasks: u32) {
+        self.tasks_behind += tasks;
+    }
+
+    /// A job with these waiting tasks is up now, and no longer further back.
+    pub fn reached(&mut self, tasks: u32) {
+        self.tasks_behind = self.tasks_behind.saturating_sub(tasks);
+    }
+
+    /// The waiting tasks of the class's jobs further back in the queue.
+    pub fn tasks_behind(&self) -> u32 {
+        self.tasks_behind
+    }
+
+    /// Whether a ready machine may be found.
+    pub fn may_find_ready(&self, access: ReservationAccess) -> bool {
+        !self.ready_exhausted || access == ReservationAccess::Ignores && !self.reserved_exhausted
+    }
+
+    /// No ready machine has capacity that jobs with this access may use.
+    pub fn exhaust_ready(&mut self, access: ReservationAccess) {
+        self.ready_exhausted = true;
+        self.reserved_exhausted |= access == ReservationAccess::Ignores;
+    }
+
+    /// Whether pending capacity may be found.
+    pub fn may_find_pending(&self) -> bool {
+        !self.pending_exhausted
+    }
+
+    /// No pending capacity is left.
+    pub fn exhaust_pending(&mut self) {
+        self.pending_exhausted = true;
+    }
+
+    /// Whether an offer to provision may be found.
+    pub fn may_find_offer(&self) -> bool {
+        !self.offers_exhausted
+    }
+
+    /// Nothing can be provisioned any more.
+    pub fn exhaust_offers(&mut self) {
+        self.offers_exhausted = true;
+    }
+
+    /// Notes that capacity is reserved for all waiting jobs of the class; false if it was before.
+    pub fn claim_reservation(&mut self) -> bool {
+        !std::mem::replace(&mut self.has_reservation, true)
+    }
 }
--- a/crates/latchtrack-core/src/scheduler/deferral.rs
+++ b/crates/latchtrack-core/src/scheduler/deferral.rs
@@ -1,58 +1,66 @@
-//! Jobs that can't all be in time stand behind those that can.
+//! Deferral: jobs that can't be in time stand behind those that can.
 
-use super::queue_order::{QueueRank, QueueTier};
+use super::queue_order::{QueueTier, RankedJob};
 use super::Scheduler;
-use crate::job::{Demand, Job, JobId, JobSpec};
-use crate::placement;
+use crate::job::{Demand, Job, JobSpec};
+use crate::placement::{deferred, TimedDemand};
 use crate::Millis;
 
+/// The part of its estimate that a running task has still before it, on average.
+const REMAINING_RUN_SHARE: f64 = 0.5;
+
 impl Scheduler {
-    /// The jobs that are deferred because not all can be in time: see [`placement::deferred`].
-    pub(super) fn defer_jobs(&self, now: Millis, order: &mut [(QueueRank, JobId)], total: &Demand) {
-        // What runs now takes its room for half its estimate more, on average.
+    /// Moves jobs to the tier of the deferred ones where not all with an objective can be in time: see
+    /// [`deferred`].
+    pub(super) fn defer_jobs(&self, now: Millis, ranked: &mut [RankedJob], total: &Demand) {
         let running: f64 = self
             .inventory
-            .iter()
-            .flat_map(|m| m.runs.values())
-            .filter(|r| r.is_live())
-            .filter_map(|r| r.spec.as_ref().map(|s| cpu_ms(s, 0.5)))
+            .runs()
+            .filter(|run| run.is_live())
+            .filter_map(|run| run.spec.as_ref())
+            .map(|spec| cpu_ms(spec, REMAINING_RUN_SHARE))
             .sum();
-        let deadlines: f64 = order
+        let with_deadlines: f64 = ranked
             .iter()
-            .filter(|(rank, _)| rank.tier == QueueTier::Deadline)
-            .filter_map(|(_, id)| self.jobs.get(id))
-            .map(work_ms)
+            .filter(|ranked| ranked.rank.tier == QueueTier::Deadline)
+            .filter_map(|ranked| self.jobs.get(&ranked.id))
+            .map(waiting_cpu_ms)
             .sum();
-        let completion_objectives =
-            || order.iter().enumerate().filter(|(_, (rank, _))| rank.tier == QueueTier::Objective);
-        let queue: Vec<placement::TimedDemand> = completion_objectives()
-            .filter_map(|(_, (rank, id))| {
-                let job = self.jobs.get(id)?;
-                Some(placement::TimedDemand {
-                    left_ms: rank.due.saturating_sub(now) as f64,
-                    run_ms: job.spec.estimate_s * 1000.0,
-                    work: work_ms(job),
-                })
+        let with_objectives: Vec<(usize, TimedDemand)> = ranked
+            .iter()
+            .enumerate()
+            .filter(|(_, ranked)| ranked.rank.tier == QueueTier::Objective)
+            .filter_map(|(index, ranked)| {
+                let job = self.jobs.get(&ranked.id)?;
+                Some((index, timed_demand(now, job, ranked.rank.due)))
             })
             .collect();
-        let places: Vec<usize> = completion_objectives().map(|(i, _)| i).collect();
-        let is_deferred = placement::deferred(&queue, running + deadlines, total.cpus);
-        for ((place, is_deferred), asked) in places.into_iter().zip(is_deferred).zip(queue) {
+        let demands: Vec<TimedDemand> = with_objectives.iter().map(|(_, demand)| *demand).collect();
+        let is_deferred = deferred(&demands, running + with_deadlines, total.cpus);
+        for ((index, demand), is_deferred) in with_objectives.into_iter().zip(is_deferred) {
             if is_deferred {
-                let rank = &mut order[place].0;
+                let rank = &mut ranked[index].rank;
                 rank.tier = QueueTier::Deferred;
-                rank.due = asked.work as Millis;
+                rank.due = demand.cpu_ms as Millis;
             }
         }
     }
 }
 
+fn timed_demand(now: Millis, job: &Job, due_at: Millis) -> TimedDemand {
+    TimedDemand {
+        remaining_ms: due_at.saturating_sub(now) as f64,
+        run_ms: job.spec.estimate_s * 1000.0,
+        cpu_ms: waiting_cpu_ms(job),
+    }
+}
+
 /// CPU-ms of so many tasks of a job, as its owner estimates.
 fn cpu_ms(spec: &JobSpec, tasks: f64) -> f64 {
     spec.demand.cpus * tasks * spec.estimate_s * 1000.0
 }
 
-/// CPU-ms of all its waiting tasks.
-pub(super) fn work_ms(job: &Job) -> f64 {
+/// CPU-ms of all waiting tasks of a job.
+pub(super) fn waiting_cpu_ms(job: &Job) -> f64 {
     cpu_ms(&job.spec, f64::from(job.waiting()))
 }
--- /dev/null
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -0,0 +1,252 @@
+//! How a cycle schedules one queue entry: on ready machines, on pending ones, on machines that are
+//! provisioned for it, and by a reservation, in this order, until none of its tasks is left.
+
+use std::sync::Arc;
+
+use super::cycle_state::{ReservationAccess, SchedulingCycle};
+use super::provisioning::place_on_pending;
+use super::queue::QueueEntry;
+use super::reservations::GangReservation;
+use super::task_placement::zone_with_most_capacity;
+use super::Scheduler;
+use crate::constants::RESERVATION_IGNORED_AFTER_MS;
+use crate::job::{ClassId, Job, JobId, JobSpec};
+use crate::placement::{self, FreeCapacity, ReservedFor};
+use crate::Millis;
+
+/// In which zone capacity is sought for a job.
+enum TargetZone {
+    /// In any that the job allows.
+    Any,
+    /// In this one, where tasks of the job are.
+    Required(Arc<str>),
+    /// In this one, unless there is nothing to provision there: all tasks must be in one zone, and spread
+    /// over several, new machines would have room for a slice in none.
+    Preferred(Arc<str>),
+}
+
+impl TargetZone {
+    fn name(&self) -> Option<&str> {
+        match self {
+            TargetZone::Any => None,
+            TargetZone::Required(zone) | TargetZone::Preferred(zone) => Some(zone),
+        }
+    }
+}
+
+/// Tasks of a job for which no ready machine was found.
+struct Shortage {
+    spec: Arc<JobSpec>,
+    class: ClassId,
+    remaining: u32,
+    /// For how long the job has found no capacity.
+    unschedulable_ms: Millis,
+    zone: TargetZone,
+}
+
+impl Scheduler {
+    /// Whether a job has waited so long that reservations for others don't bind it.
+    pub(super) fn reservation_access(&self, now: Millis, job: &Job) -> ReservationAccess {
+        let ignores = job
+            .unschedulable_since
+            .is_some_and(|since| now >= since.saturating_add(RESERVATION_IGNORED_AFTER_MS));
+        if ignores {
+            ReservationAccess::Ignores
+        } else {
+            ReservationAccess::Respects
+        }
+    }
+
+    /// How many tasks a job may put into a free capacity, by size and by its reservation.
+    pub(super) fn tasks_admitted(&self, now: Millis, job: &Job, capacity: &FreeCapacity) -> u32 {
+        let for_a_class = capacity
+            .reservation
+            .is_some_and(|reservation| reservation.reserved_for != ReservedFor::Exclusive);
+        if for_a_class && self.reservation_access(now, job) == ReservationAccess::Ignores {
+            capacity.holds(&job.spec.demand)
+        } else {
+            capacity.admits(&job.spec.demand, job.equivalence_class)
+        }
+    }
+
+    /// Schedules a queue entry, and takes off it what was placed.
+    pub(super) fn schedule_entry(
+        &mut self,
+        now: Millis,
+        entry: &mut QueueEntry,
+        cycle: &mut SchedulingCycle,
+    ) {
+        let Some(job) = self.jobs.get(&entry.job) else { return };
+        let (spec, class) = (job.spec.clone(), job.equivalence_class);
+        let wanted = job.schedulable_tasks().min(entry.max_tasks);
+        if !job.is_quarantined {
+            cycle.search_mut(class).reached(wanted);
+        }
+        let access = self.reservation_access(now, job);
+        let allowed = wanted.min(self.tasks_within_limit(&spec, cycle.used()));
+        if spec.gang && allowed < wanted {
+            // It starts whole or not at all, and waits for its team's limit.
+            self.note_gang_lacks_quota(now, entry.job);
+            return;
+        }
+        if allowed == 0 {
+            return;
+        }
+        let mut placed = 0;
+        if cycle.search(class).may_find_ready(access) {
+            placed = self.place_on_ready_machines(now, &spec, allowed, cycle);
+        }
+        entry.max_tasks = entry.max_tasks.saturating_sub(placed);
+        let remaining = allowed - placed;
+        let Some(unschedulable_ms) = self.note_placed(now, entry.job, placed, remaining) else {
+            return;
+        };
+        if self.waits_for_image_anywhere(now, &self.jobs[&entry.job]) {
+            // It leaves capacity to others of its class that it might have used, and waits only briefly.
+            return;
+        }
+        let zone = self.target_zone(&spec, cycle);
+        let shortage = Shortage { spec, class, remaining, unschedulable_ms, zone };
+        self.note_ready_exhausted(now, &shortage, access, cycle);
+        self.acquire_capacity(now, shortage, cycle);
+    }
+
+    fn note_gang_lacks_quota(&mut self, now: Millis, id: JobId) {
+        if let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_quarantined) {
+            job.unschedulable_since.get_or_insert(now);
+        }
+    }
+
+    /// Notes since when a job finds no capacity. Returns for how many ms, or None if it lacks none, or
+    /// nothing is provisioned or reserved for it, since it is quarantined.
+    fn note_placed(
+        &mut self,
+        now: Millis,
+        id: JobId,
+        placed: u32,
+        remaining: u32,
+    ) -> Option<Millis> {
+        let job = self.jobs.get_mut(&id)?;
+        if remaining == 0 || job.is_quarantined {
+            job.unschedulable_since = None;
+            return None;
+        }
+        if placed > 0 {
+            job.unschedulable_since = Some(now);
+        }
+        Some(now.saturating_sub(*job.unschedulable_since.get_or_insert(now)))
+    }
+
+    fn target_zone(&self, spec: &JobSpec, cycle: &SchedulingCycle) -> TargetZone {
+        if !spec.one_zone {
+            return TargetZone::Any;
+        }
+        let in_use = self.jobs.get(&spec.id).map(|job| self.zones_in_use(job)).unwrap_or_default();
+        if let Some(zone) = in_use.into_iter().next() {
+            return TargetZone::Required(zone);
+        }
+        let is_allowed = |capacity: &FreeCapacity| {
+            placement::allowed(spec, &capacity.kind, &capacity.zone, capacity.spot)
+        };
+        let allowed = cycle.capacities().iter().filter(|capacity| is_allowed(capacity));
+        zone_with_most_capacity(allowed, spec).map_or(TargetZone::Any, TargetZone::Preferred)
+    }
+
+    /// Reserves for a gang what is free, and notes for other jobs that their class finds no ready machine.
+    fn note_ready_exhausted(
+        &mut self,
+        now: Millis,
+        shortage: &Shortage,
+        access: ReservationAccess,
+        cycle: &mut SchedulingCycle,
+    ) {
+        let spec = &shortage.spec;
+        if spec.gang {
+            let reserves = self.start_objective_ms(spec).is_some()
+                || shortage.unschedulable_ms >= self.policy.reserve_after_ms;
+            if reserves {
+                let reserved_for = ReservedFor::Class(shortage.class);
+                let which = GangReservation::FreeOnly;
+                self.reserve_for_gang(now, spec, reserved_for, which, cycle);
+            }
+            // That a gang does not fit whole tells nothing of the others of its class.
+            return;
+        }
+        // Nor does what a job finds that is bound by where its own tasks are, or where they failed.
+        let avoids_machines = self.jobs.get(&spec.id).is_some_and(|job| !job.failed_on.is_empty());
+        if !spec.is_zone_constrained() && !avoids_machines {
+            cycle.search_mut(shortage.class).exhaust_ready(access);
+        }
+    }
+
+    /// Finds capacity for tasks that can't start now: pending, provisioned for them, or reserved.
+    fn acquire_capacity(
+        &mut self,
+        now: Millis,
+        mut shortage: Shortage,
+        cycle: &mut SchedulingCycle,
+    ) {
+        // Nothing is provisioned for what the team's limit would hold back once all that is expected runs.
+        let allowed = self.tasks_within_limit(&shortage.spec, cycle.expected());
+        shortage.remaining = shortage.remaining.min(allowed);
+        if shortage.remaining > 0 {
+            shortage.remaining -= self.count_on_pending(&shortage, cycle);
+        }
+        if shortage.remaining > 0 {
+            shortage.remaining -= self.provision_for(now, &shortage, cycle);
+        }
+        if shortage.remaining > 0 {
+            self.reserve_for_class(now, &shortage, cycle);
+        }
+    }
+
+    /// Counts tasks on pending machines; returns how many.
+    fn count_on_pending(&self, shortage: &Shortage, cycle: &mut SchedulingCycle) -> u32 {
+        if !cycle.search(shortage.class).may_find_pending() {
+            return 0;
+        }
+        let zone = shortage.zone.name();
+        let placed = place_on_pending(&shortage.spec, zone, shortage.remaining, cycle);
+        self.count_expected_usage(&shortage.spec, placed, cycle);
+        if placed < shortage.remaining && zone.is_none() {
+            cycle.search_mut(shortage.class).exhaust_pending();
+        }
+        placed
+    }
+
+    /// Provisions machines; returns for how many tasks.
+    fn provision_for(
+        &mut self,
+        now: Millis,
+        shortage: &Shortage,
+        cycle: &mut SchedulingCycle,
+    ) -> u32 {
+        if !cycle.search(shortage.class).may_find_offer() {
+            return 0;
+        }
+        let Shortage { spec, remaining, unschedulable_ms, .. } = shortage;
+        let zone = shortage.zone.name();
+        let mut placed = self.provision(now, spec, zone, *remaining, *unschedulable_ms, cycle);
+        if placed == 0 && matches!(shortage.zone, TargetZone::Preferred(_)) {
+            placed = self.provision(now, spec, None, *remaining, *unschedulable_ms, cycle);
+        }
+        self.count_expected_usage(spec, placed, cycle);
+        if placed < *remaining && zone.is_none() {
+            cycle.search_mut(shortage.class).exhaust_offers();
+        }
+        placed
+    }
+
+    /// Reserves capacity for all waiting jobs of a class at once, if this one has waited long enough.
+    fn reserve_for_class(&self, now: Millis, shortage: &Shortage, cycle: &mut SchedulingCycle) {
+        if shortage.spec.gang || shortage.unschedulable_ms < self.policy.reserve_after_ms {
+            return;
+        }
+        if !cycle.search_mut(shortage.class).claim_reservation() {
+            return;
+        }
+        let behind = cycle.search(shortage.class).tasks_behind();
+        let tasks = shortage.remaining.saturating_add(behind);
+        self.reserve(now, &shortage.spec, ReservedFor::Class(shortage.class), tasks, cycle);
+    }
+}
--- a/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
+++ b/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
@@ -1,13 +1,15 @@
-//! What makes jobs alike for placing.
+//! Equivalence classes of jobs: with equal demands and constraints, what one job of a class can't find in
+//! a scheduling cycle another can't find either.
 
 use std::collections::HashMap;
 
 use super::cycle_state::ClassSearch;
-use crate::job::JobSpec;
+use crate::job::{ClassId, JobSpec};
 
-/// What makes two jobs alike for placing: decided once, as a class, in each round.
+/// What jobs of one class have in common.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct EquivalenceClass {
+struct ClassKey {
+    /// CPUs, GPUs and GB of memory, as bit patterns: equal numbers are the same class.
     demand: [u64; 3],
     types: Option<Vec<String>>,
     zone: Option<String>,
@@ -15,30 +17,32 @@
     gang: bool,
 }
 
-/// The shapes that this term has seen, by number.
-#[derive(Clone, Debug, Default)]
-pub(super) struct EquivalenceClasses(HashMap<EquivalenceClass, usize>);
-
-impl EquivalenceClasses {
-    /// The number of a job's shape.
-    pub fn of(&mut self, spec: &JobSpec) -> usize {
-        let d = &spec.demand;
-        let equivalence_class = EquivalenceClass {
-            demand: [d.cpus.to_bits(), d.gpus.to_bits(), d.memory_gb.to_bits()],
+impl ClassKey {
+    fn of(spec: &JobSpec) -> Self {
+        let demand = &spec.demand;
+        ClassKey {
+            demand: [demand.cpus.to_bits(), demand.gpus.to_bits(), demand.memory_gb.to_bits()],
             types: spec.types.clone(),
             zone: spec.zone.clone(),
             spot: spec.spot,
             gang: spec.gang,
-        };
-        let next = self.0.len();
-        *self.0.entry(equivalence_class).or_insert(next)
+        }
+    }
+}
+
+/// The classes that were seen in this term. None is ever removed, so that ids stay valid.
+#[derive(Clone, Debug, Default)]
+pub(super) struct EquivalenceClasses(HashMap<ClassKey, ClassId>);
+
+impl EquivalenceClasses {
+    /// The class of a job, a new one if it is the first of its kind.
+    pub fn of(&mut self, spec: &JobSpec) -> ClassId {
+        let next = ClassId(self.0.len());
+        *self.0.entry(ClassKey::of(spec)).or_insert(next)
     }
 
-    /// What a round begins with: nothing has been found of any shape.
+    /// What a scheduling cycle begins with, by class: nothing has been searched for.
     pub fn new_searches(&self) -> Vec<ClassSearch> {
         vec![ClassSearch::default(); self.0.len()]
     }
 }
-
-/// Instead of a shape: held for a job that is to begin, and for no other.
-pub(super) const KEPT: usize = usize::MAX;
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -69,7 +69,7 @@
                 m.quarantined_until = 0;
             }
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 
     /// It can be done: what failed was its machines' fault.
@@ -85,7 +85,7 @@
         for name in names {
             self.blame_machine(now, &name, id);
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 
     /// Holds a job's failure against the machine. One that fails different jobs goes back.
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -7,9 +7,9 @@
 
 use super::moves::amounts;
 use super::policy::Team;
-use super::queue_order::QueueRank;
+use super::queue_order::RankedJob;
 use super::Scheduler;
-use crate::job::{Demand, JobId};
+use crate::job::Demand;
 use crate::Millis;
 
 /// What a team uses and asks for, in dominant shares of the cluster.
@@ -25,24 +25,24 @@
     pub(super) fn mark_beyond_share(
         &mut self,
         now: Millis,
-        order: &mut [(QueueRank, JobId)],
+        ranked: &mut [RankedJob],
         total: &Demand,
     ) {
         if !self.policy.balance.teams {
             return;
         }
-        let used = self.team_use(order, total);
+        let used = self.team_use(ranked, total);
         let hot = self.hot_shares(now, &used, total);
         if hot.is_empty() {
             return;
         }
         let mut taken: BTreeMap<String, f64> =
             used.iter().map(|(name, team)| (name.clone(), team.running)).collect();
-        for (rank, id) in order {
+        for RankedJob { rank, id } in ranked {
             let Some(job) = self.jobs.get(id) else { continue };
             let Some(share) = hot.get(&job.spec.team) else { continue };
             let taken = taken.entry(job.spec.team.clone()).or_default();
-            rank.beyond_share = u8::from(*taken >= *share);
+            rank.beyond_share = *taken >= *share;
             *taken += amounts(&job.spec.demand).dominant_share(&amounts(total))
                 * f64::from(job.schedulable_tasks());
         }
@@ -71,7 +71,7 @@
         hot
     }
 
-    fn team_use(&self, order: &[(QueueRank, JobId)], total: &Demand) -> BTreeMap<String, TeamUse> {
+    fn team_use(&self, ranked: &[RankedJob], total: &Demand) -> BTreeMap<String, TeamUse> {
         let mut used: BTreeMap<String, TeamUse> = BTreeMap::new();
         let runs = self.inventory.runs();
         for spec in runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref()) {
@@ -79,7 +79,7 @@
                 amounts(&spec.demand).dominant_share(&amounts(total));
         }
         // Each job stands in the order once.
-        for job in order.iter().filter_map(|(_, id)| self.jobs.get(id)) {
+        for job in ranked.iter().filter_map(|ranked| self.jobs.get(&ranked.id)) {
             used.entry(job.spec.team.clone()).or_default().waiting += amounts(&job.spec.demand)
                 .dominant_share(&amounts(total))
                 * f64::from(job.schedulable_tasks());
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -1,4 +1,4 @@
-//! What a round of placing begins with: the room of each machine.
+//! The free capacity of machines, with which a scheduling cycle and backfill begin.
 
 use super::provisioning::pending_capacity;
 use super::Scheduler;
@@ -8,64 +8,73 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// The room of a machine, if it may be counted on; up ones take no more tasks when they get
-    /// silent, and still count as running.
-    pub(super) fn free_capacity_of(&self, now: Millis, m: &Machine) -> Option<FreeCapacity> {
-        if m.to_terminate
-            || m.is_unreconciled()
-            || m.is_slow()
-            || m.preempt_at.is_some()
-            || now < m.quarantined_until
-        {
-            return None;
-        }
-        let t = self.inventory.type_named(&m.kind)?;
-        let used = m.allocated()?;
-        let reserved = self.reserved_on(&m.name);
-        // One on its way in a zone that is not heard will not be of use soon.
-        let late = || self.is_late(now, m);
-        if !m.is_up() && (self.failure_detector.unreachable_zones.contains(&m.zone) || late()) {
+    /// The free capacity of a machine, without what moves reserve on it; None if it can't be counted on.
+    pub(super) fn free_capacity_of(&self, now: Millis, machine: &Machine) -> Option<FreeCapacity> {
+        if !self.takes_tasks(now, machine) {
             return None;
         }
+        let machine_type = self.inventory.type_named(&machine.kind)?;
+        let used = machine.allocated()?;
+        let reserved = self.reserved_on(&machine.name);
         Some(FreeCapacity {
-            machine: Some(m.name.clone()),
-            kind: m.kind.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
-            size: t.cpus,
-            images: m.images.clone(),
-            may_hold: m.inherited,
+            machine: Some(machine.name.clone()),
+            kind: machine.kind.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            total_cpus: machine_type.cpus,
+            images: machine.images.clone(),
+            images_incomplete: machine.inherited,
             free: Demand {
-                cpus: t.cpus - used.cpus - reserved.cpus,
-                gpus: t.gpus - used.gpus - reserved.gpus,
-                memory_gb: t.memory_gb - used.memory_gb - reserved.memory_gb,
+                cpus: machine_type.cpus - used.cpus - reserved.cpus,
+                gpus: machine_type.gpus - used.gpus - reserved.gpus,
+                memory_gb: machine_type.memory_gb - used.memory_gb - reserved.memory_gb,
             },
-            ready: m.is_up() && m.persisted,
-            held: None,
-            balance: self.load_info(m, t),
+            ready: machine.is_up() && machine.persisted,
+            reservation: None,
+            balance: self.load_info(machine, machine_type),
         })
     }
 
-    pub(super) fn rooms(&self, now: Millis) -> (Vec<FreeCapacity>, Demand) {
-        let mut rooms = Vec::with_capacity(self.inventory.len());
+    /// Whether tasks may be placed on a machine, now or once it is up.
+    fn takes_tasks(&self, now: Millis, machine: &Machine) -> bool {
+        let is_excluded = machine.to_terminate
+            || machine.is_unreconciled()
+            || machine.is_slow()
+            || machine.preempt_at.is_some()
+            || now < machine.quarantined_until;
+        if is_excluded || machine.is_up() {
+            return !is_excluded;
+        }
+        // One that boots in an unreachable zone, or is late, will not be of use soon.
+        !self.failure_detector.unreachable_zones.contains(&machine.zone)
+            && !self.is_late(now, machine)
+    }
+
+    /// The free capacities of all machines, up or pending, and what those that are up have in all. A machine
+    /// whose heartbeat is overdue takes no more tasks, and still counts as up.
+    pub(super) fn free_capacities(&self, now: Millis) -> (Vec<FreeCapacity>, Demand) {
+        let mut capacities = Vec::with_capacity(self.inventory.len());
         let mut total = Demand::default();
-        for m in self.inventory.iter() {
-            let Some(room) = self.free_capacity_of(now, m) else { continue };
-            if let (true, Some(t)) = (m.is_up(), self.inventory.type_named(&m.kind)) {
-                total.cpus += t.cpus;
-                total.gpus += t.gpus;
-                total.memory_gb += t.memory_gb;
-                if m.heartbeat_older_than(now, self.policy.probe_ms()) {
+        for machine in self.inventory.iter() {
+            let Some(capacity) = self.free_capacity_of(now, machine) else { continue };
+            if machine.is_up() {
+                if let Some(machine_type) = self.inventory.type_named(&machine.kind) {
+                    total.cpus += machine_type.cpus;
+                    total.gpus += machine_type.gpus;
+                    total.memory_gb += machine_type.memory_gb;
+                }
+                if machine.heartbeat_older_than(now, self.policy.probe_ms()) {
                     continue;
                 }
             }
-            rooms.push(room);
+            capacities.push(capacity);
         }
-        for h in self.provisioning.pending.values() {
-            if let Some(t) = self.inventory.type_named(&h.offer.kind) {
-                rooms.extend((0..h.number).map(|_| pending_capacity(&h.offer, t)));
+        for request in self.provisioning.pending.values() {
+            if let Some(machine_type) = self.inventory.type_named(&request.offer.kind) {
+                let capacity = pending_capacity(&request.offer, machine_type);
+                capacities.extend((0..request.number).map(|_| capacity.clone()));
             }
         }
-        (rooms, total)
+        (capacities, total)
     }
 }
--- a/crates/latchtrack-core/src/scheduler/guarantees.rs
+++ b/crates/latchtrack-core/src/scheduler/guarantees.rs
@@ -5,46 +5,45 @@
 use super::policy::Team;
 use super::team_limits::TeamUsage;
 use super::Scheduler;
+use crate::constants::AMOUNT_ROUNDING;
 use crate::job::{Job, JobId};
 
 impl Scheduler {
-    /// A team's guarantee here: the cell's part of it where teams are shared.
+    /// A team's guarantee here: the cell's part of it where cells share the team.
     pub(super) fn guarantee_of(&self, team: &Team) -> TeamUsage {
-        let shared = self.quota.cell.as_ref().and_then(|keeper| keeper.guarantee(&team.name));
-        match shared {
-            Some(part) => {
-                let (cpus, gpus) = part.decimal();
-                TeamUsage { cpus, gpus }
-            }
-            None => TeamUsage { cpus: team.cpus, gpus: team.gpus },
-        }
+        self.quota.guarantee(&team.name).unwrap_or(TeamUsage { cpus: team.cpus, gpus: team.gpus })
     }
 
-    /// Jobs that fit into their team's guarantee together with the team's earlier ones.
+    /// The jobs that fit into their team's guarantee together with the team's earlier ones.
     pub(super) fn guaranteed_jobs(&self) -> HashSet<JobId> {
-        let mut out = HashSet::new();
+        let mut guaranteed = HashSet::new();
         for team in &self.policy.teams {
             let guarantee = self.guarantee_of(team);
-            if guarantee == TeamUsage::default() {
-                continue;
+            if guarantee != TeamUsage::default() {
+                self.add_guaranteed_jobs(&team.name, guarantee, &mut guaranteed);
             }
-            let mut mine: Vec<&Job> = self
-                .jobs
-                .values()
-                .filter(|j| j.spec.team == team.name && !j.is_quarantined)
-                .collect();
-            mine.sort_by_key(|j| (j.submitted_at, j.spec.id));
-            let (mut cpus, mut gpus) = (0.0, 0.0);
-            for job in mine {
-                let n = f64::from(job.spec.tasks - job.done.ones());
-                cpus += job.spec.demand.cpus * n;
-                gpus += job.spec.demand.gpus * n;
-                if cpus > guarantee.cpus + 1e-6 || gpus > guarantee.gpus + 1e-6 {
-                    break;
-                }
-                out.insert(job.spec.id);
+        }
+        guaranteed
+    }
+
+    fn add_guaranteed_jobs(
+        &self,
+        team: &str,
+        guarantee: TeamUsage,
+        guaranteed: &mut HashSet<JobId>,
+    ) {
+        let of_team = |job: &&Job| job.spec.team == team && !job.is_quarantined;
+        let mut jobs: Vec<&Job> = self.jobs.values().filter(of_team).collect();
+        jobs.sort_by_key(|job| (job.submitted_at, job.spec.id));
+        let mut used = TeamUsage::default();
+        for job in jobs {
+            used.add(&job.spec, job.spec.tasks - job.done.ones());
+            if used.cpus > guarantee.cpus + AMOUNT_ROUNDING
+                || used.gpus > guarantee.gpus + AMOUNT_ROUNDING
+            {
+                break;
             }
+            guaranteed.insert(job.spec.id);
         }
-        out
     }
 }
--- a/crates/latchtrack-core/src/scheduler/heartbeats.rs
+++ b/crates/latchtrack-core/src/scheduler/heartbeats.rs
@@ -90,7 +90,7 @@
         m.addr = Some(r.addr.clone());
         m.preempt_at = r.notice_s.map(|s| now.saturating_add((s.max(0.0) * 1000.0) as Millis));
         if first {
-            self.cycle_timer.requested = true;
+            self.cycle_timer.request();
             self.provisioning.boots.record_boot(now, m);
             if !m.persisted {
                 let size = stored_machine(m).bytes();
@@ -109,7 +109,7 @@
             for run in runs.into_values() {
                 self.release_run(now, &r.machine, &run);
             }
-            self.cycle_timer.requested = true;
+            self.cycle_timer.request();
         }
         let Some(m) = self.inventory.get_mut(&r.machine) else { return false };
         let listed: HashSet<(TaskId, u64)> = r.tasks.iter().map(|t| (t.task, t.attempt)).collect();
@@ -188,13 +188,14 @@
                     // Its pace is that of its slowest machine, whichever that is.
                     self.complete_gang(run.task.job, run.attempt);
                     self.restore_job(now, run.task.job);
-                    self.cycle_timer.requested |=
-                        run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec));
+                    if run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec)) {
+                        self.cycle_timer.request();
+                    }
                     return;
                 }
                 // Only runs seen from their start: one that an earlier leader launched has run for
                 // longer than we know, and would make all its like look slow.
-                let ours = run.attempt >> ATTEMPT_BITS == self.token;
+                let ours = self.attempt_numbers.is_of_this_term(run.attempt);
                 if let Some(since) = run.running_since.filter(|_| ours) {
                     if !job.record_run_time(now.saturating_sub(since)) {
                         m.slow_votes = 0;
@@ -215,8 +216,9 @@
                 }
                 self.restore_job(now, run.task.job);
                 // What a team with a limit may use again is given out in rounds alone.
-                self.cycle_timer.requested |=
-                    run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec));
+                if run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec)) {
+                    self.cycle_timer.request();
+                }
                 return;
             }
             // What follows the first failure of a gang says nothing more.
@@ -254,7 +256,7 @@
             return;
         }
         job.requeue(index);
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
         if job.spec.gang {
             let time_was_short = run.phase == TaskPhase::Ended(ExitCause::GangIncomplete);
             self.end_attempt(now, run.task.job, run.attempt, time_was_short);
--- a/crates/latchtrack-core/src/scheduler/machine_lifecycle.rs
+++ b/crates/latchtrack-core/src/scheduler/machine_lifecycle.rs
@@ -77,7 +77,7 @@
                 self.provisioning.pending.insert(request_id.to_string(), h);
             }
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 
     pub(super) fn on_terminate_finished(&mut self, now: Millis, names: Vec<String>, ok: bool) {
@@ -101,7 +101,7 @@
             }
             self.inventory.remember_terminated(name);
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
         if self.cycle_due(now) {
             self.run_cycle(now);
             self.dispatch(now, None);
@@ -129,7 +129,7 @@
                     m.to_terminate = l.failed;
                     m.listed_as_running = l.running;
                     self.inventory.insert(m);
-                    self.cycle_timer.requested = true;
+                    self.cycle_timer.request();
                     self.out.push(Effect::Log(format!("machine {} adopted from the list", l.name)));
                 }
             }
@@ -334,12 +334,12 @@
     fn expire_unreconciled(&mut self, now: Millis) {
         for (name, revision) in std::mem::take(&mut self.persistence.unreadable_machine_sets) {
             self.persistence.machine_sets.load(&name, revision, []);
-            self.cycle_timer.requested = true;
+            self.cycle_timer.request();
         }
         for m in self.inventory.iter_mut().filter(|m| m.is_unreconciled()) {
             m.inherited = false;
             m.to_terminate = true;
-            self.cycle_timer.requested = true;
+            self.cycle_timer.request();
             let ms = now.saturating_sub(self.term_started_at);
             self.out.push(Effect::Log(format!("machine {} outlasted its lease, {ms} ms", m.name)));
         }
@@ -404,8 +404,7 @@
                     self.policy.on_demand_idle_timeout_ms
                 };
                 // Kept for tasks to come, for instance until the last machine of a gang is up.
-                let is_kept = self.reservations.by_machine.contains_key(&m.name)
-                    || self.reservations.exclusive.contains(&m.name)
+                let is_kept = self.reservations.is_reserved(&m.name)
                     || self.load_balancing.balancer.is_reserved(&m.name);
                 let is_idle = now.saturating_sub(since) >= wait && !is_kept;
                 if m.preempt_at.is_some() || m.is_slow() || is_idle {
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -15,6 +15,7 @@
 mod cycle;
 mod cycle_state;
 mod deferral;
+mod entry_scheduling;
 mod equivalence_classes;
 mod failure_attribution;
 mod fair_share;
@@ -33,6 +34,7 @@
 mod queue;
 mod queue_order;
 mod reservations;
+mod starvation;
 mod task_placement;
 mod team_limits;
 
@@ -56,6 +58,7 @@
 use provisioning::Provisioning;
 use queue::JobQueue;
 use reservations::Reservations;
+use task_placement::AttemptNumbers;
 
 use crate::bitmap::Bitmap;
 use crate::constants::*;
@@ -90,7 +93,7 @@
     /// Jobs accepted from this revision on were never launched by an earlier leader.
     leaderless_since: u64,
     term_started_at: Millis,
-    next_attempt: u64,
+    attempt_numbers: AttemptNumbers,
     jobs: BTreeMap<JobId, Job>,
     inventory: MachineInventory,
     failure_detector: FailureDetector,
@@ -132,7 +135,7 @@
             token,
             leaderless_since,
             term_started_at: now,
-            next_attempt: 0,
+            attempt_numbers: AttemptNumbers::new(token),
             jobs: BTreeMap::new(),
             inventory: machines,
             failure_detector: FailureDetector::new(now),
@@ -251,7 +254,7 @@
 
     /// Rounds of placing in this term, for checks.
     pub fn cycles(&self) -> u64 {
-        self.cycle_timer.count
+        self.cycle_timer.count()
     }
 
     /// The unfinished jobs, for checks.
@@ -329,7 +332,7 @@
         if completed_jobs {
             self.persistence.completed_jobs.insert(id);
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 
     fn on_job_closed(&mut self, now: Millis, id: JobId) {
@@ -343,7 +346,7 @@
                 self.dispatcher.pending.insert(m.name.to_string());
             }
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
         self.dispatch(now, None);
     }
 }
--- a/crates/latchtrack-core/src/scheduler/moves.rs
+++ b/crates/latchtrack-core/src/scheduler/moves.rs
@@ -372,7 +372,7 @@
         let Some(stage) = self.load_balancing.balancer.tell(now, unit, event) else { return };
         if stage.is_final() {
             // What was reserved is free, or its task waits in the queue.
-            self.cycle_timer.requested = true;
+            self.cycle_timer.request();
             let text = format!("the move of {} is over: {stage}", describe_unit(unit));
             self.out.push(Effect::Log(text));
         }
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -208,7 +208,9 @@
                             self.backfill(now, &s.name);
                         }
                     }
-                    self.cycle_timer.requested |= ok;
+                    if ok {
+                        self.cycle_timer.request();
+                    }
                 }
                 RecordWrite::Results { pack, chunks } => {
                     self.persistence.results.wrote(&pack, wrote(&late_results, &pack.name));
--- a/crates/latchtrack-core/src/scheduler/policy.rs
+++ b/crates/latchtrack-core/src/scheduler/policy.rs
@@ -37,8 +37,8 @@
     pub completion_objectives: Vec<CompletionObjective>,
     /// Classes with an aim of any kind.
     pub classes_with_objectives: BTreeSet<String>,
-    /// Classes whose tasks are to start within so many ms.
-    pub start_objectives: Vec<(String, Millis)>,
+    /// How soon tasks of some classes are to start.
+    pub start_objectives: Vec<StartObjective>,
     pub balance: BalancePolicy,
     /// The cell that shares the teams' limits with others; None if this deployment has them alone.
     pub quota_cell: Option<String>,
@@ -121,6 +121,15 @@
     pub due: Due,
 }
 
+/// How soon the tasks of a class are to start.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StartObjective {
+    /// The workload class.
+    pub class: String,
+    /// ms from the submission of a job.
+    pub within_ms: Millis,
+}
+
 /// When a job is due, from its submission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Due {
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -84,10 +84,11 @@
         let per_machine = t.holds(&spec.demand).max(1);
         // Like tasks are decided as a class: one call for all of this shape, not one a job. Team
         // limits are left to each job.
-        let alike = match self.tasks_within_limit(spec, &cycle.used) {
-            u32::MAX => {
-                self.jobs.get(&spec.id).map_or(0, |j| cycle.searches[j.equivalence_class].to_come)
-            }
+        let alike = match self.tasks_within_limit(spec, cycle.used()) {
+            u32::MAX => self
+                .jobs
+                .get(&spec.id)
+                .map_or(0, |j| cycle.search(j.equivalence_class).tasks_behind()),
             _ => 0,
         };
         let number = left
@@ -98,17 +99,11 @@
         self.provisioning.last_request_id += 1;
         self.provisioning.zone_rotation = self.provisioning.zone_rotation.wrapping_add(1);
         let request_id = format!("h-{}-{}", self.token, self.provisioning.last_request_id);
-        for _ in 0..number {
-            cycle.rooms.push(pending_capacity(&offer, &t));
-        }
+        cycle.add_pending(&pending_capacity(&offer, &t), number);
         self.provisioning
             .pending
             .insert(request_id.clone(), ProvisionRequest { offer: offer.clone(), number });
         self.out.push(Effect::Provision { request_id, offer, number });
-        // What is left of the new machines is promised room for other shapes.
-        for found in &mut cycle.searches {
-            found.no_pending = false;
-        }
         place_on_pending(spec, only, left, cycle)
     }
 }
@@ -120,12 +115,12 @@
         kind: offer.kind.as_str().into(),
         zone: offer.zone.as_str().into(),
         spot: offer.spot,
-        size: t.cpus,
+        total_cpus: t.cpus,
         images: Arc::default(),
-        may_hold: false,
+        images_incomplete: false,
         free: Demand { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
         ready: false,
-        held: None,
+        reservation: None,
         balance: None,
     }
 }
@@ -139,7 +134,7 @@
     cycle: &mut SchedulingCycle,
 ) -> u32 {
     let mut left = want;
-    for room in cycle.rooms.iter_mut().filter(|r| !r.ready) {
+    for room in cycle.pending_mut() {
         if left == 0 {
             break;
         }
--- a/crates/latchtrack-core/src/scheduler/queue_order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue_order.rs
@@ -1,134 +1,149 @@
-//! In which order jobs are placed.
+//! The order of the queue: guaranteed jobs first, jobs beyond their team's fair share last, and between
+//! them by tier, due time and demand.
 
-use super::deferral::work_ms;
+use std::cmp::Ordering;
+
+use super::cycle_state::SchedulingCycle;
+use super::deferral::waiting_cpu_ms;
 use super::policy::Due;
 use super::queue::QueueEntry;
 use super::Scheduler;
-use crate::job::{Demand, Job, JobId};
+use crate::job::{Job, JobId};
 use crate::placement;
 use crate::Millis;
 
 /// The parts of the queue, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum QueueTier {
-    /// One task of a job that has shown nothing but failures, now and then: it takes next to nothing,
-    /// and if the failures were its machines', it is to get going again soon.
+    /// One task of a quarantined job, now and then: it takes next to nothing, and if the failures were the
+    /// machines' fault, the job is to get going again soon.
     Trial,
-    /// With a deadline, or an aim multiplying it, that can still be met.
+    /// With a deadline of its own, or an objective that multiplies it, that can still be met; also gangs
+    /// with a start objective.
     Deadline,
-    /// With an aim of its class that can still be met.
+    /// With a completion objective of its class that can still be met.
     Objective,
     /// With neither.
     Regular,
-    /// Can't all be in time: these would make the most others late, or are past all of their aims. The
-    /// least work goes first: that brings the most of them in, and leaves no small one to the end.
+    /// Can't all be in time: these would make the most others late, or have missed all their objectives.
+    /// The least work goes first: that gets the most of them done, and leaves no small one to the end.
     Deferred,
-    /// Of the lowest priority and with nothing to be late for: takes what would stand idle.
+    /// Best effort: takes what would stand idle.
     BestEffort,
 }
 
-/// Where a job stands in the queue; smaller goes first.
+/// Where a job stands in the queue; the smaller rank goes first, by the fields in their order.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct QueueRank {
-    /// 0 within its team's guarantee.
-    pub guaranteed: u8,
-    /// 1 for a job of a hot team that is beyond its share, while others wait.
-    pub beyond_share: u8,
+    /// It does not fit into its team's guarantee.
+    pub beyond_guarantee: bool,
+    /// Its team is hot and beyond its fair share, while others wait.
+    pub beyond_share: bool,
+    /// The part of the queue.
     pub tier: QueueTier,
-    /// Earliest first (EDF), where there is something to be late for.
+    /// When it is due (earliest deadline first), or what else orders the jobs of its tier.
     pub due: Millis,
-    /// Otherwise by falling demand.
+    /// The demand of its waiting tasks by Eq. 9 of the paper, negated: the largest goes first.
     pub minus_demand: f64,
 }
 
+/// A job with its rank. Of equal ranks the job with the smaller id goes first.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+pub(super) struct RankedJob {
+    /// Where it stands.
+    pub rank: QueueRank,
+    /// The job.
+    pub id: JobId,
+}
+
 impl Scheduler {
     /// The jobs with waiting tasks that may be placed now, the first to be placed first.
-    pub(super) fn order(
-        &mut self,
-        now: Millis,
-        total: &Demand,
-        unsettled: bool,
-    ) -> Vec<QueueEntry> {
+    pub(super) fn order_queue(&mut self, now: Millis, cycle: &SchedulingCycle) -> Vec<QueueEntry> {
+        let total = cycle.total();
+        let best_effort_tasks = self.best_effort_due(now, total);
         let guaranteed = self.guaranteed_jobs();
-        let spares = self.best_effort_due(now, total);
-        let mut order: Vec<(QueueRank, JobId)> = self
-            .jobs
-            .iter()
-            .filter(|(_, j)| {
-                !(unsettled && self.waits_for_reconciliation(j)) && j.backoff_until <= now
-            })
-            .filter_map(|(id, j)| {
-                let waiting = j.schedulable_tasks();
-                (waiting > 0).then(|| {
-                    let d = &j.spec.demand;
-                    let demand = placement::job_demand(d, waiting, total, &self.policy.weights);
-                    let (tier, due) = match spares.get(id) {
-                        _ if j.is_quarantined => (QueueTier::Trial, j.backoff_until),
-                        Some(_) => (QueueTier::Regular, j.submitted_at),
-                        None => self.due(now, j),
-                    };
-                    let rank = QueueRank {
-                        guaranteed: u8::from(!guaranteed.contains(id)),
-                        beyond_share: 0,
-                        tier,
-                        due,
-                        minus_demand: -demand,
-                    };
-                    (rank, *id)
-                })
-            })
-            .collect();
-        let by_rank = |a: &(QueueRank, JobId), b: &(QueueRank, JobId)| {
-            a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal)
-        };
-        order.sort_by(by_rank);
-        self.mark_beyond_share(now, &mut order, total);
-        order.sort_by(by_rank);
-        self.defer_jobs(now, &mut order, total);
-        order.sort_by(by_rank);
-        let most = |id: &JobId| spares.get(id).copied().unwrap_or(u32::MAX);
-        order.into_iter().map(|(_, job)| QueueEntry { job, most: most(&job) }).collect()
+        let all_reconciled = self.all_reconciled();
+        let mut ranked: Vec<RankedJob> = Vec::new();
+        for (id, job) in &self.jobs {
+            let waiting = job.schedulable_tasks();
+            let waits = !all_reconciled && self.waits_for_reconciliation(job);
+            if waiting == 0 || waits || job.backoff_until > now {
+                continue;
+            }
+            let (tier, due) = match best_effort_tasks.get(id) {
+                _ if job.is_quarantined => (QueueTier::Trial, job.backoff_until),
+                Some(_) => (QueueTier::Regular, job.submitted_at),
+                None => self.tier_and_due(now, job),
+            };
+            let weights = &self.policy.weights;
+            let rank = QueueRank {
+                beyond_guarantee: !guaranteed.contains(id),
+                beyond_share: false,
+                tier,
+                due,
+                minus_demand: -placement::job_demand(&job.spec.demand, waiting, total, weights),
+            };
+            ranked.push(RankedJob { rank, id: *id });
+        }
+        sort(&mut ranked);
+        self.mark_beyond_share(now, &mut ranked, total);
+        sort(&mut ranked);
+        self.defer_jobs(now, &mut ranked, total);
+        sort(&mut ranked);
+        let max_tasks = |id: &JobId| best_effort_tasks.get(id).copied().unwrap_or(u32::MAX);
+        ranked
+            .into_iter()
+            .map(|RankedJob { id, .. }| QueueEntry { job: id, max_tasks: max_tasks(&id) })
+            .collect()
     }
 
-    /// Whether a job may not start anything while a machine is unsettled: an earlier leader may
-    /// have launched its tasks, or its team's limit depends on what runs there.
+    /// Whether a job may not start anything while a machine is unreconciled: an earlier leader may have
+    /// launched its tasks, or its team's limit depends on what runs there.
     fn waits_for_reconciliation(&self, job: &Job) -> bool {
         job.inherited || self.has_team_limit(&job.spec)
     }
 
-    /// In which tier of the queue a job stands, and when it is due on the local clock: jobs with
-    /// a deadline of their own first, then those whose class has an aim, each by the next that
-    /// can still be met; then the others; then those that can't all be in time, with those that have
-    /// missed theirs already; last what is of the lowest priority and has no aim at all.
-    fn due(&self, now: Millis, job: &Job) -> (QueueTier, Millis) {
-        if let Some(within) = self.start_objective_ms(&job.spec).filter(|_| job.spec.gang) {
-            // Its start is what is due, and for that it needs its room at once.
-            return (QueueTier::Deadline, job.submitted_at.saturating_add(within));
+    /// In which tier a job stands that is neither quarantined nor a best-effort job whose time has come,
+    /// and when it is due on the local clock: by the next of its deadline and objectives that can still be
+    /// met.
+    fn tier_and_due(&self, now: Millis, job: &Job) -> (QueueTier, Millis) {
+        if let Some(within_ms) = self.start_objective_ms(&job.spec).filter(|_| job.spec.gang) {
+            // What is due is its start, and for that it needs its capacity at once.
+            return (QueueTier::Deadline, job.submitted_at.saturating_add(within_ms));
         }
-        let own = job.spec.deadline_s.map(|d| (d * 1000.0) as Millis);
-        let completion_objectives =
-            self.policy.completion_objectives.iter().filter(|a| a.class == job.spec.class);
-        let mut dues: Vec<Millis> = completion_objectives
-            .filter_map(|a| match a.due {
-                Due::Within(ms) => Some(ms),
-                Due::Times(t) => own.map(|d| (d as f64 * t) as Millis),
-            })
-            .chain(own)
-            .collect();
+        let dues = self.dues_ms(job);
         if dues.is_empty() {
-            // Idle-time work one job after the other: all at once, none would be done for long.
-            return match self.is_best_effort(&job.spec) {
-                true => (QueueTier::BestEffort, job.submitted_at),
-                false => (QueueTier::Regular, 0),
+            return if self.is_best_effort(&job.spec) {
+                // One job after the other: all at once, none would be done for long.
+                (QueueTier::BestEffort, job.submitted_at)
+            } else {
+                (QueueTier::Regular, 0)
             };
         }
-        dues.retain(|ms| job.submitted_at.saturating_add(*ms) > now);
-        match dues.iter().min() {
-            Some(ms) if own.is_some() => {
-                (QueueTier::Deadline, job.submitted_at.saturating_add(*ms))
-            }
-            Some(ms) => (QueueTier::Objective, job.submitted_at.saturating_add(*ms)),
-            None => (QueueTier::Deferred, work_ms(job) as Millis),
+        let due_at = |ms: Millis| job.submitted_at.saturating_add(ms);
+        match dues.into_iter().map(due_at).filter(|due_at| *due_at > now).min() {
+            Some(due_at) if job.spec.deadline_s.is_some() => (QueueTier::Deadline, due_at),
+            Some(due_at) => (QueueTier::Objective, due_at),
+            None => (QueueTier::Deferred, waiting_cpu_ms(job) as Millis),
         }
     }
+
+    /// By when a job is due, in ms from its submission: its own deadline, and the completion objectives of
+    /// its class.
+    fn dues_ms(&self, job: &Job) -> Vec<Millis> {
+        let deadline_ms = job.spec.deadline_s.map(|s| (s * 1000.0) as Millis);
+        let objectives = self.policy.completion_objectives.iter();
+        objectives
+            .filter(|objective| objective.class == job.spec.class)
+            .filter_map(|objective| match objective.due {
+                Due::Within(ms) => Some(ms),
+                Due::Times(factor) => deadline_ms.map(|ms| (ms as f64 * factor) as Millis),
+            })
+            .chain(deadline_ms)
+            .collect()
+    }
+}
+
+fn sort(ranked: &mut [RankedJob]) {
+    ranked.sort_by(|a, b| a.partial_cmp(b).unwrap_or(Ordering::Equal));
 }
--- /dev/null
+++ b/crates/latchtrack-core/src/scheduler/starvation.rs
@@ -0,0 +1,103 @@
+//! Starving jobs: those of which nothing has begun for so long that they go before the whole queue.
+
+use std::sync::Arc;
+
+use super::cycle_state::SchedulingCycle;
+use super::queue::QueueEntry;
+use super::reservations::GangReservation;
+use super::Scheduler;
+use crate::constants::{
+    GANG_QUOTA_RESERVATION_MS, GANG_STARVATION_MS, STARVATION_MS, STARVATION_RESERVE_DELAY_MS,
+};
+use crate::job::{Job, JobId, JobSpec};
+use crate::placement::ReservedFor;
+use crate::Millis;
+
+impl Scheduler {
+    /// Serves the starving jobs of the queue, the one that was submitted first going first.
+    pub(super) fn serve_starving_jobs(
+        &mut self,
+        now: Millis,
+        entries: &[QueueEntry],
+        cycle: &mut SchedulingCycle,
+    ) {
+        let mut starving: Vec<(Millis, JobId)> = entries
+            .iter()
+            .filter_map(|entry| self.jobs.get(&entry.job))
+            .filter(|job| self.is_starving(now, job))
+            .map(|job| (job.submitted_at, job.spec.id))
+            .collect();
+        starving.sort();
+        let starving: Vec<JobId> = starving.into_iter().map(|(_, id)| id).collect();
+        for id in &starving {
+            self.serve_starving_job(now, *id, cycle);
+        }
+        self.queue.set_starving(starving);
+    }
+
+    /// Whether a job goes before all others.
+    fn is_starving(&self, now: Millis, job: &Job) -> bool {
+        // Nothing is reserved for a quarantined job.
+        if job.is_quarantined {
+            return false;
+        }
+        if job.spec.gang {
+            return job.unschedulable_since.is_some_and(|since| now >= since + GANG_STARVATION_MS);
+        }
+        now >= job.submitted_at.saturating_add(STARVATION_MS) && job.never_started()
+    }
+
+    /// Starts one slice of a starving job; where that is not possible, reserves what it lacks.
+    fn serve_starving_job(&mut self, now: Millis, id: JobId, cycle: &mut SchedulingCycle) {
+        let Some(spec) = self.jobs.get(&id).map(|job| job.spec.clone()) else { return };
+        let slice = self.slice_size(&spec);
+        self.note_next_to_start(&spec, slice);
+        let allowed = slice.min(self.tasks_within_limit(&spec, cycle.used()));
+        // A gang starts whole or not at all.
+        let may_start = allowed == slice || !spec.gang;
+        if may_start && self.place_on_ready_machines(now, &spec, allowed, cycle) > 0 {
+            return;
+        }
+        if allowed < slice {
+            // It lacks quota: what comes free of its team's limit is kept from the team's other jobs.
+            self.count_usage(&spec, slice, cycle);
+            return;
+        }
+        self.reserve_for_starving_job(now, &spec, cycle);
+        // Scheduled now, since later in the queue its team's limit may be used up, and nothing would ever
+        // be provisioned for it.
+        self.schedule_entry(now, &mut QueueEntry { job: id, max_tasks: slice }, cycle);
+        if self.reserves_quota_for_gang(now, id) {
+            self.count_usage(&spec, slice, cycle);
+        }
+    }
+
+    /// Keeps machines for a starving job from all others.
+    fn reserve_for_starving_job(
+        &mut self,
+        now: Millis,
+        spec: &Arc<JobSpec>,
+        cycle: &mut SchedulingCycle,
+    ) {
+        let Some(job) = self.jobs.get(&spec.id) else { return };
+        let reserve_at =
+            job.submitted_at.saturating_add(STARVATION_MS + STARVATION_RESERVE_DELAY_MS);
+        if spec.gang {
+            let which = GangReservation::MachinesInUse;
+            self.reserve_for_gang(now, spec, ReservedFor::Exclusive, which, cycle);
+        } else if now >= reserve_at {
+            self.reserve(now, spec, ReservedFor::Exclusive, 1, cycle);
+        }
+    }
+
+    /// Whether a gang that has its quota and waits for machines keeps that quota from its team's other
+    /// jobs: they would take it while the machines boot, so that it would never have both at once.
+    fn reserves_quota_for_gang(&self, now: Millis, id: JobId) -> bool {
+        let Some(job) = self.jobs.get(&id) else { return false };
+        if !job.spec.gang || job.schedulable_tasks() == 0 {
+            return false;
+        }
+        let until = GANG_STARVATION_MS + GANG_QUOTA_RESERVATION_MS;
+        job.unschedulable_since.is_some_and(|since| now < since.saturating_add(until))
+    }
+}
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -1,5 +1,9 @@
 //! Which machines take the tasks of a job, and the numbers of their attempts.
+//!
+//! Machines are ranked by the cost of the image, their size, the price and the score of the paper; then it
+//! is chosen how many tasks each takes, and last they are assigned.
 
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
@@ -9,140 +13,196 @@
 use crate::constants::{ATTEMPT_BITS, STARVATION_MS};
 use crate::job::{Assignment, Job, JobId, JobSpec, TaskId};
 use crate::machine::{TaskPhase, TaskRun};
-use crate::placement;
-use crate::placement::FreeCapacity;
+use crate::placement::{self, FreeCapacity};
 use crate::rules;
 use crate::Millis;
 
+/// Hands out the numbers of attempts. The fencing token is part of them, so that no two leaders use the
+/// same.
+#[derive(Clone, Debug)]
+pub(super) struct AttemptNumbers {
+    token: u64,
+    last: u64,
+}
+
+impl AttemptNumbers {
+    /// The numbers of the term with this fencing token.
+    pub fn new(token: u64) -> Self {
+        AttemptNumbers { token, last: 0 }
+    }
+
+    fn next(&mut self) -> u64 {
+        self.last += 1;
+        (self.token << ATTEMPT_BITS) | self.last
+    }
+
+    /// Whether an attempt was launched in this term.
+    pub fn is_of_this_term(&self, attempt: u64) -> bool {
+        attempt >> ATTEMPT_BITS == self.token
+    }
+}
+
+/// A capacity of the cycle by its index, and how many tasks it is to take.
+type TaskCount = (usize, u32);
+
+/// What ranks a candidate, the smallest first: the cost of its image and load, the CPUs of the machine,
+/// whether it is on demand, and its score.
+type CandidateKey = (f64, f64, bool, f64);
+
 impl Scheduler {
-    /// The rooms in which a job may start tasks, with their places in the round.
-    pub(super) fn admits<'a>(
+    /// The ready capacities that a job may use, whatever their size, with their indices in the cycle.
+    pub(super) fn usable_capacities<'a>(
         &'a self,
         now: Millis,
         job: &'a Job,
-        rooms: &'a [FreeCapacity],
+        cycle: &'a SchedulingCycle,
     ) -> impl Iterator<Item = (usize, &'a FreeCapacity)> {
         let spec = &*job.spec;
-        rooms.iter().enumerate().filter(move |(_, r)| {
-            r.ready
-                && placement::allowed(spec, &r.kind, &r.zone, r.spot)
-                && !r.machine.as_ref().is_some_and(|m| self.avoids_machine(now, job, m))
+        cycle.capacities().iter().enumerate().filter(move |(_, capacity)| {
+            capacity.ready
+                && placement::allowed(spec, &capacity.kind, &capacity.zone, capacity.spot)
+                && !capacity
+                    .machine
+                    .as_ref()
+                    .is_some_and(|machine| self.avoids_machine(now, job, machine))
         })
     }
 
-    /// Places whole slices on machines that are up, by rising score; returns how many tasks.
-    pub(super) fn place_on_ready(
+    /// Places whole slices of a job on machines that are up; returns how many tasks.
+    pub(super) fn place_on_ready_machines(
         &mut self,
         now: Millis,
-        id: JobId,
         spec: &Arc<JobSpec>,
-        want: u32,
+        wanted: u32,
         cycle: &mut SchedulingCycle,
     ) -> u32 {
-        let Some(job) = self.jobs.get(&id) else { return 0 };
-        let live = self.zones_in_use(job);
-        let mut candidates = self.rank_candidates(now, job, want, cycle);
+        let Some(job) = self.jobs.get(&spec.id) else { return 0 };
+        let zones_in_use = self.zones_in_use(job);
+        let mut candidates = self.rank_candidates(now, job, wanted, cycle);
         if spec.one_zone {
-            let zone = live
-                .first()
-                .cloned()
-                .or_else(|| zone_with_most_capacity(candidates.iter().copied(), spec, cycle));
-            candidates.retain(|i| Some(&cycle.rooms[*i].zone) == zone.as_ref());
-        }
-        // How many on which machine, before anything is placed: a slice starts whole.
-        let mut in_zone: HashMap<Arc<str>, u32> = HashMap::new();
-        for zone in live {
-            *in_zone.entry(zone).or_default() += 1;
-        }
-        let mut counts: Vec<(usize, u32)> = Vec::new();
-        let mut left = want;
-        for i in candidates {
-            let r = &cycle.rooms[i];
-            let mut n = self.tasks_admitted(now, job, r).min(left);
-            if spec.spread {
-                let here = in_zone.entry(r.zone.clone()).or_default();
-                n = n.min(rules::zone_share(spec.tasks).saturating_sub(*here));
-                *here += n;
-            }
-            if n > 0 {
-                counts.push((i, n));
-                left -= n;
-            }
-            if left == 0 {
-                break;
-            }
+            let zone = zones_in_use.first().cloned().or_else(|| {
+                let capacities = candidates.iter().map(|index| &cycle.capacities()[*index]);
+                zone_with_most_capacity(capacities, spec)
+            });
+            candidates.retain(|index| Some(&cycle.capacities()[*index].zone) == zone.as_ref());
         }
-        let found = want - left;
+        // Counted before anything is placed, since a slice starts whole.
+        let counts = self.choose_counts(now, job, zones_in_use, candidates, wanted, cycle);
+        let found: u32 = counts.iter().map(|(_, tasks)| tasks).sum();
         let slice = self.slice_size(spec);
-        let mut n = if left == 0 { found } else { found / slice * slice };
-        let placed = n;
-        for (i, most) in counts {
-            let here = most.min(n);
-            if here == 0 {
-                break;
-            }
-            n -= here;
-            cycle.rooms[i].take(&spec.demand, here);
-            if let Some(machine) = cycle.rooms[i].machine.clone() {
-                self.assign(now, id, spec, &machine, here);
-            }
-        }
+        let placed = if found == wanted { found } else { found / slice * slice };
+        self.assign_counts(now, spec, counts, placed, cycle);
         self.count_usage(spec, placed, cycle);
         placed
     }
 
-    /// The zones of a job's live tasks, one entry a task, if they have a say in where others may start.
+    /// The zones of a job's assigned tasks, one entry a task, if they restrict where others may start.
     pub(super) fn zones_in_use(&self, job: &Job) -> Vec<Arc<str>> {
         if !job.spec.is_zone_constrained() {
             return Vec::new();
         }
-        let on = job.placed.values().filter_map(|p| self.inventory.get(&p.machine));
-        on.map(|m| m.zone.clone()).collect()
+        job.placed
+            .values()
+            .filter_map(|assignment| self.inventory.get(&assignment.machine))
+            .map(|machine| machine.zone.clone())
+            .collect()
     }
 
-    /// Rooms that take a task of the job at least, the best first: with its image, the smallest types,
-    /// spot machines, then by rising score. Without a say of the zones the first so many are enough.
+    /// The capacities that take a task of the job at least, by index, the best first. Unless zones restrict
+    /// the choice, `wanted` of them are enough.
     fn rank_candidates(
         &self,
         now: Millis,
         job: &Job,
-        want: u32,
+        wanted: u32,
         cycle: &SchedulingCycle,
     ) -> Vec<usize> {
         let spec = &job.spec;
-        let cold = |r: &FreeCapacity| !r.images.contains(&spec.image);
-        let cost = |r: &FreeCapacity| self.placement_cost(spec, r);
-        let waits = self.waits_for_image_anywhere(now, job);
+        let waits_for_image = self.waits_for_image_anywhere(now, job);
         let weights = self.policy.weights;
-        type Key = (f64, f64, bool, f64);
-        let mut keyed: Vec<(Key, usize)> = self
-            .admits(now, job, &cycle.rooms)
-            .filter(|(_, r)| self.tasks_admitted(now, job, r) > 0)
-            .filter(|(_, r)| !(waits && !r.may_hold && cold(r)))
-            .map(|(i, r)| {
-                let score = placement::score(&r.free, &cycle.total, &weights);
-                ((cost(r), r.size, !r.spot, score), i)
+        let mut candidates: Vec<(CandidateKey, usize)> = self
+            .usable_capacities(now, job, cycle)
+            .filter(|(_, capacity)| self.tasks_admitted(now, job, capacity) > 0)
+            .filter(|(_, capacity)| !(waits_for_image && capacity.surely_lacks(&spec.image)))
+            .map(|(index, capacity)| {
+                let score = placement::score(&capacity.free, cycle.total(), &weights);
+                let cost = self.placement_cost(spec, capacity);
+                ((cost, capacity.total_cpus, !capacity.spot, score), index)
             })
             .collect();
-        let by_key = |a: &(Key, usize), b: &(Key, usize)| {
-            a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal)
+        let by_key = |a: &(CandidateKey, usize), b: &(CandidateKey, usize)| {
+            a.partial_cmp(b).unwrap_or(Ordering::Equal)
         };
-        if !spec.is_zone_constrained() && keyed.len() > want as usize {
-            keyed.select_nth_unstable_by(want as usize, by_key);
-            keyed.truncate(want as usize);
+        if !spec.is_zone_constrained() && candidates.len() > wanted as usize {
+            candidates.select_nth_unstable_by(wanted as usize, by_key);
+            candidates.truncate(wanted as usize);
         }
-        keyed.sort_by(by_key);
-        keyed.into_iter().map(|(_, i)| i).collect()
+        candidates.sort_by(by_key);
+        candidates.into_iter().map(|(_, index)| index).collect()
     }
 
-    pub(super) fn assign(
+    /// How many tasks each candidate takes, in their order, `wanted` in all at most; of a job that is to be
+    /// spread no more in a zone than its share.
+    fn choose_counts(
+        &self,
+        now: Millis,
+        job: &Job,
+        zones_in_use: Vec<Arc<str>>,
+        candidates: Vec<usize>,
+        wanted: u32,
+        cycle: &SchedulingCycle,
+    ) -> Vec<TaskCount> {
+        let spec = &job.spec;
+        let mut tasks_in_zone: HashMap<Arc<str>, u32> = HashMap::new();
+        for zone in zones_in_use {
+            *tasks_in_zone.entry(zone).or_default() += 1;
+        }
+        let mut counts: Vec<TaskCount> = Vec::new();
+        let mut remaining = wanted;
+        for index in candidates {
+            let capacity = &cycle.capacities()[index];
+            let mut tasks = self.tasks_admitted(now, job, capacity).min(remaining);
+            if spec.spread {
+                let here = tasks_in_zone.entry(capacity.zone.clone()).or_default();
+                tasks = tasks.min(rules::zone_share(spec.tasks).saturating_sub(*here));
+                *here += tasks;
+            }
+            if tasks > 0 {
+                counts.push((index, tasks));
+                remaining -= tasks;
+            }
+            if remaining == 0 {
+                break;
+            }
+        }
+        counts
+    }
+
+    /// Assigns `tasks` tasks of those that were counted, the first candidates first.
+    fn assign_counts(
         &mut self,
         now: Millis,
-        id: JobId,
         spec: &Arc<JobSpec>,
-        machine: &str,
-        n: u32,
+        counts: Vec<TaskCount>,
+        tasks: u32,
+        cycle: &mut SchedulingCycle,
     ) {
+        let mut remaining = tasks;
+        for (index, count) in counts {
+            let here = count.min(remaining);
+            if here == 0 {
+                break;
+            }
+            remaining -= here;
+            if let Some(machine) = cycle.take(index, &spec.demand, here) {
+                self.assign(now, spec, &machine, here);
+            }
+        }
+    }
+
+    /// Assigns the next `count` waiting tasks of a job to a machine.
+    pub(super) fn assign(&mut self, now: Millis, spec: &Arc<JobSpec>, machine: &str, count: u32) {
+        let id = spec.id;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if !self.inventory.contains(machine) {
             return;
@@ -151,11 +211,11 @@
         if age > STARVATION_MS && job.never_started() {
             self.out.push(Effect::Log(format!("job {id} begins after {age} ms")));
         }
-        let tasks = job.take(n);
+        let tasks = job.take(count);
         self.assign_tasks(id, spec, machine, &tasks);
     }
 
-    /// Gives these tasks, which were taken from their job, to a machine.
+    /// Assigns these tasks, which were taken from their job, to a machine.
     pub(super) fn assign_tasks(
         &mut self,
         id: JobId,
@@ -165,31 +225,15 @@
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(m) = self.inventory.get_mut(machine) else { return };
-        // All tasks of a gang are in one attempt.
+        // All tasks of a gang share an attempt.
         let mut gang_attempt = job.placed.values().next().map(|p| p.attempt).filter(|_| spec.gang);
         job.attempt_ended_at = None;
         for index in tasks.iter().copied() {
-            let attempt = gang_attempt.unwrap_or_else(|| {
-                self.next_attempt += 1;
-                (self.token << ATTEMPT_BITS) | self.next_attempt
-            });
+            let attempt = gang_attempt.unwrap_or_else(|| self.attempt_numbers.next());
             gang_attempt = spec.gang.then_some(attempt);
             let task = TaskId { job: id, index };
             job.place(index, Assignment { machine: m.name.clone(), attempt });
-            m.runs.insert(
-                (task, attempt),
-                TaskRun {
-                    task,
-                    attempt,
-                    spec: Some(spec.clone()),
-                    phase: TaskPhase::Assigned,
-                    stop: None,
-                    launch_sends: 0,
-                    first_launch_at: 0,
-                    launch_outcome_unknown: false,
-                    running_since: None,
-                },
-            );
+            m.runs.insert((task, attempt), assigned_run(task, attempt, spec));
         }
         m.idle_since = None;
         self.dispatcher.pending.insert(machine.to_string());
@@ -197,16 +241,31 @@
     }
 }
 
-/// The zone in which most tasks of a job fit.
-pub(super) fn zone_with_most_capacity(
-    rooms: impl Iterator<Item = usize>,
+/// An attempt of which nothing has been sent to its machine.
+fn assigned_run(task: TaskId, attempt: u64, spec: &Arc<JobSpec>) -> TaskRun {
+    TaskRun {
+        task,
+        attempt,
+        spec: Some(spec.clone()),
+        phase: TaskPhase::Assigned,
+        stop: None,
+        launch_sends: 0,
+        first_launch_at: 0,
+        launch_outcome_unknown: false,
+        running_since: None,
+    }
+}
+
+/// The zone in which most tasks of a job fit; None if none fits anywhere.
+pub(super) fn zone_with_most_capacity<'a>(
+    capacities: impl Iterator<Item = &'a FreeCapacity>,
     spec: &JobSpec,
-    cycle: &SchedulingCycle,
 ) -> Option<Arc<str>> {
-    let mut by_zone: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
-    for r in rooms.map(|i| &cycle.rooms[i]) {
-        *by_zone.entry(&r.zone).or_default() += u64::from(r.holds(&spec.demand));
+    let mut tasks_by_zone: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
+    for capacity in capacities {
+        *tasks_by_zone.entry(&capacity.zone).or_default() +=
+            u64::from(capacity.holds(&spec.demand));
     }
-    let most = by_zone.into_iter().max_by_key(|(_, n)| *n).filter(|(_, n)| *n > 0);
-    most.map(|(zone, _)| zone.clone())
+    let (zone, tasks) = tasks_by_zone.into_iter().max_by_key(|(_, tasks)| *tasks)?;
+    (tasks > 0).then(|| zone.clone())
 }
--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -129,8 +129,7 @@
     /// Counts tasks against their team's limit.
     pub(super) fn count_usage(&self, spec: &JobSpec, tasks: u32, cycle: &mut SchedulingCycle) {
         if self.any_limit() {
-            cycle.used.add(spec, tasks);
-            cycle.expected.add(spec, tasks);
+            cycle.count_used(spec, tasks);
         }
     }
 
@@ -142,7 +141,7 @@
         cycle: &mut SchedulingCycle,
     ) {
         if tasks > 0 && self.any_limit() {
-            cycle.expected.add(spec, tasks);
+            cycle.count_expected(spec, tasks);
         }
     }
 }
--- a/crates/latchtrack-core/tests/gangs.rs
+++ b/crates/latchtrack-core/tests/gangs.rs
@@ -401,7 +401,10 @@
 
 /// A class of gangs that are to start within a second.
 fn start_objectives() -> Policy {
-    Policy { start_objectives: vec![("prompt".into(), 1_000)], ..patient() }
+    Policy {
+        start_objectives: vec![StartObjective { class: "prompt".into(), within_ms: 1_000 }],
+        ..patient()
+    }
 }
 
 fn prompt_gang(id: u64, tasks: u32) -> JobSpec {
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -1,6 +1,6 @@
 //! The scores, what fits, and who is deferred.
 
-use latchtrack_core::job::Demand;
+use latchtrack_core::job::{ClassId, Demand};
 use latchtrack_core::machine::fits;
 use latchtrack_core::placement::*;
 
@@ -20,7 +20,7 @@
 
 #[test]
 fn the_largest_steps_back_when_not_all_can_be_in_time() {
-    let job = |left_ms, work| TimedDemand { left_ms, run_ms: 0.0, work };
+    let job = |remaining_ms, cpu_ms| TimedDemand { remaining_ms, run_ms: 0.0, cpu_ms };
     let all = [job(10.0, 40.0), job(20.0, 300.0), job(25.0, 40.0), job(30.0, 40.0)];
     assert_eq!(deferred(&all, 0.0, 100.0), [false; 4], "there is room for all");
     assert_eq!(deferred(&all, 0.0, 10.0), [false, true, false, false]);
@@ -46,18 +46,21 @@
         kind: "g".into(),
         zone: "a".into(),
         spot: true,
-        size: 16.0,
+        total_cpus: 16.0,
         images: Default::default(),
-        may_hold: false,
+        images_incomplete: false,
         free: amount(9.0),
         ready: true,
-        held: Some(Reservation { equivalence_class: 1, spare: amount(4.0) }),
+        reservation: Some(Reservation {
+            reserved_for: ReservedFor::Class(ClassId(1)),
+            spare: amount(4.0),
+        }),
         balance: None,
     };
     let task = amount(2.0);
-    assert_eq!((room.admits(&task, 1), room.admits(&task, 2)), (4, 2));
+    assert_eq!((room.admits(&task, ClassId(1)), room.admits(&task, ClassId(2))), (4, 2));
     room.take(&task, 1);
-    assert_eq!((room.admits(&task, 1), room.admits(&task, 2)), (3, 1));
-    room.held = None;
-    assert_eq!(room.admits(&task, 2), 3);
+    assert_eq!((room.admits(&task, ClassId(1)), room.admits(&task, ClassId(2))), (3, 1));
+    room.reservation = None;
+    assert_eq!(room.admits(&task, ClassId(2)), 3);
 }
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -80,7 +80,10 @@
 /// another machine holds it and may be free in time; after that second it takes what there is.
 #[test]
 fn a_prompt_job_waits_for_a_machine_that_holds_its_image() {
-    let policy = Policy { start_objectives: vec![("p".into(), 1_000)], ..patient() };
+    let policy = Policy {
+        start_objectives: vec![StartObjective { class: "p".into(), within_ms: 1_000 }],
+        ..patient()
+    };
     let mut c = Scheduler::new(policy, STAMPS, types(), Vec::new(), Vec::new(), 1_000);
     // Two machines of this term; the first has run the image.
     for i in 0..2 {
--- a/crates/latchtrack-core/tests/simulation/world/nodes.rs
+++ b/crates/latchtrack-core/tests/simulation/world/nodes.rs
@@ -141,7 +141,10 @@
             teams: vec![team("free", 0.0), team("limited", limit)],
             quota_cell: self.cell.clone(),
             classes_with_objectives: ["c", "d"].map(String::from).into(),
-            start_objectives: vec![("d".into(), 1_000)],
+            start_objectives: vec![latchtrack_core::scheduler::StartObjective {
+                class: "d".into(),
+                within_ms: 1_000,
+            }],
             balance: self.balance_policy(token),
             completion_objectives: [("c", 30_000), ("d", 60_000)]
                 .map(|(class, ms)| CompletionObjective {
--- a/crates/latchtrack/src/settings/mod.rs
+++ b/crates/latchtrack/src/settings/mod.rs
@@ -10,7 +10,7 @@
 
 use latchtrack_core::constants as core;
 use latchtrack_core::placement::ScoreWeights;
-use latchtrack_core::scheduler::{Policy, Team};
+use latchtrack_core::scheduler::{Policy, StartObjective, Team};
 use serde::Serialize;
 
 pub use check::BadSettings;
@@ -79,7 +79,7 @@
             list_lag_ms: ms(self.platform.params.cloud.list_lag_s),
             max_open_calls: self.max_open_calls(),
             value_bytes: self.platform.params.state.value_bytes(),
-            start_objectives: self.prompt(),
+            start_objectives: self.start_objectives(),
             balance: t.balance.policy(),
             quota_cell: t.quota.as_ref().map(|quota| quota.cell.clone()),
             classes_with_objectives: self
@@ -114,7 +114,7 @@
 
     /// Classes whose tasks are to start so soon that a fetch of their image would miss it, each by
     /// its tightest aim; aims of minutes say something else.
-    fn prompt(&self) -> Vec<(String, u64)> {
+    fn start_objectives(&self) -> Vec<StartObjective> {
         let mut tightest: BTreeMap<&str, u64> = BTreeMap::new();
         for o in &self.platform.params.objectives {
             let Some(ms) = o.wait_ms().filter(|ms| *ms <= core::MAX_START_OBJECTIVE_MS) else {
@@ -123,7 +123,11 @@
             let least = tightest.entry(&o.class).or_insert(ms);
             *least = ms.min(*least);
         }
-        tightest.into_iter().map(|(class, ms)| (class.to_string(), ms)).collect()
+        let objective = |(class, within_ms): (&str, u64)| StartObjective {
+            class: class.to_string(),
+            within_ms,
+        };
+        tightest.into_iter().map(objective).collect()
     }
 
     /// s of silence after which a machine is given up.
@@ -163,7 +167,11 @@
         Derived {
             connections: self.connections(),
             direct_calls: self.max_open_calls(),
-            prompt_ms: self.prompt().into_iter().collect(),
+            prompt_ms: self
+                .start_objectives()
+                .into_iter()
+                .map(|o| (o.class, o.within_ms))
+                .collect(),
         }
     }
 
--- a/crates/latchtrack/tests/settings.rs
+++ b/crates/latchtrack/tests/settings.rs
@@ -2,6 +2,7 @@
 
 use latchtrack::constants as c;
 use latchtrack::settings::{parse_tuning, Objective, Peer, Platform, Settings, Tuning};
+use latchtrack_core::scheduler::StartObjective;
 
 const SAMPLE: &str = r#"{"node_name":"one","domain":"a","bind":"127.0.0.1:0",
     "peer_bind":"127.0.0.1:0","others":[],
@@ -30,7 +31,10 @@
     let mut aims = vec![aim("u", 70.0), aim("u", 2.0), aim("slow", 180.0), aim("u", 5.0)];
     for _ in 0..2 {
         s.platform.params.objectives = aims.clone();
-        assert_eq!(s.policy().start_objectives, [("u".to_string(), 2_000)]);
+        assert_eq!(
+            s.policy().start_objectives,
+            [StartObjective { class: "u".to_string(), within_ms: 2_000 }]
+        );
         aims.reverse();
     }
 }
