--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -1,17 +1,22 @@
-//! Team limits: what the teams use, and what is left for a job.
+//! Team limits: what the teams use, and how many tasks of a job their limits still allow.
 
 use std::collections::BTreeMap;
 
+use latchtrack_quota::constants::MILLI;
+use latchtrack_quota::LaunchLimit;
+
 use super::cycle_state::SchedulingCycle;
 use super::policy::Team;
 use super::Scheduler;
 use crate::job::JobSpec;
 use crate::machine::fits;
 
-/// CPUs and GPUs in use of a team.
+/// CPUs and GPUs that a team uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct TeamUsage {
+    /// CPUs.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
 }
 
@@ -26,22 +31,29 @@
 /// What the teams use, by name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageByTeam {
-    pub teams: BTreeMap<String, TeamUsage>,
-    /// A run of unknown size and team is somewhere.
-    pub unknown_runs: bool,
+    teams: BTreeMap<String, TeamUsage>,
+    unknown_runs: bool,
 }
 
 impl UsageByTeam {
     /// Counts so many tasks of a job.
     pub fn add(&mut self, spec: &JobSpec, tasks: u32) {
-        match self.teams.get_mut(&spec.team) {
-            Some(usage) => usage.add(spec, tasks),
-            None => {
-                let mut usage = TeamUsage::default();
-                usage.add(spec, tasks);
-                self.teams.insert(spec.team.clone(), usage);
-            }
+        // Looked up first: almost always the team is there, and its name need not be copied.
+        if let Some(usage) = self.teams.get_mut(&spec.team) {
+            usage.add(spec, tasks);
+            return;
         }
+        self.teams.entry(spec.team.clone()).or_default().add(spec, tasks);
+    }
+
+    /// Counts a run of unknown size and team.
+    fn add_unknown(&mut self) {
+        self.unknown_runs = true;
+    }
+
+    /// Whether runs of unknown size and team are on some machine, so that any team may use more.
+    pub fn has_unknown_runs(&self) -> bool {
+        self.unknown_runs
     }
 
     /// What a team uses.
@@ -64,24 +76,28 @@
         let has_limit = team.cpus_max > 0.0 || team.gpus_max > 0.0;
         has_limit.then(|| TeamLimit { cpus: limit(team.cpus_max), gpus: limit(team.gpus_max) })
     }
+
+    /// What the cell may use of a limit that cells share.
+    fn of_allotment(limit: LaunchLimit) -> TeamLimit {
+        let decimal = |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI);
+        TeamLimit { cpus: decimal(limit.millicpus), gpus: decimal(limit.milligpus) }
+    }
 }
 
 impl Scheduler {
     /// The limit of a team at this moment: its allotment where teams are shared with other cells.
     fn limit_of(&self, team: &Team) -> Option<TeamLimit> {
-        let Some(keeper) = &self.quota.cell else { return TeamLimit::of_settings(team) };
-        let limit = keeper.launch_limit(&team.name)?;
-        let decimal = |milli: Option<u64>| {
-            milli.map_or(f64::INFINITY, |amount| amount as f64 / latchtrack_quota::constants::MILLI)
-        };
-        Some(TeamLimit { cpus: decimal(limit.millicpus), gpus: decimal(limit.milligpus) })
+        if !self.quota.is_shared() {
+            return TeamLimit::of_settings(team);
+        }
+        self.quota.launch_limit(&team.name).map(TeamLimit::of_allotment)
     }
 
     fn team_of(&self, spec: &JobSpec) -> Option<&Team> {
         self.policy.teams.iter().find(|team| team.name == spec.team)
     }
 
-    /// Whether a limit of its team has a say in when a job's tasks start.
+    /// Whether its team's limit may hold back tasks of a job.
     pub(super) fn has_team_limit(&self, spec: &JobSpec) -> bool {
         self.team_of(spec).is_some_and(|team| self.limit_of(team).is_some())
     }
@@ -90,27 +106,29 @@
         self.policy.teams.iter().any(|team| self.limit_of(team).is_some())
     }
 
-    /// What the teams use, which only limits ask for.
+    /// What the teams use, if any has a limit; otherwise nothing is counted.
     pub(super) fn limited_usage(&self) -> UsageByTeam {
-        match self.any_limit() {
-            true => self.usage_of_all_teams(),
-            false => UsageByTeam::default(),
+        if self.any_limit() {
+            self.usage_of_all_teams()
+        } else {
+            UsageByTeam::default()
         }
     }
 
     /// What all teams use, with a limit or without.
     pub(super) fn usage_of_all_teams(&self) -> UsageByTeam {
         let mut used = UsageByTeam::default();
-        for run in self.inventory.runs().filter(|r| r.is_live()) {
+        for run in self.inventory.runs().filter(|run| run.is_live()) {
             match &run.spec {
                 Some(spec) => used.add(spec, 1),
-                None => used.unknown_runs = true,
+                None => used.add_unknown(),
             }
         }
         used
     }
 
-    /// How many tasks its team's limit allows beside so much in use.
+    /// How many tasks of a job its team's limit allows beside what is in use; none if the team is
+    /// unknown.
     pub(super) fn within_limit(&self, spec: &JobSpec, used: TeamUsage) -> u32 {
         let Some(team) = self.team_of(spec) else { return 0 };
         let Some(limit) = self.limit_of(team) else { return u32::MAX };
@@ -118,9 +136,9 @@
         fits(&spec.demand, cpus, gpus, f64::INFINITY)
     }
 
-    /// How many more tasks the team's limit allows, beside what the teams use.
+    /// The same by what all teams use: none while runs of unknown size may count against a limit.
     pub(super) fn tasks_within_limit(&self, spec: &JobSpec, used: &UsageByTeam) -> u32 {
-        if self.has_team_limit(spec) && used.unknown_runs {
+        if self.has_team_limit(spec) && used.has_unknown_runs() {
             return 0;
         }
         self.within_limit(spec, used.of(&spec.team))
@@ -133,7 +151,7 @@
         }
     }
 
-    /// Counts tasks that machines on their way are to take.
+    /// Counts tasks that pending machines are to take.
     pub(super) fn count_expected_usage(
         &self,
         spec: &JobSpec,
