--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 
 use crate::bitmap::Bitmap;
-use crate::constants::*;
+use crate::constants::{SLOW_FACTOR, SLOW_MIN_SAMPLES};
 use crate::Millis;
 
 /// The id of a job: `req-` and a number of at least six digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct JobId(pub u64);
 
-/// Why a text is no id.
+/// The text is not an id of a job or task.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not an id of the form req-000412")]
 pub struct BadId;
@@ -39,15 +39,17 @@
     }
 }
 
-/// The id of an equivalence class: jobs with equal demands and constraints. Classes are numbered as a leader
-/// sees them first in its term.
+/// The id of an equivalence class: jobs with equal demands and constraints. Classes are numbered as
+/// a leader sees them first in its term.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct ClassId(pub usize);
 
-/// One task of a job.
+/// One task of a job; as text the job's id, a slash and the index.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// Its index in the job, from 0.
     pub index: u32,
 }
 
@@ -65,108 +67,160 @@
     }
 }
 
-/// How urgent a job is, the most urgent first.
+/// The priority of a job, the highest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Priority {
+    /// Production.
     Production,
+    /// High.
     High,
+    /// Normal.
     Normal,
+    /// Low: without deadline and objective a best-effort job.
     Low,
 }
 
-/// What a task takes of its machine.
+/// What a task takes of its machine, or a machine has.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct Demand {
+    /// CPUs.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl Demand {
-    /// Takes `n` times as much as `d` out of it.
-    pub fn take(&mut self, d: &Demand, n: u32) {
-        let n = f64::from(n);
-        self.cpus -= d.cpus * n;
-        self.gpus -= d.gpus * n;
-        self.memory_gb -= d.memory_gb * n;
+    /// Takes the demand of so many tasks out of it; what is left may be negative.
+    pub fn take(&mut self, demand: &Demand, tasks: u32) {
+        let tasks = f64::from(tasks);
+        self.cpus -= demand.cpus * tasks;
+        self.gpus -= demand.gpus * tasks;
+        self.memory_gb -= demand.memory_gb * tasks;
     }
 }
 
 /// A job as its user described it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct JobSpec {
+    /// Its id.
     pub id: JobId,
+    /// Its workload class, to which objectives apply.
     pub class: String,
+    /// The team whose quota it counts against.
     pub team: String,
+    /// Who may be preempted for whom.
     pub priority: Priority,
+    /// How many tasks it has.
     pub tasks: u32,
     /// All tasks run at the same time or none does; otherwise they are independent of each other.
     pub gang: bool,
+    /// What one task takes of its machine.
     pub demand: Demand,
+    /// The machine types that it allows; None allows all.
     pub types: Option<Vec<String>>,
+    /// The zone in which it is to run; None allows all.
     pub zone: Option<String>,
+    /// All tasks are to be in one zone at a time, whichever that is.
     pub one_zone: bool,
+    /// No zone may have more than half of the tasks at a time.
     pub spread: bool,
+    /// Spot machines are allowed.
     pub spot: bool,
+    /// The image that its tasks run.
     pub image: String,
+    /// GB of the image.
     pub image_gb: f64,
+    /// s that a task runs, as its owner estimates.
     pub estimate_s: f64,
+    /// s between two checkpoints of a task; 0 if it saves none.
     pub checkpoint_s: f64,
+    /// s that a task needs to save when it is stopped.
     pub save_s: f64,
+    /// s from submission by which it is to be done.
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// Whether where its tasks are has a say in where others may start.
+    /// Whether the zones of its tasks restrict where others may start.
     pub fn is_zone_constrained(&self) -> bool {
         self.one_zone || self.spread
     }
 }
 
-/// Where a task is.
+/// The machine and attempt to which a task is bound until it has surely ended there.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Assignment {
+    /// The machine.
     pub machine: Arc<str>,
+    /// The number of the attempt.
     pub attempt: u64,
 }
 
-/// An unfinished job as the leader sees it.
+/// The run times of a job's done tasks.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RunTimes {
+    total_ms: Millis,
+    count: u32,
+}
+
+impl RunTimes {
+    /// Adds the run time of a task.
+    fn add(&mut self, ran_ms: Millis) {
+        self.total_ms += ran_ms;
+        self.count += 1;
+    }
+
+    /// Whether a run time is beyond [`SLOW_FACTOR`] times the mean, if there are enough for a mean.
+    fn are_exceeded_by(&self, ran_ms: Millis) -> bool {
+        self.count >= SLOW_MIN_SAMPLES
+            && ran_ms as f64 * f64::from(self.count) > SLOW_FACTOR * self.total_ms as f64
+    }
+}
+
+/// An unfinished job as the scheduler sees it.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// What its user described.
     pub spec: Arc<JobSpec>,
-    /// When it was submitted, on the local steady clock.
+    /// When it was submitted, in ms on the local steady clock.
     pub submitted_at: Millis,
-    /// Version of its open record.
+    /// The revision of its open record.
     pub revision: u64,
-    /// First accepted under an earlier leader, which may have launched its tasks.
+    /// Accepted under an earlier leader, which may have launched its tasks.
     pub inherited: bool,
-    /// Tasks known to be done, and those whose result is stored.
+    /// Tasks known to be done.
     pub done: Bitmap,
+    /// Tasks whose result is stored.
     pub persisted: Bitmap,
-    /// The record as done has been refused: somebody else closed the job.
+    /// The write of its record as done was refused: another node or user closed the job.
     pub closed_elsewhere: bool,
+    /// The assignments of its tasks, by index.
     pub placed: BTreeMap<u32, Assignment>,
-    /// Tasks that came back, to be placed before those never tried.
+    /// Tasks that were requeued, to be placed before those never tried.
     pub again: BTreeSet<u32>,
-    /// Tasks neither done nor on a machine.
-    left: u32,
+    /// Tasks neither done nor assigned.
+    waiting: u32,
     /// Its equivalence class, which the scheduler sets.
     pub equivalence_class: ClassId,
-    cursor: u32,
-    /// Nothing of it is placed before this time.
+    /// The first task that was never tried.
+    next_untried: u32,
+    /// Nothing of it is placed before this time, in ms on the local steady clock.
     pub backoff_until: Millis,
-    /// Machines it failed on, and when last; for how long a failed task had run at most.
+    /// Machines on which it failed, and when last.
     pub failed_on: BTreeMap<String, Millis>,
+    /// ms that a failed task had run at most.
     pub failed_after: Millis,
-    /// Shows nothing but failures: one task at a time is tried.
+    /// It has shown nothing but failures: one task at a time is tried.
     pub is_quarantined: bool,
-    /// Tries that failed since then.
+    /// Trials that failed since then.
     pub failed_trials: u32,
-    /// Since when it has found no room.
+    /// Since when it has found no capacity.
     pub unschedulable_since: Option<Millis>,
-    /// Run times of its done tasks: their sum in ms and their count.
-    pub ran: (Millis, u32),
-    /// Since when the tasks of a gang's last attempt are being ended; None: no task has left it.
+    /// Run times of its done tasks, as far as this term has seen them from their start.
+    pub run_times: RunTimes,
+    /// Since when the tasks of a gang's last attempt are being ended; None if no task has left it.
     pub attempt_ended_at: Option<Millis>,
 }
 
@@ -180,7 +234,7 @@
         done: Bitmap,
     ) -> Self {
         Job {
-            left: spec.tasks - done.ones(),
+            waiting: spec.tasks - done.ones(),
             equivalence_class: ClassId::default(),
             spec,
             submitted_at,
@@ -191,67 +245,67 @@
             closed_elsewhere: false,
             placed: BTreeMap::new(),
             again: BTreeSet::new(),
-            cursor: 0,
+            next_untried: 0,
             backoff_until: 0,
             failed_on: BTreeMap::new(),
             failed_after: 0,
             is_quarantined: false,
             failed_trials: 0,
             unschedulable_since: None,
-            ran: (0, 0),
+            run_times: RunTimes::default(),
             attempt_ended_at: None,
         }
     }
 
-    /// Tasks neither done nor on a machine.
+    /// Tasks neither done nor assigned.
     pub fn waiting(&self) -> u32 {
-        self.left
+        self.waiting
     }
 
-    /// Whether nothing of it has ever been placed in this term, and nothing is done.
+    /// Whether nothing of it was ever placed in this term, and nothing is done.
     pub fn never_started(&self) -> bool {
-        self.left == self.spec.tasks && self.again.is_empty()
+        self.waiting == self.spec.tasks && self.again.is_empty()
     }
 
-    /// A task has a place now.
-    pub fn place(&mut self, index: u32, place: Assignment) {
-        if self.placed.insert(index, place).is_none() && !self.done.get(index) {
-            self.left -= 1;
+    /// Assigns a task.
+    pub fn place(&mut self, index: u32, assignment: Assignment) {
+        if self.placed.insert(index, assignment).is_none() && !self.done.get(index) {
+            self.waiting -= 1;
         }
     }
 
-    /// A task is done, by this attempt; true if that is news.
+    /// A task is done, by this attempt; returns whether that was not known before.
     pub fn complete(&mut self, index: u32, attempt: u64) -> bool {
-        let news = self.done.set(index);
-        if news && !self.placed.contains_key(&index) {
-            self.left -= 1;
+        let is_new = self.done.set(index);
+        if is_new && !self.placed.contains_key(&index) {
+            self.waiting -= 1;
         }
         if self.placed.get(&index).is_some_and(|p| p.attempt == attempt) {
             self.placed.remove(&index);
         }
-        news
+        is_new
     }
 
-    /// Takes up to `n` waiting tasks. Each must then be placed.
-    pub fn take(&mut self, n: u32) -> Vec<u32> {
-        let mut out = Vec::with_capacity(n as usize);
-        while (out.len() as u32) < n {
+    /// Takes up to `count` waiting tasks, requeued ones first. Each must then be placed.
+    pub fn take(&mut self, count: u32) -> Vec<u32> {
+        let mut taken = Vec::with_capacity(count as usize);
+        while (taken.len() as u32) < count {
             let next = match self.again.pop_first() {
-                Some(i) => i,
-                None if self.cursor < self.spec.tasks => {
-                    self.cursor += 1;
-                    self.cursor - 1
+                Some(index) => index,
+                None if self.next_untried < self.spec.tasks => {
+                    self.next_untried += 1;
+                    self.next_untried - 1
                 }
                 None => break,
             };
             if !self.done.get(next) && !self.placed.contains_key(&next) {
-                out.push(next);
+                taken.push(next);
             }
         }
-        out
+        taken
     }
 
-    /// Takes this task if it waits. It must then be placed.
+    /// Takes this task; returns false if it does not wait. It must then be placed.
     pub fn take_one(&mut self, index: u32) -> bool {
         if self.done.get(index) || self.placed.contains_key(&index) || index >= self.spec.tasks {
             return false;
@@ -263,36 +317,37 @@
     /// A task is off its machine without a result.
     pub fn requeue(&mut self, index: u32) {
         if self.placed.remove(&index).is_some() && !self.done.get(index) {
-            self.left += 1;
-            if index < self.cursor {
+            self.waiting += 1;
+            if index < self.next_untried {
                 self.again.insert(index);
             }
         }
     }
 
-    /// Takes in the run time of a done task; true if it was slow among its like.
-    pub fn record_run_time(&mut self, ran: Millis) -> bool {
-        let (sum, n) = self.ran;
-        self.ran = (sum + ran, n + 1);
-        n >= SLOW_MIN_SAMPLES && ran as f64 * f64::from(n) > SLOW_FACTOR * sum as f64
+    /// Records the run time of a done task; returns whether it was slow beside those before it.
+    pub fn record_run_time(&mut self, ran_ms: Millis) -> bool {
+        let is_slow = self.run_times.are_exceeded_by(ran_ms);
+        self.run_times.add(ran_ms);
+        is_slow
     }
 
-    /// How many of its tasks may be placed now: of a gang all of them, once no task of its last attempt is
-    /// on a machine; of a suspect job one at a time.
+    /// How many of its tasks may be placed now: of a gang all of them, once no task of its last
+    /// attempt is assigned; of a quarantined job one at a time.
     pub fn schedulable_tasks(&self) -> u32 {
         let none_placed = self.placed.is_empty();
         match (self.spec.gang, self.is_quarantined) {
-            (true, _) if none_placed => self.left,
-            (false, true) if none_placed => self.left.min(1),
-            (false, false) => self.left,
+            (true, _) if none_placed => self.waiting,
+            (false, true) if none_placed => self.waiting.min(1),
+            (false, false) => self.waiting,
             _ => 0,
         }
     }
 
-    /// Whether every task has its place in one and the same attempt, as a gang's must.
+    /// Whether every task is assigned in one and the same attempt, as a gang's must be.
     pub fn has_complete_attempt(&self) -> bool {
-        let mut attempts = self.placed.values().map(|place| place.attempt);
+        let mut attempts = self.placed.values().map(|assignment| assignment.attempt);
         let first = attempts.next();
-        self.placed.len() == self.spec.tasks as usize && attempts.all(|a| Some(a) == first)
+        self.placed.len() == self.spec.tasks as usize
+            && attempts.all(|attempt| Some(attempt) == first)
     }
 }
--- a/crates/latchtrack-core/src/lib.rs
+++ b/crates/latchtrack-core/src/lib.rs
@@ -1,7 +1,7 @@
 //! The scheduling core of latchtrack.
 //!
 //! Pure and deterministic: no sockets, clocks, threads or random numbers. Time comes in as an
-//! argument, what is to be done goes out as a list of effects.
+//! argument, events go into the [`scheduler`], and effects come out, which the program carries out.
 
 pub mod bitmap;
 pub mod constants;
--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -62,8 +62,8 @@
 }
 
 impl FreeCapacity {
-    /// How many tasks with this demand a job of this class may put here: on a machine that is reserved for
-    /// others, no more than these leave.
+    /// How many tasks with this demand a job of this class may put here: on a machine that is
+    /// reserved for others, no more than these leave.
     pub fn admits(&self, demand: &Demand, class: ClassId) -> u32 {
         let by_size = self.holds(demand);
         match &self.reservation {
--- a/crates/latchtrack-core/src/placement/deferral.rs
+++ b/crates/latchtrack-core/src/placement/deferral.rs
@@ -13,10 +13,10 @@
     pub cpu_ms: f64,
 }
 
-/// Which jobs of a queue, in its order, are deferred when more is demanded than can be done in time:
-/// whenever one would be late, the one with the most work up to there (Moore and Hodgson's rule, which
-/// leaves the most jobs in time). `before_cpu_ms` is the work that goes before the queue, `cpus` how many
-/// CPUs do it; without any, nothing is deferred.
+/// Which jobs of a queue, in its order, are deferred when more is demanded than can be done in
+/// time: whenever one would be late, the one with the most work up to there (Moore and Hodgson's
+/// rule, which leaves the most jobs in time). `before_cpu_ms` is the work that goes before the
+/// queue, `cpus` how many CPUs do it; without any, nothing is deferred.
 pub fn deferred(queue: &[TimedDemand], before_cpu_ms: f64, cpus: f64) -> Vec<bool> {
     let mut is_deferred = vec![false; queue.len()];
     if cpus <= 0.0 {
--- a/crates/latchtrack-core/src/placement/mod.rs
+++ b/crates/latchtrack-core/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! Where tasks go: the greedy best-fit-decreasing placer of the paper's Algorithm 3, the order of
-//! its Algorithm 1, and the choice of what to rent.
+//! What placement is decided by: the free capacity of machines, the scores of the paper's Algorithm
+//! 3 (greedy best fit, decreasing), the jobs to defer, and the offers to provision.
 
 mod capacity;
 mod deferral;
--- a/crates/latchtrack-core/src/placement/scoring.rs
+++ b/crates/latchtrack-core/src/placement/scoring.rs
@@ -3,11 +3,14 @@
 use crate::constants::{ALPHA, BETA, GAMMA};
 use crate::job::Demand;
 
-/// The weights of Eq. 5, and ours for GPUs.
+/// The weights of Eq. 5, and one for GPUs, which the paper does not have.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoreWeights {
+    /// Of CPUs.
     pub alpha: f64,
+    /// Of memory.
     pub beta: f64,
+    /// Of GPUs.
     pub gamma: f64,
 }
 
@@ -17,8 +20,8 @@
     }
 }
 
-/// One term of a score: the part of the cluster's total, 0 where there is none of it.
-fn part(amount: f64, total: f64, weight: f64) -> f64 {
+/// One term of a score: the weighted part of the cluster's total, 0 where it has none.
+fn weighted_part(amount: f64, total: f64, weight: f64) -> f64 {
     if total > 0.0 {
         amount / total * weight
     } else {
@@ -26,15 +29,15 @@
     }
 }
 
-/// Eq. 8: free room as a weighted share of the running cluster; Eq. 9 for one task is the same
-/// sum over its demand.
-pub fn score(amount: &Demand, total: &Demand, w: &ScoreWeights) -> f64 {
-    part(amount.cpus, total.cpus, w.alpha)
-        + part(amount.memory_gb, total.memory_gb, w.beta)
-        + part(amount.gpus, total.gpus, w.gamma)
+/// Eq. 8: free capacity as a weighted share of all that is up; Eq. 9 for one task is the same sum
+/// over its demand.
+pub fn score(amount: &Demand, total: &Demand, weights: &ScoreWeights) -> f64 {
+    weighted_part(amount.cpus, total.cpus, weights.alpha)
+        + weighted_part(amount.memory_gb, total.memory_gb, weights.beta)
+        + weighted_part(amount.gpus, total.gpus, weights.gamma)
 }
 
 /// Eq. 9: a job's demand is one task's weighted share times its count.
-pub fn job_demand(task: &Demand, count: u32, total: &Demand, w: &ScoreWeights) -> f64 {
-    score(task, total, w) * f64::from(count)
+pub fn job_demand(task: &Demand, tasks: u32, total: &Demand, weights: &ScoreWeights) -> f64 {
+    score(task, total, weights) * f64::from(tasks)
 }
--- a/crates/latchtrack-core/src/rules.rs
+++ b/crates/latchtrack-core/src/rules.rs
@@ -1,22 +1,22 @@
-//! The checks behind the protocol's rules. The leader asks them before every launch; the tests
-//! ask them of a simulated world after every step.
+//! The protocol's rules of placement. The scheduler checks them before every launch; the tests
+//! check them in a simulated world after every step.
 
 use crate::constants::AMOUNT_ROUNDING;
 use crate::job::JobSpec;
 use crate::placement::allowed;
 
-/// `quota`: whether a team may use this much more of a resource. A limit of 0 is none.
+/// The rule `quota`: whether a team may use this much more of a resource. A limit of 0 is none.
 pub fn within_limit(used: f64, more: f64, limit: f64) -> bool {
     limit <= 0.0 || used + more <= limit + AMOUNT_ROUNDING
 }
 
-/// Most tasks of a job that may be in one zone when it is to be spread: half, rounded up.
+/// How many tasks of a job that is to be spread may be in one zone: half of them, rounded up.
 pub fn zone_share(tasks: u32) -> u32 {
     tasks.div_ceil(2)
 }
 
-/// `wrong_place`: whether one more task of the job may start on a machine like this, its other
-/// live tasks being in `zones` (one entry a task).
+/// The rule `wrong_place`: whether one more task of the job may start on a machine of this type,
+/// zone and kind, while its other live tasks are in `zones` (one entry a task).
 pub fn may_start<'a>(
     spec: &JobSpec,
     kind: &str,
@@ -31,8 +31,8 @@
         return true;
     }
     let (mut here, mut elsewhere) = (0u32, 0u32);
-    for z in zones {
-        if z == zone {
+    for other in zones {
+        if other == zone {
             here += 1;
         } else {
             elsewhere += 1;
--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -44,8 +44,8 @@
 }
 
 impl Scheduler {
-    /// Fills what a machine's own heartbeat has freed, as a cycle would have done at this moment. Jobs
-    /// whose placement depends on more than this machine wait for the next cycle.
+    /// Fills what a machine's own heartbeat has freed, as a cycle would have done at this moment.
+    /// Jobs whose placement depends on more than this machine wait for the next cycle.
     pub(super) fn backfill(&mut self, now: Millis, machine: &str) {
         if self.queue.entries().is_empty() {
             return;
@@ -122,8 +122,8 @@
         }
     }
 
-    /// The entry that takes capacity of a machine next: the first that fits, or one of the next few whose
-    /// image the machine holds, unless that passes over a job with a start objective.
+    /// The entry that takes capacity of a machine next: the first that fits, or one of the next few
+    /// whose image the machine holds, unless that passes over a job with a start objective.
     fn next_for_machine(
         &self,
         now: Millis,
--- a/crates/latchtrack-core/src/scheduler/best_effort.rs
+++ b/crates/latchtrack-core/src/scheduler/best_effort.rs
@@ -8,17 +8,17 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// Whether a job takes only what would stand idle: it has the lowest priority, and nothing says by when
-    /// it is wanted.
+    /// Whether a job takes only what would stand idle: it has the lowest priority, and nothing says
+    /// by when it is wanted.
     pub(super) fn is_best_effort(&self, spec: &JobSpec) -> bool {
         spec.priority == Priority::Low
             && spec.deadline_s.is_none()
             && !self.policy.classes_with_objectives.contains(&spec.class)
     }
 
-    /// Best-effort jobs that have waited long enough to go before deferred ones, with how many tasks: the
-    /// oldest first, within [`BEST_EFFORT_SHARE`] of the cluster. In an overload that lasts they would
-    /// otherwise not be served at all.
+    /// Best-effort jobs that have waited long enough to go before deferred ones, with how many
+    /// tasks: the oldest first, within [`BEST_EFFORT_SHARE`] of the cluster. In an overload that
+    /// lasts they would otherwise not be served at all.
     pub(super) fn best_effort_due(&self, now: Millis, total: &Demand) -> HashMap<JobId, u32> {
         let mut remaining_cpus = total.cpus * BEST_EFFORT_SHARE;
         let mut due: Vec<&Job> = Vec::new();
--- a/crates/latchtrack-core/src/scheduler/cycle.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle.rs
@@ -1,5 +1,5 @@
-//! The scheduling cycle: the whole queue is placed on what all machines have free. Between two cycles,
-//! `backfill` fills what single heartbeats have freed.
+//! The scheduling cycle: the whole queue is placed on what all machines have free. Between two
+//! cycles, `backfill` fills what single heartbeats have freed.
 
 use super::cycle_state::SchedulingCycle;
 use super::queue::QueueEntry;
@@ -34,8 +34,8 @@
         self.count
     }
 
-    /// Whether a cycle is due: many changes in a row share one, and without any change there is one now
-    /// and then, since deadlines come closer.
+    /// Whether a cycle is due: many changes in a row share one, and without any change there is one
+    /// now and then, since deadlines come closer.
     fn is_due(&self, now: Millis) -> bool {
         self.last_at.is_none_or(|last_at| {
             now >= last_at + MIN_CYCLE_INTERVAL_MS
@@ -83,8 +83,8 @@
         SchedulingCycle::new(capacities, total, searches, self.limited_usage())
     }
 
-    /// Counts the waiting tasks of each equivalence class: capacity is provisioned and reserved for all of
-    /// them together.
+    /// Counts the waiting tasks of each equivalence class: capacity is provisioned and reserved for
+    /// all of them together.
     fn count_waiting_tasks(&self, entries: &[QueueEntry], cycle: &mut SchedulingCycle) {
         for entry in entries {
             let Some(job) = self.jobs.get(&entry.job) else { continue };
--- a/crates/latchtrack-core/src/scheduler/cycle_state.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle_state.rs
@@ -6,8 +6,8 @@
 use crate::job::{ClassId, Demand, JobSpec};
 use crate::placement::{FreeCapacity, Reservation};
 
-/// The state of one scheduling cycle: the free capacity and the usage of the teams as the jobs placed so
-/// far leave them, and what was found for each equivalence class.
+/// The state of one scheduling cycle: the free capacity and the usage of the teams as the jobs
+/// placed so far leave them, and what was found for each equivalence class.
 pub(super) struct SchedulingCycle {
     capacities: Vec<FreeCapacity>,
     total: Demand,
@@ -17,8 +17,8 @@
 }
 
 impl SchedulingCycle {
-    /// A cycle in which nothing has been placed: `total` is what the machines that are up have, `used` what
-    /// the teams use, if any has a limit.
+    /// A cycle in which nothing has been placed: `total` is what the machines that are up have,
+    /// `used` what the teams use, if any has a limit.
     pub fn new(
         capacities: Vec<FreeCapacity>,
         total: Demand,
@@ -28,7 +28,8 @@
         SchedulingCycle { capacities, total, searches, expected: used.clone(), used }
     }
 
-    /// The capacities, ready ones and pending ones. An index into them is valid for the whole cycle.
+    /// The capacities, ready ones and pending ones. An index into them is valid for the whole
+    /// cycle.
     pub fn capacities(&self) -> &[FreeCapacity] {
         &self.capacities
     }
@@ -43,8 +44,8 @@
         self.capacities.iter_mut().filter(|capacity| !capacity.ready)
     }
 
-    /// Adds machines that were just requested. What the job they are for leaves of them is pending capacity
-    /// for jobs of all classes.
+    /// Adds machines that were just requested. What the job they are for leaves of them is pending
+    /// capacity for jobs of all classes.
     pub fn add_pending(&mut self, capacity: &FreeCapacity, machines: u32) {
         self.capacities.extend((0..machines).map(|_| capacity.clone()));
         for search in &mut self.searches {
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Takes the demand of tasks out of a capacity; returns its machine, if it has been provisioned.
+    /// Takes the demand of tasks out of a capacity; returns its machine, if it has been
+    /// provisioned.
     pub fn take(&mut self, index: usize, demand: &Demand, tasks: u32) -> Option<Arc<str>> {
         let capacity = &mut self.capacities[index];
         capacity.take(demand, tasks);
--- a/crates/latchtrack-core/src/scheduler/deferral.rs
+++ b/crates/latchtrack-core/src/scheduler/deferral.rs
@@ -10,8 +10,8 @@
 const REMAINING_RUN_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// Moves jobs to the tier of the deferred ones where not all with an objective can be in time: see
-    /// [`deferred`].
+    /// Moves jobs to the tier of the deferred ones where not all with an objective can be in time:
+    /// see [`deferred`].
     pub(super) fn defer_jobs(&self, now: Millis, ranked: &mut [RankedJob], total: &Demand) {
         let running: f64 = self
             .inventory
--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -20,8 +20,8 @@
     Any,
     /// In this one, where tasks of the job are.
     Required(Arc<str>),
-    /// In this one, unless there is nothing to provision there: all tasks must be in one zone, and spread
-    /// over several, new machines would have room for a slice in none.
+    /// In this one, unless there is nothing to provision there: all tasks must be in one zone, and
+    /// spread over several, new machines would have room for a slice in none.
     Preferred(Arc<str>),
 }
 
@@ -102,7 +102,8 @@
             return;
         };
         if self.waits_for_image_anywhere(now, &self.jobs[&entry.job]) {
-            // It leaves capacity to others of its class that it might have used, and waits only briefly.
+            // It leaves capacity to others of its class that it might have used, and waits only
+            // briefly.
             return;
         }
         let zone = self.target_zone(&spec, cycle);
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Notes since when a job finds no capacity. Returns for how many ms, or None if it lacks none, or
-    /// nothing is provisioned or reserved for it, since it is quarantined.
+    /// Notes since when a job finds no capacity. Returns for how many ms, or None if it lacks none,
+    /// or nothing is provisioned or reserved for it, since it is quarantined.
     fn note_placed(
         &mut self,
         now: Millis,
@@ -152,7 +153,8 @@
         zone_with_most_capacity(allowed, spec).map_or(TargetZone::Any, TargetZone::Preferred)
     }
 
-    /// Reserves for a gang what is free, and notes for other jobs that their class finds no ready machine.
+    /// Reserves for a gang what is free, and notes for other jobs that their class finds no ready
+    /// machine.
     fn note_ready_exhausted(
         &mut self,
         now: Millis,
@@ -186,7 +188,8 @@
         mut shortage: Shortage,
         cycle: &mut SchedulingCycle,
     ) {
-        // Nothing is provisioned for what the team's limit would hold back once all that is expected runs.
+        // Nothing is provisioned for what the team's limit would hold back once all that is
+        // expected runs.
         let allowed = self.tasks_within_limit(&shortage.spec, cycle.expected());
         shortage.remaining = shortage.remaining.min(allowed);
         if shortage.remaining > 0 {
@@ -237,7 +240,8 @@
         placed
     }
 
-    /// Reserves capacity for all waiting jobs of a class at once, if this one has waited long enough.
+    /// Reserves capacity for all waiting jobs of a class at once, if this one has waited long
+    /// enough.
     fn reserve_for_class(&self, now: Millis, shortage: &Shortage, cycle: &mut SchedulingCycle) {
         if shortage.spec.gang || shortage.unschedulable_ms < self.policy.reserve_after_ms {
             return;
--- a/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
+++ b/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
@@ -1,5 +1,5 @@
-//! Equivalence classes of jobs: with equal demands and constraints, what one job of a class can't find in
-//! a scheduling cycle another can't find either.
+//! Equivalence classes of jobs: with equal demands and constraints, what one job of a class can't
+//! find in a scheduling cycle another can't find either.
 
 use std::collections::HashMap;
 
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -1,4 +1,4 @@
-//! Order among teams: jobs of a hot team that are beyond its share go behind those of others.
+//! Fair share: jobs of a hot team that are beyond its share stand behind those of other teams.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use super::policy::Team;
 use super::queue_order::RankedJob;
 use super::Scheduler;
-use crate::job::Demand;
+use crate::job::{Demand, Job, JobSpec};
 use crate::Millis;
 
-/// What a team uses and asks for, in dominant shares of the cluster.
+/// What a team uses and waits for, in dominant shares of the cluster.
 #[derive(Clone, Copy, Debug, Default)]
 struct TeamUse {
     running: f64,
@@ -20,8 +20,8 @@
 }
 
 impl Scheduler {
-    /// Marks the jobs of hot teams that are beyond their share, in the order of the queue. Among themselves
-    /// they keep that order, and what nobody else asks for they borrow.
+    /// Marks the jobs of hot teams that are beyond their share, in the order of the queue. Among
+    /// themselves they keep that order, and they borrow what no other job asks for.
     pub(super) fn mark_beyond_share(
         &mut self,
         now: Millis,
@@ -43,12 +43,12 @@
             let Some(share) = hot.get(&job.spec.team) else { continue };
             let taken = taken.entry(job.spec.team.clone()).or_default();
             rank.beyond_share = *taken >= *share;
-            *taken += amounts(&job.spec.demand).dominant_share(&amounts(total))
-                * f64::from(job.schedulable_tasks());
+            *taken += waiting_share(job, total);
         }
     }
 
-    /// The shares of the teams that are hot now.
+    /// The fair shares of the teams that are hot now: those of which more work arrives than their
+    /// share does.
     fn hot_shares(
         &mut self,
         now: Millis,
@@ -71,23 +71,30 @@
         hot
     }
 
+    /// What each team uses, and what its jobs in the queue wait for.
     fn team_use(&self, ranked: &[RankedJob], total: &Demand) -> BTreeMap<String, TeamUse> {
         let mut used: BTreeMap<String, TeamUse> = BTreeMap::new();
         let runs = self.inventory.runs();
         for spec in runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref()) {
-            used.entry(spec.team.clone()).or_default().running +=
-                amounts(&spec.demand).dominant_share(&amounts(total));
+            used.entry(spec.team.clone()).or_default().running += task_share(spec, total);
         }
-        // Each job stands in the order once.
         for job in ranked.iter().filter_map(|ranked| self.jobs.get(&ranked.id)) {
-            used.entry(job.spec.team.clone()).or_default().waiting += amounts(&job.spec.demand)
-                .dominant_share(&amounts(total))
-                * f64::from(job.schedulable_tasks());
+            used.entry(job.spec.team.clone()).or_default().waiting += waiting_share(job, total);
         }
         used
     }
 }
 
+/// The dominant share of the cluster that a task takes.
+fn task_share(spec: &JobSpec, total: &Demand) -> f64 {
+    amounts(&spec.demand).dominant_share(&amounts(total))
+}
+
+/// The dominant share of the cluster that all tasks take that a job may have placed now.
+fn waiting_share(job: &Job, total: &Demand) -> f64 {
+    task_share(&job.spec, total) * f64::from(job.schedulable_tasks())
+}
+
 fn team_demand(team: &Team, used: TeamUse, total: &Demand) -> TeamDemand {
     let part = |amount: f64, all: f64| if all > 0.0 { amount / all } else { 0.0 };
     let limits = [part(team.cpus_max, total.cpus), part(team.gpus_max, total.gpus)];
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -8,7 +8,8 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// The free capacity of a machine, without what moves reserve on it; None if it can't be counted on.
+    /// The free capacity of a machine, without what moves reserve on it; None if it can't be
+    /// counted on.
     pub(super) fn free_capacity_of(&self, now: Millis, machine: &Machine) -> Option<FreeCapacity> {
         if !self.takes_tasks(now, machine) {
             return None;
@@ -50,8 +51,8 @@
             && !self.is_late(now, machine)
     }
 
-    /// The free capacities of all machines, up or pending, and what those that are up have in all. A machine
-    /// whose heartbeat is overdue takes no more tasks, and still counts as up.
+    /// The free capacities of all machines, up or pending, and what those that are up have in all.
+    /// A machine whose heartbeat is overdue takes no more tasks, and still counts as up.
     pub(super) fn free_capacities(&self, now: Millis) -> (Vec<FreeCapacity>, Demand) {
         let mut capacities = Vec::with_capacity(self.inventory.len());
         let mut total = Demand::default();
--- a/crates/latchtrack-core/src/scheduler/objectives.rs
+++ b/crates/latchtrack-core/src/scheduler/objectives.rs
@@ -34,8 +34,9 @@
         Some(objective.within_ms)
     }
 
-    /// Whether a job with a start objective waits for a machine that holds its image rather than start on
-    /// one of this type: while some machine has the image, and fetching it would miss the objective.
+    /// Whether a job with a start objective waits for a machine that holds its image rather than
+    /// start on one of this type: while some machine has the image, and fetching it would miss the
+    /// objective.
     pub(super) fn waits_for_image(&self, now: Millis, job: &Job, kind: &str) -> bool {
         let spec = &job.spec;
         let Some(within_ms) = self.start_objective_ms(spec) else { return false };
--- a/crates/latchtrack-core/src/scheduler/queue.rs
+++ b/crates/latchtrack-core/src/scheduler/queue.rs
@@ -34,8 +34,8 @@
         self.gangs_lacking_capacity.clear();
     }
 
-    /// Takes what a cycle has left: what single heartbeats free until the next one goes to these, in this
-    /// order.
+    /// Takes what a cycle has left: what single heartbeats free until the next one goes to these,
+    /// in this order.
     pub fn keep_for_backfill(&mut self, entries: Vec<QueueEntry>, jobs: &BTreeMap<JobId, Job>) {
         self.entries = entries;
         self.drop_closed(jobs);
--- a/crates/latchtrack-core/src/scheduler/queue_order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue_order.rs
@@ -1,5 +1,5 @@
-//! The order of the queue: guaranteed jobs first, jobs beyond their team's fair share last, and between
-//! them by tier, due time and demand.
+//! The order of the queue: guaranteed jobs first, jobs beyond their team's fair share last, and
+//! between them by tier, due time and demand.
 
 use std::cmp::Ordering;
 
@@ -15,18 +15,19 @@
 /// The parts of the queue, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum QueueTier {
-    /// One task of a quarantined job, now and then: it takes next to nothing, and if the failures were the
-    /// machines' fault, the job is to get going again soon.
+    /// One task of a quarantined job, now and then: it takes next to nothing, and if the failures
+    /// were the machines' fault, the job is to get going again soon.
     Trial,
-    /// With a deadline of its own, or an objective that multiplies it, that can still be met; also gangs
-    /// with a start objective.
+    /// With a deadline of its own, or an objective that multiplies it, that can still be met; also
+    /// gangs with a start objective.
     Deadline,
     /// With a completion objective of its class that can still be met.
     Objective,
     /// With neither.
     Regular,
-    /// Can't all be in time: these would make the most others late, or have missed all their objectives.
-    /// The least work goes first: that gets the most of them done, and leaves no small one to the end.
+    /// Can't all be in time: these would make the most others late, or have missed all their
+    /// objectives. The least work goes first: that gets the most of them done, and leaves no small
+    /// one to the end.
     Deferred,
     /// Best effort: takes what would stand idle.
     BestEffort,
@@ -97,15 +98,15 @@
             .collect()
     }
 
-    /// Whether a job may not start anything while a machine is unreconciled: an earlier leader may have
-    /// launched its tasks, or its team's limit depends on what runs there.
+    /// Whether a job may not start anything while a machine is unreconciled: an earlier leader may
+    /// have launched its tasks, or its team's limit depends on what runs there.
     fn waits_for_reconciliation(&self, job: &Job) -> bool {
         job.inherited || self.has_team_limit(&job.spec)
     }
 
-    /// In which tier a job stands that is neither quarantined nor a best-effort job whose time has come,
-    /// and when it is due on the local clock: by the next of its deadline and objectives that can still be
-    /// met.
+    /// In which tier a job stands that is neither quarantined nor a best-effort job whose time has
+    /// come, and when it is due on the local clock: by the next of its deadline and objectives that
+    /// can still be met.
     fn tier_and_due(&self, now: Millis, job: &Job) -> (QueueTier, Millis) {
         if let Some(within_ms) = self.start_objective_ms(&job.spec).filter(|_| job.spec.gang) {
             // What is due is its start, and for that it needs its capacity at once.
@@ -128,8 +129,8 @@
         }
     }
 
-    /// By when a job is due, in ms from its submission: its own deadline, and the completion objectives of
-    /// its class.
+    /// By when a job is due, in ms from its submission: its own deadline, and the completion
+    /// objectives of its class.
     fn dues_ms(&self, job: &Job) -> Vec<Millis> {
         let deadline_ms = job.spec.deadline_s.map(|s| (s * 1000.0) as Millis);
         let objectives = self.policy.completion_objectives.iter();
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -1,10 +1,11 @@
-//! Capacity that is reserved: for jobs that wait, from those behind them in the queue, and for gangs to
-//! come.
+//! Capacity that is reserved: for jobs that wait, from those behind them in the queue, and for
+//! gangs to come.
 //!
-//! A gang needs all of its capacity at the same moment, and on machines that it may use. Where these are
-//! busy with other tasks, capacity comes free task by task, and where they have to be provisioned it takes
-//! a boot. So while gangs of an equivalence class with a start objective have been seen lately, capacity
-//! for the largest of them is reserved on machines that are up, from all jobs of other classes.
+//! A gang needs all of its capacity at the same moment, and on machines that it may use. Where
+//! these are busy with other tasks, capacity comes free task by task, and where they have to be
+//! provisioned it takes a boot. So while gangs of an equivalence class with a start objective have
+//! been seen lately, capacity for the largest of them is reserved on machines that are up, from all
+//! jobs of other classes.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, HashMap};
@@ -45,8 +46,8 @@
         self.by_machine.get(machine).copied()
     }
 
-    /// Tasks of a job start on a machine: those of other classes than the one for which it is reserved use
-    /// what that one can't.
+    /// Tasks of a job start on a machine: those of other classes than the one for which it is
+    /// reserved use what that one can't.
     pub fn take_spare(&mut self, machine: &str, class: ClassId, demand: &Demand, tasks: u32) {
         if let Some(reservation) = self.by_machine.get_mut(machine) {
             if reservation.reserved_for != ReservedFor::Class(class) {
@@ -60,7 +61,8 @@
         self.gang_reserves.contains_key(&class)
     }
 
-    /// Whether what comes free here is to wait for the next cycle, which keeps it for a gang reserve.
+    /// Whether what comes free here is to wait for the next cycle, which keeps it for a gang
+    /// reserve.
     pub fn wanted_by_gang_reserve(&self, capacity: &FreeCapacity) -> bool {
         self.gang_reserves.values().any(|reserve| {
             reserve.lacking > 0
@@ -109,7 +111,8 @@
         in_zone && allowed(&self.spec, &capacity.kind, &capacity.zone, capacity.spot)
     }
 
-    /// Chooses the zone: the present one as long as there are ready machines, else that with most machines.
+    /// Chooses the zone: the present one as long as there are ready machines, else that with most
+    /// machines.
     fn choose_zone(&mut self, cycle: &SchedulingCycle) {
         if !self.spec.one_zone {
             return;
@@ -155,9 +158,9 @@
 }
 
 impl Scheduler {
-    /// Reserves machines for tasks of a job: those with the most free CPUs on which a slice may start once
-    /// they have more free. Where a slice fits already, the job was free to start and did not, because of
-    /// the zones of its other tasks; such a machine would stand idle.
+    /// Reserves machines for tasks of a job: those with the most free CPUs on which a slice may
+    /// start once they have more free. Where a slice fits already, the job was free to start and
+    /// did not, because of the zones of its other tasks; such a machine would stand idle.
     pub(super) fn reserve(
         &self,
         now: Millis,
@@ -246,9 +249,9 @@
         machine_type.map_or(0, |machine_type| machine_type.holds(&spec.demand))
     }
 
-    /// What a machine has beside `tasks` tasks of a job, the most that it takes: without other tasks there,
-    /// it would stand idle. Part of it is in use by tasks that are small enough for it; larger ones must
-    /// end in any case before a task of the job starts there.
+    /// What a machine has beside `tasks` tasks of a job, the most that it takes: without other
+    /// tasks there, it would stand idle. Part of it is in use by tasks that are small enough for
+    /// it; larger ones must end in any case before a task of the job starts there.
     fn unusable_remainder(&self, spec: &JobSpec, tasks: u32, capacity: &FreeCapacity) -> Demand {
         let Some(machine_type) = self.inventory.type_named(&capacity.kind) else {
             return Demand::default();
@@ -283,8 +286,8 @@
         }
     }
 
-    /// Reserves what is free for gangs to come, before any job takes it, and provisions what no machine
-    /// could hold.
+    /// Reserves what is free for gangs to come, before any job takes it, and provisions what no
+    /// machine could hold.
     pub(super) fn fill_gang_reserves(&mut self, now: Millis, cycle: &mut SchedulingCycle) {
         self.reservations.drop_expired_gang_reserves(now);
         // Taken out meanwhile: nothing below asks for reserves.
@@ -309,8 +312,8 @@
     }
 }
 
-/// Reserves free capacities, given by index with how many tasks each takes, in their order; returns for how
-/// many of the tasks there was nothing.
+/// Reserves free capacities, given by index with how many tasks each takes, in their order; returns
+/// for how many of the tasks there was nothing.
 fn reserve_free(
     free: &[(usize, u32)],
     demand: &Demand,
--- a/crates/latchtrack-core/src/scheduler/starvation.rs
+++ b/crates/latchtrack-core/src/scheduler/starvation.rs
@@ -59,13 +59,14 @@
             return;
         }
         if allowed < slice {
-            // It lacks quota: what comes free of its team's limit is kept from the team's other jobs.
+            // It lacks quota: what comes free of its team's limit is kept from the team's other
+            // jobs.
             self.count_usage(&spec, slice, cycle);
             return;
         }
         self.reserve_for_starving_job(now, &spec, cycle);
-        // Scheduled now, since later in the queue its team's limit may be used up, and nothing would ever
-        // be provisioned for it.
+        // Scheduled now, since later in the queue its team's limit may be used up, and nothing
+        // would ever be provisioned for it.
         self.schedule_entry(now, &mut QueueEntry { job: id, max_tasks: slice }, cycle);
         if self.reserves_quota_for_gang(now, id) {
             self.count_usage(&spec, slice, cycle);
@@ -90,8 +91,9 @@
         }
     }
 
-    /// Whether a gang that has its quota and waits for machines keeps that quota from its team's other
-    /// jobs: they would take it while the machines boot, so that it would never have both at once.
+    /// Whether a gang that has its quota and waits for machines keeps that quota from its team's
+    /// other jobs: they would take it while the machines boot, so that it would never have both at
+    /// once.
     fn reserves_quota_for_gang(&self, now: Millis, id: JobId) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
         if !job.spec.gang || job.schedulable_tasks() == 0 {
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -1,7 +1,7 @@
 //! Which machines take the tasks of a job, and the numbers of their attempts.
 //!
-//! Machines are ranked by the cost of the image, their size, the price and the score of the paper; then it
-//! is chosen how many tasks each takes, and last they are assigned.
+//! Machines are ranked by the cost of the image, their size, the price and the score of the paper;
+//! then it is chosen how many tasks each takes, and last they are assigned.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap};
@@ -17,8 +17,8 @@
 use crate::rules;
 use crate::Millis;
 
-/// Hands out the numbers of attempts. The fencing token is part of them, so that no two leaders use the
-/// same.
+/// Hands out the numbers of attempts. The fencing token is part of them, so that no two leaders use
+/// the same.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptNumbers {
     token: u64,
@@ -45,12 +45,13 @@
 /// A capacity of the cycle by its index, and how many tasks it is to take.
 type TaskCount = (usize, u32);
 
-/// What ranks a candidate, the smallest first: the cost of its image and load, the CPUs of the machine,
-/// whether it is on demand, and its score.
+/// What ranks a candidate, the smallest first: the cost of its image and load, the CPUs of the
+/// machine, whether it is on demand, and its score.
 type CandidateKey = (f64, f64, bool, f64);
 
 impl Scheduler {
-    /// The ready capacities that a job may use, whatever their size, with their indices in the cycle.
+    /// The ready capacities that a job may use, whatever their size, with their indices in the
+    /// cycle.
     pub(super) fn usable_capacities<'a>(
         &'a self,
         now: Millis,
@@ -96,7 +97,8 @@
         placed
     }
 
-    /// The zones of a job's assigned tasks, one entry a task, if they restrict where others may start.
+    /// The zones of a job's assigned tasks, one entry a task, if they restrict where others may
+    /// start.
     pub(super) fn zones_in_use(&self, job: &Job) -> Vec<Arc<str>> {
         if !job.spec.is_zone_constrained() {
             return Vec::new();
@@ -108,8 +110,8 @@
             .collect()
     }
 
-    /// The capacities that take a task of the job at least, by index, the best first. Unless zones restrict
-    /// the choice, `wanted` of them are enough.
+    /// The capacities that take a task of the job at least, by index, the best first. Unless zones
+    /// restrict the choice, `wanted` of them are enough.
     fn rank_candidates(
         &self,
         now: Millis,
@@ -141,8 +143,8 @@
         candidates.into_iter().map(|(_, index)| index).collect()
     }
 
-    /// How many tasks each candidate takes, in their order, `wanted` in all at most; of a job that is to be
-    /// spread no more in a zone than its share.
+    /// How many tasks each candidate takes, in their order, `wanted` in all at most; of a job that
+    /// is to be spread no more in a zone than its share.
     fn choose_counts(
         &self,
         now: Millis,
--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use common::*;
-use latchtrack_core::job::{Demand, JobId, JobSpec};
+use latchtrack_core::job::{Demand, JobId, JobSpec, RunTimes};
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
@@ -81,7 +81,7 @@
         let tasks = end(&c, i);
         c.handle(2_000, Event::Heartbeat(report(i, 2, 7, tasks)));
     }
-    assert_eq!(c.jobs()[&JobId(1)].ran, (0, 0));
+    assert_eq!(c.jobs()[&JobId(1)].run_times, RunTimes::default());
     let tasks = end(&c, 3);
     c.handle(30_000, Event::Heartbeat(report(3, 2, 7, tasks)));
     assert_eq!(c.machines()[&name(3)].slow_votes, 0);
