--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -92,7 +92,7 @@
 }
 
 impl Demand {
-    /// Takes the demand of so many tasks out of it; what is left may be negative.
+    /// Takes the demand of `tasks` tasks out of it; what is left may be negative.
     pub fn take(&mut self, demand: &Demand, tasks: u32) {
         let tasks = f64::from(tasks);
         self.cpus -= demand.cpus * tasks;
@@ -134,7 +134,8 @@
     pub image_gb: f64,
     /// s that a task runs, as its owner estimates.
     pub estimate_s: f64,
-    /// s between two checkpoints of a task; 0 if it saves none.
+    /// s of progress after which a running task saves a checkpoint; 0 if it never saves, and its
+    /// work is lost when it is stopped.
     pub checkpoint_s: f64,
     /// s that a task needs to save when it is stopped.
     pub save_s: f64,
@@ -161,7 +162,9 @@
 /// The run times of a job's done tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunTimes {
+    /// Their sum in ms.
     total_ms: Millis,
+    /// How many there are.
     count: u32,
 }
 
--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -52,7 +52,7 @@
     Exclusive,
 }
 
-/// That a machine is kept for the tasks of certain jobs, which start there as they find capacity.
+/// A machine is kept for the tasks of certain jobs, which start there as capacity comes free.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
     /// Who may use all of the machine.
@@ -80,7 +80,7 @@
         fits(demand, self.free.cpus, self.free.gpus, self.free.memory_gb)
     }
 
-    /// Takes the demand of so many tasks out of it.
+    /// Takes the demand of `tasks` tasks out of it.
     pub fn take(&mut self, demand: &Demand, tasks: u32) {
         self.free.take(demand, tasks);
         if let Some(reservation) = &mut self.reservation {
--- a/crates/latchtrack-core/src/placement/offers.rs
+++ b/crates/latchtrack-core/src/placement/offers.rs
@@ -1,4 +1,4 @@
-//! What the cloud may rent out.
+//! Offers: what may be provisioned for a job.
 
 use crate::job::JobSpec;
 use crate::machine::MachineType;
--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -19,6 +19,7 @@
 
 /// The free capacity of a machine as it is open to the entries of the queue, asked in their order.
 struct MachineView<'a> {
+    /// All that is free.
     free: &'a FreeCapacity,
     /// The class for which the machine is reserved, and what the reservation leaves to others.
     reserved: Option<(ClassId, FreeCapacity)>,
--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -19,6 +19,7 @@
 /// it counts nothing.
 #[derive(Clone, Debug)]
 pub(super) struct QuotaAccounting {
+    /// The cell's part of the limits; None if this deployment has its teams alone.
     keeper: Option<Keeper>,
     /// What each team needs for the first of its starving jobs.
     next_of_team: BTreeMap<String, Amounts>,
@@ -86,7 +87,7 @@
     Some(Keeper::new(KeeperSettings { cell, term, teams }))
 }
 
-/// What so many tasks of a job use.
+/// What `tasks` tasks of a job use.
 fn demand_of(spec: &JobSpec, tasks: u32) -> Amounts {
     let mut usage = TeamUsage::default();
     usage.add(spec, tasks);
@@ -192,7 +193,7 @@
         self.quota.note_launched(spec, tasks);
     }
 
-    /// Notes that so many tasks of a starving job are to start: the first such job of each team is
+    /// Notes that tasks of a starving job are to start: the first such job of each team is
     /// the next to start.
     pub(super) fn note_next_to_start(&mut self, spec: &JobSpec, tasks: u32) {
         self.quota.note_next_to_start(spec, tasks);
--- a/crates/latchtrack-core/src/scheduler/cycle.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle.rs
@@ -12,8 +12,11 @@
 /// When the next scheduling cycle is due.
 #[derive(Clone, Debug)]
 pub(super) struct CycleTimer {
+    /// When the last one began.
     last_at: Option<Millis>,
+    /// Cycles in this term.
     count: u64,
+    /// Something has changed since the last one.
     requested: bool,
 }
 
--- a/crates/latchtrack-core/src/scheduler/cycle_state.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle_state.rs
@@ -9,10 +9,15 @@
 /// The state of one scheduling cycle: the free capacity and the usage of the teams as the jobs
 /// placed so far leave them, and what was found for each equivalence class.
 pub(super) struct SchedulingCycle {
+    /// Of machines that are ready and of pending ones; reservations are among it.
     capacities: Vec<FreeCapacity>,
+    /// What all machines that are up have.
     total: Demand,
+    /// By the id of the class.
     searches: Vec<ClassSearch>,
+    /// What teams use, if any has a limit.
     used: UsageByTeam,
+    /// The same with the tasks counted on pending machines.
     expected: UsageByTeam,
 }
 
@@ -118,11 +123,17 @@
 /// repeated for the others.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ClassSearch {
+    /// No ready machine has capacity that is not reserved for others.
     ready_exhausted: bool,
+    /// Nor has one capacity that is reserved for jobs of other classes.
     reserved_exhausted: bool,
+    /// No pending machine has capacity.
     pending_exhausted: bool,
+    /// Nothing can be provisioned.
     offers_exhausted: bool,
+    /// Capacity was reserved for the waiting jobs of the class.
     has_reservation: bool,
+    /// Waiting tasks of its jobs further back in the queue.
     tasks_behind: u32,
 }
 
--- a/crates/latchtrack-core/src/scheduler/deferral.rs
+++ b/crates/latchtrack-core/src/scheduler/deferral.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// CPU-ms of so many tasks of a job, as its owner estimates.
+/// CPU-ms of a number of tasks of a job, as its owner estimates.
 fn cpu_ms(spec: &JobSpec, tasks: f64) -> f64 {
     spec.demand.cpus * tasks * spec.estimate_s * 1000.0
 }
--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -36,11 +36,15 @@
 
 /// Tasks of a job for which no ready machine was found.
 struct Shortage {
+    /// The job.
     spec: Arc<JobSpec>,
+    /// Its equivalence class.
     class: ClassId,
+    /// How many tasks.
     remaining: u32,
     /// For how long the job has found no capacity.
     unschedulable_ms: Millis,
+    /// Where capacity is sought.
     zone: TargetZone,
 }
 
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -15,7 +15,9 @@
 /// What a team uses and waits for, in dominant shares of the cluster.
 #[derive(Clone, Copy, Debug, Default)]
 struct TeamUse {
+    /// Of its live tasks.
     running: f64,
+    /// Of the tasks that its jobs may have placed now.
     waiting: f64,
 }
 
--- a/crates/latchtrack-core/src/scheduler/objectives.rs
+++ b/crates/latchtrack-core/src/scheduler/objectives.rs
@@ -10,7 +10,9 @@
 /// Which images some machine holds, looked up now and then.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ImageLocality {
+    /// The images by name.
     cached: HashSet<String>,
+    /// When they were looked up.
     updated_at: Option<Millis>,
 }
 
--- a/crates/latchtrack-core/src/scheduler/policy.rs
+++ b/crates/latchtrack-core/src/scheduler/policy.rs
@@ -149,9 +149,9 @@
 /// When a job is due, from its submission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Due {
-    /// After so many ms.
+    /// This many ms after it.
     Within(Millis),
-    /// After so many times its own deadline; a job without one is not due.
+    /// This many times its own deadline after it; a job without a deadline is not due.
     Times(f64),
 }
 
--- a/crates/latchtrack-core/src/scheduler/queue.rs
+++ b/crates/latchtrack-core/src/scheduler/queue.rs
@@ -23,8 +23,11 @@
 /// Jobs with waiting tasks, as the last scheduling cycle left them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobQueue {
+    /// In the order of the last cycle.
     entries: Vec<QueueEntry>,
+    /// Jobs that go before that order, the one that was submitted first going first.
     starving: Vec<JobId>,
+    /// Gangs of which the last cycle had capacity for some tasks only.
     gangs_lacking_capacity: HashSet<JobId>,
 }
 
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -21,7 +21,9 @@
 /// the same.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptNumbers {
+    /// The fencing token of the term.
     token: u64,
+    /// The last number of the term, without the token.
     last: u64,
 }
 
--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -21,7 +21,7 @@
 }
 
 impl TeamUsage {
-    /// Counts so many tasks of a job.
+    /// Counts `tasks` tasks of a job.
     pub fn add(&mut self, spec: &JobSpec, tasks: u32) {
         self.cpus += spec.demand.cpus * f64::from(tasks);
         self.gpus += spec.demand.gpus * f64::from(tasks);
@@ -32,11 +32,12 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageByTeam {
     teams: BTreeMap<String, TeamUsage>,
+    /// Some live run is of unknown size and team.
     unknown_runs: bool,
 }
 
 impl UsageByTeam {
-    /// Counts so many tasks of a job.
+    /// Counts `tasks` tasks of a job.
     pub fn add(&mut self, spec: &JobSpec, tasks: u32) {
         // Looked up first: almost always the team is there, and its name need not be copied.
         if let Some(usage) = self.teams.get_mut(&spec.team) {
