--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -105,14 +105,19 @@
         let Some(unschedulable_ms) = self.note_placed(now, entry.job, placed, remaining) else {
             return;
         };
-        if self.waits_for_image_anywhere(now, &self.jobs[&entry.job]) {
-            // It leaves capacity to others of its class that it might have used, and waits only
-            // briefly.
+        let job = self.jobs.get(&entry.job);
+        if job.is_none_or(|job| self.waits_for_image_anywhere(now, job)) {
+            // It left capacity unused that others of its class may take, and waits only briefly.
             return;
         }
         let zone = self.target_zone(&spec, cycle);
         let shortage = Shortage { spec, class, remaining, unschedulable_ms, zone };
-        self.note_ready_exhausted(now, &shortage, access, cycle);
+        if shortage.spec.gang {
+            // That it does not fit whole says nothing of the others of its class.
+            self.reserve_for_waiting_gang(now, &shortage, cycle);
+        } else {
+            self.note_ready_exhausted(&shortage, access, cycle);
+        }
         self.acquire_capacity(now, shortage, cycle);
     }
 
@@ -157,28 +162,31 @@
         zone_with_most_capacity(allowed, spec).map_or(TargetZone::Any, TargetZone::Preferred)
     }
 
-    /// Reserves for a gang what is free, and notes for other jobs that their class finds no ready
-    /// machine.
-    fn note_ready_exhausted(
+    /// Reserves for a gang what is free, if it is to start promptly or has waited long enough.
+    fn reserve_for_waiting_gang(
         &mut self,
         now: Millis,
         shortage: &Shortage,
-        access: ReservationAccess,
         cycle: &mut SchedulingCycle,
     ) {
         let spec = &shortage.spec;
-        if spec.gang {
-            let reserves = self.start_objective_ms(spec).is_some()
-                || shortage.unschedulable_ms >= self.policy.reserve_after_ms;
-            if reserves {
-                let reserved_for = ReservedFor::Class(shortage.class);
-                let which = GangReservation::FreeOnly;
-                self.reserve_for_gang(now, spec, reserved_for, which, cycle);
-            }
-            // That a gang does not fit whole tells nothing of the others of its class.
-            return;
+        if self.start_objective_ms(spec).is_some()
+            || shortage.unschedulable_ms >= self.policy.reserve_after_ms
+        {
+            let reserved_for = ReservedFor::Class(shortage.class);
+            self.reserve_for_gang(now, spec, reserved_for, GangReservation::FreeOnly, cycle);
         }
-        // Nor does what a job finds that is bound by where its own tasks are, or where they failed.
+    }
+
+    /// Notes for the other jobs of its class that a job found no ready machine. What a job finds that
+    /// is bound by where its own tasks are, or where they failed, says nothing of the others.
+    fn note_ready_exhausted(
+        &self,
+        shortage: &Shortage,
+        access: ReservationAccess,
+        cycle: &mut SchedulingCycle,
+    ) {
+        let spec = &shortage.spec;
         let avoids_machines = self.jobs.get(&spec.id).is_some_and(|job| !job.failed_on.is_empty());
         if !spec.is_zone_constrained() && !avoids_machines {
             cycle.search_mut(shortage.class).exhaust_ready(access);
