--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -82,7 +82,7 @@
 
 /// What a task takes of its machine, or a machine has.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-pub struct Demand {
+pub struct Resources {
     /// CPUs.
     pub cpus: f64,
     /// GPUs.
@@ -91,9 +91,9 @@
     pub memory_gb: f64,
 }
 
-impl Demand {
+impl Resources {
     /// Takes the demand of `tasks` tasks out of it; what is left may be negative.
-    pub fn take(&mut self, demand: &Demand, tasks: u32) {
+    pub fn take(&mut self, demand: &Resources, tasks: u32) {
         let tasks = f64::from(tasks);
         self.cpus -= demand.cpus * tasks;
         self.gpus -= demand.gpus * tasks;
@@ -117,7 +117,7 @@
     /// All tasks run at the same time or none does; otherwise they are independent of each other.
     pub gang: bool,
     /// What one task takes of its machine.
-    pub demand: Demand,
+    pub demand: Resources,
     /// The machine types that it allows; None allows all.
     pub types: Option<Vec<String>>,
     /// The zone in which it is to run; None allows all.
--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::constants::SLOW_VOTES;
-use crate::job::{Demand, JobId, JobSpec, TaskId};
+use crate::job::{JobId, JobSpec, Resources, TaskId};
 use crate::Millis;
 
 /// A type of machine that the cloud rents out.
@@ -25,13 +25,13 @@
 
 impl MachineType {
     /// How many tasks of this demand an empty machine takes.
-    pub fn holds(&self, d: &Demand) -> u32 {
+    pub fn holds(&self, d: &Resources) -> u32 {
         fits(d, self.cpus, self.gpus, self.memory_gb)
     }
 }
 
 /// How many tasks of a demand go into this much room.
-pub fn fits(d: &Demand, cpus: f64, gpus: f64, memory_gb: f64) -> u32 {
+pub fn fits(d: &Resources, cpus: f64, gpus: f64, memory_gb: f64) -> u32 {
     // A hair of slack: amounts are decimal numbers, their sums are not.
     let part = |need: f64, have: f64| {
         if need > 0.0 {
@@ -264,8 +264,8 @@
     }
 
     /// Room taken by live runs; None when a run of unknown size is on it.
-    pub fn allocated(&self) -> Option<Demand> {
-        let mut d = Demand::default();
+    pub fn allocated(&self) -> Option<Resources> {
+        let mut d = Resources::default();
         for run in self.runs.values().filter(|r| r.is_live()) {
             let spec = run.spec.as_ref()?;
             d.cpus += spec.demand.cpus;
--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::job::{ClassId, Demand};
+use crate::job::{ClassId, Resources};
 use crate::machine::{fits, Images};
 
 /// What of a machine is free.
@@ -23,7 +23,7 @@
     /// It may hold others, from before this term.
     pub images_incomplete: bool,
     /// What no task uses and no move reserves.
-    pub free: Demand,
+    pub free: Resources,
     /// It is up and takes launches now; otherwise its capacity is pending.
     pub ready: bool,
     /// Set if it is kept for jobs that have waited too long, or for gangs to come.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadInfo {
     /// All that the machine has.
-    pub capacity: Demand,
+    pub capacity: Resources,
     /// The mean load of the machines of its pool, as a part of a machine.
     pub mean_load: f64,
     /// GB of images that it is fetching.
@@ -58,13 +58,13 @@
     /// Who may use all of the machine.
     pub reserved_for: ReservedFor,
     /// What these jobs can't use, however much of the machine comes free. It is open to all.
-    pub spare: Demand,
+    pub spare: Resources,
 }
 
 impl FreeCapacity {
     /// How many tasks with this demand a job of this class may put here: on a machine that is
     /// reserved for others, no more than these leave.
-    pub fn admits(&self, demand: &Demand, class: ClassId) -> u32 {
+    pub fn admits(&self, demand: &Resources, class: ClassId) -> u32 {
         let by_size = self.holds(demand);
         match &self.reservation {
             Some(reservation) if reservation.reserved_for != ReservedFor::Class(class) => {
@@ -76,12 +76,12 @@
     }
 
     /// How many tasks with this demand fit, by size alone.
-    pub fn holds(&self, demand: &Demand) -> u32 {
+    pub fn holds(&self, demand: &Resources) -> u32 {
         fits(demand, self.free.cpus, self.free.gpus, self.free.memory_gb)
     }
 
     /// Takes the demand of `tasks` tasks out of it.
-    pub fn take(&mut self, demand: &Demand, tasks: u32) {
+    pub fn take(&mut self, demand: &Resources, tasks: u32) {
         self.free.take(demand, tasks);
         if let Some(reservation) = &mut self.reservation {
             reservation.spare.take(demand, tasks);
--- a/crates/latchtrack-core/src/placement/scoring.rs
+++ b/crates/latchtrack-core/src/placement/scoring.rs
@@ -1,7 +1,7 @@
 //! The scores of the paper.
 
 use crate::constants::{ALPHA, BETA, GAMMA};
-use crate::job::Demand;
+use crate::job::Resources;
 
 /// The weights of Eq. 5, and one for GPUs, which the paper does not have.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,13 +31,13 @@
 
 /// Eq. 8: free capacity as a weighted share of all that is up; Eq. 9 for one task is the same sum
 /// over its demand.
-pub fn score(amount: &Demand, total: &Demand, weights: &ScoreWeights) -> f64 {
+pub fn score(amount: &Resources, total: &Resources, weights: &ScoreWeights) -> f64 {
     weighted_part(amount.cpus, total.cpus, weights.alpha)
         + weighted_part(amount.memory_gb, total.memory_gb, weights.beta)
         + weighted_part(amount.gpus, total.gpus, weights.gamma)
 }
 
 /// Eq. 9: a job's demand is one task's weighted share times its count.
-pub fn job_demand(task: &Demand, tasks: u32, total: &Demand, weights: &ScoreWeights) -> f64 {
+pub fn job_demand(task: &Resources, tasks: u32, total: &Resources, weights: &ScoreWeights) -> f64 {
     score(task, total, weights) * f64::from(tasks)
 }
--- a/crates/latchtrack-core/src/scheduler/best_effort.rs
+++ b/crates/latchtrack-core/src/scheduler/best_effort.rs
@@ -4,7 +4,7 @@
 
 use super::Scheduler;
 use crate::constants::{BEST_EFFORT_SHARE, STARVATION_MS};
-use crate::job::{Demand, Job, JobId, JobSpec, Priority};
+use crate::job::{Job, JobId, JobSpec, Priority, Resources};
 use crate::Millis;
 
 impl Scheduler {
@@ -19,7 +19,7 @@
     /// Best-effort jobs that have waited long enough to go before deferred ones, with how many
     /// tasks: the oldest first, within [`BEST_EFFORT_SHARE`] of the cluster. In an overload that
     /// lasts they would otherwise not be served at all.
-    pub(super) fn best_effort_due(&self, now: Millis, total: &Demand) -> HashMap<JobId, u32> {
+    pub(super) fn best_effort_due(&self, now: Millis, total: &Resources) -> HashMap<JobId, u32> {
         let mut remaining_cpus = total.cpus * BEST_EFFORT_SHARE;
         let mut due: Vec<&Job> = Vec::new();
         for job in self.jobs.values().filter(|job| self.is_best_effort(&job.spec)) {
--- a/crates/latchtrack-core/src/scheduler/cycle_state.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle_state.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::team_limits::UsageByTeam;
-use crate::job::{ClassId, Demand, JobSpec};
+use crate::job::{ClassId, JobSpec, Resources};
 use crate::placement::{FreeCapacity, Reservation};
 
 /// The state of one scheduling cycle: the free capacity and the usage of the teams as the jobs
@@ -12,7 +12,7 @@
     /// Of machines that are ready and of pending ones; reservations are among it.
     capacities: Vec<FreeCapacity>,
     /// What all machines that are up have.
-    total: Demand,
+    total: Resources,
     /// By the id of the class.
     searches: Vec<ClassSearch>,
     /// What teams use, if any has a limit.
@@ -26,7 +26,7 @@
     /// `used` what the teams use, if any has a limit.
     pub fn new(
         capacities: Vec<FreeCapacity>,
-        total: Demand,
+        total: Resources,
         searches: Vec<ClassSearch>,
         used: UsageByTeam,
     ) -> Self {
@@ -40,7 +40,7 @@
     }
 
     /// What all machines that are up have.
-    pub fn total(&self) -> &Demand {
+    pub fn total(&self) -> &Resources {
         &self.total
     }
 
@@ -60,7 +60,7 @@
 
     /// Takes the demand of tasks out of a capacity; returns its machine, if it has been
     /// provisioned.
-    pub fn take(&mut self, index: usize, demand: &Demand, tasks: u32) -> Option<Arc<str>> {
+    pub fn take(&mut self, index: usize, demand: &Resources, tasks: u32) -> Option<Arc<str>> {
         let capacity = &mut self.capacities[index];
         capacity.take(demand, tasks);
         capacity.machine.clone()
--- a/crates/latchtrack-core/src/scheduler/deferral.rs
+++ b/crates/latchtrack-core/src/scheduler/deferral.rs
@@ -2,7 +2,7 @@
 
 use super::queue_order::{QueueTier, RankedJob};
 use super::Scheduler;
-use crate::job::{Demand, Job, JobSpec};
+use crate::job::{Job, JobSpec, Resources};
 use crate::placement::{deferred, TimedDemand};
 use crate::Millis;
 
@@ -12,7 +12,7 @@
 impl Scheduler {
     /// Moves jobs to the tier of the deferred ones where not all with an objective can be in time:
     /// see [`deferred`].
-    pub(super) fn defer_jobs(&self, now: Millis, ranked: &mut [RankedJob], total: &Demand) {
+    pub(super) fn defer_jobs(&self, now: Millis, ranked: &mut [RankedJob], total: &Resources) {
         let running: f64 = self
             .inventory
             .runs()
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -9,7 +9,7 @@
 use super::policy::Team;
 use super::queue_order::RankedJob;
 use super::Scheduler;
-use crate::job::{Demand, Job, JobSpec};
+use crate::job::{Job, JobSpec, Resources};
 use crate::Millis;
 
 /// What a team uses and waits for, in dominant shares of the cluster.
@@ -28,7 +28,7 @@
         &mut self,
         now: Millis,
         ranked: &mut [RankedJob],
-        total: &Demand,
+        total: &Resources,
     ) {
         if !self.policy.balance.teams {
             return;
@@ -55,7 +55,7 @@
         &mut self,
         now: Millis,
         used: &BTreeMap<String, TeamUse>,
-        total: &Demand,
+        total: &Resources,
     ) -> BTreeMap<String, f64> {
         let demand = |team: &Team| {
             let used = used.get(&team.name).copied().unwrap_or_default();
@@ -74,7 +74,7 @@
     }
 
     /// What each team uses, and what its jobs in the queue wait for.
-    fn team_use(&self, ranked: &[RankedJob], total: &Demand) -> BTreeMap<String, TeamUse> {
+    fn team_use(&self, ranked: &[RankedJob], total: &Resources) -> BTreeMap<String, TeamUse> {
         let mut used: BTreeMap<String, TeamUse> = BTreeMap::new();
         let runs = self.inventory.runs();
         for spec in runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref()) {
@@ -88,16 +88,16 @@
 }
 
 /// The dominant share of the cluster that a task takes.
-fn task_share(spec: &JobSpec, total: &Demand) -> f64 {
+fn task_share(spec: &JobSpec, total: &Resources) -> f64 {
     amounts(&spec.demand).dominant_share(&amounts(total))
 }
 
 /// The dominant share of the cluster that all tasks take that a job may have placed now.
-fn waiting_share(job: &Job, total: &Demand) -> f64 {
+fn waiting_share(job: &Job, total: &Resources) -> f64 {
     task_share(&job.spec, total) * f64::from(job.schedulable_tasks())
 }
 
-fn team_demand(team: &Team, used: TeamUse, total: &Demand) -> TeamDemand {
+fn team_demand(team: &Team, used: TeamUse, total: &Resources) -> TeamDemand {
     let part = |amount: f64, all: f64| if all > 0.0 { amount / all } else { 0.0 };
     let limits = [part(team.cpus_max, total.cpus), part(team.gpus_max, total.gpus)];
     let limit = limits.into_iter().filter(|limit| *limit > 0.0).fold(f64::INFINITY, f64::min);
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -2,7 +2,7 @@
 
 use super::provisioning::pending_capacity;
 use super::Scheduler;
-use crate::job::Demand;
+use crate::job::Resources;
 use crate::machine::Machine;
 use crate::placement::FreeCapacity;
 use crate::Millis;
@@ -25,7 +25,7 @@
             total_cpus: machine_type.cpus,
             images: machine.images.clone(),
             images_incomplete: machine.inherited,
-            free: Demand {
+            free: Resources {
                 cpus: machine_type.cpus - used.cpus - reserved.cpus,
                 gpus: machine_type.gpus - used.gpus - reserved.gpus,
                 memory_gb: machine_type.memory_gb - used.memory_gb - reserved.memory_gb,
@@ -53,9 +53,9 @@
 
     /// The free capacities of all machines, up or pending, and what those that are up have in all.
     /// A machine whose heartbeat is overdue takes no more tasks, and still counts as up.
-    pub(super) fn free_capacities(&self, now: Millis) -> (Vec<FreeCapacity>, Demand) {
+    pub(super) fn free_capacities(&self, now: Millis) -> (Vec<FreeCapacity>, Resources) {
         let mut capacities = Vec::with_capacity(self.inventory.len());
-        let mut total = Demand::default();
+        let mut total = Resources::default();
         for machine in self.inventory.iter() {
             let Some(capacity) = self.free_capacity_of(now, machine) else { continue };
             if machine.is_up() {
--- a/crates/latchtrack-core/src/scheduler/moves.rs
+++ b/crates/latchtrack-core/src/scheduler/moves.rs
@@ -18,7 +18,7 @@
 use super::messages::Effect;
 use super::Scheduler;
 use crate::constants::*;
-use crate::job::{Demand, Job, JobId, JobSpec, TaskId};
+use crate::job::{Job, JobId, JobSpec, Resources, TaskId};
 use crate::machine::{Machine, MachineType, StopRequest, TaskPhase, TaskRun};
 use crate::placement::{FreeCapacity, LoadInfo};
 use crate::rules;
@@ -117,7 +117,7 @@
         let pool = self.load_balancing.pools.get(&(m.kind.clone(), m.zone.clone(), m.spot));
         let spread = pool.and_then(|pool| self.load_balancing.balancer.spreads().get(pool));
         Some(LoadInfo {
-            capacity: Demand { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
+            capacity: Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
             mean_load: spread.map_or(0.0, |spread| spread.mean),
             fetching_gb: fetching.values().sum(),
         })
@@ -505,7 +505,7 @@
     run.phase == TaskPhase::Running && saves && run.stop.is_none()
 }
 
-pub(super) fn amounts(demand: &Demand) -> Amounts {
+pub(super) fn amounts(demand: &Resources) -> Amounts {
     Amounts { cpus: demand.cpus, gpus: demand.gpus, memory_gb: demand.memory_gb }
 }
 
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -8,7 +8,7 @@
 use super::messages::Effect;
 use super::Scheduler;
 use crate::constants::*;
-use crate::job::{Demand, JobSpec};
+use crate::job::{JobSpec, Resources};
 use crate::machine::MachineType;
 use crate::placement;
 use crate::placement::{FreeCapacity, Offer};
@@ -118,7 +118,7 @@
         total_cpus: t.cpus,
         images: Arc::default(),
         images_incomplete: false,
-        free: Demand { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
+        free: Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
         ready: false,
         reservation: None,
         balance: None,
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -15,7 +15,7 @@
 use super::task_placement::zone_with_most_capacity;
 use super::Scheduler;
 use crate::constants::GANG_RESERVE_TTL_MS;
-use crate::job::{ClassId, Demand, JobSpec};
+use crate::job::{ClassId, JobSpec, Resources};
 use crate::machine::fits;
 use crate::placement::{allowed, FreeCapacity, Reservation, ReservedFor};
 use crate::rules;
@@ -48,7 +48,7 @@
 
     /// Tasks of a job start on a machine: those of other classes than the one for which it is
     /// reserved use what that one can't.
-    pub fn take_spare(&mut self, machine: &str, class: ClassId, demand: &Demand, tasks: u32) {
+    pub fn take_spare(&mut self, machine: &str, class: ClassId, demand: &Resources, tasks: u32) {
         if let Some(reservation) = self.by_machine.get_mut(machine) {
             if reservation.reserved_for != ReservedFor::Class(class) {
                 reservation.spare.take(demand, tasks);
@@ -252,11 +252,11 @@
     /// What a machine has beside `tasks` tasks of a job, the most that it takes: without other
     /// tasks there, it would stand idle. Part of it is in use by tasks that are small enough for
     /// it; larger ones must end in any case before a task of the job starts there.
-    fn unusable_remainder(&self, spec: &JobSpec, tasks: u32, capacity: &FreeCapacity) -> Demand {
+    fn unusable_remainder(&self, spec: &JobSpec, tasks: u32, capacity: &FreeCapacity) -> Resources {
         let Some(machine_type) = self.inventory.type_named(&capacity.kind) else {
-            return Demand::default();
+            return Resources::default();
         };
-        let mut spare = Demand {
+        let mut spare = Resources {
             cpus: machine_type.cpus,
             gpus: machine_type.gpus,
             memory_gb: machine_type.memory_gb,
@@ -316,7 +316,7 @@
 /// for how many of the tasks there was nothing.
 fn reserve_free(
     free: &[(usize, u32)],
-    demand: &Demand,
+    demand: &Resources,
     tasks: u32,
     reserved_for: ReservedFor,
     cycle: &mut SchedulingCycle,
--- a/crates/latchtrack-core/tests/balance.rs
+++ b/crates/latchtrack-core/tests/balance.rs
@@ -9,7 +9,7 @@
 use common::{name, policy, spec, LEASE};
 use latchtrack_balance::balancer::Limits;
 use latchtrack_balance::moves::Stage;
-use latchtrack_core::job::{Demand, JobId, JobSpec, TaskId};
+use latchtrack_core::job::{JobId, JobSpec, Resources, TaskId};
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
@@ -34,7 +34,7 @@
 fn saving(id: u64, tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
-        demand: Demand { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 },
+        demand: Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 },
         checkpoint_s: 10.0,
         save_s: 2.0,
         estimate_s: 600.0,
@@ -173,7 +173,7 @@
         site.pass(400);
         work(&mut site);
     }
-    let large = Demand { cpus: 8.0, gpus: 0.0, memory_gb: 8.0 };
+    let large = Resources { cpus: 8.0, gpus: 0.0, memory_gb: 8.0 };
     site.no_capacity = true;
     site.submit(JobSpec { demand: large, zone: Some("a".into()), ..saving(3, 1) });
     go_on(&mut site, 20_000);
@@ -321,7 +321,7 @@
     let mut site = Site::new(6, moving());
     site.submit(filler(10, 6, "a"));
     site.pass(400);
-    let two_cpus = Demand { cpus: 2.0, gpus: 0.0, memory_gb: 2.0 };
+    let two_cpus = Resources { cpus: 2.0, gpus: 0.0, memory_gb: 2.0 };
     site.submit(JobSpec { gang: true, zone: Some("a".into()), demand: two_cpus, ..saving(1, 2) });
     site.pass(400);
     site.submit(filler(11, 1, "a"));
@@ -373,7 +373,7 @@
     site.pass(400);
     work(&mut site);
     // Seven machines in zone b for eight tasks.
-    let all = Demand { cpus: 8.0, gpus: 0.0, memory_gb: 8.0 };
+    let all = Resources { cpus: 8.0, gpus: 0.0, memory_gb: 8.0 };
     let whole = JobSpec { demand: all, zone: Some("b".into()), checkpoint_s: 0.0, ..saving(2, 8) };
     site.submit(whole);
     site.pass(400);
--- a/crates/latchtrack-core/tests/common/mod.rs
+++ b/crates/latchtrack-core/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::machine::*;
 use latchtrack_core::placement::ScoreWeights;
 use latchtrack_core::scheduler::*;
@@ -67,7 +67,7 @@
         priority: Priority::Normal,
         tasks,
         gang: false,
-        demand: Demand { cpus: 4.0, gpus: 0.0, memory_gb: 4.0 },
+        demand: Resources { cpus: 4.0, gpus: 0.0, memory_gb: 4.0 },
         types: None,
         zone: None,
         one_zone: false,
--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use common::*;
-use latchtrack_core::job::{Demand, JobId, JobSpec, RunTimes};
+use latchtrack_core::job::{JobId, JobSpec, Resources, RunTimes};
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
@@ -36,7 +36,7 @@
 fn a_result_is_forgotten_only_after_it_is_stored() {
     let mut c = Scheduler::new(policy(), STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
     // As many as are forgotten without another command to go with.
-    let demand = Demand { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
+    let demand = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
     let spec = Arc::new(JobSpec { demand, ..(*spec(1, 8)).clone() });
     c.handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None });
     let effects = c.handle(1_100, Event::Heartbeat(report(0, 1, 7, Vec::new())));
@@ -152,7 +152,7 @@
 fn a_question_without_an_answer_keeps_no_run_from_being_forgotten() {
     let forgets = |commands: bool| {
         let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
-        let demand = Demand { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
+        let demand = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
         let spec = Arc::new(JobSpec { demand, ..(*spec(1, 8)).clone() });
         let job = Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None };
         if !commands {
--- a/crates/latchtrack-core/tests/gangs.rs
+++ b/crates/latchtrack-core/tests/gangs.rs
@@ -7,7 +7,7 @@
 
 use common::site::*;
 use common::{policy, spec};
-use latchtrack_core::job::{Demand, JobId, JobSpec, TaskId};
+use latchtrack_core::job::{JobId, JobSpec, Resources, TaskId};
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
@@ -349,7 +349,7 @@
 #[test]
 fn the_failures_of_one_attempt_count_once() {
     let mut site = Site::new(4, patient());
-    let demand = Demand { cpus: 8.0, gpus: 0.0, memory_gb: 8.0 };
+    let demand = Resources { cpus: 8.0, gpus: 0.0, memory_gb: 8.0 };
     site.submit(JobSpec { demand, ..gang(1, 4) });
     site.pass(400);
     site.set(1, TaskPhase::Running, |_| true);
@@ -393,7 +393,7 @@
     // There is no machine for it just now.
     site.submit(JobSpec { types: Some(vec!["h".into()]), ..array(1, 2) });
     site.pass(200_000);
-    let demand = Demand { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
+    let demand = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
     site.submit(JobSpec { demand, ..gang(2, 4) });
     site.pass(2_000);
     only_attempt(&site, 2, 4);
@@ -577,7 +577,7 @@
     // There is no machine for it yet.
     site.submit(JobSpec { types: Some(vec!["h".into()]), ..gang(1, 4) });
     site.pass(31_000);
-    let small = Demand { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
+    let small = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
     site.submit(JobSpec { demand: small, ..array(2, 8) });
     site.pass(10_000);
     assert_eq!(site.live(2).len(), 0, "its limit is kept");
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -1,6 +1,6 @@
 //! The scores, what fits, and who is deferred.
 
-use latchtrack_core::job::{ClassId, Demand};
+use latchtrack_core::job::{ClassId, Resources};
 use latchtrack_core::machine::fits;
 use latchtrack_core::placement::*;
 
@@ -10,12 +10,12 @@
 #[test]
 fn scores_follow_the_papers_equations() {
     let w = ScoreWeights::default();
-    let total = Demand { cpus: 16.0 + 16.0 + 32.0, gpus: 0.0, memory_gb: 64.0 + 64.0 + 64.0 };
-    let free = Demand { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
+    let total = Resources { cpus: 16.0 + 16.0 + 32.0, gpus: 0.0, memory_gb: 64.0 + 64.0 + 64.0 };
+    let free = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
     assert!((score(&free, &total, &w) - (0.05 + 1.0 / 60.0)).abs() < 1e-12);
-    let task = Demand { cpus: 4.0, gpus: 0.0, memory_gb: 12.0 };
+    let task = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 12.0 };
     assert!((job_demand(&task, 5, &total, &w) - 0.3125).abs() < 1e-12);
-    assert_eq!(score(&free, &Demand::default(), &w), 0.0, "no machine runs");
+    assert_eq!(score(&free, &Resources::default(), &w), 0.0, "no machine runs");
 }
 
 #[test]
@@ -30,17 +30,17 @@
 
 #[test]
 fn fits_is_bounded_by_the_scarcest_part() {
-    let d = Demand { cpus: 4.0, gpus: 0.0, memory_gb: 15.0 };
+    let d = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 15.0 };
     assert_eq!(fits(&d, 16.0, 0.0, 64.0), 4);
     assert_eq!(fits(&d, 16.0, 0.0, 44.0), 2);
-    assert_eq!(fits(&Demand { gpus: 1.0, ..d }, 16.0, 0.0, 64.0), 0);
+    assert_eq!(fits(&Resources { gpus: 1.0, ..d }, 16.0, 0.0, 64.0), 0);
     assert_eq!(fits(&d, -1.0, 0.0, 64.0), 0);
 }
 
 /// A room is open to the jobs it is kept for whole, and to others for what those leave.
 #[test]
 fn a_kept_room_is_open_to_others_for_what_its_holder_leaves() {
-    let amount = |cpus| Demand { cpus, gpus: 0.0, memory_gb: cpus };
+    let amount = |cpus| Resources { cpus, gpus: 0.0, memory_gb: cpus };
     let mut room = FreeCapacity {
         machine: None,
         kind: "g".into(),
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use common::*;
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
@@ -208,7 +208,7 @@
 /// comes later starts there, if it does within so many ms.
 fn starts_beside(cpus: f64, within: u64) -> Option<u64> {
     let sized = |id, cpus| {
-        let demand = Demand { cpus, gpus: 0.0, memory_gb: 1.0 };
+        let demand = Resources { cpus, gpus: 0.0, memory_gb: 1.0 };
         let spec = Arc::new(JobSpec { demand, ..(*spec(id, 1)).clone() });
         Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None }
     };
@@ -262,7 +262,7 @@
             c.handle(now, Event::Heartbeat(Heartbeat { tasks, ..in_b(now) }));
         }
         if now == 14_000 {
-            let demand = Demand { cpus: 3.0, gpus: 0.0, memory_gb: 4.0 };
+            let demand = Resources { cpus: 3.0, gpus: 0.0, memory_gb: 4.0 };
             let spec = Arc::new(JobSpec { demand, ..(*spec(2, 1)).clone() });
             c.handle(now, Event::JobOpened { spec, submitted_at: now, revision: 9, done: None });
         }
--- a/crates/latchtrack-core/tests/rules.rs
+++ b/crates/latchtrack-core/tests/rules.rs
@@ -1,6 +1,6 @@
 //! The checks behind the protocol's rules.
 
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::rules::{may_start, within_limit};
 
 #[test]
@@ -12,7 +12,7 @@
         priority: Priority::Normal,
         tasks: 5,
         gang: false,
-        demand: Demand::default(),
+        demand: Resources::default(),
         types: Some(vec!["g".into()]),
         zone: None,
         one_zone: true,
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -14,7 +14,7 @@
 
 use latchtrack_balance::balancer::{Limits, MoveCounts};
 use latchtrack_core::bitmap::Bitmap;
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority, TaskId};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources, TaskId};
 use latchtrack_core::machine::*;
 use latchtrack_core::placement::{Offer, ScoreWeights};
 use latchtrack_core::rules;
--- a/crates/latchtrack/src/wire/records.rs
+++ b/crates/latchtrack/src/wire/records.rs
@@ -9,7 +9,7 @@
 
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
 use serde::{Deserialize, Serialize};
@@ -178,7 +178,7 @@
                     priority,
                     tasks: s.tasks,
                     gang: s.gang,
-                    demand: Demand { cpus: s.cpus, gpus: s.gpus, memory_gb: s.memory_gb },
+                    demand: Resources { cpus: s.cpus, gpus: s.gpus, memory_gb: s.memory_gb },
                     types: s.types,
                     zone: s.zone,
                     one_zone: s.one_zone,
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -1,7 +1,7 @@
 //! Messages between users and nodes.
 
 use latchtrack_core::constants::MAX_TASKS;
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use serde::Serialize;
 use serde_json::{Map, Value};
 
@@ -103,7 +103,11 @@
         priority,
         tasks: tasks as u32,
         gang,
-        demand: Demand { cpus, gpus: needed(map, "cards")?, memory_gb: needed(map, "memory_gb")? },
+        demand: Resources {
+            cpus,
+            gpus: needed(map, "cards")?,
+            memory_gb: needed(map, "memory_gb")?,
+        },
         types,
         zone: match get(map, "yard") {
             None => None,
--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -11,7 +11,7 @@
 use latchtrack::wire::status::NodeView;
 use latchtrack_core::bitmap::Bitmap;
 use latchtrack_core::constants::{ATTEMPT_BITS, CHUNK_TASKS};
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
 
@@ -24,7 +24,7 @@
         priority: Priority::High,
         tasks: 16,
         gang: false,
-        demand: Demand { cpus: 4.0, gpus: 1.0, memory_gb: 3.6 },
+        demand: Resources { cpus: 4.0, gpus: 1.0, memory_gb: 3.6 },
         types: Some(vec!["g".into()]),
         zone: Some("a".into()),
         one_zone: true,
@@ -43,7 +43,7 @@
 fn least_spec() -> JobSpec {
     JobSpec {
         priority: Priority::Low,
-        demand: Demand { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
+        demand: Resources { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
         types: None,
         zone: None,
         one_zone: false,
--- a/crates/latchtrack/tests/records.rs
+++ b/crates/latchtrack/tests/records.rs
@@ -5,7 +5,7 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
 use latchtrack::wire::records::*;
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
 use rand::rngs::StdRng;
@@ -19,7 +19,7 @@
         priority: Priority::High,
         tasks: 16,
         gang: true,
-        demand: Demand { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
+        demand: Resources { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
         types: Some(vec!["g".into()]),
         zone: None,
         one_zone: true,
