--- a/crates/latchtrack-balance/src/amounts.rs
+++ b/crates/latchtrack-balance/src/amounts.rs
@@ -38,6 +38,22 @@
         }
     }
 
+    /// Adds `times` times another amount to it.
+    pub fn add_multiple(&mut self, other: &Amounts, times: u32) {
+        let times = f64::from(times);
+        self.cpus += other.cpus * times;
+        self.gpus += other.gpus * times;
+        self.memory_gb += other.memory_gb * times;
+    }
+
+    /// Takes `times` times another amount out of it; what is left may be negative.
+    pub fn take_multiple(&mut self, other: &Amounts, times: u32) {
+        let times = f64::from(times);
+        self.cpus -= other.cpus * times;
+        self.gpus -= other.gpus * times;
+        self.memory_gb -= other.memory_gb * times;
+    }
+
     /// Whether all of this goes into `room`.
     pub fn fits_in(&self, room: &Amounts) -> bool {
         let pairs = self.each().into_iter().zip(room.each());
--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -5,6 +5,9 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
+/// CPUs, GPUs and memory: what a task takes of its machine, or a machine has.
+pub use latchtrack_balance::amounts::Amounts as Resources;
+
 use crate::bitmap::Bitmap;
 use crate::constants::{SLOW_FACTOR, SLOW_MIN_SAMPLES};
 use crate::Millis;
@@ -80,27 +83,6 @@
     Low,
 }
 
-/// What a task takes of its machine, or a machine has.
-#[derive(Clone, Copy, PartialEq, Debug, Default)]
-pub struct Resources {
-    /// CPUs.
-    pub cpus: f64,
-    /// GPUs.
-    pub gpus: f64,
-    /// Memory in GB.
-    pub memory_gb: f64,
-}
-
-impl Resources {
-    /// Takes the demand of `tasks` tasks out of it; what is left may be negative.
-    pub fn take(&mut self, demand: &Resources, tasks: u32) {
-        let tasks = f64::from(tasks);
-        self.cpus -= demand.cpus * tasks;
-        self.gpus -= demand.gpus * tasks;
-        self.memory_gb -= demand.memory_gb * tasks;
-    }
-}
-
 /// A job as its user described it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct JobSpec {
--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -82,9 +82,9 @@
 
     /// Takes the demand of `tasks` tasks out of it.
     pub fn take(&mut self, demand: &Resources, tasks: u32) {
-        self.free.take(demand, tasks);
+        self.free.take_multiple(demand, tasks);
         if let Some(reservation) = &mut self.reservation {
-            reservation.spare.take(demand, tasks);
+            reservation.spare.take_multiple(demand, tasks);
         }
     }
 
--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -10,9 +10,8 @@
 
 use super::messages::Effect;
 use super::policy::{Policy, Team};
-use super::team_limits::TeamUsage;
 use super::Scheduler;
-use crate::job::{Job, JobSpec};
+use crate::job::{Job, JobSpec, Resources};
 use crate::Millis;
 
 /// What teams use and wait for, counted for the cells that share their limits. Without shared teams
@@ -48,9 +47,9 @@
     }
 
     /// The cell's part of a team's guarantee, where cells share the team.
-    pub fn guarantee(&self, team: &str) -> Option<TeamUsage> {
+    pub fn guarantee(&self, team: &str) -> Option<Resources> {
         let (cpus, gpus) = self.keeper.as_ref()?.guarantee(team)?.decimal();
-        Some(TeamUsage { cpus, gpus })
+        Some(Resources { cpus, gpus, memory_gb: 0.0 })
     }
 
     /// A scheduling cycle begins, which finds anew what is next to start.
@@ -89,8 +88,8 @@
 
 /// What `tasks` tasks of a job use.
 fn demand_of(spec: &JobSpec, tasks: u32) -> Amounts {
-    let mut usage = TeamUsage::default();
-    usage.add(spec, tasks);
+    let mut usage = Resources::default();
+    usage.add_multiple(&spec.demand, tasks);
     Amounts::covering(usage.cpus, usage.gpus)
 }
 
--- a/crates/latchtrack-core/src/scheduler/cycle.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle.rs
@@ -3,10 +3,9 @@
 
 use super::cycle_state::SchedulingCycle;
 use super::queue::QueueEntry;
-use super::team_limits::TeamUsage;
 use super::Scheduler;
 use crate::constants::{MAX_CYCLE_INTERVAL_MS, MIN_CYCLE_INTERVAL_MS};
-use crate::job::JobSpec;
+use crate::job::{JobSpec, Resources};
 use crate::Millis;
 
 /// When the next scheduling cycle is due.
@@ -104,7 +103,7 @@
             return spec.tasks;
         }
         // A slice above what its team may ever use would never start.
-        let most = self.policy.slice.min(self.within_limit(spec, TeamUsage::default()));
+        let most = self.policy.slice.min(self.within_limit(spec, Resources::default()));
         most.clamp(1, spec.tasks)
     }
 }
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -5,7 +5,6 @@
 use latchtrack_balance::arrivals::Heat;
 use latchtrack_balance::fairness::{shares, TeamDemand};
 
-use super::moves::amounts;
 use super::policy::Team;
 use super::queue_order::RankedJob;
 use super::Scheduler;
@@ -89,7 +88,7 @@
 
 /// The dominant share of the cluster that a task takes.
 fn task_share(spec: &JobSpec, total: &Resources) -> f64 {
-    amounts(&spec.demand).dominant_share(&amounts(total))
+    spec.demand.dominant_share(total)
 }
 
 /// The dominant share of the cluster that all tasks take that a job may have placed now.
--- a/crates/latchtrack-core/src/scheduler/guarantees.rs
+++ b/crates/latchtrack-core/src/scheduler/guarantees.rs
@@ -3,15 +3,18 @@
 use std::collections::HashSet;
 
 use super::policy::Team;
-use super::team_limits::TeamUsage;
 use super::Scheduler;
 use crate::constants::AMOUNT_ROUNDING;
-use crate::job::{Job, JobId};
+use crate::job::{Job, JobId, Resources};
 
 impl Scheduler {
-    /// A team's guarantee here: the cell's part of it where cells share the team.
-    pub(super) fn guarantee_of(&self, team: &Team) -> TeamUsage {
-        self.quota.guarantee(&team.name).unwrap_or(TeamUsage { cpus: team.cpus, gpus: team.gpus })
+    /// A team's guarantee here: the cell's part of it where cells share the team. Memory has none.
+    pub(super) fn guarantee_of(&self, team: &Team) -> Resources {
+        self.quota.guarantee(&team.name).unwrap_or(Resources {
+            cpus: team.cpus,
+            gpus: team.gpus,
+            memory_gb: 0.0,
+        })
     }
 
     /// The jobs that fit into their team's guarantee together with the team's earlier ones.
@@ -19,7 +22,7 @@
         let mut guaranteed = HashSet::new();
         for team in &self.policy.teams {
             let guarantee = self.guarantee_of(team);
-            if guarantee != TeamUsage::default() {
+            if guarantee != Resources::default() {
                 self.add_guaranteed_jobs(&team.name, guarantee, &mut guaranteed);
             }
         }
@@ -29,15 +32,15 @@
     fn add_guaranteed_jobs(
         &self,
         team: &str,
-        guarantee: TeamUsage,
+        guarantee: Resources,
         guaranteed: &mut HashSet<JobId>,
     ) {
         let of_team = |job: &&Job| job.spec.team == team && !job.is_quarantined;
         let mut jobs: Vec<&Job> = self.jobs.values().filter(of_team).collect();
         jobs.sort_by_key(|job| (job.submitted_at, job.spec.id));
-        let mut used = TeamUsage::default();
+        let mut used = Resources::default();
         for job in jobs {
-            used.add(&job.spec, job.spec.tasks - job.done.ones());
+            used.add_multiple(&job.spec.demand, job.spec.tasks - job.done.ones());
             if used.cpus > guarantee.cpus + AMOUNT_ROUNDING
                 || used.gpus > guarantee.gpus + AMOUNT_ROUNDING
             {
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -51,7 +51,7 @@
     pub fn take_spare(&mut self, machine: &str, class: ClassId, demand: &Resources, tasks: u32) {
         if let Some(reservation) = self.by_machine.get_mut(machine) {
             if reservation.reserved_for != ReservedFor::Class(class) {
-                reservation.spare.take(demand, tasks);
+                reservation.spare.take_multiple(demand, tasks);
             }
         }
     }
@@ -261,14 +261,14 @@
             gpus: machine_type.gpus,
             memory_gb: machine_type.memory_gb,
         };
-        spare.take(&spec.demand, tasks);
+        spare.take_multiple(&spec.demand, tasks);
         let remainder = spare;
         let name = capacity.machine.as_deref().unwrap_or_default();
         let runs = self.inventory.get(name).into_iter().flat_map(|machine| machine.runs.values());
         let specs = runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref());
         for other in specs.filter(|other| other.demand != spec.demand) {
             if fits(&other.demand, remainder.cpus, remainder.gpus, remainder.memory_gb) > 0 {
-                spare.take(&other.demand, 1);
+                spare.take_multiple(&other.demand, 1);
             }
         }
         spare
@@ -328,7 +328,7 @@
         }
         let here = remaining.min(*fitting);
         let mut spare = cycle.capacities()[*index].free;
-        spare.take(demand, here);
+        spare.take_multiple(demand, here);
         cycle.reserve(*index, Reservation { reserved_for, spare });
         remaining -= here;
     }
--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -8,30 +8,13 @@
 use super::cycle_state::SchedulingCycle;
 use super::policy::Team;
 use super::Scheduler;
-use crate::job::JobSpec;
+use crate::job::{JobSpec, Resources};
 use crate::machine::fits;
 
-/// CPUs and GPUs that a team uses.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct TeamUsage {
-    /// CPUs.
-    pub cpus: f64,
-    /// GPUs.
-    pub gpus: f64,
-}
-
-impl TeamUsage {
-    /// Counts `tasks` tasks of a job.
-    pub fn add(&mut self, spec: &JobSpec, tasks: u32) {
-        self.cpus += spec.demand.cpus * f64::from(tasks);
-        self.gpus += spec.demand.gpus * f64::from(tasks);
-    }
-}
-
 /// What the teams use, by name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageByTeam {
-    teams: BTreeMap<String, TeamUsage>,
+    teams: BTreeMap<String, Resources>,
     /// Some live run is of unknown size and team.
     unknown_runs: bool,
 }
@@ -41,10 +24,10 @@
     pub fn add(&mut self, spec: &JobSpec, tasks: u32) {
         // Looked up first: almost always the team is there, and its name need not be copied.
         if let Some(usage) = self.teams.get_mut(&spec.team) {
-            usage.add(spec, tasks);
+            usage.add_multiple(&spec.demand, tasks);
             return;
         }
-        self.teams.entry(spec.team.clone()).or_default().add(spec, tasks);
+        self.teams.entry(spec.team.clone()).or_default().add_multiple(&spec.demand, tasks);
     }
 
     /// Counts a run of unknown size and team.
@@ -58,40 +41,39 @@
     }
 
     /// What a team uses.
-    pub fn of(&self, team: &str) -> TeamUsage {
+    pub fn of(&self, team: &str) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 }
 
-/// CPUs and GPUs that a team may use here; infinite without a limit.
-#[derive(Clone, Copy, Debug, PartialEq)]
-struct TeamLimit {
-    cpus: f64,
-    gpus: f64,
+/// The limit of the settings, if there is one; infinite of resources without a limit.
+fn limit_of_settings(team: &Team) -> Option<Resources> {
+    let limit = |most: f64| if most > 0.0 { most } else { f64::INFINITY };
+    let has_limit = team.cpus_max > 0.0 || team.gpus_max > 0.0;
+    has_limit.then(|| Resources {
+        cpus: limit(team.cpus_max),
+        gpus: limit(team.gpus_max),
+        memory_gb: f64::INFINITY,
+    })
 }
 
-impl TeamLimit {
-    /// The limit of the settings, if there is one.
-    fn of_settings(team: &Team) -> Option<TeamLimit> {
-        let limit = |most: f64| if most > 0.0 { most } else { f64::INFINITY };
-        let has_limit = team.cpus_max > 0.0 || team.gpus_max > 0.0;
-        has_limit.then(|| TeamLimit { cpus: limit(team.cpus_max), gpus: limit(team.gpus_max) })
-    }
-
-    /// What the cell may use of a limit that cells share.
-    fn of_allotment(limit: LaunchLimit) -> TeamLimit {
-        let decimal = |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI);
-        TeamLimit { cpus: decimal(limit.millicpus), gpus: decimal(limit.milligpus) }
+/// What the cell may use of a limit that cells share; infinite of resources without a limit.
+fn limit_of_allotment(limit: LaunchLimit) -> Resources {
+    let decimal = |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI);
+    Resources {
+        cpus: decimal(limit.millicpus),
+        gpus: decimal(limit.milligpus),
+        memory_gb: f64::INFINITY,
     }
 }
 
 impl Scheduler {
     /// The limit of a team at this moment: its allotment where teams are shared with other cells.
-    fn limit_of(&self, team: &Team) -> Option<TeamLimit> {
+    fn limit_of(&self, team: &Team) -> Option<Resources> {
         if !self.quota.is_shared() {
-            return TeamLimit::of_settings(team);
+            return limit_of_settings(team);
         }
-        self.quota.launch_limit(&team.name).map(TeamLimit::of_allotment)
+        self.quota.launch_limit(&team.name).map(limit_of_allotment)
     }
 
     fn team_of(&self, spec: &JobSpec) -> Option<&Team> {
@@ -130,7 +112,7 @@
 
     /// How many tasks of a job its team's limit allows beside what is in use; none if the team is
     /// unknown.
-    pub(super) fn within_limit(&self, spec: &JobSpec, used: TeamUsage) -> u32 {
+    pub(super) fn within_limit(&self, spec: &JobSpec, used: Resources) -> u32 {
         let Some(team) = self.team_of(spec) else { return 0 };
         let Some(limit) = self.limit_of(team) else { return u32::MAX };
         let (cpus, gpus) = (limit.cpus - used.cpus, limit.gpus - used.gpus);
