--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::constants::SLOW_VOTES;
-use crate::job::{Demand, JobId, TaskId};
+use crate::job::{JobId, Resources, TaskId};
 use crate::scheduler::CallId;
 use crate::Millis;
 
@@ -38,7 +38,7 @@
 
 impl MachineType {
     /// How many tasks of this demand fit on an empty machine.
-    pub fn holds(&self, demand: &Demand) -> u32 {
+    pub fn holds(&self, demand: &Resources) -> u32 {
         fits(demand, self.cpus, self.gpus, self.memory_gb)
     }
 }
@@ -47,7 +47,7 @@
 const AMOUNT_SLACK: f64 = 1e-6;
 
 /// How many tasks of a demand fit into these free amounts.
-pub fn fits(demand: &Demand, cpus: f64, gpus: f64, memory_gb: f64) -> u32 {
+pub fn fits(demand: &Resources, cpus: f64, gpus: f64, memory_gb: f64) -> u32 {
     let times = |need: f64, free: f64| {
         if need > 0.0 {
             ((free + AMOUNT_SLACK) / need).floor().max(0.0)
@@ -230,8 +230,8 @@
     }
 
     /// Capacity taken by live runs; `None` when a run of unknown size is on it.
-    pub fn allocated(&self) -> Option<Demand> {
-        let mut sum = Demand::default();
+    pub fn allocated(&self) -> Option<Resources> {
+        let mut sum = Resources::default();
         for run in self.runs.values().filter(|run| run.is_live()) {
             let spec = run.spec.as_ref()?;
             sum.cpus += spec.demand.cpus;
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -77,7 +77,7 @@
                 machine.quarantined_until = 0;
             }
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 
     /// A task of the job did well: what failed was its machines' fault.
@@ -93,7 +93,7 @@
         for name in names {
             self.blame_machine(now, &name, id);
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 
     /// Holds a job's failure against the machine. One that fails different jobs is terminated.
--- a/crates/latchtrack-core/src/scheduler/failure_detector.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_detector.rs
@@ -327,12 +327,12 @@
     /// terminated, and no job waits for it.
     fn release_unreconciled(&mut self, term_ms: Millis) {
         if self.persistence.drop_unreadable_machine_sets() {
-            self.cycle_timer.requested = true;
+            self.cycle_timer.request();
         }
         for machine in self.inventory.iter_mut().filter(|machine| machine.is_unreconciled()) {
             machine.inherited = false;
             machine.to_terminate = true;
-            self.cycle_timer.requested = true;
+            self.cycle_timer.request();
             let machine = machine.name.to_string();
             let event = LogEvent::UnreconciledMachineExpired { machine, term_ms };
             self.out.push(Effect::Log(event));
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -1,59 +1,60 @@
-//! Order among teams: jobs of a hot team that are beyond its share go behind those of others.
+//! Fair share: jobs of a hot team that are beyond its share stand behind those of other teams.
 
 use std::collections::BTreeMap;
 
 use latchtrack_balance::arrivals::ArrivalLevel;
 use latchtrack_balance::fairness::{shares, TeamDemand};
 
-use super::load_balancing::resources_of;
 use super::policy::Team;
-use super::queue_order::QueueRank;
+use super::queue_order::RankedJob;
 use super::Scheduler;
-use crate::job::{Demand, JobId};
+use crate::job::{Job, JobSpec, Resources};
 use crate::Millis;
 
-/// What a team uses and asks for, in dominant shares of the cluster.
+/// What a team uses and waits for, in dominant shares of the cluster.
 #[derive(Clone, Copy, Debug, Default)]
 struct TeamUse {
+    /// Of its live tasks.
     running: f64,
+    /// Of the tasks that its jobs may have placed now.
     waiting: f64,
 }
 
 impl Scheduler {
-    /// Marks the jobs of hot teams that are beyond their share, in the order of the queue. Among themselves
-    /// they keep that order, and what nobody else asks for they borrow.
+    /// Marks the jobs of hot teams that are beyond their share, in the order of the queue. Among
+    /// themselves they keep that order, and they borrow what no other job asks for.
     pub(super) fn mark_beyond_share(
         &mut self,
         now: Millis,
-        order: &mut [(QueueRank, JobId)],
-        total: &Demand,
+        ranked: &mut [RankedJob],
+        total: &Resources,
     ) {
         if !self.policy.balance.teams {
             return;
         }
-        let used = self.team_use(order, total);
+        let used = self.team_use(ranked, total);
         let hot = self.hot_shares(now, &used, total);
         if hot.is_empty() {
             return;
         }
         let mut taken: BTreeMap<String, f64> =
             used.iter().map(|(name, team)| (name.clone(), team.running)).collect();
-        for (rank, id) in order {
+        for RankedJob { rank, id } in ranked {
             let Some(job) = self.jobs.get(id) else { continue };
             let Some(share) = hot.get(&job.spec.team) else { continue };
             let taken = taken.entry(job.spec.team.clone()).or_default();
-            rank.beyond_share = u8::from(*taken >= *share);
-            *taken += resources_of(&job.spec.demand).dominant_share(&resources_of(total))
-                * f64::from(job.schedulable_tasks());
+            rank.beyond_share = *taken >= *share;
+            *taken += waiting_share(job, total);
         }
     }
 
-    /// The shares of the teams that are hot now.
+    /// The fair shares of the teams that are hot now: those of which more work arrives than their
+    /// share does.
     fn hot_shares(
         &mut self,
         now: Millis,
         used: &BTreeMap<String, TeamUse>,
-        total: &Demand,
+        total: &Resources,
     ) -> BTreeMap<String, f64> {
         let demand = |team: &Team| {
             let used = used.get(&team.name).copied().unwrap_or_default();
@@ -71,24 +72,31 @@
         hot
     }
 
-    fn team_use(&self, order: &[(QueueRank, JobId)], total: &Demand) -> BTreeMap<String, TeamUse> {
+    /// What each team uses, and what its jobs in the queue wait for.
+    fn team_use(&self, ranked: &[RankedJob], total: &Resources) -> BTreeMap<String, TeamUse> {
         let mut used: BTreeMap<String, TeamUse> = BTreeMap::new();
         let runs = self.inventory.runs();
         for spec in runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref()) {
-            used.entry(spec.team.clone()).or_default().running +=
-                resources_of(&spec.demand).dominant_share(&resources_of(total));
+            used.entry(spec.team.clone()).or_default().running += task_share(spec, total);
         }
-        // Each job stands in the order once.
-        for job in order.iter().filter_map(|(_, id)| self.jobs.get(id)) {
-            used.entry(job.spec.team.clone()).or_default().waiting +=
-                resources_of(&job.spec.demand).dominant_share(&resources_of(total))
-                    * f64::from(job.schedulable_tasks());
+        for job in ranked.iter().filter_map(|ranked| self.jobs.get(&ranked.id)) {
+            used.entry(job.spec.team.clone()).or_default().waiting += waiting_share(job, total);
         }
         used
     }
 }
 
-fn team_demand(team: &Team, used: TeamUse, total: &Demand) -> TeamDemand {
+/// The dominant share of the cluster that a task takes.
+fn task_share(spec: &JobSpec, total: &Resources) -> f64 {
+    spec.demand.dominant_share(total)
+}
+
+/// The dominant share of the cluster that all tasks take that a job may have placed now.
+fn waiting_share(job: &Job, total: &Resources) -> f64 {
+    task_share(&job.spec, total) * f64::from(job.schedulable_tasks())
+}
+
+fn team_demand(team: &Team, used: TeamUse, total: &Resources) -> TeamDemand {
     let part = |amount: f64, all: f64| if all > 0.0 { amount / all } else { 0.0 };
     let limits = [part(team.cpus_max, total.cpus), part(team.gpus_max, total.gpus)];
     let limit = limits.into_iter().filter(|limit| *limit > 0.0).fold(f64::INFINITY, f64::min);
--- a/crates/latchtrack-core/src/scheduler/heartbeats.rs
+++ b/crates/latchtrack-core/src/scheduler/heartbeats.rs
@@ -106,7 +106,7 @@
         if was_up {
             return;
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
         self.boot_tracker.record_boot(now, machine);
         if !machine.persisted {
             self.persistence.put_machine(machine);
@@ -128,7 +128,7 @@
         for run in runs.values() {
             self.release_run(now, name, run);
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 
     /// Releases the runs that a machine listed before and lists no more.
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -23,7 +23,7 @@
 
 use super::Scheduler;
 use crate::constants::{BALANCE_INTERVAL_MS, BALANCE_LOG_INTERVAL_MS, OVERLOAD_SHARE};
-use crate::job::{Demand, Job, JobSpec};
+use crate::job::{Job, JobSpec};
 use crate::machine::Machine;
 use crate::Millis;
 
@@ -199,6 +199,6 @@
 }
 
 /// A demand in the terms of `latchtrack-balance`.
-pub(super) fn resources_of(demand: &Demand) -> Resources {
+pub(super) fn resources_of(demand: &Resources) -> Resources {
     Resources { cpus: demand.cpus, gpus: demand.gpus, memory_gb: demand.memory_gb }
 }
--- a/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
@@ -105,7 +105,7 @@
         let Some(stage) = self.load_balancing.handle_event(now, unit, event) else { return };
         if stage.is_final() {
             // Either reserved capacity is free again, or a task waits in the queue.
-            self.cycle_timer.requested = true;
+            self.cycle_timer.request();
             self.log_move_over(unit, stage);
         }
     }
--- a/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
@@ -8,7 +8,7 @@
 
 use super::super::Scheduler;
 use super::resources_of;
-use crate::job::{Demand, JobSpec};
+use crate::job::{JobSpec, Resources};
 use crate::machine::{Machine, MachineType, TaskPhase};
 use crate::placement::{FreeCapacity, LoadInfo};
 
@@ -23,7 +23,7 @@
             return None;
         }
         Some(LoadInfo {
-            capacity: Demand {
+            capacity: Resources {
                 cpus: machine_type.cpus,
                 gpus: machine_type.gpus,
                 memory_gb: machine_type.memory_gb,
--- a/crates/latchtrack-core/src/scheduler/machine_list.rs
+++ b/crates/latchtrack-core/src/scheduler/machine_list.rs
@@ -54,7 +54,7 @@
         machine.to_terminate = listed.failed;
         machine.listed_as_running = listed.running;
         self.inventory.insert(machine);
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
         self.out.push(Effect::Log(LogEvent::MachineAdopted {
             machine: listed.name,
             source: AdoptionSource::CloudList,
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -20,6 +20,7 @@
 mod deferral;
 mod direct_calls;
 mod dispatcher;
+mod entry_scheduling;
 mod equivalence_classes;
 mod failure_attribution;
 mod failure_detector;
@@ -40,6 +41,7 @@
 mod queue;
 mod queue_order;
 mod reservations;
+mod starvation;
 mod summary;
 mod task_placement;
 mod task_runs;
@@ -69,6 +71,7 @@
 use provisioning::Provisioning;
 use queue::JobQueue;
 use reservations::Reservations;
+use task_placement::AttemptNumbers;
 use task_runs::stop_job_runs;
 
 use crate::bitmap::Bitmap;
@@ -86,7 +89,7 @@
     /// Jobs accepted from this revision on were never launched by an earlier leader.
     leaderless_since: u64,
     term_started_at: Millis,
-    next_attempt: u64,
+    attempt_numbers: AttemptNumbers,
     /// The unfinished jobs.
     jobs: BTreeMap<JobId, Job>,
     inventory: MachineInventory,
@@ -131,7 +134,7 @@
             token,
             leaderless_since,
             term_started_at: now,
-            next_attempt: 0,
+            attempt_numbers: AttemptNumbers::new(token),
             jobs: BTreeMap::new(),
             inventory: machines,
             failure_detector: FailureDetector::new(now),
@@ -179,7 +182,7 @@
 
     /// Scheduling cycles in this term, for checks.
     pub fn cycles(&self) -> u64 {
-        self.cycle_timer.count
+        self.cycle_timer.count()
     }
 
     /// The unfinished jobs, for checks.
@@ -278,7 +281,7 @@
         if is_done {
             self.persistence.put_completed_job(id);
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 
     fn on_job_closed(&mut self, now: Millis, id: JobId) {
@@ -291,7 +294,7 @@
                 self.dispatcher.wake(&machine.name);
             }
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
         self.dispatch(now, None);
     }
 }
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -344,6 +344,6 @@
                 self.backfill(now, name);
             }
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 }
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -7,7 +7,7 @@
 use super::messages::{Effect, ProvisionOutcome};
 use super::Scheduler;
 use crate::constants::{MAX_OPEN_PROVISIONS, OFFER_EXHAUSTED_MS};
-use crate::job::{Demand, JobSpec};
+use crate::job::{JobSpec, Resources};
 use crate::machine::{Machine, MachineType};
 use crate::placement;
 use crate::placement::{FreeCapacity, Offer};
@@ -117,7 +117,7 @@
                 self.provisioning.open.insert(request_id.to_string(), request);
             }
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
     }
 
     fn on_provisioned(&mut self, now: Millis, request: ProvisionRequest, names: Vec<String>) {
@@ -152,9 +152,10 @@
         let per_machine = machine_type.holds(&spec.demand).max(1);
         // Jobs of an equivalence class are decided together: one request for all of it, not one a
         // job. Team limits are left to each job.
-        let alike = match self.tasks_within_limit(spec, &cycle.used) {
+        let alike = match self.tasks_within_limit(spec, cycle.used()) {
             u32::MAX => {
-                self.jobs.get(&spec.id).map_or(0, |j| cycle.searches[j.equivalence_class].to_come)
+                let class = self.jobs.get(&spec.id).map(|job| job.equivalence_class);
+                class.map_or(0, |class| cycle.search(class).tasks_behind())
             }
             _ => 0,
         };
@@ -163,16 +164,10 @@
             .div_ceil(per_machine)
             .min(self.boot_tracker.max_provisionable(now, &offer));
         self.boot_tracker.record_provision(now, &offer);
-        for _ in 0..number {
-            cycle.rooms.push(pending_capacity(&offer, &machine_type));
-        }
+        cycle.add_pending(&pending_capacity(&offer, &machine_type), number);
         let request = ProvisionRequest { offer: offer.clone(), number };
         let request_id = self.provisioning.open_request(request);
         self.out.push(Effect::Provision { request_id, offer, number });
-        // What is left of the new machines is pending capacity for other classes.
-        for found in &mut cycle.searches {
-            found.no_pending = false;
-        }
         place_on_pending(spec, only, tasks, cycle)
     }
 
@@ -213,16 +208,16 @@
         kind: offer.kind.as_str().into(),
         zone: offer.zone.as_str().into(),
         spot: offer.spot,
-        size: machine_type.cpus,
+        total_cpus: machine_type.cpus,
         images: Arc::default(),
-        may_hold: false,
-        free: Demand {
+        images_incomplete: false,
+        free: Resources {
             cpus: machine_type.cpus,
             gpus: machine_type.gpus,
             memory_gb: machine_type.memory_gb,
         },
         ready: false,
-        held: None,
+        reservation: None,
         balance: None,
     }
 }
@@ -236,7 +231,7 @@
     cycle: &mut SchedulingCycle,
 ) -> u32 {
     let mut left = want;
-    for capacity in cycle.rooms.iter_mut().filter(|capacity| !capacity.ready) {
+    for capacity in cycle.pending_mut() {
         if left == 0 {
             break;
         }
--- a/crates/latchtrack-core/src/scheduler/task_runs.rs
+++ b/crates/latchtrack-core/src/scheduler/task_runs.rs
@@ -5,7 +5,7 @@
 use super::messages::Effect;
 use super::Scheduler;
 use crate::bitmap::chunk_of;
-use crate::constants::{ATTEMPT_BITS, GANG_INCOMPLETE_BACKOFF_MS, REFUSED_BACKOFF_MS};
+use crate::constants::{GANG_INCOMPLETE_BACKOFF_MS, REFUSED_BACKOFF_MS};
 use crate::job::{Assignment, Job, JobId};
 use crate::machine::{ExitCause, Machine, StopRequest, TaskPhase, TaskRun, TaskStatus};
 use crate::Millis;
@@ -70,15 +70,16 @@
         }
         self.restore_job(now, id);
         // What a team with a limit may use again is given out by scheduling cycles alone.
-        self.cycle_timer.requested |=
-            run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec));
+        if run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec)) {
+            self.cycle_timer.request();
+        }
     }
 
     /// Compares how long a task ran with its like: one that ran much longer speaks against its
     /// machine. Only runs seen from their start count: one that an earlier leader launched has run
     /// for longer than this term knows, and would make all its like look slow.
     fn judge_pace(&mut self, now: Millis, name: &str, run: &TaskRun) {
-        let is_of_this_term = run.attempt >> ATTEMPT_BITS == self.token;
+        let is_of_this_term = self.attempt_numbers.is_of_this_term(run.attempt);
         let Some(since) = run.running_since.filter(|_| is_of_this_term) else { return };
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         let Some(machine) = self.inventory.get_mut(name) else { return };
@@ -114,7 +115,7 @@
             return;
         }
         job.requeue(index);
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
         if job.spec.gang {
             self.end_attempt(now, run.task.job, run.attempt, FetchesOnEnd::after(run));
         }
--- a/crates/latchtrack-core/src/scheduler/termination.rs
+++ b/crates/latchtrack-core/src/scheduler/termination.rs
@@ -30,7 +30,7 @@
                 }
             }
         }
-        self.cycle_timer.requested = true;
+        self.cycle_timer.request();
         if self.cycle_due(now) {
             self.run_cycle(now);
             self.dispatch(now, None);
@@ -87,9 +87,8 @@
                 let since = *machine.idle_since.get_or_insert(now);
                 let name = &machine.name;
                 // Reserved for tasks to come, for instance until the last machine of a gang is up.
-                let is_reserved = self.reservations.by_machine.contains_key(name)
-                    || self.reservations.exclusive.contains(name)
-                    || self.load_balancing.is_reserved(name);
+                let is_reserved =
+                    self.reservations.is_reserved(name) || self.load_balancing.is_reserved(name);
                 let timeout_ms = idle_timeout_ms(&self.policy, machine);
                 let is_idle = now.saturating_sub(since) >= timeout_ms && !is_reserved;
                 machine.to_terminate = machine.preempt_at.is_some() || machine.is_slow() || is_idle;
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -1,6 +1,6 @@
 //! The scores, what fits, and who is deferred.
 
-use latchtrack_core::job::Demand;
+use latchtrack_core::job::{ClassId, Resources};
 use latchtrack_core::machine::fits;
 use latchtrack_core::placement::*;
 
@@ -10,17 +10,17 @@
 #[test]
 fn scores_follow_the_papers_equations() {
     let w = ScoreWeights::default();
-    let total = Demand { cpus: 16.0 + 16.0 + 32.0, gpus: 0.0, memory_gb: 64.0 + 64.0 + 64.0 };
-    let free = Demand { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
+    let total = Resources { cpus: 16.0 + 16.0 + 32.0, gpus: 0.0, memory_gb: 64.0 + 64.0 + 64.0 };
+    let free = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
     assert!((score(&free, &total, &w) - (0.05 + 1.0 / 60.0)).abs() < 1e-12);
-    let task = Demand { cpus: 4.0, gpus: 0.0, memory_gb: 12.0 };
+    let task = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 12.0 };
     assert!((job_demand(&task, 5, &total, &w) - 0.3125).abs() < 1e-12);
-    assert_eq!(score(&free, &Demand::default(), &w), 0.0, "no machine runs");
+    assert_eq!(score(&free, &Resources::default(), &w), 0.0, "no machine runs");
 }
 
 #[test]
 fn the_largest_steps_back_when_not_all_can_be_in_time() {
-    let job = |left_ms, work| TimedDemand { left_ms, run_ms: 0.0, work };
+    let job = |remaining_ms, cpu_ms| TimedDemand { remaining_ms, run_ms: 0.0, cpu_ms };
     let all = [job(10.0, 40.0), job(20.0, 300.0), job(25.0, 40.0), job(30.0, 40.0)];
     assert_eq!(deferred(&all, 0.0, 100.0), [false; 4], "there is room for all");
     assert_eq!(deferred(&all, 0.0, 10.0), [false, true, false, false]);
@@ -30,34 +30,37 @@
 
 #[test]
 fn fits_is_bounded_by_the_scarcest_part() {
-    let d = Demand { cpus: 4.0, gpus: 0.0, memory_gb: 15.0 };
+    let d = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 15.0 };
     assert_eq!(fits(&d, 16.0, 0.0, 64.0), 4);
     assert_eq!(fits(&d, 16.0, 0.0, 44.0), 2);
-    assert_eq!(fits(&Demand { gpus: 1.0, ..d }, 16.0, 0.0, 64.0), 0);
+    assert_eq!(fits(&Resources { gpus: 1.0, ..d }, 16.0, 0.0, 64.0), 0);
     assert_eq!(fits(&d, -1.0, 0.0, 64.0), 0);
 }
 
 /// A room is open to the jobs it is kept for whole, and to others for what those leave.
 #[test]
 fn a_kept_room_is_open_to_others_for_what_its_holder_leaves() {
-    let amount = |cpus| Demand { cpus, gpus: 0.0, memory_gb: cpus };
+    let amount = |cpus| Resources { cpus, gpus: 0.0, memory_gb: cpus };
     let mut room = FreeCapacity {
         machine: None,
         kind: "g".into(),
         zone: "a".into(),
         spot: true,
-        size: 16.0,
+        total_cpus: 16.0,
         images: Default::default(),
-        may_hold: false,
+        images_incomplete: false,
         free: amount(9.0),
         ready: true,
-        held: Some(Reservation { equivalence_class: 1, spare: amount(4.0) }),
+        reservation: Some(Reservation {
+            reserved_for: ReservedFor::Class(ClassId(1)),
+            spare: amount(4.0),
+        }),
         balance: None,
     };
     let task = amount(2.0);
-    assert_eq!((room.admits(&task, 1), room.admits(&task, 2)), (4, 2));
+    assert_eq!((room.admits(&task, ClassId(1)), room.admits(&task, ClassId(2))), (4, 2));
     room.take(&task, 1);
-    assert_eq!((room.admits(&task, 1), room.admits(&task, 2)), (3, 1));
-    room.held = None;
-    assert_eq!(room.admits(&task, 2), 3);
+    assert_eq!((room.admits(&task, ClassId(1)), room.admits(&task, ClassId(2))), (3, 1));
+    room.reservation = None;
+    assert_eq!(room.admits(&task, ClassId(2)), 3);
 }
--- a/crates/latchtrack-core/tests/simulation/world/leadership.rs
+++ b/crates/latchtrack-core/tests/simulation/world/leadership.rs
@@ -7,8 +7,8 @@
 use latchtrack_core::job::JobId;
 use latchtrack_core::placement::ScoreWeights;
 use latchtrack_core::scheduler::{
-    BalancePolicy, CompletionObjective, Due, Event, Policy, Scheduler, StoredMachineSet,
-    StoredResults, Team, TermRevisions,
+    BalancePolicy, CompletionObjective, Due, Event, Policy, Scheduler, StartObjective,
+    StoredMachineSet, StoredResults, Team, TermRevisions,
 };
 use rand::Rng;
 
@@ -81,7 +81,7 @@
             teams: vec![team("free", 0.0), team("limited", limit)],
             quota_cell: self.cell.clone(),
             classes_with_objectives: ["c", "d"].map(String::from).into(),
-            start_objectives: vec![("d".into(), 1_000)],
+            start_objectives: vec![StartObjective { class: "d".into(), within_ms: 1_000 }],
             balance: self.balance_policy(token),
             completion_objectives: [("c", 30_000), ("d", 60_000)].map(objective).to_vec(),
         }
--- a/crates/latchtrack-core/tests/simulation/world/users.rs
+++ b/crates/latchtrack-core/tests/simulation/world/users.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority, TaskId};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources, TaskId};
 use rand::Rng;
 
 use super::state::{JobState, StoredJob};
@@ -25,7 +25,7 @@
         priority: Priority::Low,
         tasks,
         gang: false,
-        demand: Demand { cpus, gpus: 0.0, memory_gb: cpus },
+        demand: Resources { cpus, gpus: 0.0, memory_gb: cpus },
         types: None,
         zone: None,
         one_zone: false,
@@ -195,7 +195,7 @@
             priority: Priority::Normal,
             tasks: rng.random_range(1..=size.max_tasks),
             gang: false,
-            demand: Demand { cpus, gpus: 0.0, memory_gb: cpus },
+            demand: Resources { cpus, gpus: 0.0, memory_gb: cpus },
             types: rng.random_bool(0.2).then(|| vec!["large".to_string()]),
             zone: zone.clone(),
             one_zone: rng.random_bool(0.2),
--- a/crates/latchtrack/src/settings/mod.rs
+++ b/crates/latchtrack/src/settings/mod.rs
@@ -10,7 +10,7 @@
 
 use latchtrack_core::constants as core;
 use latchtrack_core::placement::ScoreWeights;
-use latchtrack_core::scheduler::{Policy, Team};
+use latchtrack_core::scheduler::{Policy, StartObjective, Team};
 use serde::Serialize;
 
 pub use check::BadSettings;
@@ -121,7 +121,7 @@
     /// Start objectives, in ms by class: of classes whose tasks are to start so soon that a fetch
     /// of their image would miss it, each by its tightest objective. Objectives of minutes concern
     /// the wait for machines, and are left out.
-    fn start_objectives(&self) -> Vec<(String, u64)> {
+    fn start_objectives(&self) -> Vec<StartObjective> {
         let mut tightest: BTreeMap<&str, u64> = BTreeMap::new();
         for objective in &self.platform.params.objectives {
             let start_ms = objective.start_within_ms();
@@ -131,7 +131,11 @@
             let least = tightest.entry(&objective.class).or_insert(ms);
             *least = ms.min(*least);
         }
-        tightest.into_iter().map(|(class, ms)| (class.to_string(), ms)).collect()
+        let objective = |(class, within_ms): (&str, u64)| StartObjective {
+            class: class.to_string(),
+            within_ms,
+        };
+        tightest.into_iter().map(objective).collect()
     }
 
     /// Heartbeat timeout in s: silence after which a machine is given up.
@@ -175,7 +179,11 @@
         Derived {
             connections: self.connections(),
             direct_calls: self.max_open_calls(),
-            prompt_ms: self.start_objectives().into_iter().collect(),
+            prompt_ms: self
+                .start_objectives()
+                .into_iter()
+                .map(|objective| (objective.class, objective.within_ms))
+                .collect(),
         }
     }
 
--- a/crates/latchtrack/src/wire/records.rs
+++ b/crates/latchtrack/src/wire/records.rs
@@ -10,7 +10,7 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
 use latchtrack_core::constants::MAX_TASKS;
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
 use serde::{Deserialize, Serialize};
@@ -198,7 +198,7 @@
             3 => Priority::Low,
             _ => return Err(RecordError::UnknownPriority),
         };
-        let demand = Demand { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb };
+        let demand = Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb };
         Ok(JobSpec {
             id,
             class: self.class,
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -1,7 +1,7 @@
 //! Messages between users and nodes.
 
 use latchtrack_core::constants::MAX_TASKS;
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use serde::Serialize;
 use serde_json::{Map, Value};
 
@@ -112,7 +112,7 @@
         priority,
         tasks: tasks as u32,
         gang,
-        demand: Demand {
+        demand: Resources {
             cpus,
             gpus: required_amount(map, "cards")?,
             memory_gb: required_amount(map, "memory_gb")?,
--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -16,14 +16,14 @@
 use latchtrack::wire::status::NodeView;
 use latchtrack_core::bitmap::Bitmap;
 use latchtrack_core::constants::{ATTEMPT_BITS, LEGACY_CHUNK_TASKS};
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use samples::{full_spec, machine_type, result_chunks, stored_machine};
 
 /// A job with no field that may be left out.
 fn least_spec() -> JobSpec {
     JobSpec {
         priority: Priority::Low,
-        demand: Demand { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
+        demand: Resources { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
         types: None,
         zone: None,
         one_zone: false,
--- a/crates/latchtrack/tests/records.rs
+++ b/crates/latchtrack/tests/records.rs
@@ -9,7 +9,7 @@
 use latchtrack::wire::records::{
     fleet, read_fleet, read_results, read_types, results, same_types, types, Record,
 };
-use latchtrack_core::job::{Demand, JobId, JobSpec};
+use latchtrack_core::job::{JobId, JobSpec, Resources};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
 use rand::rngs::StdRng;
@@ -20,7 +20,7 @@
 fn open() -> Record {
     let spec = JobSpec {
         gang: true,
-        demand: Demand { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
+        demand: Resources { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
         zone: None,
         spread: false,
         ..full_spec()
--- a/crates/latchtrack/tests/samples/mod.rs
+++ b/crates/latchtrack/tests/samples/mod.rs
@@ -1,6 +1,6 @@
 //! Records that several tests store and read.
 
-use latchtrack_core::job::{Demand, JobId, JobSpec, Priority};
+use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
 
@@ -13,7 +13,7 @@
         priority: Priority::High,
         tasks: 16,
         gang: false,
-        demand: Demand { cpus: 4.0, gpus: 1.0, memory_gb: 3.6 },
+        demand: Resources { cpus: 4.0, gpus: 1.0, memory_gb: 3.6 },
         types: Some(vec!["g".into()]),
         zone: Some("a".into()),
         one_zone: true,
