--- a/crates/latchtrack-core/src/bitmap.rs
+++ b/crates/latchtrack-core/src/bitmap.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::{CHUNK_TASKS, FIRST_CHUNK_INDEX, LEGACY_CHUNK_TASKS, MAX_TASKS};
 
-/// The stored chunk that holds a task of a job with so many tasks.
+/// The stored chunk that holds the task `index` of a job with `tasks` tasks.
 pub fn chunk_of(index: u32, tasks: u32) -> u32 {
     if tasks <= CHUNK_TASKS {
         return 0;
--- a/crates/latchtrack-core/src/record_shards.rs
+++ b/crates/latchtrack-core/src/record_shards.rs
@@ -1,9 +1,9 @@
 //! Small records that share a few stored values of bounded size, so that many changes cost few
 //! writes.
 //!
-//! A write of a value whose outcome is unknown may be applied late, after a newer one. So each write
-//! carries the revision that its value must still have, and a value whose revision is in doubt is
-//! retired: its entries move to a new name and the old name is dropped, never to be used again. An
+//! A write of a value whose outcome is unknown may be applied late, after a newer one. So each
+//! write carries the revision that its value must still have, and a value whose revision is in doubt
+//! is retired: its entries move to a new name and the old name is dropped, never to be used again. An
 //! entry is thus always in at least one value that no late write can take it out of.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -53,6 +53,13 @@
     missing: usize,
 }
 
+/// Whether a machine that has not come up in its time may still come.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum BootHope {
+    MayCome,
+    None,
+}
+
 /// What is known of the boots of each pool.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BootTracker {
@@ -88,15 +95,21 @@
 }
 
 impl BootCounts {
-    fn add(&mut self, is_missing: bool) {
-        self.missing += usize::from(is_missing);
+    fn add_up(&mut self) {
+        if self.sampled < BOOT_SAMPLES {
+            self.sampled += 1;
+        }
+    }
+
+    fn add_missing(&mut self) {
+        self.missing += 1;
         if self.sampled < BOOT_SAMPLES {
             self.sampled += 1;
-            self.sampled_missing += usize::from(is_missing);
+            self.sampled_missing += 1;
         }
     }
 
-    /// Whether three quarters of the last boots are late, and at least so many machines.
+    /// Whether three quarters of the last boots are late, and at least `min_missing` machines.
     fn are_late(&self, min_missing: usize) -> bool {
         self.missing >= min_missing && self.sampled_missing * 4 >= self.sampled * 3
     }
@@ -134,6 +147,25 @@
         }
     }
 
+    /// Whether a machine that has not come up is given up now, when `given_up` others of its pool
+    /// were in this step. Of a late pool those that may still come are given up a few at a time.
+    fn start_give_up(
+        &mut self,
+        now: Millis,
+        pool: &MachinePool,
+        given_up: usize,
+        hope: BootHope,
+    ) -> bool {
+        let Some(trials) = self.late.get_mut(pool) else { return true };
+        let is_due =
+            given_up > 0 || now >= trials.given_up_at.saturating_add(BOOT_TRIAL_INTERVAL_MS);
+        if hope == BootHope::MayCome && (!is_due || given_up >= BOOT_TRIAL_MACHINES) {
+            return false;
+        }
+        trials.given_up_at = now;
+        true
+    }
+
     /// Whether an update is due; if so, it counts as made.
     fn start_update_if_due(&mut self, now: Millis) -> bool {
         if self.updated_at.is_some_and(|at| now < at.saturating_add(MAX_CYCLE_INTERVAL_MS)) {
@@ -223,8 +255,10 @@
             let limit_ms = self.boot_limit_ms(&machine.kind, BOOT_LATE_FACTOR);
             let is_missing =
                 is_booting(machine) && now.saturating_sub(machine.provisioned_at) > limit_ms;
-            if is_missing || !is_awaited(machine) {
-                counts.entry(MachinePool::of(machine)).or_default().add(is_missing);
+            if is_missing {
+                counts.entry(MachinePool::of(machine)).or_default().add_missing();
+            } else if !is_awaited(machine) {
+                counts.entry(MachinePool::of(machine)).or_default().add_up();
             }
         }
         counts
@@ -248,17 +282,13 @@
             let Some(machine) = self.inventory.get(&name) else { continue };
             let pool = MachinePool::of(machine);
             let hopeless_ms = self.boot_limit_ms(&machine.kind, BOOT_FAILED_FACTOR_WHILE_LATE);
-            if let Some(trials) = self.boot_tracker.late.get_mut(&pool) {
-                let given_up = given_up.entry(pool).or_default();
-                let is_due = *given_up > 0
-                    || now >= trials.given_up_at.saturating_add(BOOT_TRIAL_INTERVAL_MS);
-                let may_come = now.saturating_sub(provisioned_at) <= hopeless_ms;
-                if may_come && (!is_due || *given_up >= BOOT_TRIAL_MACHINES) {
-                    continue;
-                }
-                *given_up += 1;
-                trials.given_up_at = now;
+            let is_hopeless = now.saturating_sub(provisioned_at) > hopeless_ms;
+            let hope = if is_hopeless { BootHope::None } else { BootHope::MayCome };
+            let given_up = given_up.entry(pool.clone()).or_default();
+            if !self.boot_tracker.start_give_up(now, &pool, *given_up, hope) {
+                continue;
             }
+            *given_up += 1;
             if let Some(machine) = self.inventory.get_mut(&name) {
                 machine.to_terminate = true;
             }
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -1,11 +1,11 @@
 //! Whose fault a failure is: the machine's, or the job's.
 //!
-//! A job submitted with a mistake fails on every machine until its user cancels it; a faulty machine
-//! fails every task that it starts. Machines are judged by jobs that do well elsewhere. A job that
-//! has shown nothing but failures, on several machines, is quarantined: one task of it at a time is
-//! tried, on machines where others have lately succeeded, with growing backoffs, and nothing is
-//! provisioned or reserved for it. Its first success, or a task that runs for longer than the failed
-//! ones did, restores it, and then its failures speak against the machines after all.
+//! A job submitted with a mistake fails on every machine until its user cancels it; a faulty
+//! machine fails every task that it starts. Machines are judged by jobs that do well elsewhere. A
+//! job that has shown nothing but failures, on several machines, is quarantined: one task of it at
+//! a time is tried, on machines where others have lately succeeded, with growing backoffs, and
+//! nothing is provisioned or reserved for it. Its first success, or a task that runs for longer than
+//! the failed ones did, restores it, and then its failures speak against the machines after all.
 
 use super::log_events::LogEvent;
 use super::messages::Effect;
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Whether a task of the job is done, or has run for longer than the failed ones did: looked for
-    /// among the first few, which were launched first.
+    /// Whether a task of the job is done, or has run for longer than the failed ones did: looked
+    /// for among the first few, which were launched first.
     fn has_healthy_run(&self, now: Millis, id: JobId) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
         let min_run_ms = job.failed_after.saturating_mul(2).saturating_add(HEALTHY_RUN_MARGIN_MS);
@@ -117,9 +117,9 @@
         }
     }
 
-    /// Whether a job avoids this machine: it failed there lately. Not for ever, as machines that were
-    /// faulty for a time may be all that it fits on. A quarantined job is tried only where others
-    /// have succeeded, unless it has waited long for such a machine.
+    /// Whether a job avoids this machine: it failed there lately. Not for ever, as machines that
+    /// were faulty for a time may be all that it fits on. A quarantined job is tried only where
+    /// others have succeeded, unless it has waited long for such a machine.
     pub(super) fn avoids_machine(&self, now: Millis, job: &Job, machine: &str) -> bool {
         let failed = job
             .failed_on
--- a/crates/latchtrack-core/src/scheduler/failure_detector.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_detector.rs
@@ -295,7 +295,7 @@
     }
 
     /// A machine whose heartbeats nobody has answered for its worker lease and a margin has killed
-    /// its tasks and moved on to the next agent epoch, so that commands still on their way are void.
+    /// its tasks and moved on to the next agent epoch, so that commands on their way are void.
     /// Its tasks may go elsewhere; the machine stays, as it may only be cut off.
     fn expire_worker_leases(&mut self, now: Millis) {
         let past_lease = self.policy.worker_lease_expiry_ms();
--- a/crates/latchtrack-core/src/scheduler/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -272,7 +272,8 @@
     Terminate(Vec<String>),
     /// Ask the cloud for its list of machines.
     ListMachines,
-    /// Something waits to be written: see [`Scheduler::next_writes`](super::Scheduler::next_writes).
+    /// Something waits to be written, see
+    /// [`Scheduler::next_writes`](super::Scheduler::next_writes).
     WritesReady,
     /// A change of a ledger that the cells share; [`Event::LedgerWriteFinished`] must follow.
     WriteLedger(LedgerWrite),
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -49,7 +49,7 @@
 pub use messages::*;
 pub use moves::BalanceSummary;
 pub use policy::*;
-pub use summary::SchedulerSummary;
+pub use summary::{JobProgress, SchedulerSummary};
 
 use boot_tracking::BootTracker;
 use cell_quota::QuotaAccounting;
@@ -162,7 +162,7 @@
         self.inventory.by_name()
     }
 
-    /// Jobs that have shown nothing but failures.
+    /// Quarantined jobs: they have shown nothing but failures.
     pub fn quarantined_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
         self.jobs.iter().filter(|(_, job)| job.is_quarantined).map(|(id, _)| *id)
     }
@@ -245,6 +245,7 @@
         self.dispatch(now, None);
     }
 
+    /// Takes in an unfinished job of the job cache, with its tasks that are known to be done.
     fn on_job_opened(
         &mut self,
         spec: Arc<JobSpec>,
@@ -258,7 +259,7 @@
         }
         let mut done = done.unwrap_or_else(|| Bitmap::new(spec.tasks));
         if spec.gang && done.ones() > 0 {
-            // They complete together: if one is done, all are.
+            // The tasks of a gang complete together: if one is done, all are.
             done.set_all();
         }
         let is_done = done.full();
@@ -276,6 +277,7 @@
         self.cycle_timer.requested = true;
     }
 
+    /// Forgets a job that was closed, and stops its task runs.
     fn on_job_closed(&mut self, now: Millis, id: JobId) {
         if self.jobs.remove(&id).is_none() {
             return;
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -83,7 +83,8 @@
         self.exhausted.retain(|_, until| *until > now);
     }
 
-    /// Whether the cloud's list is due, asked for each `interval_ms`; if so, it counts as asked for.
+    /// Whether the cloud's list is due, asked for each `interval_ms`; if so, it counts as asked
+    /// for.
     pub fn start_list_if_due(&mut self, now: Millis, interval_ms: Millis) -> bool {
         let is_due = self.listed_at.is_none_or(|at| now >= at + interval_ms);
         if is_due {
--- a/crates/latchtrack-core/src/scheduler/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/summary.rs
@@ -20,7 +20,7 @@
     /// Unreconciled machines.
     pub unreconciled: usize,
     /// Quarantined jobs.
-    pub suspects: usize,
+    pub quarantined: usize,
     /// Done jobs of which the record does not say so yet.
     pub unpersisted: usize,
     /// Tasks that wait to be placed.
@@ -91,7 +91,7 @@
     /// What the cluster looks like, for the log.
     pub fn summary(&self, now: Millis) -> SchedulerSummary {
         let mut summary = SchedulerSummary {
-            suspects: self.quarantined_jobs().count(),
+            quarantined: self.quarantined_jobs().count(),
             unpersisted: self.persistence.unpersisted_jobs(),
             late: self.late_boots(now),
             ..SchedulerSummary::default()
