--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -56,7 +56,7 @@
 pub use log_events::{AdoptionSource, LogEvent, RejectedShard, ResignReason};
 pub use messages::*;
 pub use policy::*;
-pub use summary::SchedulerSummary;
+pub use summary::{JobProgress, SchedulerSummary};
 
 use boot_tracking::BootTracker;
 use cell_quota::QuotaAccounting;
@@ -170,7 +170,7 @@
         self.inventory.by_name()
     }
 
-    /// Jobs that have shown nothing but failures.
+    /// Quarantined jobs: they have shown nothing but failures.
     pub fn quarantined_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
         self.jobs.iter().filter(|(_, job)| job.is_quarantined).map(|(id, _)| *id)
     }
@@ -253,6 +253,7 @@
         self.dispatch(now, None);
     }
 
+    /// Takes in an unfinished job of the job cache, with its tasks that are known to be done.
     fn on_job_opened(
         &mut self,
         spec: Arc<JobSpec>,
@@ -266,7 +267,7 @@
         }
         let mut done = done.unwrap_or_else(|| Bitmap::new(spec.tasks));
         if spec.gang && done.ones() > 0 {
-            // They complete together: if one is done, all are.
+            // The tasks of a gang complete together: if one is done, all are.
             done.set_all();
         }
         let is_done = done.full();
@@ -284,6 +285,7 @@
         self.cycle_timer.request();
     }
 
+    /// Forgets a job that was closed, and stops its task runs.
     fn on_job_closed(&mut self, now: Millis, id: JobId) {
         if self.jobs.remove(&id).is_none() {
             return;
