--- a/crates/latchtrack/src/actors/admission/cancel.rs
+++ b/crates/latchtrack/src/actors/admission/cancel.rs
@@ -40,7 +40,7 @@
                 cache.do_send(ApplyRecord { id, record, revision });
                 return CancelOutcome::Cancelled;
             }
-            // The record has changed, or this may have been applied: look again.
+            // The record has changed, or this write may have been applied: read it again.
             Ok(_) | Err(StoreError::Unknown) => {}
             Err(_) => return CancelOutcome::Busy,
         }
--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -34,7 +34,7 @@
     queue: VecDeque<CloudRequest>,
     is_wakeup_set: bool,
     listeners: Option<ConnectCloud>,
-    /// Whether the cloud itself has told the machine types.
+    /// Whether the machine types were read from the cloud itself.
     has_types: bool,
     /// The term and until when its lease is valid, as the scheduler driver knows it.
     term: Option<LeaderTerm>,
@@ -186,7 +186,7 @@
         }));
     }
 
-    /// Tells the scheduler an outcome, after a pause of so many ms if that is not 0.
+    /// Reports an outcome to the scheduler after `wait_ms`; 0: at once.
     fn report(&self, token: u64, event: Event, wait_ms: u64, ctx: &mut Context<Self>) {
         let Some(listeners) = &self.listeners else { return };
         if wait_ms == 0 {
--- a/crates/latchtrack/src/actors/election/mod.rs
+++ b/crates/latchtrack/src/actors/election/mod.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// No node leads: campaigns after a random wait, or looks again when this node may campaign.
+    /// No node leads: campaigns after a random wait, or checks the key again once this node may.
     fn schedule_campaign(&mut self, ctx: &mut Context<Self>) {
         if now_ms() < self.not_before {
             let wait_ms = self.not_before - now_ms();
--- a/crates/latchtrack/src/actors/job_cache/records.rs
+++ b/crates/latchtrack/src/actors/job_cache/records.rs
@@ -86,7 +86,8 @@
                     is_led |= item.key == LEADER;
                     changes.extend(self.put(&item.key, item.value.get(), item.revision));
                 }
-                // Who led in what was missed is not known; if there is no key, nobody does now.
+                // Who led during the missed changes is unknown; without the key, no node leads
+                // now.
                 self.leaderless_since = (!is_led).then_some(revision);
                 if !is_led && self.leader_revision < revision {
                     self.leader = None;
@@ -109,7 +110,7 @@
         (changes, revision)
     }
 
-    /// Job records are never deleted; of the leader key it means that nobody leads.
+    /// A deleted leader key means that no node leads. Job records are never deleted.
     fn delete(&mut self, key: &str, revision: u64) {
         if key == LEADER && revision > self.leader_revision {
             self.leader = None;
@@ -130,7 +131,7 @@
         match Record::parse(id, value) {
             Ok(record) => self.apply_record(id, record, revision),
             Err(error) => {
-                // Neither used nor called unknown: its user was told that it is accepted.
+                // Queries get an error, not `unknown`: the user has an answer that it is accepted.
                 if self.unparsable.insert(id) {
                     tracing::error!(job = %id, %error, "job record can't be parsed");
                 }
@@ -175,7 +176,7 @@
         Some(change)
     }
 
-    /// Takes in the counts of all jobs of which the leader told.
+    /// Replaces the counts by those that the leader has published.
     pub(super) fn set_task_counts(&mut self, counts: Vec<TaskCounts>) {
         self.progress.clear();
         for TaskCounts { job, done, running } in counts {
--- a/crates/latchtrack/src/actors/messages/admission.rs
+++ b/crates/latchtrack/src/actors/messages/admission.rs
@@ -57,7 +57,7 @@
     /// The state service failed or refused, or the outcome is unknown.
     #[error("the state service does not answer")]
     StoreUnavailable,
-    /// Neither the cloud nor the state service has told the machine types yet.
+    /// The machine types were not read yet, neither from the cloud nor from the state service.
     #[error("the machine types are not known yet")]
     MachineTypesUnknown,
     /// The queue of submissions is full.
--- a/crates/latchtrack/src/actors/messages/cloud.rs
+++ b/crates/latchtrack/src/actors/messages/cloud.rs
@@ -45,7 +45,7 @@
     ReadMachineTypes,
 }
 
-/// The machine types and prices, as the cloud tells them or the state service has them stored.
+/// The machine types and prices, as read from the cloud or from the state service.
 #[derive(Message, Clone)]
 #[rtype(result = "()")]
 pub struct MachineTypesUpdate(pub Vec<MachineType>);
--- a/crates/latchtrack/src/actors/messages/job_cache.rs
+++ b/crates/latchtrack/src/actors/messages/job_cache.rs
@@ -22,9 +22,9 @@
     pub record: Record,
     /// Revision of the record.
     pub revision: u64,
-    /// Tasks that are done, as the leader last told.
+    /// Tasks that are done, as the leader last published.
     pub done: u32,
-    /// Tasks that run, as the leader last told.
+    /// Tasks that run, as the leader last published.
     pub running: u32,
 }
 
@@ -77,7 +77,7 @@
     pub running: u32,
 }
 
-/// The counts of all open jobs of which the leader told; replaces those of before.
+/// The counts that the leader has published; they replace those of before.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct UpdateTaskCounts(pub Vec<TaskCounts>);
@@ -97,7 +97,7 @@
 pub struct OpenJobsSnapshot {
     /// All open jobs.
     pub jobs: Vec<OpenJob>,
-    /// The revision with which the last leader's key went, if that was seen: nobody led after it.
+    /// The revision at which the last leader's key was deleted, if known: no node led after it.
     pub leaderless_since: Option<u64>,
 }
 
--- a/crates/latchtrack/src/actors/messages/mod.rs
+++ b/crates/latchtrack/src/actors/messages/mod.rs
@@ -1,7 +1,7 @@
 //! The messages of the actors, one module for each receiving service.
 //!
 //! They stand apart from the actors so that two actors that speak to each other don't import each
-//! other: where an actor is told of its listeners, it gets a [`actix::Recipient`] of one message.
+//! other: an actor gets each of its listeners as a [`actix::Recipient`] of one message.
 
 pub mod admission;
 pub mod cloud;
--- a/crates/latchtrack/src/actors/scheduler_driver/mod.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/mod.rs
@@ -63,7 +63,7 @@
     state_read: StateRead,
     router: HeartbeatRouter,
     write_state: WriteState,
-    /// When the counts of tasks were last told, in ms of the steady clock.
+    /// When the counts of tasks were last published, in ms of the steady clock.
     last_progress: u64,
 }
 
--- a/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
@@ -77,7 +77,7 @@
             "stored state read"
         );
         let mut chunks = chunks_by_job(&stored.results);
-        // The last time before this term that nobody led.
+        // The last revision before this term from which on no node led.
         let leaderless_since =
             stored.leaderless_since.filter(|revision| *revision < token).unwrap_or(token);
         self.scheduler = Some(Scheduler::new(
--- a/crates/latchtrack/src/actors/scheduler_driver/write_state.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/write_state.rs
@@ -9,7 +9,7 @@
     InFlight,
     /// A write is under way, and the scheduler has more to write.
     InFlightMoreWaiting,
-    /// A write has failed; the scheduler is told after a backoff, and then asks for the next.
+    /// A write has failed. The scheduler hears of it after a backoff, and then asks for the next.
     Backoff,
 }
 
--- a/crates/latchtrack/src/actors/scheduler_driver/writes.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/writes.rs
@@ -54,7 +54,7 @@
         }));
     }
 
-    /// What the answer to a write means, told to the job cache or the election if it concerns
+    /// What the answer to a write means. The job cache or the election hears of it if it concerns
     /// them.
     fn batch_outcome(
         &self,
--- a/crates/latchtrack/src/actors/store/client.rs
+++ b/crates/latchtrack/src/actors/store/client.rs
@@ -30,9 +30,9 @@
 
 /// What may be sent next.
 enum NextRequest {
-    /// The first request of this class, with so many writes.
+    /// The first request of this class, with this number of writes.
     Ready { class: usize, writes: f64 },
-    /// Only writes wait, and the budget allows the first in so many ms.
+    /// Only writes wait, and the budget allows the first after this many ms.
     WaitForWrites(u64),
     /// Nothing waits.
     Nothing,
@@ -139,7 +139,7 @@
         wait_ms.map_or(NextRequest::Nothing, NextRequest::WaitForWrites)
     }
 
-    /// Looks at the queues again in so many ms, unless that is set already.
+    /// Sets the time of the next pass over the queues, unless one is set already.
     fn set_wakeup(&mut self, ms: u64, ctx: &mut Context<Self>) {
         if self.is_wakeup_set {
             return;
--- a/crates/latchtrack/src/actors/store/mod.rs
+++ b/crates/latchtrack/src/actors/store/mod.rs
@@ -1,5 +1,5 @@
 //! The client of the state service: [`client`] paces the requests of this node by [`pacing`],
-//! [`http`] sends them, and [`reads`] joins pages and follows changes.
+//! `http` sends them, and [`reads`] joins pages and follows changes.
 
 pub mod client;
 pub mod error;
--- a/crates/latchtrack/src/constants.rs
+++ b/crates/latchtrack/src/constants.rs
@@ -12,11 +12,11 @@
 /// ms of the shortest lease that works, for settings where the worker lease leaves little of the
 /// time within which a cancelled task must have ended.
 pub const MIN_LEADER_TTL_MS: u64 = 1_000;
-/// The lease is renewed after this fraction (one of so many) of its length.
+/// Renewals in the length of a lease.
 pub const RENEWALS_PER_LEASE: u64 = 4;
 /// ms taken off the lease's local end, for the time that acting itself takes.
 pub const LEASE_GUARD_MS: u64 = 250;
-/// One part of so many of the lease is taken off its local end, for the drift of the clocks
+/// The lease's length divided by this is taken off its local end, for the drift of the clocks
 /// (0.05%).
 pub const CLOCK_DRIFT_DIVISOR: u64 = 1_000;
 /// ms after a failed renewal or campaign before the next attempt.
--- a/crates/latchtrack/src/limit.rs
+++ b/crates/latchtrack/src/limit.rs
@@ -92,7 +92,7 @@
     }
 
     /// Changes a ledger's limit and guarantee. Allotments stay, and cells give back what is beyond
-    /// the limit; but for a resource that had no limit they enter first what they use of it.
+    /// the limit; but for a resource that had no limit they first enter what they use of it.
     pub fn apply(&self, ledger: &mut TeamLedger) -> Result<(), LimitError> {
         self.check()?;
         let before = ledger.limit;
--- a/crates/latchtrack/src/settings/platform.rs
+++ b/crates/latchtrack/src/settings/platform.rs
@@ -133,7 +133,7 @@
     /// s a task of a gang waits for the other tasks of its attempt.
     #[serde(default)]
     pub gang_wait_s: Option<f64>,
-    /// s within which the tasks of a gang notice that one is gone, or must all be told to stop.
+    /// s within which the tasks of a gang notice that one is gone, or must all get a stop.
     #[serde(default)]
     pub gang_peer_s: Option<f64>,
 }
--- a/crates/latchtrack/src/status.rs
+++ b/crates/latchtrack/src/status.rs
@@ -27,7 +27,7 @@
     /// Only if no node answered as the leader.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub without_leader: Option<StoredStatus>,
-    /// Why the state service told nothing, if it was asked in vain.
+    /// Why the state service gave no answer, if it was asked.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub trouble: Option<String>,
 }
--- a/crates/latchtrack/src/wire/peers.rs
+++ b/crates/latchtrack/src/wire/peers.rs
@@ -1,7 +1,7 @@
 //! Frames between the nodes, in bincode.
 //!
 //! A published format (`tests/published_formats.rs`): nodes of two versions speak to each other
-//! during an upgrade. Variants and fields are told apart by their order alone, which never
+//! during an upgrade. Variants and fields are identified by their order alone, which never
 //! changes, and a node that can't decode a frame drops the connection, so a new variant may go
 //! only to a peer known to read it.
 
--- a/crates/latchtrack/src/wire/records.rs
+++ b/crates/latchtrack/src/wire/records.rs
@@ -24,7 +24,7 @@
 pub const JOBS: &str = "live/job/";
 /// Prefix of the stored results of unfinished jobs.
 pub const RESULTS: &str = "results/";
-/// The key of the machine types, as the cloud last told them.
+/// The key of the machine types, as last read from the cloud.
 pub const TYPES: &str = "site/types";
 /// Prefix of the machine set.
 pub const FLEET: &str = "fleet/";
--- a/crates/latchtrack/src/wire/store.rs
+++ b/crates/latchtrack/src/wire/store.rs
@@ -166,7 +166,7 @@
 /// The answer to a watch.
 #[derive(Deserialize, Debug)]
 pub struct WatchAnswer {
-    /// Up to which revision the changes are told.
+    /// Up to which revision the changes are included.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// The changes, in order.
