--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -24,7 +24,7 @@
     USABLE_LIMIT_FRACTION,
 };
 use crate::settings::Settings;
-use crate::wire::records::{read_types, TYPES};
+use crate::wire::records::{parse_machine_types, TYPES};
 
 /// The actor that speaks to the cloud.
 pub struct Cloud {
@@ -225,7 +225,7 @@
         };
         ctx.spawn(request.into_actor(self).map(|answer, act, _| {
             let Ok(StoreAnswer { reply: Reply::Item(item), .. }) = answer else { return };
-            match read_types(item.value.get()) {
+            match parse_machine_types(item.value.get()) {
                 Some(types) if !act.has_types => {
                     let source = "state service";
                     tracing::info!(types = types.len(), source, "machine types known");
--- a/crates/latchtrack/src/actors/scheduler_driver/writes.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/writes.rs
@@ -15,7 +15,7 @@
 use crate::actors::stored::{conflict_outcome, record_transaction};
 use crate::clock::now_ms;
 use crate::constants::{RECORD_WRITE_WAIT_MS, REFRESH_RETRY_MS};
-use crate::wire::records::{same_types, types as types_record, Record, LEADER, TYPES};
+use crate::wire::records::{encode_machine_types, same_types, Record, LEADER, TYPES};
 use crate::wire::store::{Change, Condition, Txn};
 
 impl SchedulerDriver {
@@ -130,7 +130,7 @@
             return;
         }
         let types = self.types.clone();
-        let Ok(value) = types_record(&types) else { return };
+        let Ok(value) = encode_machine_types(&types) else { return };
         let (bytes, max_bytes) = (value.get().len(), self.value_bytes);
         if bytes > max_bytes {
             tracing::error!(key = TYPES, bytes, max_bytes, "machine types too large to be stored");
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -11,8 +11,8 @@
 use super::messages::job_cache::{ListOpenJobs, OpenJob, OpenJobsSnapshot};
 use super::store::{self, Store};
 use crate::wire::records::{
-    fleet, fleet_key, job_key, read_fleet, read_results, results, results_key, Record, FLEET, JOBS,
-    LEADER, RESULTS,
+    encode_machine_set, encode_results, job_key, machine_set_key, parse_machine_set, parse_results,
+    results_key, Record, JOBS, LEADER, MACHINE_SETS, RESULTS,
 };
 use crate::wire::store::{Change, Condition, Item, Txn};
 
@@ -56,14 +56,14 @@
     for write in writes {
         let (key, expect, value) = match write {
             RecordWrite::MachineSet { pack, machines } => (
-                fleet_key(&pack.name),
+                machine_set_key(&pack.name),
                 pack.expect,
-                ShardValue::new(machines.is_empty(), || fleet(machines))?,
+                ShardValue::new(machines.is_empty(), || encode_machine_set(machines))?,
             ),
             RecordWrite::Results { pack, chunks } => (
                 results_key(&pack.name),
                 pack.expect,
-                ShardValue::new(chunks.is_empty(), || results(chunks))?,
+                ShardValue::new(chunks.is_empty(), || encode_results(chunks))?,
             ),
             RecordWrite::JobDone { job, revision, tasks } => {
                 let value = Record::Done { tasks: *tasks }.to_json().ok()?;
@@ -87,24 +87,24 @@
         keys.iter().filter_map(|key| key.strip_prefix(prefix)).map(str::to_string).collect()
     };
     let jobs = under(JOBS).iter().filter_map(|id| id.parse().ok()).collect();
-    BatchOutcome::Conflict { jobs, fleet: under(FLEET), results: under(RESULTS) }
+    BatchOutcome::Conflict { jobs, fleet: under(MACHINE_SETS), results: under(RESULTS) }
 }
 
 /// Reads open jobs, results and machine set; None if the state service can't be asked. All of it
 /// is as new as this term, since an earlier leader's writes are fenced.
 pub async fn read_stored_state(store: &Addr<Store>, cache: &Addr<JobCache>) -> Option<StoredState> {
-    let (machine_sets, _) = store::read_all(store, FLEET).await.ok()?;
+    let (machine_sets, _) = store::read_all(store, MACHINE_SETS).await.ok()?;
     let (results, _) = store::read_all(store, RESULTS).await.ok()?;
     let OpenJobsSnapshot { jobs, leaderless_since } = cache.send(ListOpenJobs).await.ok()?.ok()?;
-    let machine_sets = machine_sets.iter().filter_map(parse_machine_set).collect();
+    let machine_sets = machine_sets.iter().filter_map(stored_machine_set).collect();
     let open: HashSet<JobId> = jobs.iter().map(|job| job.spec.id).collect();
-    let results = results.iter().filter_map(|item| parse_results(item, &open)).collect();
+    let results = results.iter().filter_map(|item| stored_results(item, &open)).collect();
     Some(StoredState { jobs, leaderless_since, machine_sets, results })
 }
 
-fn parse_machine_set(item: &Item) -> Option<StoredMachineSet> {
-    let name = item.key.strip_prefix(FLEET)?;
-    let machines = read_fleet(name, item.value.get())
+fn stored_machine_set(item: &Item) -> Option<StoredMachineSet> {
+    let name = item.key.strip_prefix(MACHINE_SETS)?;
+    let machines = parse_machine_set(name, item.value.get())
         .map_err(|error| {
             tracing::error!(key = item.key, %error, "stored machines can't be parsed");
         })
@@ -112,9 +112,9 @@
     Some(StoredMachineSet { name: name.to_string(), revision: item.revision, machines })
 }
 
-fn parse_results(item: &Item, open: &HashSet<JobId>) -> Option<StoredResults> {
+fn stored_results(item: &Item, open: &HashSet<JobId>) -> Option<StoredResults> {
     let name = item.key.strip_prefix(RESULTS)?;
-    let mut chunks = read_results(name, item.value.get()).unwrap_or_else(|| {
+    let mut chunks = parse_results(name, item.value.get()).unwrap_or_else(|| {
         // Its tasks run again; their results were kept nowhere else.
         tracing::error!(key = item.key, "stored results can't be parsed");
         Vec::new()
--- a/crates/latchtrack/src/status.rs
+++ b/crates/latchtrack/src/status.rs
@@ -14,7 +14,7 @@
 use crate::net::{finish, http_client};
 use crate::settings::Settings;
 use crate::wire::peers::PeerRequest;
-use crate::wire::records::{read_fleet, Record, FLEET, JOBS, LEADER, LIVE};
+use crate::wire::records::{parse_machine_set, Record, JOBS, LEADER, LIVE, MACHINE_SETS};
 use crate::wire::status::NodeView;
 use crate::wire::store::Item;
 use crate::wire::workers::parse_heartbeat;
@@ -84,13 +84,13 @@
 async fn ask_store_and_workers(settings: &Settings) -> Result<StoredStatus, StoreError> {
     let store = Store::new(settings).start();
     let (live, _) = store::read_all(&store, LIVE).await?;
-    let (machine_sets, _) = store::read_all(&store, FLEET).await?;
+    let (machine_sets, _) = store::read_all(&store, MACHINE_SETS).await?;
     let mut status = StoredStatus::default();
     count_records(&live, &mut status);
     let mut addrs = Vec::new();
     for item in machine_sets {
-        let name = item.key.strip_prefix(FLEET).unwrap_or_default();
-        let machines = read_fleet(name, item.value.get()).unwrap_or_default();
+        let name = item.key.strip_prefix(MACHINE_SETS).unwrap_or_default();
+        let machines = parse_machine_set(name, item.value.get()).unwrap_or_default();
         addrs.extend(machines.into_iter().map(|machine| machine.addr));
     }
     status.machines = addrs.len();
--- a/crates/latchtrack/src/wire/records.rs
+++ b/crates/latchtrack/src/wire/records.rs
@@ -27,7 +27,7 @@
 /// The key of the machine types, as last read from the cloud.
 pub const TYPES: &str = "site/types";
 /// Prefix of the machine set.
-pub const FLEET: &str = "fleet/";
+pub const MACHINE_SETS: &str = "fleet/";
 
 /// The key of a job's record.
 pub fn job_key(id: JobId) -> String {
@@ -40,8 +40,8 @@
 }
 
 /// The key of a record shard of the machine set.
-pub fn fleet_key(name: &str) -> String {
-    format!("{FLEET}{name}")
+pub fn machine_set_key(name: &str) -> String {
+    format!("{MACHINE_SETS}{name}")
 }
 
 /// Who leads.
@@ -262,7 +262,7 @@
 }
 
 /// A record shard of the machine set as it is stored.
-pub fn fleet(machines: &[StoredMachine]) -> serde_json::Result<Box<RawValue>> {
+pub fn encode_machine_set(machines: &[StoredMachine]) -> serde_json::Result<Box<RawValue>> {
     let record = |m: &StoredMachine| -> MachineRecord {
         (m.name.clone(), m.kind.clone(), m.zone.clone(), m.spot, m.addr.clone())
     };
@@ -271,8 +271,8 @@
 }
 
 /// Reads a value of the machine set, in the current form or the old one. `key` is the part of the
-/// key after [`FLEET`].
-pub fn read_fleet(key: &str, json: &str) -> serde_json::Result<Vec<StoredMachine>> {
+/// key after [`MACHINE_SETS`].
+pub fn parse_machine_set(key: &str, json: &str) -> serde_json::Result<Vec<StoredMachine>> {
     if json.trim_start().starts_with('{') {
         let old: OldMachine = serde_json::from_str(json)?;
         let OldMachine { kind, zone, spot, addr } = old;
@@ -304,14 +304,14 @@
 struct StoredType(#[serde(with = "TypeRecord")] MachineType);
 
 /// The machine types as they are stored.
-pub fn types(types: &[MachineType]) -> serde_json::Result<Box<RawValue>> {
+pub fn encode_machine_types(types: &[MachineType]) -> serde_json::Result<Box<RawValue>> {
     let records: Vec<StoredType> = types.iter().cloned().map(StoredType).collect();
     serde_json::value::to_raw_value(&records)
 }
 
 /// Reads the stored machine types; None if they can't be parsed or a number is not finite or below
 /// 0.
-pub fn read_types(json: &str) -> Option<Vec<MachineType>> {
+pub fn parse_machine_types(json: &str) -> Option<Vec<MachineType>> {
     let records: Vec<StoredType> = serde_json::from_str(json).ok()?;
     let sane = |t: &MachineType| {
         let size = [t.cpus, t.gpus, t.memory_gb, t.price, t.spot_price];
@@ -334,7 +334,7 @@
 pub type Chunks = Vec<(JobId, u32, Vec<u8>)>;
 
 /// A record shard of results as it is stored.
-pub fn results(chunks: &[(JobId, u32, Vec<u8>)]) -> serde_json::Result<Box<RawValue>> {
+pub fn encode_results(chunks: &[(JobId, u32, Vec<u8>)]) -> serde_json::Result<Box<RawValue>> {
     let map: BTreeMap<String, String> = chunks
         .iter()
         .map(|(id, chunk, bytes)| (format!("{id}/{chunk}"), STANDARD_NO_PAD.encode(bytes)))
@@ -344,7 +344,7 @@
 
 /// Reads a value of results; None if it can't be parsed. `key` is the part of the key after
 /// [`RESULTS`]. The old form is one text, of the job and the chunk in its key.
-pub fn read_results(key: &str, json: &str) -> Option<Chunks> {
+pub fn parse_results(key: &str, json: &str) -> Option<Chunks> {
     let one = |name: &str, text: &str| {
         let (job, chunk) = name.split_once('/')?;
         Some((job.parse().ok()?, chunk.parse().ok()?, STANDARD_NO_PAD.decode(text).ok()?))
--- a/crates/latchtrack/tests/integration/status.rs
+++ b/crates/latchtrack/tests/integration/status.rs
@@ -61,7 +61,7 @@
         addr: addr.into(),
     };
     let machines = [machine("n-000001", &addr), machine("n-000002", "127.0.0.1:9")];
-    let value = latchtrack::wire::records::fleet(&machines).unwrap();
+    let value = latchtrack::wire::records::encode_machine_set(&machines).unwrap();
     let value = serde_json::from_str(value.get()).unwrap();
     site2.state.lock().unwrap().put("fleet/7-1", value, None);
     let [users, peers] = [bound().await, bound().await];
--- a/crates/latchtrack/tests/parsers.rs
+++ b/crates/latchtrack/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! Every parser against seeded noise: no panic, and whatever is accepted is within its bounds.
 
 use latchtrack::settings::{parse_tuning, Platform, Settings, Tuning};
-use latchtrack::wire::records::{read_fleet, read_results, Record};
+use latchtrack::wire::records::{parse_machine_set, parse_results, Record};
 use latchtrack::wire::users::{parse_id, parse_job};
 use latchtrack::wire::workers::parse_heartbeat;
 use latchtrack_core::job::JobId;
@@ -122,13 +122,13 @@
     });
     fuzz("\"AQID\"", 4, |bytes| {
         let text = String::from_utf8_lossy(bytes);
-        read_results("req-000007/0", &text).is_some()
+        parse_results("req-000007/0", &text).is_some()
     });
     fuzz(r#"{"req-000007/0":"AQID","req-000012/1":"AA"}"#, 7, |bytes| {
-        read_results("41-1", &String::from_utf8_lossy(bytes)).is_some()
+        parse_results("41-1", &String::from_utf8_lossy(bytes)).is_some()
     });
     fuzz(r#"[["n-1","g","a",true,"1.2.3.4:9"],["n-2","g","a",false,"1.2.3.4:8"]]"#, 8, |bytes| {
-        read_fleet("41-1", &String::from_utf8_lossy(bytes)).is_ok()
+        parse_machine_set("41-1", &String::from_utf8_lossy(bytes)).is_ok()
     });
 }
 
--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -10,8 +10,9 @@
 
 use latchtrack::wire::peers::{decode, encode, Answer, Frame, PeerRequest};
 use latchtrack::wire::records::{
-    fleet, fleet_key, job_key, read_fleet, read_results, read_types, results, results_key, types,
-    LeaderRecord, Record, LEADER, TYPES,
+    encode_machine_set, encode_machine_types, encode_results, job_key, machine_set_key,
+    parse_machine_set, parse_machine_types, parse_results, results_key, LeaderRecord, Record,
+    LEADER, TYPES,
 };
 use latchtrack::wire::status::NodeView;
 use latchtrack_core::bitmap::Bitmap;
@@ -61,7 +62,7 @@
     assert_eq!(LEADER, "live/leader");
     assert_eq!(job_key(JobId(412)), "live/job/req-000412");
     assert_eq!(results_key("41-1"), "results/41-1");
-    assert_eq!(fleet_key("41-1"), "fleet/41-1");
+    assert_eq!(machine_set_key("41-1"), "fleet/41-1");
     assert_eq!(TYPES, "site/types");
     let record = LeaderRecord { node: "n".into(), run: 7, lease: 9 };
     let text = r#"{"node":"n","run":7,"lease":9}"#;
@@ -73,16 +74,16 @@
 fn machine_sets_are_read_and_written_as_published() {
     let machines = [stored_machine("n-1"), stored_machine("n-2")];
     let text = r#"[["n-1","g","a",true,"1.2.3.4:9"],["n-2","g","a",true,"1.2.3.4:9"]]"#;
-    assert_eq!(fleet(&machines).unwrap().get(), text);
-    assert_eq!(read_fleet("41-1", text).unwrap(), machines);
+    assert_eq!(encode_machine_set(&machines).unwrap().get(), text);
+    assert_eq!(parse_machine_set("41-1", text).unwrap(), machines);
 }
 
 #[test]
 fn results_are_read_and_written_as_published() {
     let chunks = result_chunks();
     let text = r#"{"req-000007/3":"AQD/","req-000009/0":"BA"}"#;
-    assert_eq!(results(&chunks).unwrap().get(), text);
-    assert_eq!(read_results("41-1", text), Some(chunks));
+    assert_eq!(encode_results(&chunks).unwrap().get(), text);
+    assert_eq!(parse_results("41-1", text), Some(chunks));
     // Chunk 3 begins at task 49,152, lowest bit first.
     assert_eq!(LEGACY_CHUNK_TASKS, 16_384);
     let mut done = Bitmap::new(100_000);
@@ -96,8 +97,8 @@
 fn machine_types_are_read_and_written_as_published() {
     let machine_type = machine_type();
     let text = r#"[{"name":"g","cpus":8.0,"gpus":1.0,"memory_gb":32.0,"price":1.0,"spot_price":0.3,"boot_s":10.0,"cache_gb":30.0,"fetch_gb_per_s":0.5,"zones":["a","b"]}]"#;
-    assert_eq!(types(std::slice::from_ref(&machine_type)).unwrap().get(), text);
-    assert_eq!(read_types(text).unwrap(), [machine_type]);
+    assert_eq!(encode_machine_types(std::slice::from_ref(&machine_type)).unwrap().get(), text);
+    assert_eq!(parse_machine_types(text).unwrap(), [machine_type]);
 }
 
 /// The order of the variants and of their fields is part of the form.
--- a/crates/latchtrack/tests/records.rs
+++ b/crates/latchtrack/tests/records.rs
@@ -7,7 +7,8 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
 use latchtrack::wire::records::{
-    fleet, read_fleet, read_results, read_types, results, same_types, types, Record,
+    encode_machine_set, encode_machine_types, encode_results, parse_machine_set,
+    parse_machine_types, parse_results, same_types, Record,
 };
 use latchtrack_core::job::{Demand, JobId, JobSpec};
 use latchtrack_core::machine::MachineType;
@@ -51,25 +52,25 @@
 #[test]
 fn results_survive_in_both_forms() {
     let chunks = result_chunks();
-    let json = results(&chunks).unwrap();
-    assert_eq!(read_results("41-1", json.get()), Some(chunks));
+    let json = encode_results(&chunks).unwrap();
+    assert_eq!(parse_results("41-1", json.get()), Some(chunks));
     let old = serde_json::to_string(&STANDARD_NO_PAD.encode([1, 0, 255])).unwrap();
-    assert_eq!(read_results("req-000007/3", &old), Some(vec![(JobId(7), 3, vec![1, 0, 255])]));
+    assert_eq!(parse_results("req-000007/3", &old), Some(vec![(JobId(7), 3, vec![1, 0, 255])]));
     for (key, json) in [("req-000007/3", "7"), ("req-000007", &*old), ("1", "{\"x/1\":\"AA\"}")] {
-        assert_eq!(read_results(key, json), None);
+        assert_eq!(parse_results(key, json), None);
     }
 }
 
 #[test]
 fn machine_types_survive() {
     let t = machine_type();
-    let json = types(std::slice::from_ref(&t)).unwrap();
-    assert_eq!(read_types(json.get()), Some(vec![t.clone()]));
+    let json = encode_machine_types(std::slice::from_ref(&t)).unwrap();
+    assert_eq!(parse_machine_types(json.get()), Some(vec![t.clone()]));
     let before = r#"[["g",16,0,64,1,0.4,50,60,1,["a"]]]"#;
-    let old = read_types(before).unwrap();
+    let old = parse_machine_types(before).unwrap();
     assert_eq!((old[0].name.as_str(), old[0].cpus, old[0].boot_s), ("g", 16.0, 50.0));
     assert_eq!((old[0].cache_gb, old[0].zones.as_slice()), (60.0, &["a".to_string()][..]));
-    assert_eq!(read_types("[[1]]"), None);
+    assert_eq!(parse_machine_types("[[1]]"), None);
     assert!(same_types(&[MachineType { price: 9.0, ..t.clone() }], std::slice::from_ref(&t)));
     assert!(!same_types(&[MachineType { cpus: 9.0, ..t.clone() }], &[t]));
 }
@@ -78,10 +79,10 @@
 #[test]
 fn machines_survive_in_both_forms() {
     let all = vec![stored_machine("n-1"), stored_machine("n-2")];
-    let json = fleet(&all).unwrap();
-    assert_eq!(read_fleet("41-1", json.get()).unwrap(), all);
+    let json = encode_machine_set(&all).unwrap();
+    assert_eq!(parse_machine_set("41-1", json.get()).unwrap(), all);
     assert!(json.get().len() <= all.iter().map(StoredMachine::bytes).sum::<usize>());
     let old = r#"{"kind":"g","zone":"a","spot":true,"addr":"1.2.3.4:9"}"#;
-    assert_eq!(read_fleet("n-2", old).unwrap(), [stored_machine("n-2")]);
-    assert!(read_fleet("n-2", "{}").is_err() && read_fleet("x", "[1]").is_err());
+    assert_eq!(parse_machine_set("n-2", old).unwrap(), [stored_machine("n-2")]);
+    assert!(parse_machine_set("n-2", "{}").is_err() && parse_machine_set("x", "[1]").is_err());
 }
