--- a/crates/latchtrack/src/actors/peers/mod.rs
+++ b/crates/latchtrack/src/actors/peers/mod.rs
@@ -28,7 +28,7 @@
     PEER_QUEUE,
 };
 use crate::settings::Settings;
-use crate::wire::peers::{Answer, Frame};
+use crate::wire::peers::{Answer, Frame, JobCounts};
 
 /// This node's connection to another one.
 struct PeerConnection {
@@ -100,14 +100,14 @@
     }
 
     /// Takes in the counts and the overdue machines of a leader.
-    fn apply_progress(&mut self, token: u64, jobs: Vec<(u64, u32, u32)>, overdue: Vec<String>) {
+    fn apply_progress(&mut self, token: u64, jobs: Vec<JobCounts>, overdue: Vec<String>) {
         if token < self.newest_token {
             return;
         }
         self.newest_token = token;
         let counts = jobs
             .into_iter()
-            .map(|(job, done, running)| TaskCounts { job: JobId(job), done, running })
+            .map(|JobCounts { job, done, running }| TaskCounts { job: JobId(job), done, running })
             .collect();
         self.cache.do_send(UpdateTaskCounts(counts));
         if let Some(scheduler) = &self.scheduler {
--- a/crates/latchtrack/src/actors/scheduler_driver/mod.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/mod.rs
@@ -36,7 +36,7 @@
 use crate::constants::{MAILBOX, PROGRESS_JOBS, PROGRESS_MS, TICK_MS};
 use crate::net::http_client;
 use crate::settings::Settings;
-use crate::wire::peers::Frame;
+use crate::wire::peers::{Frame, JobCounts};
 
 /// The actor that drives the scheduler.
 pub struct SchedulerDriver {
@@ -137,7 +137,12 @@
             .take(PROGRESS_JOBS)
             .map(|(job, done, running)| TaskCounts { job, done, running })
             .collect();
-        let jobs = counts.iter().map(|count| (count.job.0, count.done, count.running)).collect();
+        let on_wire = |count: &TaskCounts| JobCounts {
+            job: count.job.0,
+            done: count.done,
+            running: count.running,
+        };
+        let jobs = counts.iter().map(on_wire).collect();
         self.cache.do_send(UpdateTaskCounts(counts));
         let (token, overdue) = (scheduler.token(), scheduler.overdue(now));
         self.peers.do_send(BroadcastFrame(Frame::Progress { token, jobs, overdue }));
--- a/crates/latchtrack/src/wire/peers.rs
+++ b/crates/latchtrack/src/wire/peers.rs
@@ -14,8 +14,8 @@
     Progress {
         /// Fencing token of its term.
         token: u64,
-        /// For display, of each job its number, and how many of its tasks are done and run.
-        jobs: Vec<(u64, u32, u32)>,
+        /// For display, the counts of each job.
+        jobs: Vec<JobCounts>,
         /// Machines of which it waits for a heartbeat.
         overdue: Vec<String>,
     },
@@ -40,6 +40,17 @@
     },
 }
 
+/// How many tasks of a job are done and run.
+#[derive(Encode, Decode, Debug, PartialEq, Eq, Clone, Copy)]
+pub struct JobCounts {
+    /// Number of the job's id.
+    pub job: u64,
+    /// Tasks that are done.
+    pub done: u32,
+    /// Tasks that run.
+    pub running: u32,
+}
+
 /// A request of a user, a worker or an operator that one node forwards to another.
 #[derive(Encode, Decode, Debug, PartialEq, Clone)]
 pub enum PeerRequest {
--- a/crates/latchtrack/tests/frames.rs
+++ b/crates/latchtrack/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames between the nodes.
 
-use latchtrack::wire::peers::{decode, encode, Frame, PeerRequest};
+use latchtrack::wire::peers::{decode, encode, Frame, JobCounts, PeerRequest};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -8,7 +8,10 @@
 fn frames_survive_and_noise_does_not() {
     let frame = Frame::Progress {
         token: 7,
-        jobs: vec![(1, 2, 3), (u64::MAX, 0, 9)],
+        jobs: vec![
+            JobCounts { job: 1, done: 2, running: 3 },
+            JobCounts { job: u64::MAX, done: 0, running: 9 },
+        ],
         overdue: vec!["n-1".into()],
     };
     let bytes = encode(&frame).unwrap();
--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -8,7 +8,7 @@
 
 use std::sync::Arc;
 
-use latchtrack::wire::peers::{decode, encode, Answer, Frame, PeerRequest};
+use latchtrack::wire::peers::{decode, encode, Answer, Frame, JobCounts, PeerRequest};
 use latchtrack::wire::records::{
     encode_machine_set, encode_machine_types, encode_results, job_key, machine_set_key,
     parse_machine_set, parse_machine_types, parse_results, results_key, LeaderRecord, Record,
@@ -109,8 +109,8 @@
         id,
         answer: Answer { status, retry_after, body: body.to_vec() },
     };
-    let progress =
-        Frame::Progress { token: 7, jobs: vec![(412, 2, 300)], overdue: vec!["n-1".into()] };
+    let jobs = vec![JobCounts { job: 412, done: 2, running: 300 }];
+    let progress = Frame::Progress { token: 7, jobs, overdue: vec!["n-1".into()] };
     let published: [(Frame, &[u8]); 9] = [
         (progress, &[0, 7, 1, 251, 156, 1, 2, 251, 44, 1, 1, 3, 110, 45, 49]),
         (Frame::Health { store: true }, &[1, 1]),
