--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -24,7 +24,7 @@
     USABLE_LIMIT_FRACTION,
 };
 use crate::settings::Settings;
-use crate::wire::records::{read_types, TYPES};
+use crate::wire::records::{parse_machine_types, TYPES};
 
 /// The actor that speaks to the cloud.
 pub struct Cloud {
@@ -34,7 +34,7 @@
     queue: VecDeque<CloudRequest>,
     is_wakeup_set: bool,
     listeners: Option<ConnectCloud>,
-    /// Whether the cloud itself has told the machine types.
+    /// Whether the machine types were read from the cloud itself.
     has_types: bool,
     /// The term and until when its lease is valid, as the scheduler driver knows it.
     term: Option<LeaderTerm>,
@@ -190,7 +190,7 @@
         }));
     }
 
-    /// Tells the scheduler an outcome, after a pause of so many ms if that is not 0.
+    /// Reports an outcome to the scheduler after `wait_ms`; 0: at once.
     fn report(&self, token: u64, event: Event, wait_ms: u64, ctx: &mut Context<Self>) {
         let Some(listeners) = &self.listeners else { return };
         if wait_ms == 0 {
@@ -229,7 +229,7 @@
         };
         ctx.spawn(request.into_actor(self).map(|answer, act, _| {
             let Ok(StoreAnswer { reply: Reply::Item(item), .. }) = answer else { return };
-            match read_types(item.value.get()) {
+            match parse_machine_types(item.value.get()) {
                 Some(types) if !act.has_types => {
                     let source = "state service";
                     tracing::info!(types = types.len(), source, "machine types known");
