--- a/crates/latchtrack-balance/src/arrivals.rs
+++ b/crates/latchtrack-balance/src/arrivals.rs
@@ -1,11 +1,12 @@
-//! Rates of arriving work, decayed exponentially, and which teams they make hot.
+//! Rates of arriving work, decayed exponentially, and which teams are hot by them: those that have
+//! asked for more than their share of the cluster for some time.
 
 use std::collections::BTreeMap;
 
 use crate::constants::{BURST_HALF_LIFE_MS, HOT_ENTER_FACTOR, HOT_EXIT_FACTOR, HOT_HALF_LIFE_MS};
 use crate::Millis;
 
-/// A rate that forgets: an arrival counts half after each half life.
+/// An exponentially decayed rate: an arrival counts half after each half-life.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayedRate {
     half_life_ms: Millis,
@@ -15,12 +16,12 @@
 }
 
 impl DecayedRate {
-    /// A rate without arrivals.
+    /// A rate without arrivals, with a half-life in ms.
     pub fn new(half_life_ms: Millis) -> Self {
         DecayedRate { half_life_ms: half_life_ms.max(1), weight: 0.0, at: 0 }
     }
 
-    /// Counts an arrival of this size. Sizes that are no positive numbers count nothing.
+    /// Counts an arrival. Sizes that are not positive and finite are ignored.
     pub fn add(&mut self, now: Millis, size: f64) {
         if size.is_finite() && size > 0.0 {
             self.weight = self.decayed(now) + size;
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Size a second, as if what arrived had come evenly: exact for a steady flow.
+    /// Size per second, as if what arrived had come evenly: exact for a steady flow.
     pub fn per_second(&self, now: Millis) -> f64 {
         let mean_life_s = self.half_life_ms as f64 / 1000.0 / std::f64::consts::LN_2;
         self.decayed(now) / mean_life_s
@@ -40,12 +41,12 @@
     }
 }
 
-/// What a team's arrivals say of it.
+/// How much a team has asked for lately, compared with its share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArrivalLevel {
     /// It asks for no more than its share.
     Normal,
-    /// It asks for more just now, but not for long.
+    /// It asks for more at the moment, but has not done so for long.
     Burst,
     /// It has asked for more than its share for some time.
     Hot,
@@ -65,7 +66,7 @@
 }
 
 impl Arrivals {
-    /// A job of a team arrived that is to take so many CPU-seconds.
+    /// Counts a job of a team, by the CPU-seconds that it is to take.
     pub fn add(&mut self, now: Millis, team: &str, cpu_seconds: f64) {
         let rates = self.teams.entry(team.to_string()).or_insert_with(|| TeamRates {
             short: DecayedRate::new(BURST_HALF_LIFE_MS),
@@ -76,8 +77,8 @@
         rates.long.add(now, cpu_seconds);
     }
 
-    /// Judges a team whose share of the cluster is so many CPUs. A hot team stays hot until it has cooled
-    /// well below its share.
+    /// Classifies a team whose share of the cluster is `share_cpus`. A hot team stays hot until it
+    /// asks for clearly less than its share.
     pub fn classify(&mut self, now: Millis, team: &str, share_cpus: f64) -> ArrivalLevel {
         let Some(rates) = self.teams.get_mut(team) else { return ArrivalLevel::Normal };
         if share_cpus <= 0.0 || share_cpus.is_nan() {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Teams that were hot when last judged.
+    /// Teams that were hot when last classified.
     pub fn hot_teams(&self) -> Vec<String> {
         self.teams.iter().filter(|(_, rates)| rates.hot).map(|(name, _)| name.clone()).collect()
     }
--- a/crates/latchtrack-balance/src/balancer.rs
+++ b/crates/latchtrack-balance/src/balancer.rs
@@ -3,30 +3,33 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use crate::constants::*;
+use crate::constants::{
+    MACHINE_COOLDOWN_MS, MACHINE_GAP_MS, MIN_RUN_MS, MOVES_PER_MINUTE, OVER_BOUND_MS, RECENT_MOVES,
+    TASK_COOLDOWN_MS, WORTH_FACTOR,
+};
 use crate::moves::{AbandonReason, Move, MoveEvent, MoveStage, MoveUnit, Side};
-use crate::planner::{over_bound, plan, spreads, PlanInput, PlannedMove};
+use crate::planner::{over_bound, plan, ClusterLoads, PlanInput, PlannedMove};
 use crate::resources::Resources;
 use crate::spread::Spread;
 use crate::throttle::MoveThrottle;
 use crate::Millis;
 
-/// How often and how soon tasks move.
+/// How often and how soon tasks may move.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveLimits {
-    /// ms a machine must be over the bound first.
+    /// ms that a machine must be over its bound before a task of it moves.
     pub over_bound_ms: Millis,
-    /// ms a task must have run.
+    /// ms that a task must have run before it may move.
     pub min_run_ms: Millis,
     /// ms between two moves of a task.
     pub task_cooldown_ms: Millis,
-    /// The same for a machine.
+    /// ms between two moves from or to a machine.
     pub machine_gap_ms: Millis,
-    /// ms for which a machine that was in the way of a move takes part in no other.
+    /// ms for which a machine that made a move fail takes part in no other.
     pub machine_cooldown_ms: Millis,
     /// Moves that may begin in a minute.
     pub moves_per_minute: u32,
-    /// Times its cost that the remaining run time of a task must be.
+    /// The remaining run time that is worth a move, in multiples of its cost.
     pub worth_factor: f64,
 }
 
@@ -44,18 +47,27 @@
     }
 }
 
-/// Moves that are over, counted.
+/// Whether moves may begin.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NewMoves {
+    /// They may.
+    Allowed,
+    /// They may not: the loads are observed all the same.
+    Suspended,
+}
+
+/// Moves of a term, counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MoveCounts {
     /// Moves that have begun.
     pub begun: u64,
     /// Moves whose tasks run on their targets.
     pub settled: u64,
-    /// Moves that were given up.
+    /// Moves that were abandoned.
     pub abandoned: u64,
 }
 
-/// What a leader knows of the balance of its cluster. Nothing of it is stored: a new leader begins anew.
+/// The balancer of one leader. Nothing of it is stored: a new leader begins anew.
 #[derive(Clone, Debug, Default)]
 pub struct Balancer {
     limits: MoveLimits,
@@ -69,56 +81,62 @@
 }
 
 impl Balancer {
-    /// A balancer that has seen nothing.
+    /// A balancer that has observed nothing.
     pub fn new(limits: MoveLimits) -> Self {
         Balancer { limits, ..Balancer::default() }
     }
 
-    /// Takes in the loads; returns the moves that begin now, with their targets reserved. `unsettled` says
-    /// that nothing may begin: the loads are observed all the same.
-    pub fn observe(&mut self, now: Millis, mut input: PlanInput, unsettled: bool) -> Vec<Move> {
+    /// Takes in the loads; returns the moves that begin now, with their targets reserved.
+    pub fn observe(&mut self, now: Millis, mut input: PlanInput, new_moves: NewMoves) -> Vec<Move> {
         input.worth_factor = self.limits.worth_factor;
-        self.spreads = spreads(&input);
-        let over = over_bound(&input);
-        let name = |machine: &usize| input.machines[*machine].name.clone();
-        let over: BTreeMap<Arc<str>, Millis> = over
-            .keys()
-            .map(name)
-            .map(|name| (name.clone(), self.over_since.get(&name).copied().unwrap_or(now)))
-            .collect();
-        self.over_since = over;
+        let loads = ClusterLoads::of(&input.machines);
+        self.spreads = loads.spreads().clone();
+        self.note_over_bound(now, &input, &loads);
         self.throttle.expire(now, self.limits.task_cooldown_ms);
-        if unsettled {
+        if new_moves == NewMoves::Suspended {
             return Vec::new();
         }
         input.budget = self.throttle.remaining_budget(now, self.limits.moves_per_minute);
         input.once_per_machine = self.limits.machine_gap_ms > 0;
         self.restrict(now, &mut input);
-        let planned = plan(&input).moves;
+        // The restrictions leave the amounts of the machines alone, so the loads still hold.
+        let planned = plan(&input, &loads).moves;
         planned.into_iter().map(|planned| self.begin(now, planned)).collect()
     }
 
-    /// Leaves out what is not to move yet: sources that have not been over the bound for long, machines
-    /// that took part in a move a moment ago, tasks that were moved lately or are on their way.
+    /// Notes which machines are over their bound, and since when.
+    fn note_over_bound(&mut self, now: Millis, input: &PlanInput, loads: &ClusterLoads) {
+        let since = |machine: usize| {
+            let name = input.machines[machine].name.clone();
+            let since = self.over_since.get(&name).copied().unwrap_or(now);
+            (name, since)
+        };
+        self.over_since = over_bound(input, loads).into_iter().map(since).collect();
+    }
+
+    /// Leaves out what may not move yet: sources that have not been over the bound for long,
+    /// machines in cooldown, and tasks that are young, in cooldown or moving already.
     fn restrict(&self, now: Millis, input: &mut PlanInput) {
         let limits = &self.limits;
         for machine in &mut input.machines {
-            let rests = self.throttle.machine_in_cooldown(now, &machine.name);
-            let over = self.over_since.get(&machine.name);
-            let for_long = over.is_some_and(|at| now >= at.saturating_add(limits.over_bound_ms));
-            machine.may_give &= !rests;
-            machine.may_be_relieved &= for_long;
-            machine.may_receive &= !rests;
+            let in_cooldown = self.throttle.machine_in_cooldown(now, &machine.name);
+            let over_since = self.over_since.get(&machine.name);
+            let over_for_long =
+                over_since.is_some_and(|at| now >= at.saturating_add(limits.over_bound_ms));
+            machine.may_give &= !in_cooldown;
+            machine.may_be_relieved &= over_for_long;
+            machine.may_receive &= !in_cooldown;
         }
         input.movables.retain(|movable| {
-            let moving = self.moves.iter().any(|m| m.unit == movable.unit);
-            let ran = movable.ran_ms >= limits.min_run_ms;
-            ran && !moving
+            let is_moving = self.moves.iter().any(|active| active.unit == movable.unit);
+            let ran_long_enough = movable.ran_ms >= limits.min_run_ms;
+            ran_long_enough
+                && !is_moving
                 && !self.throttle.unit_in_cooldown(now, movable.unit, limits.task_cooldown_ms)
         });
     }
 
-    /// A planned move begins.
+    /// Begins a planned move: reserves its targets and counts it.
     fn begin(&mut self, now: Millis, planned: PlannedMove) -> Move {
         let gap_ms = self.limits.machine_gap_ms;
         let begun = Move {
@@ -139,7 +157,7 @@
         begun
     }
 
-    /// Tells a move what happened to it; returns its stage if that changed.
+    /// Hands an event to the move of a unit; returns the stage of the move if that has changed.
     pub fn handle_event(
         &mut self,
         now: Millis,
@@ -166,17 +184,17 @@
         changed.then_some(stage)
     }
 
-    /// A machine that was in the way of a move is left alone for a while: the next attempt would most likely
-    /// end in the same way.
+    /// Leaves the machines alone that made a move fail: the next attempt would most likely end in
+    /// the same way.
     fn cool_down_after(&mut self, now: Millis, over: &Move, reason: AbandonReason) {
-        let ms = self.limits.machine_cooldown_ms;
+        let cooldown_ms = self.limits.machine_cooldown_ms;
         for task_move in &over.task_moves {
             match reason.side() {
                 Some(Side::Source) => {
-                    self.throttle.start_machine_cooldown(now, &task_move.source, ms)
+                    self.throttle.start_machine_cooldown(now, &task_move.source, cooldown_ms)
                 }
                 Some(Side::Target) => {
-                    self.throttle.start_machine_cooldown(now, &task_move.target, ms)
+                    self.throttle.start_machine_cooldown(now, &task_move.target, cooldown_ms)
                 }
                 None => {}
             }
@@ -193,7 +211,7 @@
         self.recent.iter()
     }
 
-    /// How many moves there were.
+    /// The moves of this term, counted.
     pub fn counts(&self) -> MoveCounts {
         self.counts
     }
@@ -213,12 +231,12 @@
         self.moves.iter().fold(Resources::default(), |sum, m| sum.plus(&m.reserved_on(machine)))
     }
 
-    /// Whether room is kept on a machine, so that it is not idle.
+    /// Whether moves keep anything free on a machine, so that it is not idle.
     pub fn is_reserved(&self, machine: &str) -> bool {
         self.reserved_on(machine) != Resources::default()
     }
 
-    /// What moves will take off a machine.
+    /// What moves will free on a machine.
     pub fn leaving_from(&self, machine: &str) -> Resources {
         self.moves.iter().fold(Resources::default(), |sum, m| sum.plus(&m.leaving_from(machine)))
     }
--- a/crates/latchtrack-balance/src/lib.rs
+++ b/crates/latchtrack-balance/src/lib.rs
@@ -1,8 +1,11 @@
-//! Load balancing for latchtrack: how evenly machines are loaded, which teams ask for more than their
-//! share, what a place costs by its distance to the data, and which running tasks should move.
+//! Load balancing for latchtrack: how evenly machines are loaded, which teams ask for more than
+//! their share, what a machine costs a task by the locality of its image and its load, and which
+//! running tasks should move.
+
 //!
-//! Pure and deterministic: no sockets, clocks, threads or random numbers. Time comes in as an argument.
-//! The crate decides and proposes; `latchtrack-core` launches, stops and checks the rules.
+//! Pure and deterministic: no sockets, clocks, threads or random numbers. Time comes in as an
+//! argument. The crate decides and proposes; `latchtrack-core` launches, stops and checks the
+//! rules.
 
 #![deny(missing_docs)]
 
--- a/crates/latchtrack-balance/src/moves.rs
+++ b/crates/latchtrack-balance/src/moves.rs
@@ -1,12 +1,12 @@
-//! The life of one move: from the reserved target to the task that runs there.
+//! The state machine of one move, from the reserved target to the task that runs there.
 //!
 //! ```text
-//! Reserved --stop sent--> Stopping --every task_move ended--> Ready --launched--> Launching --runs--> Settled
+//! Reserved --stop sent--> Stopping --every task ended--> Ready --launched--> Launching --runs--> Settled
 //!     \_________________________\________________________\______________________\--> Abandoned
 //! ```
 //!
-//! A move owns nothing but the room that it keeps free on its targets. Whoever stops and launches decides by
-//! the reports of the machines alone; a move that is abandoned, or lost with its leader, costs the task a
+//! A move owns nothing but the capacity that it reserves on its targets. The scheduler stops and launches by
+//! the heartbeats of the machines alone. A move that is abandoned, or lost with its leader, costs the task its
 //! place in the queue and nothing else.
 
 use std::fmt;
@@ -41,20 +41,20 @@
     pub source: Arc<str>,
     /// The machine that it goes to.
     pub target: Arc<str>,
-    /// What it takes of either.
+    /// What it takes of either machine.
     pub demand: Resources,
-    /// Off its source without a result.
+    /// Whether it is off its source, stopped and not completed.
     pub ended: bool,
-    /// Seen to run on its target.
-    pub runs: bool,
+    /// Whether it was seen to run on its target.
+    pub running: bool,
 }
 
-/// Where a move stands.
+/// How far a move has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveStage {
-    /// Room is kept on every target; nothing has been stopped.
+    /// Capacity is reserved on every target; nothing has been stopped.
     Reserved,
-    /// The tasks were told to save and stop.
+    /// The tasks were told to save their checkpoints and stop.
     Stopping,
     /// All of them are off their sources.
     Ready,
@@ -62,7 +62,7 @@
     Launching,
     /// They run there.
     Settled,
-    /// The tasks go the ordinary way.
+    /// The tasks run on where they are, or wait in the queue.
     Abandoned(AbandonReason),
 }
 
@@ -72,8 +72,9 @@
         matches!(self, MoveStage::Settled | MoveStage::Abandoned(_))
     }
 
-    /// Whether its targets must keep room: once the tasks are launched they take it themselves.
-    fn keeps_room(self) -> bool {
+    /// Whether its targets are reserved: once the tasks are launched they use the capacity
+    /// themselves.
+    fn reserves_targets(self) -> bool {
         matches!(self, MoveStage::Reserved | MoveStage::Stopping | MoveStage::Ready)
     }
 }
@@ -81,15 +82,16 @@
 /// Why a move was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonReason {
-    /// A target may take no tasks any more: lost, silent, deaf, slow, or to be taken back.
+    /// A target takes no tasks any more: it is lost, silent, unreachable, slow, or to be
+    /// terminated.
     TargetLost,
-    /// A target has less room than was reserved.
+    /// A target has less free capacity than was reserved.
     TargetFull,
-    /// The job may not start there, by its zone, type or kind of machine.
+    /// The job may not start there, by its constraints on zones, types and spot machines.
     ConstraintViolated,
-    /// Its team's limit leaves no room.
+    /// Its team is at its limit.
     TeamLimit,
-    /// A source fell silent or is to be given back, which ends its tasks in another way.
+    /// A source is silent or to be terminated, which ends its tasks in another way.
     SourceLost,
     /// The stop did not end in time.
     StopTimedOut,
@@ -113,7 +115,7 @@
 }
 
 impl AbandonReason {
-    /// At which end a machine was in the way; None if it was the job itself, or its team.
+    /// The end whose machine made the move fail; None if it was the job or its team.
     pub fn side(self) -> Option<Side> {
         match self {
             AbandonReason::SourceLost
@@ -160,12 +162,12 @@
     }
 }
 
-/// What happens to a move.
+/// An event of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveEvent {
-    /// Every task has been told to save and stop.
+    /// Every task has been told to save its checkpoint and stop.
     StopSent,
-    /// A task is off its source without a result.
+    /// A task is off its source, stopped and not completed.
     Ended {
         /// Its index.
         task: u32,
@@ -177,7 +179,7 @@
         /// Its index.
         task: u32,
     },
-    /// It can't go on.
+    /// The move can't go on.
     Failed(AbandonReason),
     /// Time passes.
     Tick,
@@ -192,9 +194,9 @@
     pub task_moves: Vec<TaskMove>,
     /// How far it has come.
     pub stage: MoveStage,
-    /// When it came into its stage.
+    /// When it came to this stage, ms.
     pub since: Millis,
-    /// ms that its tasks take to save.
+    /// ms that its tasks take to save their checkpoints.
     pub save_ms: Millis,
     /// The load of the busiest source when it was planned, in parts of a machine.
     pub load: f64,
@@ -203,8 +205,8 @@
 }
 
 impl Move {
-    /// Takes in what happened; true if the stage changed. An event that does not belong to the stage, a
-    /// repeated or late one, changes nothing.
+    /// Takes in an event; returns whether the stage changed. An event that does not belong to the
+    /// stage, such as a repeated or late one, changes nothing.
     pub fn handle(&mut self, now: Millis, event: MoveEvent) -> bool {
         let before = self.stage;
         self.stage = self.next_stage(now, event);
@@ -225,9 +227,10 @@
                 {
                     task_move.ended = true;
                 }
-                match self.task_moves.iter().all(|task_move| task_move.ended) {
-                    true => MoveStage::Ready,
-                    false => MoveStage::Stopping,
+                if self.task_moves.iter().all(|task_move| task_move.ended) {
+                    MoveStage::Ready
+                } else {
+                    MoveStage::Stopping
                 }
             }
             (MoveStage::Ready, MoveEvent::Launched) => MoveStage::Launching,
@@ -235,20 +238,22 @@
                 for task_move in
                     self.task_moves.iter_mut().filter(|task_move| task_move.task == task)
                 {
-                    task_move.runs = true;
+                    task_move.running = true;
                 }
-                match self.task_moves.iter().all(|task_move| task_move.runs) {
-                    true => MoveStage::Settled,
-                    false => MoveStage::Launching,
+                if self.task_moves.iter().all(|task_move| task_move.running) {
+                    MoveStage::Settled
+                } else {
+                    MoveStage::Launching
                 }
             }
-            (stage, MoveEvent::Tick) => self.overdue(now, stage),
+            (stage, MoveEvent::Tick) => self.check_timeout(now, stage),
             (stage, _) => stage,
         }
     }
 
-    fn overdue(&self, now: Millis, stage: MoveStage) -> MoveStage {
-        let (most_ms, reason) = match stage {
+    /// The stage after a tick: abandoned, if the present one has lasted too long.
+    fn check_timeout(&self, now: Millis, stage: MoveStage) -> MoveStage {
+        let (timeout_ms, reason) = match stage {
             MoveStage::Reserved => (RESERVATION_TIMEOUT_MS, AbandonReason::StopNotSent),
             MoveStage::Stopping => {
                 (self.save_ms.saturating_add(STOP_TIMEOUT_MARGIN_MS), AbandonReason::StopTimedOut)
@@ -257,22 +262,23 @@
             MoveStage::Launching => (LAUNCH_TIMEOUT_MS, AbandonReason::StartTimedOut),
             MoveStage::Settled | MoveStage::Abandoned(_) => return stage,
         };
-        match now >= self.since.saturating_add(most_ms) {
-            true => MoveStage::Abandoned(reason),
-            false => stage,
+        if now >= self.since.saturating_add(timeout_ms) {
+            MoveStage::Abandoned(reason)
+        } else {
+            stage
         }
     }
 
-    /// What must be kept free on a machine for this move.
+    /// What is reserved on a machine for this move.
     pub fn reserved_on(&self, machine: &str) -> Resources {
-        if !self.stage.keeps_room() {
+        if !self.stage.reserves_targets() {
             return Resources::default();
         }
         let task_moves = self.task_moves.iter().filter(|task_move| *task_move.target == *machine);
         task_moves.fold(Resources::default(), |sum, task_move| sum.plus(&task_move.demand))
     }
 
-    /// What will come free on a machine that is still in use there.
+    /// What is still in use on a machine and will come free.
     pub fn leaving_from(&self, machine: &str) -> Resources {
         if !matches!(self.stage, MoveStage::Reserved | MoveStage::Stopping) {
             return Resources::default();
--- a/crates/latchtrack-balance/src/resources.rs
+++ b/crates/latchtrack-balance/src/resources.rs
@@ -14,8 +14,8 @@
 }
 
 impl Resources {
-    /// Whether every amount is a finite number that is not negative. Others come from faulty reports and
-    /// are left out of all sums.
+    /// Whether every amount is finite and not negative. Others come from faulty reports and are
+    /// left out of all sums.
     pub fn is_valid(&self) -> bool {
         self.each().iter().all(|amount| amount.is_finite() && *amount >= 0.0)
     }
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Whether all of this goes into `room`.
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        let pairs = self.each().into_iter().zip(room.each());
-        pairs.into_iter().all(|(need, have)| need <= have + ROUNDING)
+    /// Whether this is at most `available`, of each resource, but for rounding.
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        let mut pairs = self.each().into_iter().zip(available.each());
+        pairs.all(|(needed, available)| needed <= available + ROUNDING)
     }
 
-    /// The dominant share: the largest part of `capacity` that this takes of any resource. What a machine
-    /// lacks altogether does not count.
+    /// The dominant share: the largest part of `capacity` that this takes of any resource. A
+    /// resource of which there is none does not count.
     pub fn dominant_share(&self, capacity: &Resources) -> f64 {
         let pairs = self.each().into_iter().zip(capacity.each());
-        let shares = pairs.map(|(used, all)| if all > 0.0 { used / all } else { 0.0 });
+        let shares = pairs.map(|(used, total)| if total > 0.0 { used / total } else { 0.0 });
         shares.fold(0.0, f64::max)
     }
 
--- a/crates/latchtrack-balance/src/spread.rs
+++ b/crates/latchtrack-balance/src/spread.rs
@@ -1,15 +1,18 @@
 //! How evenly the machines of a pool are loaded.
 //!
-//! A pool is a set of machines that are alike in everything a job may ask for: type, zone, spot or not. What
-//! may run on one of them may run on all, so a move within a pool breaks no rule about where a job may be.
+//! A pool is a set of machines that are alike in everything a job may ask for: type, zone, spot or
+//! not. What may run on one of them may run on all, so a move within a pool breaks no rule about
+//! where a job may be.
 //!
-//! The load of a machine is the dominant share of what its tasks use, a part of the machine from 0 to 1. The
-//! spread of a pool is the greatest load over the mean load. The bound: a machine that has a task which may
-//! move carries at most [`SPREAD_FACTOR`] times the mean load of its pool plus the share of that task.
+//! The load of a machine is the dominant share of what its tasks use, a part of the machine from 0
+//! to 1. The spread of a pool is the greatest load over the mean load. The bound: a machine that
+//! has a task which may move carries at most [`SPREAD_FACTOR`] times the mean load of its pool plus
+//! the share of that task.
 //!
-//! Why the bound can be reached: let a machine carry `L > F * mean + s`, where `s` is the share of one of its
-//! tasks. The least loaded machine carries at most the mean, so with the task it carries less than `L`, and
-//! since machines of a pool are of one size and `L` is at most 1, the task fits there.
+//! Why the bound can be reached: let a machine carry `L > F * mean + s`, where `s` is the share of
+//! one of its tasks. The least loaded machine carries at most the mean, so with the task it carries
+//! less than `L`, and since machines of a pool are of one size and `L` is at most 1, the task fits
+//! there.
 
 use crate::constants::SPREAD_FACTOR;
 
--- a/crates/latchtrack-balance/src/throttle.rs
+++ b/crates/latchtrack-balance/src/throttle.rs
@@ -1,4 +1,4 @@
-//! How often moves may begin: for the whole cluster, for a machine and for a task.
+//! Limits how often moves begin: by a budget for the cluster, and cooldowns for machines and tasks.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,48 +7,49 @@
 use crate::moves::MoveUnit;
 use crate::Millis;
 
-/// Keeps moves within their budgets.
+/// Keeps moves within their budget and cooldowns.
 #[derive(Clone, Debug, Default)]
 pub struct MoveThrottle {
     /// When the moves of the last minute began.
-    begun: Vec<Millis>,
-    /// Until when machines take part in no other move.
-    machines: BTreeMap<Arc<str>, Millis>,
-    units: BTreeMap<MoveUnit, Millis>,
+    starts: Vec<Millis>,
+    /// When the cooldowns of machines end.
+    machine_cooldowns: BTreeMap<Arc<str>, Millis>,
+    /// When units last began to move.
+    unit_starts: BTreeMap<MoveUnit, Millis>,
 }
 
 impl MoveThrottle {
-    /// Moves that may begin now.
-    pub fn remaining_budget(&mut self, now: Millis, per_minute: u32) -> usize {
-        self.begun.retain(|at| now < at.saturating_add(MINUTE_MS));
-        (per_minute as usize).saturating_sub(self.begun.len())
+    /// Moves that may begin now, of `moves_per_minute`.
+    pub fn remaining_budget(&mut self, now: Millis, moves_per_minute: u32) -> usize {
+        self.starts.retain(|at| now < at.saturating_add(MINUTE_MS));
+        (moves_per_minute as usize).saturating_sub(self.starts.len())
     }
 
-    /// Whether a machine takes part in no other move for now.
+    /// Whether a machine may take part in no move for now.
     pub fn machine_in_cooldown(&self, now: Millis, machine: &str) -> bool {
-        self.machines.get(machine).is_some_and(|until| now < *until)
+        self.machine_cooldowns.get(machine).is_some_and(|until| now < *until)
     }
 
-    /// A machine takes part in no other move for so long.
-    pub fn start_machine_cooldown(&mut self, now: Millis, machine: &Arc<str>, ms: Millis) {
-        let until = self.machines.entry(machine.clone()).or_default();
-        *until = (*until).max(now.saturating_add(ms));
+    /// Keeps a machine out of other moves for this time at least.
+    pub fn start_machine_cooldown(&mut self, now: Millis, machine: &Arc<str>, cooldown_ms: Millis) {
+        let until = self.machine_cooldowns.entry(machine.clone()).or_default();
+        *until = (*until).max(now.saturating_add(cooldown_ms));
     }
 
-    /// Whether a task was moved within the cooldown.
+    /// Whether a unit began to move within the cooldown.
     pub fn unit_in_cooldown(&self, now: Millis, unit: MoveUnit, cooldown_ms: Millis) -> bool {
-        self.units.get(&unit).is_some_and(|at| now < at.saturating_add(cooldown_ms))
+        self.unit_starts.get(&unit).is_some_and(|at| now < at.saturating_add(cooldown_ms))
     }
 
-    /// A move of this unit begins.
+    /// Notes that a move of a unit begins.
     pub fn record_start(&mut self, now: Millis, unit: MoveUnit) {
-        self.begun.push(now);
-        self.units.insert(unit, now);
+        self.starts.push(now);
+        self.unit_starts.insert(unit, now);
     }
 
-    /// Drops what can no longer hold anything back.
+    /// Drops cooldowns that are over.
     pub fn expire(&mut self, now: Millis, cooldown_ms: Millis) {
-        self.machines.retain(|_, until| now < *until);
-        self.units.retain(|_, at| now < at.saturating_add(cooldown_ms));
+        self.machine_cooldowns.retain(|_, until| now < *until);
+        self.unit_starts.retain(|_, at| now < at.saturating_add(cooldown_ms));
     }
 }
--- a/crates/latchtrack-balance/tests/balancer.rs
+++ b/crates/latchtrack-balance/tests/balancer.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use latchtrack_balance::balancer::{Balancer, MoveLimits};
+use latchtrack_balance::balancer::{Balancer, MoveLimits, NewMoves};
 use latchtrack_balance::moves::{AbandonReason, MoveEvent, MoveStage, MoveUnit};
 use latchtrack_balance::planner::PlanInput;
 
@@ -46,7 +46,7 @@
 
     /// Looks once; what begins is carried out at once. Returns how many moves began.
     fn look(&mut self, balancer: &mut Balancer, now: u64) -> usize {
-        let begun = balancer.observe(now, self.input(), false);
+        let begun = balancer.observe(now, self.input(), NewMoves::Allowed);
         for m in &begun {
             let task_move = &m.task_moves[0];
             let index = |name: &str| (0..self.on.len()).find(|i| *common::name(*i) == *name);
@@ -83,7 +83,7 @@
     let even = Fleet::new(&[3, 3, 3, 3]);
     let mut fleet = Fleet::new(&[12, 0, 0, 0]);
     fleet.look(&mut balancer, 1_000);
-    balancer.observe(8_000, even.input(), false);
+    balancer.observe(8_000, even.input(), NewMoves::Allowed);
     assert_eq!(fleet.look(&mut balancer, 12_000), 0);
 }
 
@@ -92,10 +92,10 @@
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
     for now in (0..60_000).step_by(1_000) {
-        assert_eq!(balancer.observe(now, fleet.input(), true), []);
+        assert_eq!(balancer.observe(now, fleet.input(), NewMoves::Suspended), []);
     }
     assert_eq!(
-        balancer.observe(61_000, fleet.input(), false).len(),
+        balancer.observe(61_000, fleet.input(), NewMoves::Allowed).len(),
         1,
         "it was observed meanwhile"
     );
@@ -136,7 +136,7 @@
                 units.retain(|unit| unit.job < 100);
             }
         }
-        for m in balancer.observe(now, fleet.input(), false) {
+        for m in balancer.observe(now, fleet.input(), NewMoves::Allowed) {
             moved.entry(m.unit).or_default().push(now);
             balancer.handle_event(now, m.unit, MoveEvent::Failed(AbandonReason::TeamLimit));
         }
@@ -158,7 +158,7 @@
         movable.ran_ms = LIMITS.min_run_ms - 1;
     }
     for now in (0..60_000).step_by(1_000) {
-        assert_eq!(balancer.observe(now, input.clone(), false), []);
+        assert_eq!(balancer.observe(now, input.clone(), NewMoves::Allowed), []);
     }
 }
 
@@ -168,11 +168,11 @@
     let limits = MoveLimits { machine_gap_ms: 60_000, moves_per_minute: 2, ..LIMITS };
     let fleet = Fleet::new(&[16, 0, 0, 0, 0, 0, 0, 0]);
     let mut balancer = Balancer::new(limits);
-    balancer.observe(0, fleet.input(), false);
-    assert_eq!(balancer.observe(10_000, fleet.input(), false).len(), 1);
+    balancer.observe(0, fleet.input(), NewMoves::Allowed);
+    assert_eq!(balancer.observe(10_000, fleet.input(), NewMoves::Allowed).len(), 1);
     let fleet = Fleet::new(&[16, 0, 0, 0, 0, 0, 0, 12]);
-    balancer.observe(11_000, fleet.input(), false);
-    let begun = balancer.observe(21_000, fleet.input(), false);
+    balancer.observe(11_000, fleet.input(), NewMoves::Allowed);
+    let begun = balancer.observe(21_000, fleet.input(), NewMoves::Allowed);
     assert_eq!(begun.len(), 1);
     assert_eq!(*begun[0].task_moves[0].source, *name(7));
 }
@@ -186,7 +186,7 @@
     let mut balancer = Balancer::new(limits);
     let mut units = std::collections::BTreeSet::new();
     for now in (0..40_000).step_by(1_000) {
-        for m in balancer.observe(now, fleet.input(), false) {
+        for m in balancer.observe(now, fleet.input(), NewMoves::Allowed) {
             assert!(units.insert(m.unit), "{:?} again", m.unit);
         }
     }
@@ -198,26 +198,29 @@
 fn a_machine_that_was_in_the_way_is_left_alone_for_a_while() {
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
-    balancer.observe(0, fleet.input(), false);
-    let unit = balancer.observe(10_000, fleet.input(), false)[0].unit;
+    balancer.observe(0, fleet.input(), NewMoves::Allowed);
+    let unit = balancer.observe(10_000, fleet.input(), NewMoves::Allowed)[0].unit;
     balancer.handle_event(20_000, unit, MoveEvent::Failed(AbandonReason::StopTimedOut));
     for now in (20_000..20_000 + LIMITS.machine_cooldown_ms).step_by(1_000) {
-        assert_eq!(balancer.observe(now, fleet.input(), false), []);
+        assert_eq!(balancer.observe(now, fleet.input(), NewMoves::Allowed), []);
     }
     let after = 20_000 + LIMITS.machine_cooldown_ms;
-    assert_eq!(balancer.observe(after, fleet.input(), false).len(), 1);
+    assert_eq!(balancer.observe(after, fleet.input(), NewMoves::Allowed).len(), 1);
 }
 
 #[test]
 fn a_reservation_lasts_until_the_move_is_over() {
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
-    balancer.observe(0, fleet.input(), false);
-    let begun = balancer.observe(10_000, fleet.input(), false);
+    balancer.observe(0, fleet.input(), NewMoves::Allowed);
+    let begun = balancer.observe(10_000, fleet.input(), NewMoves::Allowed);
     let (unit, target) = (begun[0].unit, begun[0].task_moves[0].target.clone());
     assert!(balancer.is_reserved(&target));
     // The same task is not planned again while it is on its way; another one may be.
-    assert!(balancer.observe(30_000, fleet.input(), false).iter().all(|m| m.unit != unit));
+    assert!(balancer
+        .observe(30_000, fleet.input(), NewMoves::Allowed)
+        .iter()
+        .all(|m| m.unit != unit));
     let reserved = balancer.reserved_on(&target).cpus;
     let failed = MoveEvent::Failed(AbandonReason::TargetLost);
     assert!(matches!(balancer.handle_event(31_000, unit, failed), Some(MoveStage::Abandoned(_))));
--- a/crates/latchtrack-balance/tests/common/mod.rs
+++ b/crates/latchtrack-balance/tests/common/mod.rs
@@ -2,11 +2,13 @@
 
 #![allow(dead_code)]
 
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use latchtrack_balance::moves::{Move, MoveStage, MoveUnit, TaskMove};
-use latchtrack_balance::planner::{MachineLoad, Movable};
+use latchtrack_balance::planner::{self, ClusterLoads, MachineLoad, Movable, Plan, PlanInput};
 use latchtrack_balance::resources::Resources;
+use latchtrack_balance::spread::Spread;
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 
 /// The same cases in every run, so that CI has the same verdict each time; a thousand of each kind.
@@ -60,7 +62,7 @@
         target: name(1),
         demand: amounts(2.0),
         ended: false,
-        runs: false,
+        running: false,
     };
     Move {
         unit,
@@ -72,3 +74,18 @@
         bound: 0.5,
     }
 }
+
+/// The plan for an input.
+pub fn plan(input: &PlanInput) -> Plan {
+    planner::plan(input, &ClusterLoads::of(&input.machines))
+}
+
+/// The machines of an input that are over their bound, by index.
+pub fn over_bound(input: &PlanInput) -> BTreeSet<usize> {
+    planner::over_bound(input, &ClusterLoads::of(&input.machines))
+}
+
+/// The spreads of the pools of an input.
+pub fn spreads(input: &PlanInput) -> BTreeMap<u32, Spread> {
+    ClusterLoads::of(&input.machines).spreads().clone()
+}
--- a/crates/latchtrack-balance/tests/planner.rs
+++ b/crates/latchtrack-balance/tests/planner.rs
@@ -8,9 +8,7 @@
 
 use common::*;
 use latchtrack_balance::moves::{MoveUnit, TaskMove};
-use latchtrack_balance::planner::{
-    over_bound, plan, spreads, MachineLoad, Movable, Plan, PlanInput,
-};
+use latchtrack_balance::planner::{MachineLoad, Movable, Plan, PlanInput};
 use latchtrack_balance::resources::Resources;
 use proptest::prelude::*;
 
@@ -148,7 +146,7 @@
             machine.used = after[&machine.name];
         }
         input.movables.retain(|m| !moved.contains(&m.unit));
-        prop_assert_eq!(over_bound(&input), BTreeMap::new());
+        prop_assert_eq!(over_bound(&input), BTreeSet::new());
     }
 
     #[test]
@@ -227,7 +225,7 @@
     for machine in &mut input.machines[4..] {
         machine.used = amounts(8.0);
     }
-    let moves = latchtrack_balance::planner::plan(&input).moves;
+    let moves = common::plan(&input).moves;
     assert!(!moves.is_empty());
     let from_full =
         |task_move: &TaskMove| input.machines[4..].iter().any(|m| m.name == task_move.source);
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -1,9 +1,9 @@
-//! Drives load balancing: feeds `latchtrack-balance` with the loads of the cluster and carries out the moves
-//! that it proposes.
+//! Drives load balancing: feeds `latchtrack-balance` with the loads of the cluster and carries out
+//! the moves that it proposes.
 //!
-//! A move uses the same stop and launch, with the same checks, as any other task. It owns nothing but the
-//! capacity that it reserves on its targets: if anything is in its way, it is abandoned and its tasks go
-//! through the queue like others.
+//! A move uses the same stop and launch, with the same checks, as any other task. It owns nothing
+//! but the capacity that it reserves on its targets: if anything is in its way, it is abandoned and
+//! its tasks go through the queue like others.
 
 mod move_execution;
 mod placement_cost;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 use latchtrack_balance::arrivals::{ArrivalLevel, Arrivals};
-use latchtrack_balance::balancer::{Balancer, MoveLimits};
+use latchtrack_balance::balancer::{Balancer, MoveLimits, NewMoves};
 use latchtrack_balance::moves::{Move, MoveEvent, MoveStage, MoveUnit};
 use latchtrack_balance::planner::PlanInput;
 use latchtrack_balance::resources::Resources;
@@ -115,8 +115,8 @@
     }
 
     /// Takes in the loads; returns the moves that begin now, with their targets reserved.
-    fn observe(&mut self, now: Millis, input: PlanInput, moves_allowed: bool) -> Vec<Move> {
-        self.balancer.observe(now, input, !moves_allowed)
+    fn observe(&mut self, now: Millis, input: PlanInput, new_moves: NewMoves) -> Vec<Move> {
+        self.balancer.observe(now, input, new_moves)
     }
 
     /// The number of a machine's pool, a new one for a pool that was not seen before.
@@ -163,25 +163,31 @@
             return;
         }
         let input = self.plan_input(now);
-        let moves_allowed = policy.moves && self.moves_allowed(now);
-        for begun in self.load_balancing.observe(now, input, moves_allowed) {
+        let new_moves = if policy.moves { self.new_moves(now) } else { NewMoves::Suspended };
+        for begun in self.load_balancing.observe(now, input, new_moves) {
             self.log_move_begun(&begun);
             self.begin_move(now, &begun);
         }
     }
 
-    /// Whether moves may begin: the leader knows its machines, no zone is unreachable, and no jobs wait for
-    /// much of the cluster.
-    fn moves_allowed(&self, now: Millis) -> bool {
-        let calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
+    /// Whether moves may begin: the leader knows its machines, no zone is unreachable, and no jobs
+    /// wait for much of the cluster.
+    fn new_moves(&self, now: Millis) -> NewMoves {
+        let is_calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
             && now >= self.failure_detector.listening_since.saturating_add(self.policy.probe_ms());
-        calm && self.all_reconciled()
+        let may_begin = is_calm
+            && self.all_reconciled()
             && self.failure_detector.unreachable_zones.is_empty()
-            && !self.is_overloaded(now)
+            && !self.is_overloaded(now);
+        if may_begin {
+            NewMoves::Allowed
+        } else {
+            NewMoves::Suspended
+        }
     }
 
-    /// Whether jobs that found no capacity for a while ask for a good part of the cluster. A move takes
-    /// capacity twice while its task saves, and waiting jobs have better use for it.
+    /// Whether jobs that found no capacity for a while ask for a good part of the cluster. A move
+    /// takes capacity twice while its task saves, and waiting jobs have better use for it.
     fn is_overloaded(&self, now: Millis) -> bool {
         let is_unschedulable = |job: &&Job| {
             job.unschedulable_since
--- a/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
@@ -1,5 +1,5 @@
-//! Carries out moves: stops the tasks on their sources, follows what becomes of them, and launches them on
-//! their targets.
+//! Carries out moves: stops the tasks on their sources, follows what becomes of them, and launches
+//! them on their targets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -79,8 +79,8 @@
         StopResult::Requested
     }
 
-    /// Carries on the moves under way by what is known of their tasks and machines, and launches the tasks
-    /// that are off their sources.
+    /// Carries on the moves under way by what is known of their tasks and machines, and launches
+    /// the tasks that are off their sources.
     pub(in crate::scheduler) fn advance_moves(&mut self, now: Millis) {
         if self.load_balancing.moves().is_empty() {
             return;
@@ -156,7 +156,8 @@
         is_running.then_some(MoveEvent::Running { task: task_move.task })
     }
 
-    /// Launches the tasks of a move on its targets, if every rule allows it now; else why it does not.
+    /// Launches the tasks of a move on its targets, if every rule allows it now; else why it does
+    /// not.
     fn launch_on_targets(&mut self, now: Millis, ready: &Move) -> Result<(), AbandonReason> {
         let id = JobId(ready.unit.job);
         self.check_launch(now, id, ready)?;
@@ -169,7 +170,8 @@
         Ok(())
     }
 
-    /// The checks of any launch: what the job allows, its team's limit, and the free capacity of each target.
+    /// The checks of any launch: what the job allows, its team's limit, and the free capacity of
+    /// each target.
     fn check_launch(&self, now: Millis, id: JobId, ready: &Move) -> Result<(), AbandonReason> {
         let job = self.jobs.get(&id).ok_or(AbandonReason::JobOver)?;
         let spec = &job.spec;
--- a/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
@@ -1,5 +1,5 @@
-//! Placement between locality and balance: what weighs against a machine that does not hold a job's image,
-//! and against one that is crowded.
+//! Placement between locality and balance: what weighs against a machine that does not hold a job's
+//! image, and against one that is crowded.
 
 use std::collections::BTreeMap;
 
@@ -33,8 +33,8 @@
         })
     }
 
-    /// What weighs against a machine before its size and score, from 0 to 1: that it lacks the image, or, with
-    /// balanced placement, [`PlacementOption::cost`].
+    /// What weighs against a machine before its size and score, from 0 to 1: that it lacks the
+    /// image, or, with balanced placement, [`PlacementOption::cost`].
     pub(in crate::scheduler) fn placement_cost(
         &self,
         spec: &JobSpec,
--- a/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
@@ -1,4 +1,5 @@
-//! The planner's input: the loads of the machines that are up, and the running tasks and gangs that may move.
+//! The planner's input: the loads of the machines that are up, and the running tasks and gangs that
+//! may move.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -86,7 +87,8 @@
         starts.max()
     }
 
-    /// The load of a machine; None if its amounts are unknown, or invalid, which is logged once for a type.
+    /// The load of a machine; None if its amounts are unknown, or invalid, which is logged once for
+    /// a type.
     fn machine_load(&mut self, now: Millis, name: &str) -> Option<MachineLoad> {
         let machine = self.inventory.get(name)?;
         let machine_type = self.inventory.type_named(&machine.kind)?;
@@ -128,8 +130,8 @@
         !machine.heartbeat_older_than(now, self.policy.overdue_ms())
     }
 
-    /// A running task or gang as the planner needs to know it: `tasks` with the index of their machines, all
-    /// of one type, and since when all of them run.
+    /// A running task or gang as the planner needs to know it: `tasks` with the index of their
+    /// machines, all of one type, and since when all of them run.
     fn movable(
         &self,
         now: Millis,
@@ -155,7 +157,8 @@
     }
 }
 
-/// Whether a run may be stopped to move: it runs, saves checkpoints, and is not told to stop already.
+/// Whether a run may be stopped to move: it runs, saves checkpoints, and is not told to stop
+/// already.
 pub(super) fn is_movable(run: &TaskRun) -> bool {
     let saves = run.spec.as_ref().is_some_and(|spec| spec.checkpoint_s > 0.0);
     run.phase == TaskPhase::Running && saves && run.stop.is_none()
--- a/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
@@ -1,4 +1,5 @@
-//! What operators are told of load balancing: the summary for `latchtrack status`, and lines for the log.
+//! What operators are told of load balancing: the summary for `latchtrack status`, and lines for
+//! the log.
 
 use latchtrack_balance::balancer::MoveCounts;
 use latchtrack_balance::moves::{Move, MoveStage, MoveUnit};
