--- /dev/null
+++ b/crates/latchtrack-core/tests/load_balancing/fixtures.rs
@@ -0,0 +1,200 @@
+//! Sites and policies that the tests of load balancing share, and faults of their machines.
+
+use latchtrack_balance::balancer::MoveLimits;
+use latchtrack_balance::moves::MoveStage;
+use latchtrack_core::job::{Demand, JobId, JobSpec, TaskId};
+use latchtrack_core::machine::{ExitCause, TaskPhase};
+use latchtrack_core::scheduler::{BalancePolicy, Event, ListedMachine, Policy};
+
+use crate::common::site::{number, zone_of, Site};
+use crate::common::{name, policy, spec};
+
+/// Quick enough for small cases; the order of the times is that of the defaults.
+pub const LIMITS: MoveLimits = MoveLimits {
+    over_bound_ms: 2_000,
+    min_run_ms: 3_000,
+    task_cooldown_ms: 20_000,
+    machine_gap_ms: 1_000,
+    machine_cooldown_ms: 20_000,
+    moves_per_minute: 60,
+    worth_factor: 3.0,
+};
+
+pub fn moving() -> Policy {
+    let balance =
+        BalancePolicy { moves: true, limits: LIMITS, calm_ms: 1_000, ..BalancePolicy::default() };
+    Policy { on_demand_idle_timeout_ms: 600_000, balance, ..policy() }
+}
+
+/// An array of tasks of one CPU that save, with ten minutes to run.
+pub fn saving(id: u64, tasks: u32) -> JobSpec {
+    JobSpec {
+        spot: false,
+        demand: Demand { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 },
+        checkpoint_s: 10.0,
+        save_s: 2.0,
+        estimate_s: 600.0,
+        image_gb: 0.5,
+        ..(*spec(id, tasks)).clone()
+    }
+}
+
+/// Tasks of one CPU that never save, in a zone.
+pub fn filler(id: u64, tasks: u32, zone: &str) -> JobSpec {
+    JobSpec { checkpoint_s: 0.0, zone: Some(zone.into()), ..saving(id, tasks) }
+}
+
+/// Tasks that fetch run, and those that save have saved.
+pub fn work(site: &mut Site) {
+    for tasks in site.tasks.values_mut() {
+        for phase in tasks.values_mut() {
+            match phase {
+                TaskPhase::Fetching => *phase = TaskPhase::Running,
+                TaskPhase::Checkpointing => *phase = TaskPhase::Ended(ExitCause::Stopped),
+                _ => {}
+            }
+        }
+    }
+}
+
+/// Time passes and the machines work.
+pub fn go_on(site: &mut Site, ms: u64) {
+    for _ in 0..ms / 1_000 {
+        site.pass(1_000);
+        work(site);
+    }
+}
+
+/// Six machines, three in each zone, of which the first carries eight tasks of one CPU.
+pub fn crowded(policy: Policy) -> Site {
+    let mut site = Site::new(6, policy);
+    site.submit(saving(1, 8));
+    site.pass(400);
+    work(&mut site);
+    assert_eq!(load(&site, 0), 8, "packed by rising score");
+    site
+}
+
+/// Live tasks on a machine.
+pub fn load(site: &Site, machine: u64) -> usize {
+    let tasks = site.tasks.get(&machine).into_iter().flatten();
+    tasks.filter(|(_, phase)| !matches!(phase, TaskPhase::Ended(_))).count()
+}
+
+/// Where a task is that has not ended, by what the machines list.
+pub fn places(site: &Site, task: TaskId) -> Vec<u64> {
+    let on = |tasks: &std::collections::BTreeMap<(TaskId, u64), TaskPhase>| {
+        tasks.iter().any(|((t, _), phase)| *t == task && !matches!(phase, TaskPhase::Ended(_)))
+    };
+    site.tasks.iter().filter(|(_, tasks)| on(tasks)).map(|(i, _)| *i).collect()
+}
+
+/// Passes time in small steps until a move is in this stage; its task, source and target.
+#[track_caller]
+pub fn until(site: &mut Site, stage: MoveStage) -> (TaskId, u64, u64) {
+    for _ in 0..200 {
+        if let Some(m) = site.leader.moves().iter().find(|m| m.stage == stage) {
+            let task_move = &m.task_moves[0];
+            let task = TaskId { job: JobId(m.unit.job), index: task_move.task };
+            return (task, number(&task_move.source), number(&task_move.target));
+        }
+        let saving =
+            site.tasks.values().flatten().any(|(_, phase)| *phase == TaskPhase::Checkpointing);
+        if saving && stage != MoveStage::Stopping {
+            work_saved(site);
+        }
+        site.pass(200);
+    }
+    panic!("no move is {stage}: {:?}", site.notes);
+}
+
+pub fn work_saved(site: &mut Site) {
+    for phase in site.tasks.values_mut().flat_map(|tasks| tasks.values_mut()) {
+        if *phase == TaskPhase::Checkpointing {
+            *phase = TaskPhase::Ended(ExitCause::Stopped);
+        }
+    }
+}
+
+/// What may happen to a machine.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Trouble {
+    /// It neither reports nor answers: cut off, hanging, or dead.
+    Silent,
+    /// It reports, and hears nothing.
+    Deaf,
+    Notice,
+    /// The cloud's list has it as failed.
+    Failed,
+    /// Its session ended, with all that ran there.
+    NewSession,
+    /// It refuses launches.
+    Refusing,
+}
+
+pub const TROUBLES: [Trouble; 6] = [
+    Trouble::Silent,
+    Trouble::Deaf,
+    Trouble::Notice,
+    Trouble::Failed,
+    Trouble::NewSession,
+    Trouble::Refusing,
+];
+
+pub fn befall(site: &mut Site, machine: u64, trouble: Trouble) {
+    match trouble {
+        Trouble::Silent => {
+            site.silent.insert(machine);
+        }
+        Trouble::Deaf => {
+            site.deaf.insert(machine);
+        }
+        Trouble::Notice => {
+            site.notice.insert(machine, 30.0);
+        }
+        Trouble::Failed => {
+            let listed = site.tasks.keys().map(|i| ListedMachine {
+                name: name(*i),
+                kind: "g".into(),
+                zone: zone_of(*i).into(),
+                spot: false,
+                failed: *i == machine,
+                running: *i != machine,
+                age_ms: 60_000,
+            });
+            let listed = Event::MachinesListed(listed.collect());
+            site.drive(listed);
+            site.silent.insert(machine);
+        }
+        Trouble::NewSession => {
+            *site.agent_epoch.entry(machine).or_default() += 1;
+            if let Some(tasks) = site.tasks.get_mut(&machine) {
+                tasks.clear();
+            }
+        }
+        Trouble::Refusing => {
+            site.refusing.insert(machine);
+        }
+    }
+}
+
+pub fn heal(site: &mut Site) {
+    site.silent.clear();
+    site.deaf.clear();
+    site.notice.clear();
+    site.refusing.clear();
+}
+
+/// Every task of the jobs is on one machine or done, no move is open, and nothing ever ran twice.
+#[track_caller]
+pub fn ends_well(site: &Site, jobs: &[(u64, u32)], what: &str) {
+    assert_eq!(site.ran_twice, Vec::<String>::new(), "{what}");
+    for (id, tasks) in jobs {
+        for index in 0..*tasks {
+            let task = TaskId { job: JobId(*id), index };
+            let on = places(site, task);
+            let reachable: Vec<&u64> = on.iter().filter(|i| !site.silent.contains(i)).collect();
+            assert_eq!(reachable.len(), 1, "{what}: {task} on {on:?}: {:#?}", site.notes);
+        }
+    }
+}
--- /dev/null
+++ b/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
@@ -0,0 +1,139 @@
+//! The order among teams of which some are hot.
+
+use latchtrack_balance::balancer::MoveLimits;
+use latchtrack_core::job::{JobId, JobSpec, TaskId};
+use latchtrack_core::machine::{ExitCause, TaskPhase};
+use latchtrack_core::scheduler::{BalancePolicy, Event, Policy, Team};
+
+use crate::common::site::Site;
+use crate::fixtures::{go_on, moving, saving, LIMITS};
+
+/// Two teams on the same machines, one turns hot: what comes free goes to the other first, until it has
+/// its share. Without the switch the earlier jobs of the hot team keep it out.
+#[test]
+fn a_team_within_its_share_is_not_kept_out_by_a_hot_one() {
+    let team =
+        |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
+    let begun = |teams| {
+        let balance = BalancePolicy { teams, ..BalancePolicy::default() };
+        let teams = vec![team("hot"), team("calm")];
+        let mut site = Site::new(2, Policy { balance, teams, ..moving() });
+        site.no_capacity = true;
+        let task = |id, team: &str| JobSpec {
+            team: team.into(),
+            checkpoint_s: 0.0,
+            estimate_s: 20.0,
+            ..saving(id, 8)
+        };
+        for id in 1..40 {
+            site.submit(task(id, "hot"));
+        }
+        go_on(&mut site, 5_000);
+        site.submit(task(100, "calm"));
+        // One task ends each second, the longest running first.
+        for _ in 0..20 {
+            let oldest = site.tasks.iter().flat_map(|(i, tasks)| {
+                let running = tasks.iter().filter(|(_, phase)| **phase == TaskPhase::Running);
+                running.map(|(key, _)| (key.1, *i, *key))
+            });
+            if let Some((_, machine, key)) = oldest.min() {
+                site.tasks
+                    .get_mut(&machine)
+                    .unwrap()
+                    .insert(key, TaskPhase::Ended(ExitCause::Done));
+            }
+            go_on(&mut site, 1_000);
+        }
+        site.launches.iter().filter(|(_, t, _)| t.job == JobId(100)).count()
+    };
+    assert_eq!(begun(false), 0);
+    assert_eq!(begun(true), 8);
+}
+
+/// Two teams of sixteen CPUs together, the first of which turns hot or brings a burst of so many jobs, and
+/// then a job of the other. Tasks of each that were launched in the first round.
+fn first_round(jobs: u64, deadline_s: Option<f64>, calm_tasks: u32) -> (usize, usize) {
+    let team =
+        |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
+    let balance = BalancePolicy { teams: true, ..BalancePolicy::default() };
+    let teams = vec![team("first"), team("calm")];
+    let mut site = Site::new(2, Policy { balance, teams, ..moving() });
+    site.no_capacity = true;
+    let plain = |id, team: &str, tasks| JobSpec {
+        team: team.into(),
+        checkpoint_s: 0.0,
+        estimate_s: 20.0,
+        ..saving(id, tasks)
+    };
+    for id in 0..jobs {
+        site.submit(JobSpec { deadline_s, ..plain(id + 1, "first", 8) });
+    }
+    // Many tasks, of which its owner thinks that they are short: no hot team.
+    site.submit(JobSpec { estimate_s: 1.0, ..plain(1_000, "calm", calm_tasks) });
+    site.pass(400);
+    let of =
+        |calm| site.launches.iter().filter(|(_, t, _)| (t.job == JobId(1_000)) == calm).count();
+    (of(false), of(true))
+}
+
+#[test]
+fn a_burst_puts_nobody_behind() {
+    // In the order of their names the two jobs of the burst go first, and fill the machines.
+    assert_eq!(first_round(2, None, 8), (16, 0));
+}
+
+#[test]
+fn a_hot_team_has_its_share_before_others() {
+    assert_eq!(first_round(40, Some(600.0), 40), (8, 8), "half of the cluster each");
+}
+
+/// Two teams turn hot in the same second on the same machines, one of them with its limit reached, and both
+/// cool in the same second; again and again.
+#[test]
+fn two_teams_that_turn_hot_and_cool_together_keep_limit_and_budget() {
+    let team = |name: &str, cpus_max| Team {
+        name: name.into(),
+        cpus: 0.0,
+        cpus_max,
+        gpus: 0.0,
+        gpus_max: 0.0,
+    };
+    let balance = BalancePolicy { teams: true, ..moving().balance };
+    let limits = MoveLimits { moves_per_minute: 12, ..LIMITS };
+    let balance = BalancePolicy { limits, ..balance };
+    let teams = vec![team("bound", 6.0), team("free", 0.0)];
+    let mut site = Site::new(12, Policy { balance, teams, ..moving() });
+    site.no_capacity = true;
+    let mut moved: std::collections::BTreeMap<TaskId, Vec<u64>> = Default::default();
+    let mut begun = Vec::new();
+    for wave in 0..4u64 {
+        let (bound, free) = (2 * wave + 1, 2 * wave + 2);
+        site.submit(JobSpec { team: "bound".into(), zone: Some("a".into()), ..saving(bound, 12) });
+        site.submit(JobSpec { team: "free".into(), zone: Some("a".into()), ..saving(free, 14) });
+        for _ in 0..40 {
+            let known = site.leader.balance_summary().unwrap().counts.begun;
+            go_on(&mut site, 1_000);
+            let now = site.leader.balance_summary().unwrap().counts.begun;
+            begun.extend((known..now).map(|_| site.now));
+            let used = site.live(bound).values().sum::<usize>();
+            assert!(used <= 6, "{used} of 6 CPUs at {}", site.now);
+            for (task, _) in std::mem::take(&mut site.stops) {
+                moved.entry(task).or_default().push(site.now);
+            }
+        }
+        site.drive(Event::JobClosed(JobId(bound)));
+        site.drive(Event::JobClosed(JobId(free)));
+        go_on(&mut site, 5_000);
+        site.stops.clear();
+    }
+    assert_eq!(site.ran_twice, Vec::<String>::new());
+    assert!(begun.len() >= 8, "{} moves begun", begun.len());
+    for at in &begun {
+        let in_minute = begun.iter().filter(|t| (*at..*at + 60_000).contains(*t)).count();
+        assert!(in_minute <= 12, "{in_minute} moves within a minute");
+    }
+    for (task, times) in moved {
+        let apart = times.windows(2).all(|pair| pair[1] >= pair[0] + LIMITS.task_cooldown_ms);
+        assert!(apart, "{task} moved at {times:?}");
+    }
+}
--- /dev/null
+++ b/crates/latchtrack-core/tests/load_balancing/launch_checks.rs
@@ -0,0 +1,135 @@
+//! The launch on the target is checked like any other launch.
+
+use latchtrack_balance::moves::MoveStage;
+use latchtrack_core::job::{Demand, JobId, JobSpec, TaskId};
+use latchtrack_core::machine::{ExitCause, TaskPhase};
+use latchtrack_core::scheduler::{Policy, Team};
+
+use crate::common::site::Site;
+use crate::fixtures::{
+    crowded, filler, go_on, load, moving, places, saving, until, work, work_saved,
+};
+
+/// A run that nobody knew of brings the team to its limit while a task is on its way.
+#[test]
+fn a_moved_task_is_not_launched_beyond_its_teams_limit() {
+    let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 8.0, gpus: 0.0, gpus_max: 0.0 };
+    let mut site = crowded(Policy { teams: vec![team], ..moving() });
+    site.submit(saving(2, 1));
+    let (task, ..) = until(&mut site, MoveStage::Stopping);
+    let stray = (TaskId { job: JobId(2), index: 0 }, 1);
+    site.tasks.get_mut(&5).unwrap().insert(stray, TaskPhase::Running);
+    site.report(5);
+    work_saved(&mut site);
+    site.pass(2_000);
+    assert_eq!(places(&site, task), Vec::<u64>::new(), "the stray run has its place");
+    assert!(site.notes.iter().any(|n| n.contains("team at its limit")), "{:?}", site.notes);
+    let running: usize = (0..6).map(|i| load(&site, i)).sum();
+    assert!(running <= 8, "{running} CPUs of 8");
+}
+
+/// A run that nobody knew of takes the last place that a job which is to be apart has in its zone.
+#[test]
+fn a_moved_task_is_not_launched_where_its_job_may_not_be_any_more() {
+    let mut site = Site::new(6, moving());
+    site.no_capacity = true;
+    site.submit(filler(10, 24, "b"));
+    site.pass(400);
+    site.submit(JobSpec { spread: true, ..saving(1, 4) });
+    site.pass(400);
+    site.submit(filler(11, 6, "a"));
+    site.pass(400);
+    work(&mut site);
+    assert_eq!((load(&site, 0), site.live(1).len()), (8, 2), "two of four in zone a, none in b");
+    let (task, ..) = until(&mut site, MoveStage::Stopping);
+    let stray = (TaskId { job: JobId(1), index: 3 }, 1);
+    site.tasks.get_mut(&4).unwrap().insert(stray, TaskPhase::Running);
+    site.report(4);
+    work_saved(&mut site);
+    site.pass(2_000);
+    let in_zone_a =
+        (0..4).filter(|index| !places(&site, TaskId { job: JobId(1), index: *index }).is_empty());
+    assert_eq!(in_zone_a.count(), 2, "{task} waits: {:?}", site.notes);
+}
+
+/// A run that nobody knew of takes the room that was reserved.
+#[test]
+fn a_moved_task_is_not_launched_on_a_target_that_is_full() {
+    let mut site = Site::new(14, moving());
+    site.no_capacity = true;
+    site.submit(saving(1, 8));
+    site.pass(400);
+    work(&mut site);
+    // Seven machines in zone b for eight tasks.
+    let all = Demand { cpus: 8.0, gpus: 0.0, memory_gb: 8.0 };
+    let whole = JobSpec { demand: all, zone: Some("b".into()), checkpoint_s: 0.0, ..saving(2, 8) };
+    site.submit(whole);
+    site.pass(400);
+    let (task, _, target) = until(&mut site, MoveStage::Stopping);
+    let stray = (TaskId { job: JobId(2), index: 7 }, 1);
+    site.tasks.get_mut(&target).unwrap().insert(stray, TaskPhase::Running);
+    site.report(target);
+    work_saved(&mut site);
+    site.pass(1_000);
+    assert!(site.notes.iter().any(|n| n.contains("target full")), "{:?}", site.notes);
+    assert_ne!(places(&site, task), [target]);
+}
+
+/// Given to a machine that is not heard, the task would wait until that is given up.
+#[test]
+fn a_moved_task_is_not_launched_on_a_target_that_is_silent() {
+    let mut site = crowded(moving());
+    let (task, _, target) = until(&mut site, MoveStage::Stopping);
+    site.silent.insert(target);
+    site.pass(5_000);
+    work_saved(&mut site);
+    site.pass(1_000);
+    assert!(site.notes.iter().any(|n| n.contains("target lost")), "{:?}", site.notes);
+    let on = places(&site, task);
+    assert!(on.len() == 1 && on != [target], "placed elsewhere at once: {on:?}");
+}
+
+/// A job keeps off a machine on which it failed for longer than that machine is on probation.
+#[test]
+fn a_moved_task_is_not_launched_where_its_job_failed_lately() {
+    let mut site = crowded(moving());
+    // The third machine of the zone has little room.
+    site.submit(filler(10, 6, "a"));
+    site.pass(400);
+    let (task, _, target) = until(&mut site, MoveStage::Launching);
+    assert_eq!(load(&site, target), 1, "the one that was empty");
+    work(&mut site);
+    site.pass(1_000);
+    for ((t, _), phase) in site.tasks.get_mut(&target).unwrap().iter_mut() {
+        if *t == task {
+            *phase = TaskPhase::Ended(ExitCause::Failed);
+        }
+    }
+    let failed_at = site.now;
+    site.report(target);
+    let launches = |site: &Site| site.launches.iter().filter(|(i, ..)| *i == target).count();
+    let before = launches(&site);
+    while site.now < failed_at + 44_000 {
+        go_on(&mut site, 1_000);
+        assert_eq!(launches(&site), before, "{} ms later: {:?}", site.now - failed_at, site.notes);
+    }
+    assert!(site.notes.iter().any(|n| n.contains("not allowed")), "{:?}", site.notes);
+}
+
+/// The team's limit is lowered by another task of the team between the stop and the launch.
+#[test]
+fn a_team_at_its_limit_launches_no_moved_task_beyond_it() {
+    let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 8.0, gpus: 0.0, gpus_max: 0.0 };
+    let mut site = crowded(Policy { teams: vec![team], ..moving() });
+    for second in 0..60u64 {
+        if second % 7 == 0 {
+            site.submit(saving(100 + second, 2));
+        }
+        site.pass(1_000);
+        work(&mut site);
+        let running: usize = (0..6).map(|i| load(&site, i)).sum();
+        assert!(running <= 8, "{running} CPUs of 8 at {second} s");
+    }
+    assert_eq!(site.ran_twice, Vec::<String>::new());
+    assert!(site.leader.balance_summary().unwrap().counts.begun > 0, "{:?}", site.notes);
+}
--- /dev/null
+++ b/crates/latchtrack-core/tests/load_balancing/placement.rs
@@ -0,0 +1,31 @@
+//! Placement weighs the fetch of an image against a crowded machine.
+
+use latchtrack_core::scheduler::{BalancePolicy, Policy};
+
+use crate::common::site::Site;
+use crate::fixtures::{load, moving, saving, work};
+
+/// Images on one machine: by the present order everything goes there; with balanced placement the machine
+/// is preferred until it is crowded by more than the fetch is worth.
+#[test]
+fn balanced_placement_fetches_an_image_rather_than_crowd_its_holder() {
+    let loads = |placement| {
+        let balance = BalancePolicy { placement, ..BalancePolicy::default() };
+        let mut site = Site::new(6, Policy { balance, ..moving() });
+        site.submit(saving(1, 1));
+        site.pass(400);
+        work(&mut site);
+        site.pass(2_000);
+        // One after the other, as users submit them.
+        for id in 2..9 {
+            site.submit(saving(id, 1));
+            site.pass(1_000);
+        }
+        let mut loads: Vec<usize> = (0..6).map(|i| load(&site, i)).collect();
+        loads.sort();
+        loads
+    };
+    assert_eq!(loads(false), [0, 0, 0, 0, 0, 8]);
+    let balanced = loads(true);
+    assert!(balanced[5] < 8 && balanced[4] > 0, "{balanced:?}");
+}
