--- a/crates/latchtrack-balance/tests/balancer.rs
+++ b/crates/latchtrack-balance/tests/balancer.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn nothing_begins_while_the_leader_is_unsettled() {
+fn no_move_begins_while_moves_are_suspended() {
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
     for now in (0..60_000).step_by(1_000) {
@@ -164,7 +164,7 @@
 
 /// A crowded machine that was relieved a moment ago does not use up the budget of another one.
 #[test]
-fn a_machine_that_rests_leaves_the_budget_to_others() {
+fn a_machine_in_cooldown_leaves_the_budget_to_others() {
     let limits = MoveLimits { machine_gap_ms: 60_000, moves_per_minute: 2, ..LIMITS };
     let fleet = Fleet::new(&[16, 0, 0, 0, 0, 0, 0, 0]);
     let mut balancer = Balancer::new(limits);
@@ -179,7 +179,7 @@
 
 /// Operators may set the cooldown to nothing.
 #[test]
-fn a_task_that_is_on_its_way_is_not_planned_again() {
+fn a_moving_task_is_not_planned_again() {
     let limits =
         MoveLimits { task_cooldown_ms: 0, machine_gap_ms: 0, moves_per_minute: 600, ..LIMITS };
     let fleet = Fleet::new(&[12, 0, 0, 0]);
@@ -195,7 +195,7 @@
 
 /// A machine whose stops come late would have one task after the other told to stop.
 #[test]
-fn a_machine_that_was_in_the_way_is_left_alone_for_a_while() {
+fn a_machine_that_made_a_move_fail_is_in_cooldown() {
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
     balancer.observe(0, fleet.input(), NewMoves::Allowed);
--- a/crates/latchtrack-balance/tests/moves.rs
+++ b/crates/latchtrack-balance/tests/moves.rs
@@ -35,7 +35,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn stages_only_go_forward_and_keep_room_until_the_launch(
+    fn stages_only_go_forward_and_reserve_capacity_until_the_launch(
         events in prop::collection::vec((event(), 0u64..20_000), 0..40)
     ) {
         let mut m = a_move(UNIT, &[0, 1, 2]);
--- a/crates/latchtrack-balance/tests/planner.rs
+++ b/crates/latchtrack-balance/tests/planner.rs
@@ -89,7 +89,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn a_plan_keeps_to_room_budget_and_cells(input in cluster()) {
+    fn a_plan_respects_capacity_budget_and_pools(input in cluster()) {
         let plan = plan(&input);
         prop_assert!(plan.moves.len() <= input.budget);
         let after = loads_after(&input, &plan);
@@ -150,7 +150,7 @@
     }
 
     #[test]
-    fn amounts_that_make_no_sense_take_no_part(input in cluster(), bad in 0usize..4, at in 0usize..24) {
+    fn machines_and_movables_with_invalid_numbers_take_no_part(input in cluster(), bad in 0usize..4, at in 0usize..24) {
         let bad = [f64::NAN, f64::INFINITY, -1.0, f64::NEG_INFINITY][bad];
         let mut input = input;
         let at = at % input.machines.len();
@@ -205,7 +205,7 @@
 
 /// A type that only one job may use, with one machine: there is nothing to weigh it against.
 #[test]
-fn a_cell_of_one_machine_has_no_moves() {
+fn a_pool_of_one_machine_has_no_moves() {
     let mut input = crowded(3, 1, 16);
     input.machines[0].pool = 7;
     assert_eq!(plan(&input).moves, []);
@@ -214,7 +214,7 @@
 
 /// Half of the machines are full of tasks that never save: they have no bound, and raise that of others.
 #[test]
-fn tasks_that_never_save_are_left_where_they_are() {
+fn tasks_without_checkpoints_are_left_where_they_are() {
     let mut input = crowded(8, 2, 12);
     for machine in &mut input.machines[4..] {
         machine.used = amounts(16.0);
@@ -269,7 +269,7 @@
 
 /// A gang with tasks in two pools has no target that is right for all of it.
 #[test]
-fn a_gang_in_two_cells_stays() {
+fn a_gang_in_two_pools_stays() {
     let mut input = PlanInput { budget: 10, worth_factor: 2.0, ..PlanInput::default() };
     input.machines = vec![machine(0, 8.0, 8.0), machine(1, 8.0, 1.0), machine(2, 8.0, 0.0)];
     input.machines[1].pool = 1;
@@ -281,7 +281,7 @@
 
 /// A target has room by every resource, not by the dominant one alone.
 #[test]
-fn a_target_must_have_room_of_every_resource() {
+fn a_target_must_have_capacity_of_every_resource() {
     let mut input = crowded(3, 1, 16);
     for machine in &mut input.machines {
         machine.capacity.gpus = 1.0;
--- a/crates/latchtrack-core/tests/load_balancing/faults.rs
+++ b/crates/latchtrack-core/tests/load_balancing/faults.rs
@@ -8,15 +8,16 @@
 use crate::common::site::{new_leader, Site, TOKEN};
 use crate::common::{name, LEASE};
 use crate::fixtures::{
-    befall, crowded, ends_well, go_on, heal, load, moving, places, saving, until, work_saved,
-    TROUBLES,
+    assert_each_task_runs_once, checkpointing_array, clear_faults, finish_checkpoints,
+    inject_fault, live_tasks_on, machines_running, moves_enabled, pass_until_stage, run_for,
+    site_with_crowded_machine, FAULTS,
 };
 
 /// What its stop came to is not known while the source is silent; the target is not kept for it meanwhile.
 #[test]
-fn a_source_that_falls_silent_ends_the_move_before_the_stop_is_late() {
-    let mut site = crowded(moving());
-    let (_, source, target) = until(&mut site, MoveStage::Stopping);
+fn a_silent_source_ends_the_move_before_the_stop_times_out() {
+    let mut site = site_with_crowded_machine(moves_enabled());
+    let (_, source, target) = pass_until_stage(&mut site, MoveStage::Stopping);
     site.silent.insert(source);
     site.pass(8_000);
     assert!(site.notes.iter().any(|n| n.contains("source lost")), "{:?}", site.notes);
@@ -24,23 +25,23 @@
 }
 
 #[test]
-fn whatever_befalls_target_or_source_at_whatever_stage_each_task_runs_once() {
+fn each_task_runs_once_whatever_fault_hits_source_or_target_at_any_stage() {
     for stage in [MoveStage::Stopping, MoveStage::Launching] {
         for at_target in [true, false] {
-            for trouble in TROUBLES {
+            for fault in FAULTS {
                 let what = format!(
-                    "{trouble:?} at the {} while {stage}",
+                    "{fault:?} at the {} while {stage}",
                     if at_target { "target" } else { "source" }
                 );
-                let mut site = crowded(moving());
+                let mut site = site_with_crowded_machine(moves_enabled());
                 site.deletes = true;
-                let (task, source, target) = until(&mut site, stage);
-                befall(&mut site, if at_target { target } else { source }, trouble);
-                go_on(&mut site, 2 * LEASE + 30_000);
-                ends_well(&site, &[(1, 8)], &what);
-                heal(&mut site);
-                go_on(&mut site, 2 * LEASE);
-                ends_well(&site, &[(1, 8)], &what);
+                let (task, source, target) = pass_until_stage(&mut site, stage);
+                inject_fault(&mut site, if at_target { target } else { source }, fault);
+                run_for(&mut site, 2 * LEASE + 30_000);
+                assert_each_task_runs_once(&site, &[(1, 8)], &what);
+                clear_faults(&mut site);
+                run_for(&mut site, 2 * LEASE);
+                assert_each_task_runs_once(&site, &[(1, 8)], &what);
                 let done = site.leader.balance_summary().unwrap();
                 assert!(
                     site.leader
@@ -55,18 +56,18 @@
 }
 
 #[test]
-fn several_machines_that_fail_together_lose_and_repeat_nothing() {
+fn source_and_target_that_fail_together_lose_and_repeat_nothing() {
     for stage in [MoveStage::Stopping, MoveStage::Launching] {
-        for troubles in TROUBLES.windows(2) {
-            let mut site = crowded(moving());
+        for faults in FAULTS.windows(2) {
+            let mut site = site_with_crowded_machine(moves_enabled());
             site.deletes = true;
-            let (_, source, target) = until(&mut site, stage);
-            befall(&mut site, target, troubles[0]);
-            befall(&mut site, source, troubles[1]);
-            go_on(&mut site, 2 * LEASE + 30_000);
-            heal(&mut site);
-            go_on(&mut site, 2 * LEASE);
-            ends_well(&site, &[(1, 8)], &format!("{troubles:?} while {stage}"));
+            let (_, source, target) = pass_until_stage(&mut site, stage);
+            inject_fault(&mut site, target, faults[0]);
+            inject_fault(&mut site, source, faults[1]);
+            run_for(&mut site, 2 * LEASE + 30_000);
+            clear_faults(&mut site);
+            run_for(&mut site, 2 * LEASE);
+            assert_each_task_runs_once(&site, &[(1, 8)], &format!("{faults:?} while {stage}"));
         }
     }
 }
@@ -74,45 +75,49 @@
 #[test]
 fn a_job_cancelled_at_any_stage_ends_its_move() {
     for stage in [MoveStage::Stopping, MoveStage::Launching] {
-        let mut site = crowded(moving());
-        until(&mut site, stage);
+        let mut site = site_with_crowded_machine(moves_enabled());
+        pass_until_stage(&mut site, stage);
         site.drive(Event::JobClosed(JobId(1)));
-        go_on(&mut site, 5_000);
+        run_for(&mut site, 5_000);
         assert_eq!(site.leader.moves(), [], "while {stage}");
-        assert_eq!((0..6).map(|i| load(&site, i)).sum::<usize>(), 0, "all of it is stopped");
+        assert_eq!(
+            (0..6).map(|i| live_tasks_on(&site, i)).sum::<usize>(),
+            0,
+            "all of it is stopped"
+        );
         // What was reserved is free again.
-        site.submit(JobSpec { zone: Some("a".into()), ..saving(2, 24) });
+        site.submit(JobSpec { zone: Some("a".into()), ..checkpointing_array(2, 24) });
         site.pass(400);
-        assert_eq!((0..6).map(|i| load(&site, i)).sum::<usize>(), 24);
+        assert_eq!((0..6).map(|i| live_tasks_on(&site, i)).sum::<usize>(), 24);
     }
 }
 
 /// The leader changes at each stage, to a version that moves or to one that knows no moves, and back.
 #[test]
-fn a_leader_change_at_any_stage_costs_a_place_in_the_queue_and_nothing_else() {
+fn a_failover_at_any_stage_costs_a_place_in_the_queue_and_nothing_else() {
     for stage in [MoveStage::Stopping, MoveStage::Launching] {
         for next_moves in [true, false] {
             let what = format!("while {stage}, the next moves: {next_moves}");
-            let mut site = crowded(moving());
-            until(&mut site, stage);
+            let mut site = site_with_crowded_machine(moves_enabled());
+            pass_until_stage(&mut site, stage);
             for (token, moves) in [(TOKEN + 1, next_moves), (TOKEN + 2, !next_moves)] {
-                let balance = BalancePolicy { moves, ..moving().balance };
-                let policy = Policy { balance, ..moving() };
+                let balance = BalancePolicy { moves, ..moves_enabled().balance };
+                let policy = Policy { balance, ..moves_enabled() };
                 site.leader = new_leader(6, token, policy, site.now);
                 // Accepted under an earlier leader.
                 let job = Event::JobOpened {
-                    spec: std::sync::Arc::new(saving(1, 8)),
+                    spec: std::sync::Arc::new(checkpointing_array(1, 8)),
                     submitted_at: 1_000,
                     revision: TOKEN + 1,
                     done: None,
                 };
                 site.drive(job);
                 site.pass(600);
-                ends_well_or_waits(&site, &what);
-                go_on(&mut site, 8_000);
+                assert_no_task_runs_twice(&site, &what);
+                run_for(&mut site, 8_000);
             }
-            go_on(&mut site, 40_000);
-            ends_well(&site, &[(1, 8)], &what);
+            run_for(&mut site, 40_000);
+            assert_each_task_runs_once(&site, &[(1, 8)], &what);
             assert_eq!(site.leader.jobs()[&JobId(1)].waiting(), 0, "{what}");
         }
     }
@@ -120,18 +125,18 @@
 
 /// No task is on two machines.
 #[track_caller]
-fn ends_well_or_waits(site: &Site, what: &str) {
+fn assert_no_task_runs_twice(site: &Site, what: &str) {
     assert_eq!(site.ran_twice, Vec::<String>::new(), "{what}");
     for index in 0..8 {
-        let on = places(site, TaskId { job: JobId(1), index });
+        let on = machines_running(site, TaskId { job: JobId(1), index });
         assert!(on.len() <= 1, "{what}: {index} on {on:?}");
     }
 }
 
 #[test]
-fn a_stop_that_does_not_end_in_time_abandons_the_move_and_frees_the_target() {
-    let mut site = crowded(moving());
-    let (task, source, target) = until(&mut site, MoveStage::Stopping);
+fn a_stop_that_times_out_abandons_the_move_and_frees_the_target() {
+    let mut site = site_with_crowded_machine(moves_enabled());
+    let (task, source, target) = pass_until_stage(&mut site, MoveStage::Stopping);
     // What is told to save takes 40 s; the next one would be told to stop then.
     for _ in 0..40 {
         site.pass(1_000);
@@ -142,35 +147,35 @@
         }
     }
     assert!(site.notes.iter().any(|n| n.contains("stop late")), "{:?}", site.notes);
-    assert_eq!(places(&site, task), [source], "still there, and nowhere else");
-    site.submit(JobSpec { zone: Some("a".into()), ..saving(2, 16) });
+    assert_eq!(machines_running(&site, task), [source], "still there, and nowhere else");
+    site.submit(JobSpec { zone: Some("a".into()), ..checkpointing_array(2, 16) });
     site.pass(400);
-    assert_eq!(load(&site, target), 8, "nothing is reserved any more: {:#?}", site.notes);
-    work_saved(&mut site);
-    go_on(&mut site, 5_000);
+    assert_eq!(live_tasks_on(&site, target), 8, "nothing is reserved any more: {:#?}", site.notes);
+    finish_checkpoints(&mut site);
+    run_for(&mut site, 5_000);
     assert_eq!(site.ran_twice, Vec::<String>::new());
 }
 
 /// A report of before the stop arrives once more, late, when the task already runs on its target.
 #[test]
-fn a_late_copy_of_the_sources_report_brings_nothing_back() {
-    let mut site = crowded(moving());
-    let (task, source, _) = until(&mut site, MoveStage::Stopping);
+fn a_late_duplicate_of_the_sources_heartbeat_brings_nothing_back() {
+    let mut site = site_with_crowded_machine(moves_enabled());
+    let (task, source, _) = pass_until_stage(&mut site, MoveStage::Stopping);
     let copy = site.report_of(source);
     site.report(source);
-    let (launched, ..) = until(&mut site, MoveStage::Launching);
+    let (launched, ..) = pass_until_stage(&mut site, MoveStage::Launching);
     assert_eq!(launched, task);
     site.drive(Event::Heartbeat(copy.clone()));
-    go_on(&mut site, 3_000);
+    run_for(&mut site, 3_000);
     site.drive(Event::Heartbeat(copy));
-    go_on(&mut site, 20_000);
-    ends_well(&site, &[(1, 8)], "a late copy");
+    run_for(&mut site, 20_000);
+    assert_each_task_runs_once(&site, &[(1, 8)], "a late copy");
 }
 
 #[test]
 fn a_task_that_completes_before_it_stops_is_done_and_not_moved() {
-    let mut site = crowded(moving());
-    let (task, source, _) = until(&mut site, MoveStage::Stopping);
+    let mut site = site_with_crowded_machine(moves_enabled());
+    let (task, source, _) = pass_until_stage(&mut site, MoveStage::Stopping);
     let launches = site.launches.iter().filter(|(_, t, _)| *t == task).count();
     let tasks = site.tasks.get_mut(&source).unwrap();
     for ((t, _), phase) in tasks.iter_mut() {
--- a/crates/latchtrack-core/tests/load_balancing/fixtures.rs
+++ b/crates/latchtrack-core/tests/load_balancing/fixtures.rs
@@ -20,14 +20,14 @@
     worth_factor: 3.0,
 };
 
-pub fn moving() -> Policy {
+pub fn moves_enabled() -> Policy {
     let balance =
         BalancePolicy { moves: true, limits: LIMITS, calm_ms: 1_000, ..BalancePolicy::default() };
     Policy { on_demand_idle_timeout_ms: 600_000, balance, ..policy() }
 }
 
 /// An array of tasks of one CPU that save, with ten minutes to run.
-pub fn saving(id: u64, tasks: u32) -> JobSpec {
+pub fn checkpointing_array(id: u64, tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
         demand: Demand { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 },
@@ -40,12 +40,12 @@
 }
 
 /// Tasks of one CPU that never save, in a zone.
-pub fn filler(id: u64, tasks: u32, zone: &str) -> JobSpec {
-    JobSpec { checkpoint_s: 0.0, zone: Some(zone.into()), ..saving(id, tasks) }
+pub fn array_without_checkpoints(id: u64, tasks: u32, zone: &str) -> JobSpec {
+    JobSpec { checkpoint_s: 0.0, zone: Some(zone.into()), ..checkpointing_array(id, tasks) }
 }
 
 /// Tasks that fetch run, and those that save have saved.
-pub fn work(site: &mut Site) {
+pub fn advance_tasks(site: &mut Site) {
     for tasks in site.tasks.values_mut() {
         for phase in tasks.values_mut() {
             match phase {
@@ -58,31 +58,31 @@
 }
 
 /// Time passes and the machines work.
-pub fn go_on(site: &mut Site, ms: u64) {
+pub fn run_for(site: &mut Site, ms: u64) {
     for _ in 0..ms / 1_000 {
         site.pass(1_000);
-        work(site);
+        advance_tasks(site);
     }
 }
 
 /// Six machines, three in each zone, of which the first carries eight tasks of one CPU.
-pub fn crowded(policy: Policy) -> Site {
+pub fn site_with_crowded_machine(policy: Policy) -> Site {
     let mut site = Site::new(6, policy);
-    site.submit(saving(1, 8));
+    site.submit(checkpointing_array(1, 8));
     site.pass(400);
-    work(&mut site);
-    assert_eq!(load(&site, 0), 8, "packed by rising score");
+    advance_tasks(&mut site);
+    assert_eq!(live_tasks_on(&site, 0), 8, "packed by rising score");
     site
 }
 
 /// Live tasks on a machine.
-pub fn load(site: &Site, machine: u64) -> usize {
+pub fn live_tasks_on(site: &Site, machine: u64) -> usize {
     let tasks = site.tasks.get(&machine).into_iter().flatten();
     tasks.filter(|(_, phase)| !matches!(phase, TaskPhase::Ended(_))).count()
 }
 
 /// Where a task is that has not ended, by what the machines list.
-pub fn places(site: &Site, task: TaskId) -> Vec<u64> {
+pub fn machines_running(site: &Site, task: TaskId) -> Vec<u64> {
     let on = |tasks: &std::collections::BTreeMap<(TaskId, u64), TaskPhase>| {
         tasks.iter().any(|((t, _), phase)| *t == task && !matches!(phase, TaskPhase::Ended(_)))
     };
@@ -91,7 +91,7 @@
 
 /// Passes time in small steps until a move is in this stage; its task, source and target.
 #[track_caller]
-pub fn until(site: &mut Site, stage: MoveStage) -> (TaskId, u64, u64) {
+pub fn pass_until_stage(site: &mut Site, stage: MoveStage) -> (TaskId, u64, u64) {
     for _ in 0..200 {
         if let Some(m) = site.leader.moves().iter().find(|m| m.stage == stage) {
             let task_move = &m.task_moves[0];
@@ -101,14 +101,14 @@
         let saving =
             site.tasks.values().flatten().any(|(_, phase)| *phase == TaskPhase::Checkpointing);
         if saving && stage != MoveStage::Stopping {
-            work_saved(site);
+            finish_checkpoints(site);
         }
         site.pass(200);
     }
     panic!("no move is {stage}: {:?}", site.notes);
 }
 
-pub fn work_saved(site: &mut Site) {
+pub fn finish_checkpoints(site: &mut Site) {
     for phase in site.tasks.values_mut().flat_map(|tasks| tasks.values_mut()) {
         if *phase == TaskPhase::Checkpointing {
             *phase = TaskPhase::Ended(ExitCause::Stopped);
@@ -118,7 +118,7 @@
 
 /// What may happen to a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     /// It neither reports nor answers: cut off, hanging, or dead.
     Silent,
     /// It reports, and hears nothing.
@@ -132,27 +132,21 @@
     Refusing,
 }
 
-pub const TROUBLES: [Trouble; 6] = [
-    Trouble::Silent,
-    Trouble::Deaf,
-    Trouble::Notice,
-    Trouble::Failed,
-    Trouble::NewSession,
-    Trouble::Refusing,
-];
-
-pub fn befall(site: &mut Site, machine: u64, trouble: Trouble) {
-    match trouble {
-        Trouble::Silent => {
+pub const FAULTS: [Fault; 6] =
+    [Fault::Silent, Fault::Deaf, Fault::Notice, Fault::Failed, Fault::NewSession, Fault::Refusing];
+
+pub fn inject_fault(site: &mut Site, machine: u64, fault: Fault) {
+    match fault {
+        Fault::Silent => {
             site.silent.insert(machine);
         }
-        Trouble::Deaf => {
+        Fault::Deaf => {
             site.deaf.insert(machine);
         }
-        Trouble::Notice => {
+        Fault::Notice => {
             site.notice.insert(machine, 30.0);
         }
-        Trouble::Failed => {
+        Fault::Failed => {
             let listed = site.tasks.keys().map(|i| ListedMachine {
                 name: name(*i),
                 kind: "g".into(),
@@ -166,19 +160,19 @@
             site.drive(listed);
             site.silent.insert(machine);
         }
-        Trouble::NewSession => {
+        Fault::NewSession => {
             *site.agent_epoch.entry(machine).or_default() += 1;
             if let Some(tasks) = site.tasks.get_mut(&machine) {
                 tasks.clear();
             }
         }
-        Trouble::Refusing => {
+        Fault::Refusing => {
             site.refusing.insert(machine);
         }
     }
 }
 
-pub fn heal(site: &mut Site) {
+pub fn clear_faults(site: &mut Site) {
     site.silent.clear();
     site.deaf.clear();
     site.notice.clear();
@@ -187,12 +181,12 @@
 
 /// Every task of the jobs is on one machine or done, no move is open, and nothing ever ran twice.
 #[track_caller]
-pub fn ends_well(site: &Site, jobs: &[(u64, u32)], what: &str) {
+pub fn assert_each_task_runs_once(site: &Site, jobs: &[(u64, u32)], what: &str) {
     assert_eq!(site.ran_twice, Vec::<String>::new(), "{what}");
     for (id, tasks) in jobs {
         for index in 0..*tasks {
             let task = TaskId { job: JobId(*id), index };
-            let on = places(site, task);
+            let on = machines_running(site, task);
             let reachable: Vec<&u64> = on.iter().filter(|i| !site.silent.contains(i)).collect();
             assert_eq!(reachable.len(), 1, "{what}: {task} on {on:?}: {:#?}", site.notes);
         }
--- a/crates/latchtrack-core/tests/load_balancing/gangs.rs
+++ b/crates/latchtrack-core/tests/load_balancing/gangs.rs
@@ -5,21 +5,33 @@
 use latchtrack_core::machine::{ExitCause, TaskPhase};
 
 use crate::common::site::Site;
-use crate::fixtures::{filler, go_on, load, moving, saving, until, work};
+use crate::fixtures::{
+    advance_tasks, array_without_checkpoints, checkpointing_array, live_tasks_on, moves_enabled,
+    pass_until_stage, run_for,
+};
 
 /// A gang of which one task is on a machine that may not give stays whole where it is.
 #[test]
 fn a_gang_with_a_task_on_a_machine_on_probation_stays() {
-    let mut site = Site::new(6, moving());
-    site.submit(filler(10, 6, "a"));
+    let mut site = Site::new(6, moves_enabled());
+    site.submit(array_without_checkpoints(10, 6, "a"));
     site.pass(400);
     let two_cpus = Demand { cpus: 2.0, gpus: 0.0, memory_gb: 2.0 };
-    site.submit(JobSpec { gang: true, zone: Some("a".into()), demand: two_cpus, ..saving(1, 2) });
+    site.submit(JobSpec {
+        gang: true,
+        zone: Some("a".into()),
+        demand: two_cpus,
+        ..checkpointing_array(1, 2)
+    });
     site.pass(400);
-    site.submit(filler(11, 1, "a"));
+    site.submit(array_without_checkpoints(11, 1, "a"));
     site.pass(400);
-    assert_eq!((load(&site, 0), load(&site, 2)), (7, 2), "the gang is on two machines");
-    work(&mut site);
+    assert_eq!(
+        (live_tasks_on(&site, 0), live_tasks_on(&site, 2)),
+        (7, 2),
+        "the gang is on two machines"
+    );
+    advance_tasks(&mut site);
     site.pass(1_000);
     site.set(11, TaskPhase::Ended(ExitCause::Failed), |_| true);
     site.pass(12_000);
@@ -29,23 +41,23 @@
         site.stops.iter().filter(saves).count()
     };
     assert_eq!(of_gang(&site), 0, "fifteen seconds of probation");
-    go_on(&mut site, 30_000);
+    run_for(&mut site, 30_000);
     assert_eq!(of_gang(&site), 2, "both, when it is over: {:?}", site.notes);
 }
 
 /// A gang of two tasks moves whole, under a new attempt, when both have saved.
 #[test]
 fn a_gang_moves_whole_or_not_at_all() {
-    let gang = |id| JobSpec { gang: true, ..saving(id, 2) };
-    let mut site = Site::new(6, moving());
+    let gang = |id| JobSpec { gang: true, ..checkpointing_array(id, 2) };
+    let mut site = Site::new(6, moves_enabled());
     site.submit(gang(1));
     site.pass(400);
     // Six that do not save crowd the machine for good.
-    site.submit(JobSpec { checkpoint_s: 0.0, ..saving(2, 6) });
+    site.submit(JobSpec { checkpoint_s: 0.0, ..checkpointing_array(2, 6) });
     site.pass(400);
-    work(&mut site);
-    assert_eq!(load(&site, 0), 8);
-    until(&mut site, MoveStage::Stopping);
+    advance_tasks(&mut site);
+    assert_eq!(live_tasks_on(&site, 0), 8);
+    pass_until_stage(&mut site, MoveStage::Stopping);
     let first = site.live(1);
     // One has saved: its gang's progress is safe, and the other is told to go. The next attempt waits
     // for that.
@@ -58,12 +70,12 @@
     for _ in 0..40 {
         site.pass(200);
         assert!(site.live(1).len() <= 1, "{:?}", site.live(1));
-        work(&mut site);
+        advance_tasks(&mut site);
     }
     let now = site.live(1);
     assert_eq!(now.values().copied().collect::<Vec<_>>(), [2], "whole, in one attempt");
     assert_ne!(now.keys().next(), first.keys().next());
-    assert_eq!(load(&site, 0), 6, "off the crowded machine");
+    assert_eq!(live_tasks_on(&site, 0), 6, "off the crowded machine");
     assert!(site.stops.iter().any(|(task, grace)| task.job == JobId(1) && *grace >= 2.0));
     assert_eq!(site.ran_twice, Vec::<String>::new());
 }
--- a/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
+++ b/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
@@ -6,7 +6,7 @@
 use latchtrack_core::scheduler::{BalancePolicy, Event, Policy, Team};
 
 use crate::common::site::Site;
-use crate::fixtures::{go_on, moving, saving, LIMITS};
+use crate::fixtures::{checkpointing_array, moves_enabled, run_for, LIMITS};
 
 /// Two teams on the same machines, one turns hot: what comes free goes to the other first, until it has
 /// its share. Without the switch the earlier jobs of the hot team keep it out.
@@ -17,18 +17,18 @@
     let begun = |teams| {
         let balance = BalancePolicy { teams, ..BalancePolicy::default() };
         let teams = vec![team("hot"), team("calm")];
-        let mut site = Site::new(2, Policy { balance, teams, ..moving() });
+        let mut site = Site::new(2, Policy { balance, teams, ..moves_enabled() });
         site.no_capacity = true;
         let task = |id, team: &str| JobSpec {
             team: team.into(),
             checkpoint_s: 0.0,
             estimate_s: 20.0,
-            ..saving(id, 8)
+            ..checkpointing_array(id, 8)
         };
         for id in 1..40 {
             site.submit(task(id, "hot"));
         }
-        go_on(&mut site, 5_000);
+        run_for(&mut site, 5_000);
         site.submit(task(100, "calm"));
         // One task ends each second, the longest running first.
         for _ in 0..20 {
@@ -42,7 +42,7 @@
                     .unwrap()
                     .insert(key, TaskPhase::Ended(ExitCause::Done));
             }
-            go_on(&mut site, 1_000);
+            run_for(&mut site, 1_000);
         }
         site.launches.iter().filter(|(_, t, _)| t.job == JobId(100)).count()
     };
@@ -52,18 +52,18 @@
 
 /// Two teams of sixteen CPUs together, the first of which turns hot or brings a burst of so many jobs, and
 /// then a job of the other. Tasks of each that were launched in the first round.
-fn first_round(jobs: u64, deadline_s: Option<f64>, calm_tasks: u32) -> (usize, usize) {
+fn launched_in_first_cycle(jobs: u64, deadline_s: Option<f64>, calm_tasks: u32) -> (usize, usize) {
     let team =
         |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     let balance = BalancePolicy { teams: true, ..BalancePolicy::default() };
     let teams = vec![team("first"), team("calm")];
-    let mut site = Site::new(2, Policy { balance, teams, ..moving() });
+    let mut site = Site::new(2, Policy { balance, teams, ..moves_enabled() });
     site.no_capacity = true;
     let plain = |id, team: &str, tasks| JobSpec {
         team: team.into(),
         checkpoint_s: 0.0,
         estimate_s: 20.0,
-        ..saving(id, tasks)
+        ..checkpointing_array(id, tasks)
     };
     for id in 0..jobs {
         site.submit(JobSpec { deadline_s, ..plain(id + 1, "first", 8) });
@@ -79,12 +79,12 @@
 #[test]
 fn a_burst_puts_nobody_behind() {
     // In the order of their names the two jobs of the burst go first, and fill the machines.
-    assert_eq!(first_round(2, None, 8), (16, 0));
+    assert_eq!(launched_in_first_cycle(2, None, 8), (16, 0));
 }
 
 #[test]
 fn a_hot_team_has_its_share_before_others() {
-    assert_eq!(first_round(40, Some(600.0), 40), (8, 8), "half of the cluster each");
+    assert_eq!(launched_in_first_cycle(40, Some(600.0), 40), (8, 8), "half of the cluster each");
 }
 
 /// Two teams turn hot in the same second on the same machines, one of them with its limit reached, and both
@@ -98,21 +98,29 @@
         gpus: 0.0,
         gpus_max: 0.0,
     };
-    let balance = BalancePolicy { teams: true, ..moving().balance };
+    let balance = BalancePolicy { teams: true, ..moves_enabled().balance };
     let limits = MoveLimits { moves_per_minute: 12, ..LIMITS };
     let balance = BalancePolicy { limits, ..balance };
     let teams = vec![team("bound", 6.0), team("free", 0.0)];
-    let mut site = Site::new(12, Policy { balance, teams, ..moving() });
+    let mut site = Site::new(12, Policy { balance, teams, ..moves_enabled() });
     site.no_capacity = true;
     let mut moved: std::collections::BTreeMap<TaskId, Vec<u64>> = Default::default();
     let mut begun = Vec::new();
     for wave in 0..4u64 {
         let (bound, free) = (2 * wave + 1, 2 * wave + 2);
-        site.submit(JobSpec { team: "bound".into(), zone: Some("a".into()), ..saving(bound, 12) });
-        site.submit(JobSpec { team: "free".into(), zone: Some("a".into()), ..saving(free, 14) });
+        site.submit(JobSpec {
+            team: "bound".into(),
+            zone: Some("a".into()),
+            ..checkpointing_array(bound, 12)
+        });
+        site.submit(JobSpec {
+            team: "free".into(),
+            zone: Some("a".into()),
+            ..checkpointing_array(free, 14)
+        });
         for _ in 0..40 {
             let known = site.leader.balance_summary().unwrap().counts.begun;
-            go_on(&mut site, 1_000);
+            run_for(&mut site, 1_000);
             let now = site.leader.balance_summary().unwrap().counts.begun;
             begun.extend((known..now).map(|_| site.now));
             let used = site.live(bound).values().sum::<usize>();
@@ -123,7 +131,7 @@
         }
         site.drive(Event::JobClosed(JobId(bound)));
         site.drive(Event::JobClosed(JobId(free)));
-        go_on(&mut site, 5_000);
+        run_for(&mut site, 5_000);
         site.stops.clear();
     }
     assert_eq!(site.ran_twice, Vec::<String>::new());
--- a/crates/latchtrack-core/tests/load_balancing/placement.rs
+++ b/crates/latchtrack-core/tests/load_balancing/placement.rs
@@ -3,7 +3,7 @@
 use latchtrack_core::scheduler::{BalancePolicy, Policy};
 
 use crate::common::site::Site;
-use crate::fixtures::{load, moving, saving, work};
+use crate::fixtures::{advance_tasks, checkpointing_array, live_tasks_on, moves_enabled};
 
 /// Images on one machine: by the present order everything goes there; with balanced placement the machine
 /// is preferred until it is crowded by more than the fetch is worth.
@@ -11,17 +11,17 @@
 fn balanced_placement_fetches_an_image_rather_than_crowd_its_holder() {
     let loads = |placement| {
         let balance = BalancePolicy { placement, ..BalancePolicy::default() };
-        let mut site = Site::new(6, Policy { balance, ..moving() });
-        site.submit(saving(1, 1));
+        let mut site = Site::new(6, Policy { balance, ..moves_enabled() });
+        site.submit(checkpointing_array(1, 1));
         site.pass(400);
-        work(&mut site);
+        advance_tasks(&mut site);
         site.pass(2_000);
         // One after the other, as users submit them.
         for id in 2..9 {
-            site.submit(saving(id, 1));
+            site.submit(checkpointing_array(id, 1));
             site.pass(1_000);
         }
-        let mut loads: Vec<usize> = (0..6).map(|i| load(&site, i)).collect();
+        let mut loads: Vec<usize> = (0..6).map(|i| live_tasks_on(&site, i)).collect();
         loads.sort();
         loads
     };
--- a/crates/latchtrack-quota/tests/ledger.rs
+++ b/crates/latchtrack-quota/tests/ledger.rs
@@ -12,7 +12,7 @@
 );
 
 #[test]
-fn a_value_is_read_and_stored_byte_for_byte() {
+fn a_ledger_is_read_and_stored_byte_for_byte() {
     let ledger = TeamLedger::parse(STORED).unwrap();
     assert_eq!(ledger.limit, Limit::of(40.0, 8.0));
     assert_eq!(ledger.allotted_to("east"), MilliResources { millicpus: 12_500, milligpus: 2_000 });
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_told_by_its_kind() {
+fn unusable_ledgers_are_refused_with_their_reason() {
     let newer = STORED.replace(r#""version":1"#, r#""version":2"#);
     assert_eq!(TeamLedger::parse(&newer), Err(LedgerError::NewerVersion(2)));
     for text in ["", "null", "{}", "7", r#"{"version":1}"#, &STORED.replace("12500", "-1")] {
--- a/crates/latchtrack-quota/tests/manager.rs
+++ b/crates/latchtrack-quota/tests/manager.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_team_without_a_limit_is_not_shared_once_that_is_seen() {
+fn a_team_without_a_limit_is_not_shared_once_its_ledger_is_seen_missing() {
     let mut manager = manager(&[("free", 0.0, 4.0)]);
     let nothing = Some(LaunchLimit { millicpus: Some(0), milligpus: Some(0) });
     assert_eq!(manager.launch_limit("free"), nothing, "not looked at yet");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_stored_limit_counts_for_a_cell_whose_file_has_none() {
+fn a_stored_limit_counts_for_a_cell_whose_settings_have_none() {
     let mut manager = manager(&[("free", 0.0, 0.0)]);
     let mut ledger = TeamLedger::new(Limit::of(8.0, 0.0), MilliResources::NONE);
     ledger.complete = true;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn four_writes_are_open_at_a_time_and_every_team_has_its_turn() {
+fn four_writes_are_in_flight_at_a_time_and_every_team_gets_its_turn() {
     let names: Vec<String> = (0..50).map(|i| format!("t{i:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let teams: Vec<(&str, f64, f64)> = names.iter().map(|name| (*name, 4.0, 0.0)).collect();
--- a/crates/latchtrack-quota/tests/model/main.rs
+++ b/crates/latchtrack-quota/tests/model/main.rs
@@ -105,32 +105,32 @@
 }
 
 #[test]
-fn no_lost_value_passes_the_limit() {
+fn no_lost_ledger_passes_the_limit() {
     holds("lost value", World::value_lost(handing_over(), None));
 }
 
 #[test]
-fn writing_whatever_revision_the_value_has_is_caught() {
+fn writing_without_the_expected_revision_is_caught() {
     caught("revision", World::all_is_free(taking(), Some(Guard::Revision)));
 }
 
 #[test]
-fn taking_an_unknown_outcome_for_none_is_caught() {
+fn taking_an_unknown_outcome_for_not_stored_is_caught() {
     caught("unknown", World::east_is_idle(idling(), Some(Guard::UnknownOutcome)));
 }
 
 #[test]
-fn giving_back_what_runs_is_caught() {
+fn giving_back_what_is_used_is_caught() {
     caught("used", World::east_holds_all(handing_over(), Some(Guard::Used)));
 }
 
 #[test]
-fn launching_by_the_limit_of_before_a_step_is_caught() {
+fn launching_by_the_launch_limit_from_before_a_step_is_caught() {
     caught("lowered first", World::east_is_idle(idling(), Some(Guard::LoweredFirst)));
 }
 
 #[test]
-fn giving_back_before_the_fleet_is_settled_is_caught() {
+fn giving_back_before_the_machines_are_reconciled_is_caught() {
     caught("settled", World::east_holds_all(change_of_leader(), Some(Guard::Settled)));
 }
 
@@ -140,16 +140,16 @@
 }
 
 #[test]
-fn reclaiming_before_the_leases_are_over_is_caught() {
+fn reclaiming_before_the_leases_expire_is_caught() {
     caught("leases", World::east_holds_all(early_death(), Some(Guard::Leases)));
 }
 
 #[test]
-fn reclaiming_from_a_cell_that_is_led_again_is_caught() {
+fn reclaiming_from_a_cell_with_a_new_leader_is_caught() {
     caught("dead still", World::east_holds_all(death(), Some(Guard::DeadStill)));
 }
 
 #[test]
-fn taking_before_every_cell_has_entered_what_it_runs_is_caught() {
+fn taking_before_every_cell_has_recorded_its_usage_is_caught() {
     caught("complete", World::value_lost(handing_over(), Some(Guard::Complete)));
 }
--- a/crates/latchtrack-quota/tests/targets.rs
+++ b/crates/latchtrack-quota/tests/targets.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn needs_are_gathered_by_ticket_whole_or_not_at_all() {
+fn needs_are_met_by_request_number_whole_or_not_at_all() {
     // Two gangs as large as the limit: the older has all.
     assert_eq!(totals(100, 0, &[asks(2, 100, 100), asks(1, 100, 100)]), [0, 100]);
     // The second does not fit beside the first; the third does.
