--- a/crates/latchtrack-quota/tests/manager.rs
+++ b/crates/latchtrack-quota/tests/manager.rs
@@ -1,24 +1,28 @@
-//! A manager by itself: teams that are not shared, what it launches by before it has looked, writes at a time.
+//! An allotment manager by itself: teams that are not shared, launch limits before the first
+//! snapshot, writes in flight.
 
-use std::collections::BTreeMap;
+mod common;
 
-use latchtrack_quota::*;
+use std::collections::{BTreeMap, BTreeSet};
 
+use common::manager_of;
+use latchtrack_quota::{
+    AllotmentManager, LaunchLimit, LedgerSnapshot, Limit, LocalUsage, MilliResources, Notice,
+    StoredLedger, TeamLedger, TeamQuota, WriteOutcome,
+};
+
+/// A manager of one cell for teams with a limit and a guarantee in CPUs; term 5.
 fn manager(teams: &[(&str, f64, f64)]) -> AllotmentManager {
-    let terms = |limit: f64, guarantee: f64| TeamQuota {
+    let quota = |limit: f64, guarantee: f64| TeamQuota {
         limit: Limit::of(limit, 0.0),
         guarantee: MilliResources::covering(guarantee, 0.0),
     };
-    let teams =
-        teams.iter().map(|(name, limit, guarantee)| (name.to_string(), terms(*limit, *guarantee)));
-    AllotmentManager::new(AllotmentManagerSettings {
-        cell: "east".into(),
-        term: 5,
-        teams: teams.collect(),
-    })
+    let teams: Vec<(&str, TeamQuota)> =
+        teams.iter().map(|(name, limit, guarantee)| (*name, quota(*limit, *guarantee))).collect();
+    manager_of("east", 5, &teams)
 }
 
-fn settled(names: &[&str]) -> BTreeMap<String, LocalUsage> {
+fn reconciled_usages(names: &[&str]) -> BTreeMap<String, LocalUsage> {
     let usage = LocalUsage { is_reconciled: true, ..LocalUsage::default() };
     names.iter().map(|name| (name.to_string(), usage)).collect()
 }
@@ -31,12 +35,12 @@
 fn a_team_without_a_limit_is_not_shared_once_its_ledger_is_seen_missing() {
     let mut manager = manager(&[("free", 0.0, 4.0)]);
     let nothing = Some(LaunchLimit { millicpus: Some(0), milligpus: Some(0) });
-    assert_eq!(manager.launch_limit("free"), nothing, "not looked at yet");
+    assert_eq!(manager.launch_limit("free"), nothing, "no snapshot yet");
     manager.observe(0, snapshot(4));
-    assert_eq!(manager.launch_limit("free"), nothing, "a look from before the term");
+    assert_eq!(manager.launch_limit("free"), nothing, "a snapshot from before the term");
     manager.observe(0, snapshot(5));
     assert_eq!((manager.launch_limit("free"), manager.guarantee("free")), (None, None));
-    assert_eq!(manager.step(0, &settled(&["free"])), []);
+    assert_eq!(manager.step(0, &reconciled_usages(&["free"])), []);
 }
 
 #[test]
@@ -48,9 +52,8 @@
     snapshot.teams.insert("free".into(), StoredLedger { revision: 7, ledger: Ok(ledger) });
     manager.observe(0, snapshot);
     assert_eq!(manager.launch_limit("free").unwrap().millicpus, Some(0));
-    let told = |manager: &mut AllotmentManager| manager.take_notices();
-    assert!(matches!(told(&mut manager)[..], [Notice::Differs { .. }]));
-    assert_eq!(told(&mut manager), [], "once");
+    assert!(matches!(manager.take_notices()[..], [Notice::Differs { .. }]));
+    assert_eq!(manager.take_notices(), [], "once");
 }
 
 #[test]
@@ -60,13 +63,13 @@
     let teams: Vec<(&str, f64, f64)> = names.iter().map(|name| (*name, 4.0, 0.0)).collect();
     let mut manager = manager(&teams);
     manager.observe(0, snapshot(5));
-    let mut written = std::collections::BTreeSet::new();
+    let mut written = BTreeSet::new();
     let mut revision = 5;
     for round in 0..13 {
-        let writes = manager.step(round * 1_000, &settled(&names));
+        let writes = manager.step(round * 1_000, &reconciled_usages(&names));
         assert!(writes.len() <= 4, "{} writes", writes.len());
         assert_eq!(
-            manager.step(round * 1_000 + 1, &settled(&names)).len() + writes.len(),
+            manager.step(round * 1_000 + 1, &reconciled_usages(&names)).len() + writes.len(),
             writes.len()
         );
         for write in writes {
--- a/crates/latchtrack-quota/tests/model/world/events.rs
+++ b/crates/latchtrack-quota/tests/model/world/events.rs
@@ -1,4 +1,5 @@
-//! What happens to cells and their tasks: tasks start and end, leaders are lost and elected, time passes.
+//! What happens to cells and their tasks: tasks start and end, leaders are lost and elected, time
+//! passes.
 
 use super::*;
 
@@ -22,27 +23,28 @@
     /// A cell starts a task, if its launch limit allows.
     pub(super) fn start(&self, i: usize) -> Option<World> {
         let cell = &self.cells[i];
-        let room = cell.has_leader && (cell.counted + 1) * TASK <= cell.launch;
-        if cell.manager.is_none() || cell.waiting == 0 || !room || cell.counted != cell.running {
+        let may_launch = cell.has_leader && (cell.known + 1) * TASK <= cell.launch_limit;
+        if cell.manager.is_none() || cell.waiting == 0 || !may_launch || cell.known != cell.running
+        {
             return None;
         }
         let mut next = self.after(format!("{} starts a task", NAMES[i]));
         let cell = &mut next.cells[i];
         cell.waiting -= 1;
         cell.running += 1;
-        cell.counted += 1;
+        cell.known += 1;
         Some(next)
     }
 
     /// A task ends, if its leader knows of it.
     pub(super) fn end(&self, i: usize) -> Option<World> {
         let cell = &self.cells[i];
-        if cell.running == 0 || cell.counted != cell.running || !cell.has_leader {
+        if cell.running == 0 || cell.known != cell.running || !cell.has_leader {
             return None;
         }
         let mut next = self.after(format!("a task of {} ends", NAMES[i]));
         next.cells[i].running -= 1;
-        next.cells[i].counted -= 1;
+        next.cells[i].known -= 1;
         Some(next)
     }
 
@@ -59,7 +61,7 @@
         Some(next)
     }
 
-    /// Another leads, and does not know at first what runs.
+    /// Another leader is elected, and does not know at first what runs.
     pub(super) fn elect(&self, i: usize) -> Option<World> {
         if self.cells[i].has_leader {
             return None;
@@ -68,14 +70,14 @@
         next.revision += 1;
         let term = next.revision;
         let cell = &mut next.cells[i];
-        (cell.has_leader, cell.term, cell.launch, cell.counted) = (true, term, 0, 0);
+        (cell.has_leader, cell.term, cell.launch_limit, cell.known) = (true, term, 0, 0);
         cell.manager = Some(manager(NAMES[i], term));
         Some(next)
     }
 
-    /// Leases run out: those of the workers of a cell that nobody leads. Leaders learn what runs.
+    /// Leases expire: those of the workers of a cell without a leader. Leaders learn what runs.
     pub(super) fn wait(&self) -> Option<World> {
-        if self.budget.waits == 0 && self.cells.iter().all(|cell| cell.counted == cell.running) {
+        if self.budget.waits == 0 && self.cells.iter().all(|cell| cell.known == cell.running) {
             return None;
         }
         let mut next = self.after("time passes".into());
@@ -87,7 +89,7 @@
             }
         }
         for cell in next.cells.iter_mut().filter(|cell| cell.has_leader) {
-            cell.counted = cell.running;
+            cell.known = cell.running;
         }
         Some(next)
     }
--- a/crates/latchtrack-quota/tests/model/world/manager_steps.rs
+++ b/crates/latchtrack-quota/tests/model/world/manager_steps.rs
@@ -5,11 +5,11 @@
 impl World {
     pub(super) fn snapshot(&self) -> LedgerSnapshot {
         let mut snapshot = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
-        if let Some((revision, ledger)) = &self.value {
+        if let Some((revision, ledger)) = &self.ledger {
             let mut ledger = ledger.clone();
             ledger.complete |= self.removed == Some(Guard::Complete);
-            let seen = StoredLedger { revision: *revision, ledger: Ok(ledger) };
-            snapshot.teams.insert(TEAM.into(), seen);
+            let stored = StoredLedger { revision: *revision, ledger: Ok(ledger) };
+            snapshot.teams.insert(TEAM.into(), stored);
         }
         let lease_ms = if self.removed == Some(Guard::Leases) { 0 } else { LEASE_MS };
         for (name, cell) in NAMES.iter().zip(&self.cells) {
@@ -18,36 +18,36 @@
                 leader_lease_ms: lease_ms,
                 worker_lease_ms: lease_ms,
             };
-            let presence = CellStatus {
+            let status = CellStatus {
                 has_leader: cell.has_leader,
                 term_revision: cell.term,
                 record: Some(record),
             };
-            snapshot.cells.insert(name.to_string(), presence);
+            snapshot.cells.insert(name.to_string(), status);
         }
         snapshot
     }
 
-    /// A cell looks at the state service.
-    pub(super) fn look(&self, i: usize) -> Option<World> {
-        if self.budget.looks == 0 {
+    /// A cell reads the state service.
+    pub(super) fn read_snapshot(&self, i: usize) -> Option<World> {
+        if self.budget.snapshots == 0 {
             return None;
         }
-        let mut next = self.after(format!("{} looks", NAMES[i]));
-        next.budget.looks -= 1;
+        let mut next = self.after(format!("{} reads a snapshot", NAMES[i]));
+        next.budget.snapshots -= 1;
         let (now, snapshot) = (next.now, next.snapshot());
         next.cells[i].manager.as_mut()?.observe(now, snapshot);
-        next.take_launch_limit(i);
+        next.apply_launch_limit(i);
         Some(next)
     }
 
-    pub(super) fn take_launch_limit(&mut self, i: usize) {
+    pub(super) fn apply_launch_limit(&mut self, i: usize) {
         let cell = &mut self.cells[i];
-        // What is logged tells no two states apart.
+        // Log lines are no difference between states.
         cell.manager.as_mut().map(AllotmentManager::take_notices);
         let manager = cell.manager.as_ref();
         let limit = manager.and_then(|manager| manager.launch_limit(TEAM)?.millicpus);
-        cell.launch = limit.unwrap_or(0);
+        cell.launch_limit = limit.unwrap_or(0);
     }
 
     /// A cell decides what to write.
@@ -61,24 +61,24 @@
         let now = next.now;
         let removed = next.removed;
         let cell = &mut next.cells[i];
-        let is_known = cell.counted == cell.running;
-        let used = if removed == Some(Guard::Used) { 0 } else { cell.counted * TASK };
+        let is_known = cell.known == cell.running;
+        let used = if removed == Some(Guard::UsedIsKept) { 0 } else { cell.known * TASK };
         let usage = LocalUsage {
-            is_reconciled: is_known || removed == Some(Guard::Settled),
-            used: amounts(used),
-            waiting: amounts(cell.waiting * TASK),
-            next_start: amounts(TASK),
+            is_reconciled: is_known || removed == Some(Guard::Reconciled),
+            used: millicpus(used),
+            waiting: millicpus(cell.waiting * TASK),
+            next_start: millicpus(TASK),
             started: MilliResources::NONE,
         };
-        let uses = BTreeMap::from([(TEAM.to_string(), usage)]);
-        let writes = cell.manager.as_mut()?.step(now, &uses);
+        let usages = BTreeMap::from([(TEAM.to_string(), usage)]);
+        let writes = cell.manager.as_mut()?.step(now, &usages);
         let term = cell.term;
-        let sent = writes.into_iter().map(|write| Write { write, term, is_given_up: false });
+        let sent = writes.into_iter().map(|write| Write { write, term, is_unanswered: false });
         cell.writes.extend(sent);
-        let launch = next.cells[i].launch;
-        next.take_launch_limit(i);
-        if removed == Some(Guard::LoweredFirst) {
-            next.cells[i].launch = launch;
+        let launch_limit = next.cells[i].launch_limit;
+        next.apply_launch_limit(i);
+        if removed == Some(Guard::LoweredBeforeSend) {
+            next.cells[i].launch_limit = launch_limit;
         }
         Some(next)
     }
--- a/crates/latchtrack-quota/tests/model/world/mod.rs
+++ b/crates/latchtrack-quota/tests/model/world/mod.rs
@@ -1,4 +1,4 @@
-//! Two cells, a state service and what runs, small enough to be searched.
+//! Two cells, a state service and running tasks, small enough to be searched.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -7,6 +7,8 @@
 
 use latchtrack_quota::*;
 
+use crate::common::{manager_of, millicpu_limit, millicpus};
+
 mod events;
 mod manager_steps;
 mod writes;
@@ -22,41 +24,41 @@
 /// ms of a pause, beyond the margin alone.
 const PAUSE_MS: Millis = 5_000;
 
-/// How often each thing may still happen.
+/// How often each kind of event may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub steps: u8,
-    pub looks: u8,
+    pub snapshots: u8,
     pub crashes: u8,
     pub waits: u8,
-    /// Times that something passes, less than the leases.
+    /// Times that some time passes, less than the leases.
     pub pauses: u8,
-    /// Times that work arrives in the first cell.
+    /// Times that jobs arrive in the first cell.
     pub arrivals: u8,
-    /// Writes that get no answer and may be carried out later.
-    pub late: u8,
+    /// Writes that get no answer, and may be carried out later.
+    pub unanswered: u8,
 }
 
-/// A guard that is removed.
+/// A guard that a test may remove.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Guard {
-    /// The value must have the revision that was read.
+    /// The ledger must have the revision that was read.
     Revision,
     /// A write without an answer may still be carried out.
     UnknownOutcome,
-    /// What runs is not given back.
-    Used,
+    /// What is used is not given back.
+    UsedIsKept,
     /// Launch limits are lowered before the write is sent.
-    LoweredFirst,
-    /// Nothing is given back while it is not known what runs.
-    Settled,
+    LoweredBeforeSend,
+    /// Nothing is given back before the machines are reconciled.
+    Reconciled,
     /// The writer must still lead its cell.
     Fence,
-    /// Leases are waited for.
+    /// A dead cell's leases must have expired.
     Leases,
     /// A dead cell must still be dead when its allotment is dropped.
-    DeadStill,
-    /// All cells must have entered what they run.
+    StillDead,
+    /// All cells must have recorded their usage.
     Complete,
 }
 
@@ -64,21 +66,21 @@
 struct Write {
     write: LedgerWrite,
     term: u64,
-    /// Its sender has given up waiting.
-    is_given_up: bool,
+    /// Its sender has got no answer, and waits for none.
+    is_unanswered: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Cell {
     manager: Option<AllotmentManager>,
     /// The launch limit by which it launches.
-    launch: u64,
+    launch_limit: u64,
     has_leader: bool,
     term: u64,
     running: u64,
     waiting: u64,
-    /// Tasks of which its leader knows.
-    counted: u64,
+    /// Running tasks of which its leader knows.
+    known: u64,
     writes: Vec<Write>,
 }
 
@@ -88,11 +90,11 @@
     removed: Option<Guard>,
     now: Millis,
     revision: u64,
-    value: Option<(u64, TeamLedger)>,
+    ledger: Option<(u64, TeamLedger)>,
     cells: [Cell; 2],
 }
 
-/// A state, and the action that led to it, by which states do not differ.
+/// A state, and the action that led to it, which is no difference between states.
 #[derive(Clone, Debug)]
 pub struct World {
     state: Rc<State>,
@@ -128,95 +130,87 @@
 
 const NAMES: [&str; 2] = ["east", "west"];
 
-fn amounts(millicpus: u64) -> MilliResources {
-    MilliResources { millicpus, milligpus: 0 }
-}
-
 fn limit() -> Limit {
-    Limit { millicpus: Some(LIMIT), milligpus: None }
+    millicpu_limit(LIMIT)
 }
 
 fn manager(cell: &str, term: u64) -> AllotmentManager {
-    let terms = TeamQuota { limit: limit(), guarantee: MilliResources::NONE };
-    AllotmentManager::new(AllotmentManagerSettings {
-        cell: cell.into(),
-        term,
-        teams: BTreeMap::from([(TEAM.to_string(), terms)]),
-    })
+    let quota = TeamQuota { limit: limit(), guarantee: MilliResources::NONE };
+    manager_of(cell, term, &[(TEAM, quota)])
 }
 
 impl World {
     fn with(budget: Budget, removed: Option<Guard>, running: [u64; 2]) -> World {
         let cell = |i: usize| Cell {
             manager: Some(manager(NAMES[i], i as u64 + 1)),
-            launch: 0,
+            launch_limit: 0,
             has_leader: true,
             term: i as u64 + 1,
             running: running[i],
             waiting: 2,
-            counted: running[i],
+            known: running[i],
             writes: Vec::new(),
         };
         let cells = [cell(0), cell(1)];
-        let state = State { budget, removed, now: 1_000, revision: 10, value: None, cells };
+        let state = State { budget, removed, now: 1_000, revision: 10, ledger: None, cells };
         World { state: Rc::new(state), last: "start".into() }
     }
 
     /// East holds the whole limit and uses half of it; both have work waiting.
-    pub fn east_holds_all(budget: Budget, removed: Option<Guard>) -> World {
+    pub fn east_holds_the_limit(budget: Budget, removed: Option<Guard>) -> World {
         let mut world = World::with(budget, removed, [1, 0]);
         let mut ledger = TeamLedger::new(limit(), MilliResources::NONE);
         ledger.complete = true;
-        let allotment = Allotment { amount: amounts(LIMIT), ..Allotment::default() };
+        let allotment = Allotment { amount: millicpus(LIMIT), ..Allotment::default() };
         ledger.allotments.insert("east".into(), allotment);
-        let request = Request { number: 0, need: amounts(TASK), want: amounts(LIMIT) };
+        let request = Request { number: 0, need: millicpus(TASK), want: millicpus(LIMIT) };
         let allotment = Allotment { request: Some(request), ..Allotment::default() };
         ledger.allotments.insert("west".into(), allotment);
         ledger.next_request_number = 1;
-        world.value = Some((10, ledger));
+        world.ledger = Some((10, ledger));
         world
     }
 
     /// Nothing is allotted, and both have work waiting.
-    pub fn all_is_free(budget: Budget, removed: Option<Guard>) -> World {
+    pub fn nothing_is_allotted(budget: Budget, removed: Option<Guard>) -> World {
         let mut world = World::with(budget, removed, [0, 0]);
         let mut ledger = TeamLedger::new(limit(), MilliResources::NONE);
         ledger.complete = true;
-        world.value = Some((10, ledger));
+        world.ledger = Some((10, ledger));
         world
     }
 
     /// East holds the whole limit and has nothing to do.
     pub fn east_is_idle(budget: Budget, removed: Option<Guard>) -> World {
-        let mut world = World::east_holds_all(budget, removed);
+        let mut world = World::east_holds_the_limit(budget, removed);
         world.cells[0].waiting = 0;
-        (world.cells[0].running, world.cells[0].counted) = (0, 0);
-        let allotment = Allotment { amount: amounts(LIMIT), ..Allotment::default() };
-        let value = world.value.as_mut().map(|(_, ledger)| &mut ledger.allotments);
-        if let Some(cells) = value {
-            *cells = BTreeMap::from([("east".to_string(), allotment)]);
+        (world.cells[0].running, world.cells[0].known) = (0, 0);
+        let allotment = Allotment { amount: millicpus(LIMIT), ..Allotment::default() };
+        let allotments = world.ledger.as_mut().map(|(_, ledger)| &mut ledger.allotments);
+        if let Some(allotments) = allotments {
+            *allotments = BTreeMap::from([("east".to_string(), allotment)]);
         }
         world
     }
 
-    /// The value was lost while each cell ran a task.
-    pub fn value_lost(budget: Budget, removed: Option<Guard>) -> World {
+    /// The ledger was lost while each cell ran a task.
+    pub fn ledger_lost(budget: Budget, removed: Option<Guard>) -> World {
         World::with(budget, removed, [1, 1])
     }
 
     /// Whether more runs than the limit allows.
-    pub fn is_overshot(&self) -> bool {
+    pub fn exceeds_limit(&self) -> bool {
         self.cells.iter().map(|cell| cell.running * TASK).sum::<u64>() > LIMIT
     }
 
     /// All that may happen next.
     pub fn successors(&self) -> Vec<World> {
-        if self.is_overshot() {
+        if self.exceeds_limit() {
             return Vec::new();
         }
         let mut out = Vec::new();
         for i in 0..self.cells.len() {
-            out.extend(self.look(i));
+            out.extend(self.read_snapshot(i));
             out.extend(self.step(i));
             out.extend(self.start(i));
             out.extend(self.end(i));
@@ -224,7 +218,7 @@
             out.extend(self.elect(i));
             for n in 0..self.cells[i].writes.len() {
                 out.push(self.carry_out(i, n));
-                out.extend(self.give_up(i, n));
+                out.extend(self.lose_answer(i, n));
             }
         }
         out.extend(self.wait());
--- a/crates/latchtrack-quota/tests/model/world/writes.rs
+++ b/crates/latchtrack-quota/tests/model/world/writes.rs
@@ -10,13 +10,11 @@
         let is_stored = next.may_store(i, &write);
         if is_stored {
             next.revision += 1;
-            next.value = Some((next.revision, write.write.ledger.clone()));
+            next.ledger = Some((next.revision, write.write.ledger.clone()));
         }
-        let outcome = match is_stored {
-            true => WriteOutcome::Stored(next.revision),
-            false => WriteOutcome::NotStored,
-        };
-        if !write.is_given_up {
+        let outcome =
+            if is_stored { WriteOutcome::Stored(next.revision) } else { WriteOutcome::NotStored };
+        if !write.is_unanswered {
             next.answer(i, &write, outcome);
         }
         next
@@ -24,7 +22,7 @@
 
     pub(super) fn may_store(&self, i: usize, write: &Write) -> bool {
         let removed = |guard: Guard| self.removed == Some(guard);
-        let revision = self.value.as_ref().map_or(0, |(revision, _)| *revision);
+        let revision = self.ledger.as_ref().map_or(0, |(revision, _)| *revision);
         let is_fenced = self.cells[i].has_leader && self.cells[i].term == write.term;
         let are_dead = write.write.dead.iter().all(|dead| {
             let cell = &self.cells[NAMES.iter().position(|name| *name == dead.cell).unwrap()];
@@ -32,7 +30,7 @@
         });
         (revision == write.write.expected_revision || removed(Guard::Revision))
             && (is_fenced || removed(Guard::Fence))
-            && (are_dead || removed(Guard::DeadStill))
+            && (are_dead || removed(Guard::StillDead))
     }
 
     pub(super) fn answer(&mut self, i: usize, write: &Write, outcome: WriteOutcome) {
@@ -42,18 +40,18 @@
         }
         if let Some(manager) = self.cells[i].manager.as_mut() {
             manager.handle_write_outcome(now, &write.write, outcome);
-            self.take_launch_limit(i);
+            self.apply_launch_limit(i);
         }
     }
 
-    /// The sender of a write hears nothing; it may be carried out later.
-    pub(super) fn give_up(&self, i: usize, n: usize) -> Option<World> {
-        if self.budget.late == 0 || self.cells[i].writes[n].is_given_up {
+    /// A write gets no answer; it may be carried out later.
+    pub(super) fn lose_answer(&self, i: usize, n: usize) -> Option<World> {
+        if self.budget.unanswered == 0 || self.cells[i].writes[n].is_unanswered {
             return None;
         }
         let mut next = self.after(format!("a write of {} gets no answer", NAMES[i]));
-        next.budget.late -= 1;
-        next.cells[i].writes[n].is_given_up = true;
+        next.budget.unanswered -= 1;
+        next.cells[i].writes[n].is_unanswered = true;
         let write = next.cells[i].writes[n].clone();
         let outcome = match next.removed {
             Some(Guard::UnknownOutcome) => WriteOutcome::NotStored,
--- a/crates/latchtrack-quota/tests/targets.rs
+++ b/crates/latchtrack-quota/tests/targets.rs
@@ -1,22 +1,25 @@
-//! Who is to get how much: the guarantee, the needs by request_number, the rest evenly.
+//! How a limit is divided: first the guarantee, then the needs by request number, the rest evenly.
 
-use latchtrack_quota::{targets, DemandClaim, Limit, MilliResources};
+mod common;
 
-fn cpus(millicpus: u64) -> MilliResources {
-    MilliResources { millicpus, milligpus: 0 }
-}
+use common::{millicpu_limit, millicpus};
+use latchtrack_quota::{targets, DemandClaim, MilliResources};
 
 fn asks(request_number: u64, need: u64, want: u64) -> DemandClaim {
-    DemandClaim { request_number: Some(request_number), need: cpus(need), want: cpus(want) }
+    DemandClaim {
+        request_number: Some(request_number),
+        need: millicpus(need),
+        want: millicpus(want),
+    }
 }
 
 fn holds(want: u64) -> DemandClaim {
-    DemandClaim { want: cpus(want), ..DemandClaim::default() }
+    DemandClaim { want: millicpus(want), ..DemandClaim::default() }
 }
 
 fn totals(limit: u64, guarantee: u64, claims: &[DemandClaim]) -> Vec<u64> {
-    let limit = Limit { millicpus: Some(limit), milligpus: None };
-    targets(&limit, cpus(guarantee), claims).iter().map(|t| t.total().millicpus).collect()
+    let limit = millicpu_limit(limit);
+    targets(&limit, millicpus(guarantee), claims).iter().map(|t| t.total().millicpus).collect()
 }
 
 #[test]
@@ -48,10 +51,10 @@
 
 #[test]
 fn a_resource_without_a_limit_has_no_targets() {
-    let limit = Limit { millicpus: Some(10), milligpus: None };
+    let limit = millicpu_limit(10);
     let both = MilliResources { millicpus: 4, milligpus: 9 };
     let claim = DemandClaim { request_number: Some(1), need: both, want: both };
-    assert_eq!(targets(&limit, MilliResources::NONE, &[claim])[0].total(), cpus(4));
+    assert_eq!(targets(&limit, MilliResources::NONE, &[claim])[0].total(), millicpus(4));
 }
 
 #[test]
