--- a/crates/latchtrack-balance/tests/balancer.rs
+++ b/crates/latchtrack-balance/tests/balancer.rs
@@ -19,7 +19,7 @@
     worth_factor: 2.0,
 };
 
-/// Machines of 16 CPUs and the tasks of one CPU that run on each.
+/// Machines of 16 CPUs, and the tasks of one CPU that run on each.
 struct Fleet {
     on: Vec<Vec<MoveUnit>>,
 }
@@ -44,8 +44,8 @@
         input
     }
 
-    /// Looks once; what begins is carried out at once. Returns how many moves began.
-    fn look(&mut self, balancer: &mut Balancer, now: u64) -> usize {
+    /// Observes the loads once and completes the moves that begin. Returns how many they are.
+    fn observe_and_complete(&mut self, balancer: &mut Balancer, now: u64) -> usize {
         let begun = balancer.observe(now, self.input(), NewMoves::Allowed);
         for m in &begun {
             let task_move = &m.task_moves[0];
@@ -65,7 +65,7 @@
         begun.len()
     }
 
-    fn greatest(&self) -> usize {
+    fn max_tasks(&self) -> usize {
         self.on.iter().map(Vec::len).max().unwrap_or(0)
     }
 }
@@ -74,17 +74,17 @@
 fn a_machine_must_be_over_the_bound_for_a_while() {
     let mut fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
-    assert_eq!(fleet.look(&mut balancer, 1_000), 0);
+    assert_eq!(fleet.observe_and_complete(&mut balancer, 1_000), 0);
     assert_eq!(balancer.over_bound(), 1);
-    assert_eq!(fleet.look(&mut balancer, 10_999), 0);
-    assert_eq!(fleet.look(&mut balancer, 11_000), 1);
+    assert_eq!(fleet.observe_and_complete(&mut balancer, 10_999), 0);
+    assert_eq!(fleet.observe_and_complete(&mut balancer, 11_000), 1);
     // Over the bound, not over it, and over it again: the time begins anew.
     let mut balancer = Balancer::new(LIMITS);
     let even = Fleet::new(&[3, 3, 3, 3]);
     let mut fleet = Fleet::new(&[12, 0, 0, 0]);
-    fleet.look(&mut balancer, 1_000);
+    fleet.observe_and_complete(&mut balancer, 1_000);
     balancer.observe(8_000, even.input(), NewMoves::Allowed);
-    assert_eq!(fleet.look(&mut balancer, 12_000), 0);
+    assert_eq!(fleet.observe_and_complete(&mut balancer, 12_000), 0);
 }
 
 #[test]
@@ -97,7 +97,7 @@
     assert_eq!(
         balancer.observe(61_000, fleet.input(), NewMoves::Allowed).len(),
         1,
-        "it was observed meanwhile"
+        "the loads were observed meanwhile"
     );
 }
 
@@ -107,18 +107,18 @@
     let mut balancer = Balancer::new(LIMITS);
     let mut begun: BTreeMap<u64, usize> = BTreeMap::new();
     for now in (0..600_000).step_by(1_000) {
-        *begun.entry(now / 60_000).or_default() += fleet.look(&mut balancer, now);
+        *begun.entry(now / 60_000).or_default() += fleet.observe_and_complete(&mut balancer, now);
     }
     assert!(begun.values().all(|n| *n <= 6), "{begun:?}");
     // 32 tasks on 8 machines: 4 on average, 1.25 times that and one task.
-    assert!(fleet.greatest() <= 6, "{:?}", fleet.on.iter().map(Vec::len).collect::<Vec<_>>());
+    assert!(fleet.max_tasks() <= 6, "{:?}", fleet.on.iter().map(Vec::len).collect::<Vec<_>>());
     assert_eq!(balancer.counts().settled, balancer.counts().begun);
     let late: usize = begun.iter().filter(|(minute, _)| **minute >= 6).map(|(_, n)| n).sum();
     assert_eq!(late, 0, "once within the bound nothing moves: {begun:?}");
 }
 
-/// Two teams turn hot at once and cool in the same second: the load appears and disappears on the same
-/// machines. Tasks do not wander to and fro.
+/// Load appears and disappears on the same machines again and again, as when two teams turn hot and
+/// cool together. No task moves back and forth.
 #[test]
 fn load_that_comes_and_goes_moves_no_task_twice() {
     let mut fleet = Fleet::new(&[4; 8]);
@@ -177,7 +177,7 @@
     assert_eq!(*begun[0].task_moves[0].source, *name(7));
 }
 
-/// Operators may set the cooldown to nothing.
+/// Operators may set the cooldowns to 0.
 #[test]
 fn a_moving_task_is_not_planned_again() {
     let limits =
@@ -193,7 +193,8 @@
     assert!(units.len() > 1);
 }
 
-/// A machine whose stops come late would have one task after the other told to stop.
+/// Without a cooldown a machine whose stops time out would have one task after the other told to
+/// stop.
 #[test]
 fn a_machine_that_made_a_move_fail_is_in_cooldown() {
     let fleet = Fleet::new(&[12, 0, 0, 0]);
--- a/crates/latchtrack-balance/tests/common/mod.rs
+++ b/crates/latchtrack-balance/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share; each test file uses its part of it.
+//! Fixtures that the tests share; each test file uses its part of them.
 
 #![allow(dead_code)]
 
@@ -12,7 +12,7 @@
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 
 /// The same cases in every run, so that CI has the same verdict each time; a thousand of each kind.
-pub fn config() -> ProptestConfig {
+pub fn proptest_config() -> ProptestConfig {
     ProptestConfig {
         cases: 1_000,
         rng_seed: RngSeed::Fixed(24),
@@ -21,7 +21,7 @@
     }
 }
 
-pub fn amounts(cpus: f64) -> Resources {
+pub fn cpus_and_memory(cpus: f64) -> Resources {
     Resources { cpus, gpus: 0.0, memory_gb: cpus }
 }
 
@@ -33,8 +33,8 @@
     MachineLoad {
         name: name(index),
         pool: 0,
-        capacity: amounts(cpus),
-        used: amounts(used),
+        capacity: cpus_and_memory(cpus),
+        used: cpus_and_memory(used),
         may_receive: true,
         may_give: true,
         may_be_relieved: true,
@@ -46,7 +46,7 @@
     Movable {
         unit,
         tasks: tasks.to_vec(),
-        demand: amounts(cpus),
+        demand: cpus_and_memory(cpus),
         save_s: 2.0,
         cost_s: 10.0,
         remaining_s: 600.0,
@@ -55,12 +55,12 @@
 }
 
 /// A move of these tasks from machine 0 to machine 1.
-pub fn a_move(unit: MoveUnit, tasks: &[u32]) -> Move {
+pub fn sample_move(unit: MoveUnit, tasks: &[u32]) -> Move {
     let task_move = |task: &u32| TaskMove {
         task: *task,
         source: name(0),
         target: name(1),
-        demand: amounts(2.0),
+        demand: cpus_and_memory(2.0),
         ended: false,
         running: false,
     };
--- a/crates/latchtrack-balance/tests/moves.rs
+++ b/crates/latchtrack-balance/tests/moves.rs
@@ -1,4 +1,5 @@
-//! The life of a move: in every order of events, room is reserved exactly while it may be needed.
+//! The state machine of a move: in every order of events, capacity is reserved exactly while it may
+//! be needed.
 
 mod common;
 
@@ -32,13 +33,13 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     #[test]
     fn stages_only_go_forward_and_reserve_capacity_until_the_launch(
         events in prop::collection::vec((event(), 0u64..20_000), 0..40)
     ) {
-        let mut m = a_move(UNIT, &[0, 1, 2]);
+        let mut m = sample_move(UNIT, &[0, 1, 2]);
         let mut now = 0;
         for (event, later) in events {
             now += later;
@@ -49,9 +50,9 @@
             if before.stage.is_final() {
                 prop_assert_eq!(&m, &before, "nothing happens to a move that is over");
             }
-            let keeps = matches!(m.stage, MoveStage::Reserved | MoveStage::Stopping | MoveStage::Ready);
-            let room = if keeps { amounts(6.0) } else { Resources::default() };
-            prop_assert_eq!(m.reserved_on("n-000001"), room);
+            let reserves = matches!(m.stage, MoveStage::Reserved | MoveStage::Stopping | MoveStage::Ready);
+            let reserved = if reserves { cpus_and_memory(6.0) } else { Resources::default() };
+            prop_assert_eq!(m.reserved_on("n-000001"), reserved);
             prop_assert_eq!(m.reserved_on("n-000000"), Resources::default());
             if matches!(m.stage, MoveStage::Ready | MoveStage::Launching | MoveStage::Settled) {
                 prop_assert!(m.task_moves.iter().all(|task_move| task_move.ended), "every task is off its source");
@@ -62,7 +63,7 @@
     /// Whatever is left out or comes late, a move ends in bounded time.
     #[test]
     fn every_move_ends(events in prop::collection::vec(event(), 0..20)) {
-        let mut m = a_move(UNIT, &[0, 1, 2]);
+        let mut m = sample_move(UNIT, &[0, 1, 2]);
         for event in events {
             m.handle(0, event);
         }
@@ -82,8 +83,8 @@
 
 #[test]
 fn a_task_goes_all_the_way() {
-    let mut m = a_move(MoveUnit { job: 7, task: Some(3) }, &[3]);
-    assert_eq!(m.leaving_from("n-000000"), amounts(2.0));
+    let mut m = sample_move(MoveUnit { job: 7, task: Some(3) }, &[3]);
+    assert_eq!(m.leaving_from("n-000000"), cpus_and_memory(2.0));
     let events = [
         MoveEvent::StopSent,
         MoveEvent::Ended { task: 3 },
@@ -97,7 +98,7 @@
 
 #[test]
 fn a_gang_is_launched_only_when_all_of_it_has_ended() {
-    let mut m = a_move(UNIT, &[0, 1]);
+    let mut m = sample_move(UNIT, &[0, 1]);
     m.handle(0, MoveEvent::StopSent);
     m.handle(0, MoveEvent::Ended { task: 0 });
     m.handle(0, MoveEvent::Ended { task: 0 });
@@ -118,7 +119,7 @@
         (&ended[..], RESERVATION_TIMEOUT_MS, AbandonReason::TargetFull),
         (&launched[..], LAUNCH_TIMEOUT_MS, AbandonReason::StartTimedOut),
     ] {
-        let mut m = a_move(UNIT, &[0]);
+        let mut m = sample_move(UNIT, &[0]);
         through(&mut m, events);
         assert!(!m.handle(ms - 1, MoveEvent::Tick), "{reason}");
         assert!(m.handle(ms, MoveEvent::Tick));
--- a/crates/latchtrack-balance/tests/planner.rs
+++ b/crates/latchtrack-balance/tests/planner.rs
@@ -1,5 +1,5 @@
-//! The planner, on generated pools: never beyond room, never a greater load, the same plan for the same
-//! input, and a bounded number of steps.
+//! The planner on generated pools: it never exceeds the capacity, never raises the greatest load,
+//! makes the same plan for the same input, and takes a bounded number of steps.
 
 mod common;
 
@@ -36,10 +36,10 @@
     (machines, 0usize..12, prop::bool::ANY).prop_map(|(machines, budget, gangs)| {
         let mut input = PlanInput { budget, worth_factor: 2.0, ..PlanInput::default() };
         for (index, ((pool, tasks), healthy)) in machines.into_iter().enumerate() {
-            let capacity = amounts(if pool == 0 { 8.0 } else { 16.0 });
+            let capacity = cpus_and_memory(if pool == 0 { 8.0 } else { 16.0 });
             let mut used = Resources::default();
             for (position, (cpus, saves, remaining)) in tasks.into_iter().enumerate() {
-                let demand = amounts(f64::from(cpus));
+                let demand = cpus_and_memory(f64::from(cpus));
                 if !used.plus(&demand).fits_in(&capacity) {
                     continue;
                 }
@@ -86,7 +86,7 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     #[test]
     fn a_plan_respects_capacity_budget_and_pools(input in cluster()) {
@@ -96,7 +96,7 @@
         let by_name: BTreeMap<&Arc<str>, &MachineLoad> =
             input.machines.iter().map(|m| (&m.name, m)).collect();
         for (name, used) in &after {
-            prop_assert!(used.fits_in(&by_name[name].capacity), "{name} over its room");
+            prop_assert!(used.fits_in(&by_name[name].capacity), "{name} over its capacity");
         }
         let mut units = BTreeSet::new();
         for m in &plan.moves {
@@ -155,7 +155,7 @@
         let mut input = input;
         let at = at % input.machines.len();
         input.machines[at].used.cpus = bad;
-        let spoilt = input.movables.first().map(|m| m.unit);
+        let invalid = input.movables.first().map(|m| m.unit);
         if let Some(movable) = input.movables.first_mut() {
             match at % 4 {
                 0 => movable.remaining_s = bad,
@@ -165,7 +165,7 @@
             }
         }
         let plan = plan(&input);
-        prop_assert!(plan.moves.iter().all(|m| Some(m.unit) != spoilt));
+        prop_assert!(plan.moves.iter().all(|m| Some(m.unit) != invalid));
         let name = &input.machines[at].name;
         for task_move in plan.moves.iter().flat_map(|m| &m.task_moves) {
             prop_assert!(task_move.source != *name && task_move.target != *name);
@@ -173,7 +173,7 @@
     }
 }
 
-/// What the bound asks for is what a plan does: no more, no less.
+/// A plan restores the bound and does no more than that.
 #[test]
 fn a_machine_within_the_bound_gives_nothing() {
     // 4 machines with 16, 6, 6 and 4 tasks of one CPU of 16: mean 8, bound 11.
@@ -190,40 +190,41 @@
     assert!(moves.iter().all(|m| *m.task_moves[0].source == *name(0)));
 }
 
-/// Two crowded machines, and a budget that would go to one of them alone.
+/// Two crowded machines, and a budget that one of them alone would use up.
 #[test]
 fn a_machine_takes_part_in_one_move_of_a_plan_if_it_is_to() {
-    let mut input = crowded(8, 2, 16);
+    let mut input = crowded_pool(8, 2, 16);
     input.budget = 2;
     input.once_per_machine = true;
-    input.machines[0].used = amounts(14.0);
+    input.machines[0].used = cpus_and_memory(14.0);
     let moves = plan(&input).moves;
     let machines: BTreeSet<&Arc<str>> =
         moves.iter().flat_map(|m| [&m.task_moves[0].source, &m.task_moves[0].target]).collect();
     assert_eq!((moves.len(), machines.len()), (2, 4), "{moves:?}");
 }
 
-/// A type that only one job may use, with one machine: there is nothing to weigh it against.
+/// A pool of one machine has nothing to compare it with.
 #[test]
 fn a_pool_of_one_machine_has_no_moves() {
-    let mut input = crowded(3, 1, 16);
+    let mut input = crowded_pool(3, 1, 16);
     input.machines[0].pool = 7;
     assert_eq!(plan(&input).moves, []);
     assert_eq!(over_bound(&input).len(), 0);
 }
 
-/// Half of the machines are full of tasks that never save: they have no bound, and raise that of others.
+/// Half of the machines are full of tasks without checkpoints: they have no bound, and raise that
+/// of others.
 #[test]
 fn tasks_without_checkpoints_are_left_where_they_are() {
-    let mut input = crowded(8, 2, 12);
+    let mut input = crowded_pool(8, 2, 12);
     for machine in &mut input.machines[4..] {
-        machine.used = amounts(16.0);
+        machine.used = cpus_and_memory(16.0);
     }
     let plan = plan(&input);
     // Mean 0.6875, bound 0.92: the two with twelve tasks that save are within it.
     assert_eq!(plan.moves, []);
     for machine in &mut input.machines[4..] {
-        machine.used = amounts(8.0);
+        machine.used = cpus_and_memory(8.0);
     }
     let moves = common::plan(&input).moves;
     assert!(!moves.is_empty());
@@ -232,7 +233,7 @@
     assert!(!moves.iter().flat_map(|m| &m.task_moves).any(from_full));
 }
 
-/// A target that comes over the bound by what it receives gives of its own.
+/// A target that comes over the bound by what it receives gives tasks of its own.
 #[test]
 fn a_target_that_is_crowded_by_a_plan_is_relieved_in_it() {
     let mut input = PlanInput { budget: usize::MAX, worth_factor: 2.0, ..PlanInput::default() };
@@ -252,11 +253,11 @@
 
 #[test]
 fn a_gang_on_a_machine_that_takes_part_already_waits() {
-    let mut input = crowded(8, 0, 0);
+    let mut input = crowded_pool(8, 0, 0);
     input.budget = 10;
     input.once_per_machine = true;
-    input.machines[0].used = amounts(16.0);
-    input.machines[1].used = amounts(15.0);
+    input.machines[0].used = cpus_and_memory(16.0);
+    input.machines[1].used = cpus_and_memory(15.0);
     let mut cheap = movable(MoveUnit { job: 1, task: Some(0) }, &[(0, 0)], 1.0);
     cheap.cost_s = 1.0;
     let gang = movable(MoveUnit { job: 2, task: None }, &[(0, 0), (1, 1)], 1.0);
@@ -267,7 +268,7 @@
     assert_eq!(plan(&input).moves.len(), 1, "alone it moves");
 }
 
-/// A gang with tasks in two pools has no target that is right for all of it.
+/// A gang with tasks in two pools has no target that suits all of it.
 #[test]
 fn a_gang_in_two_pools_stays() {
     let mut input = PlanInput { budget: 10, worth_factor: 2.0, ..PlanInput::default() };
@@ -279,27 +280,28 @@
     assert_eq!(plan(&input).moves.len(), 1);
 }
 
-/// A target has room by every resource, not by the dominant one alone.
+/// A target must have capacity of every resource, not of the dominant one alone.
 #[test]
 fn a_target_must_have_capacity_of_every_resource() {
-    let mut input = crowded(3, 1, 16);
+    let mut input = crowded_pool(3, 1, 16);
     for machine in &mut input.machines {
         machine.capacity.gpus = 1.0;
     }
     input.machines[2].may_receive = false;
     input.movables.truncate(1);
     input.movables[0].demand.gpus = 0.3;
-    // It carries more than it has, as when its type was changed; the other one has no GPU left, which is
-    // still less.
-    input.machines[0].used = amounts(32.0);
+    // It carries more than it has, as when its type was changed; the other one has no GPU left,
+    // which is still less.
+    input.machines[0].used = cpus_and_memory(32.0);
     input.machines[1].used.gpus = 0.9;
     assert_eq!(plan(&input).moves, []);
     input.machines[1].used.gpus = 0.7;
     assert_eq!(plan(&input).moves.len(), 1);
 }
 
-/// Machines of 16 CPUs: `busy` of them carry `each` tasks of one CPU that may move, the others nothing.
-fn crowded(machines: usize, busy: usize, each: u32) -> PlanInput {
+/// Machines of 16 CPUs: `busy` of them carry `each` tasks of one CPU that may move, the others
+/// nothing.
+fn crowded_pool(machines: usize, busy: usize, each: u32) -> PlanInput {
     let mut input = PlanInput { budget: usize::MAX, worth_factor: 2.0, ..PlanInput::default() };
     for index in 0..machines {
         let tasks = if index < busy { each } else { 0 };
@@ -314,7 +316,7 @@
 
 #[test]
 fn all_work_on_few_machines_is_spread_within_the_bound() {
-    let input = crowded(20, 2, 16);
+    let input = crowded_pool(20, 2, 16);
     let plan = plan(&input);
     let after = loads_after(&input, &plan);
     let mean = 32.0 / 16.0 / 20.0;
@@ -324,10 +326,11 @@
     }
 }
 
-/// 4,000 machines and 20,000 tasks: steps are counted, since seconds differ from machine to machine.
+/// 4,000 machines and 20,000 tasks: steps are counted, since seconds differ from machine to
+/// machine.
 #[test]
 fn a_plan_for_a_large_fleet_takes_a_bounded_number_of_steps() {
-    let mut input = crowded(4_000, 1_250, 16);
+    let mut input = crowded_pool(4_000, 1_250, 16);
     input.budget = 30;
     let bounded = plan(&input);
     assert_eq!(bounded.moves.len(), 30);
@@ -335,24 +338,25 @@
     input.budget = usize::MAX;
     let full = plan(&input);
     assert!(full.moves.len() > 10_000, "{} moves", full.moves.len());
-    // A step for each task at the start, and for each move the tasks of its source and a few targets.
+    // A step for each task at the start, and for each move the tasks of its source and a few
+    // targets.
     assert!(full.steps < 20_000 + 40 * full.moves.len() as u64, "{} steps", full.steps);
 }
 
 /// Every machine is full: wherever a task goes, nothing is gained.
 #[test]
 fn a_fleet_in_which_no_move_helps_has_no_moves() {
-    let input = crowded(10, 10, 16);
+    let input = crowded_pool(10, 10, 16);
     assert_eq!(plan(&input).moves, []);
     // One task more on one machine of a pool than on the others is within the bound.
-    let mut input = crowded(10, 10, 8);
-    input.machines[0].used = amounts(9.0);
+    let mut input = crowded_pool(10, 10, 8);
+    input.machines[0].used = cpus_and_memory(9.0);
     assert_eq!(plan(&input).moves, []);
 }
 
 #[test]
 fn what_is_not_worth_its_cost_stays() {
-    let mut input = crowded(4, 1, 16);
+    let mut input = crowded_pool(4, 1, 16);
     for movable in &mut input.movables {
         movable.remaining_s = 2.0 * movable.cost_s - 0.1;
     }
@@ -372,8 +376,8 @@
     assert!(moves[0].task_moves.iter().all(|task_move| *task_move.target != *name(0)));
     // Room for one of the two only.
     input.machines[1].may_receive = false;
-    input.machines[2].used = amounts(6.0);
+    input.machines[2].used = cpus_and_memory(6.0);
     assert_eq!(plan(&input).moves, []);
-    input.machines[2].used = amounts(5.0);
+    input.machines[2].used = cpus_and_memory(5.0);
     assert_eq!(plan(&input).moves.len(), 1, "room for both");
 }
--- a/crates/latchtrack-balance/tests/shares.rs
+++ b/crates/latchtrack-balance/tests/shares.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::config;
+use common::proptest_config;
 use latchtrack_balance::arrivals::{ArrivalLevel, Arrivals, DecayedRate};
 use latchtrack_balance::fairness::{shares, TeamDemand};
 use latchtrack_balance::locality::{fetch_s, PlacementOption};
@@ -12,7 +12,7 @@
     TeamDemand { guarantee, limit, wanted }
 }
 
-fn close(left: &[f64], right: &[f64]) {
+fn assert_close(left: &[f64], right: &[f64]) {
     assert_eq!(left.len(), right.len());
     for (a, b) in left.iter().zip(right) {
         assert!((a - b).abs() < 1e-6, "{left:?} is not {right:?}");
@@ -21,24 +21,24 @@
 
 #[test]
 fn guarantees_come_first_then_equal_shares() {
-    close(&shares(&[team(0.0, 0.0, 2.0), team(0.0, 0.0, 0.1)]), &[0.9, 0.1]);
-    close(&shares(&[team(0.0, 0.0, 2.0), team(0.0, 0.0, 2.0)]), &[0.5, 0.5]);
+    assert_close(&shares(&[team(0.0, 0.0, 2.0), team(0.0, 0.0, 0.1)]), &[0.9, 0.1]);
+    assert_close(&shares(&[team(0.0, 0.0, 2.0), team(0.0, 0.0, 2.0)]), &[0.5, 0.5]);
     // A guarantee is given first, and is the weight for the rest.
-    close(
+    assert_close(
         &shares(&[team(0.4, 0.0, 2.0), team(0.2, 0.0, 2.0)]),
         &[0.4 + 0.4 * 2.0 / 3.0, 0.2 + 0.4 / 3.0],
     );
     // What a team does not ask for is borrowed by the others.
-    close(&shares(&[team(0.6, 0.0, 0.1), team(0.0, 0.0, 2.0)]), &[0.1, 0.9]);
+    assert_close(&shares(&[team(0.6, 0.0, 0.1), team(0.0, 0.0, 2.0)]), &[0.1, 0.9]);
     // A limit holds whatever is left.
-    close(&shares(&[team(0.0, 0.3, 2.0), team(0.0, 0.0, 0.2)]), &[0.3, 0.2]);
+    assert_close(&shares(&[team(0.0, 0.3, 2.0), team(0.0, 0.0, 0.2)]), &[0.3, 0.2]);
     // Guarantees beyond the cluster are cut alike.
-    close(&shares(&[team(1.0, 0.0, 1.0), team(1.0, 0.0, 1.0)]), &[0.5, 0.5]);
-    close(&shares(&[]), &[]);
+    assert_close(&shares(&[team(1.0, 0.0, 1.0), team(1.0, 0.0, 1.0)]), &[0.5, 0.5]);
+    assert_close(&shares(&[]), &[]);
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     #[test]
     fn shares_are_max_min_fair(
@@ -72,7 +72,7 @@
 
 #[test]
 fn nonsense_counts_nothing() {
-    close(&shares(&[team(f64::NAN, -1.0, f64::INFINITY), team(0.0, 0.0, 0.5)]), &[0.0, 0.5]);
+    assert_close(&shares(&[team(f64::NAN, -1.0, f64::INFINITY), team(0.0, 0.0, 0.5)]), &[0.0, 0.5]);
     let mut rate = DecayedRate::new(1_000);
     for size in [f64::NAN, f64::INFINITY, -5.0] {
         rate.add(0, size);
--- a/crates/latchtrack-core/tests/load_balancing/faults.rs
+++ b/crates/latchtrack-core/tests/load_balancing/faults.rs
@@ -13,7 +13,8 @@
     site_with_crowded_machine, FAULTS,
 };
 
-/// What its stop came to is not known while the source is silent; the target is not kept for it meanwhile.
+/// While the source is silent the outcome of the stop is unknown; the target is not reserved
+/// meanwhile.
 #[test]
 fn a_silent_source_ends_the_move_before_the_stop_times_out() {
     let mut site = site_with_crowded_machine(moves_enabled());
@@ -92,7 +93,7 @@
     }
 }
 
-/// The leader changes at each stage, to a version that moves or to one that knows no moves, and back.
+/// The leader changes at each stage, to one with moves or to one without, and back.
 #[test]
 fn a_failover_at_any_stage_costs_a_place_in_the_queue_and_nothing_else() {
     for stage in [MoveStage::Stopping, MoveStage::Launching] {
@@ -137,7 +138,7 @@
 fn a_stop_that_times_out_abandons_the_move_and_frees_the_target() {
     let mut site = site_with_crowded_machine(moves_enabled());
     let (task, source, target) = pass_until_stage(&mut site, MoveStage::Stopping);
-    // What is told to save takes 40 s; the next one would be told to stop then.
+    // The checkpoint takes 40 s.
     for _ in 0..40 {
         site.pass(1_000);
         for phase in site.tasks.values_mut().flat_map(|tasks| tasks.values_mut()) {
@@ -150,26 +151,31 @@
     assert_eq!(machines_running(&site, task), [source], "still there, and nowhere else");
     site.submit(JobSpec { zone: Some("a".into()), ..checkpointing_array(2, 16) });
     site.pass(400);
-    assert_eq!(live_tasks_on(&site, target), 8, "nothing is reserved any more: {:#?}", site.notes);
+    assert_eq!(
+        live_tasks_on(&site, target),
+        8,
+        "nothing is reserved any longer: {:#?}",
+        site.notes
+    );
     finish_checkpoints(&mut site);
     run_for(&mut site, 5_000);
     assert_eq!(site.ran_twice, Vec::<String>::new());
 }
 
-/// A report of before the stop arrives once more, late, when the task already runs on its target.
+/// A heartbeat from before the stop arrives once more, when the task already runs on its target.
 #[test]
 fn a_late_duplicate_of_the_sources_heartbeat_brings_nothing_back() {
     let mut site = site_with_crowded_machine(moves_enabled());
     let (task, source, _) = pass_until_stage(&mut site, MoveStage::Stopping);
-    let copy = site.report_of(source);
+    let duplicate = site.report_of(source);
     site.report(source);
     let (launched, ..) = pass_until_stage(&mut site, MoveStage::Launching);
     assert_eq!(launched, task);
-    site.drive(Event::Heartbeat(copy.clone()));
+    site.drive(Event::Heartbeat(duplicate.clone()));
     run_for(&mut site, 3_000);
-    site.drive(Event::Heartbeat(copy));
+    site.drive(Event::Heartbeat(duplicate));
     run_for(&mut site, 20_000);
-    assert_each_task_runs_once(&site, &[(1, 8)], "a late copy");
+    assert_each_task_runs_once(&site, &[(1, 8)], "a late duplicate");
 }
 
 #[test]
--- a/crates/latchtrack-core/tests/load_balancing/fixtures.rs
+++ b/crates/latchtrack-core/tests/load_balancing/fixtures.rs
@@ -1,4 +1,4 @@
-//! Sites and policies that the tests of load balancing share, and faults of their machines.
+//! Fixtures that the tests of load balancing share: sites, policies, and faults of machines.
 
 use latchtrack_balance::balancer::MoveLimits;
 use latchtrack_balance::moves::MoveStage;
@@ -9,7 +9,7 @@
 use crate::common::site::{number, zone_of, Site};
 use crate::common::{name, policy, spec};
 
-/// Quick enough for small cases; the order of the times is that of the defaults.
+/// Short enough for small cases; the times are in the same order as the defaults.
 pub const LIMITS: MoveLimits = MoveLimits {
     over_bound_ms: 2_000,
     min_run_ms: 3_000,
@@ -26,7 +26,7 @@
     Policy { on_demand_idle_timeout_ms: 600_000, balance, ..policy() }
 }
 
-/// An array of tasks of one CPU that save, with ten minutes to run.
+/// An array of tasks of one CPU with checkpoints, with ten minutes to run.
 pub fn checkpointing_array(id: u64, tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
@@ -39,12 +39,12 @@
     }
 }
 
-/// Tasks of one CPU that never save, in a zone.
+/// An array of tasks of one CPU without checkpoints, in a zone.
 pub fn array_without_checkpoints(id: u64, tasks: u32, zone: &str) -> JobSpec {
     JobSpec { checkpoint_s: 0.0, zone: Some(zone.into()), ..checkpointing_array(id, tasks) }
 }
 
-/// Tasks that fetch run, and those that save have saved.
+/// Tasks that fetch their image begin to run, and those that save their checkpoint stop.
 pub fn advance_tasks(site: &mut Site) {
     for tasks in site.tasks.values_mut() {
         for phase in tasks.values_mut() {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Time passes and the machines work.
+/// Passes time, and advances the tasks each second.
 pub fn run_for(site: &mut Site, ms: u64) {
     for _ in 0..ms / 1_000 {
         site.pass(1_000);
@@ -81,7 +81,7 @@
     tasks.filter(|(_, phase)| !matches!(phase, TaskPhase::Ended(_))).count()
 }
 
-/// Where a task is that has not ended, by what the machines list.
+/// The machines on which a task has not ended, by what they list.
 pub fn machines_running(site: &Site, task: TaskId) -> Vec<u64> {
     let on = |tasks: &std::collections::BTreeMap<(TaskId, u64), TaskPhase>| {
         tasks.iter().any(|((t, _), phase)| *t == task && !matches!(phase, TaskPhase::Ended(_)))
@@ -89,7 +89,7 @@
     site.tasks.iter().filter(|(_, tasks)| on(tasks)).map(|(i, _)| *i).collect()
 }
 
-/// Passes time in small steps until a move is in this stage; its task, source and target.
+/// Passes time in small steps until a move is in this stage; returns its task, source and target.
 #[track_caller]
 pub fn pass_until_stage(site: &mut Site, stage: MoveStage) -> (TaskId, u64, u64) {
     for _ in 0..200 {
@@ -116,24 +116,30 @@
     }
 }
 
-/// What may happen to a machine.
+/// A fault of a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It neither reports nor answers: cut off, hanging, or dead.
+    /// It sends no heartbeat and answers no call: partitioned, hanging, or dead.
     Silent,
-    /// It reports, and hears nothing.
+    /// It sends heartbeats, and receives nothing.
     Deaf,
-    Notice,
-    /// The cloud's list has it as failed.
+    PreemptionNotice,
+    /// The cloud lists it as failed.
     Failed,
-    /// Its session ended, with all that ran there.
-    NewSession,
+    /// Its agent epoch ended, with all that ran there.
+    NewAgentEpoch,
     /// It refuses launches.
     Refusing,
 }
 
-pub const FAULTS: [Fault; 6] =
-    [Fault::Silent, Fault::Deaf, Fault::Notice, Fault::Failed, Fault::NewSession, Fault::Refusing];
+pub const FAULTS: [Fault; 6] = [
+    Fault::Silent,
+    Fault::Deaf,
+    Fault::PreemptionNotice,
+    Fault::Failed,
+    Fault::NewAgentEpoch,
+    Fault::Refusing,
+];
 
 pub fn inject_fault(site: &mut Site, machine: u64, fault: Fault) {
     match fault {
@@ -143,7 +149,7 @@
         Fault::Deaf => {
             site.deaf.insert(machine);
         }
-        Fault::Notice => {
+        Fault::PreemptionNotice => {
             site.notice.insert(machine, 30.0);
         }
         Fault::Failed => {
@@ -160,7 +166,7 @@
             site.drive(listed);
             site.silent.insert(machine);
         }
-        Fault::NewSession => {
+        Fault::NewAgentEpoch => {
             *site.agent_epoch.entry(machine).or_default() += 1;
             if let Some(tasks) = site.tasks.get_mut(&machine) {
                 tasks.clear();
@@ -179,7 +185,7 @@
     site.refusing.clear();
 }
 
-/// Every task of the jobs is on one machine or done, no move is open, and nothing ever ran twice.
+/// Every task of the jobs is on one machine, and none ever ran twice.
 #[track_caller]
 pub fn assert_each_task_runs_once(site: &Site, jobs: &[(u64, u32)], what: &str) {
     assert_eq!(site.ran_twice, Vec::<String>::new(), "{what}");
--- a/crates/latchtrack-core/tests/load_balancing/gangs.rs
+++ b/crates/latchtrack-core/tests/load_balancing/gangs.rs
@@ -10,7 +10,7 @@
     pass_until_stage, run_for,
 };
 
-/// A gang of which one task is on a machine that may not give stays whole where it is.
+/// A gang with a task on a machine that may not give tasks stays whole where it is.
 #[test]
 fn a_gang_with_a_task_on_a_machine_on_probation_stays() {
     let mut site = Site::new(6, moves_enabled());
@@ -35,7 +35,8 @@
     site.pass(1_000);
     site.set(11, TaskPhase::Ended(ExitCause::Failed), |_| true);
     site.pass(12_000);
-    // With time to save; a task that is slower than the first is told once more, to go at once.
+    // Stops with time to save: a task that is slower than the first gets a second stop, without
+    // time.
     let of_gang = |site: &Site| {
         let saves = |stop: &&(TaskId, f64)| stop.0.job == JobId(1) && stop.1 >= 2.0;
         site.stops.iter().filter(saves).count()
@@ -52,15 +53,15 @@
     let mut site = Site::new(6, moves_enabled());
     site.submit(gang(1));
     site.pass(400);
-    // Six that do not save crowd the machine for good.
+    // Six tasks without checkpoints crowd the machine for good.
     site.submit(JobSpec { checkpoint_s: 0.0, ..checkpointing_array(2, 6) });
     site.pass(400);
     advance_tasks(&mut site);
     assert_eq!(live_tasks_on(&site, 0), 8);
     pass_until_stage(&mut site, MoveStage::Stopping);
     let first = site.live(1);
-    // One has saved: its gang's progress is safe, and the other is told to go. The next attempt waits
-    // for that.
+    // One has saved, so the progress of the gang is safe and the other is told to stop at once. The
+    // next attempt waits for that.
     let tasks = site.tasks.get_mut(&0).unwrap();
     for ((task, _), phase) in tasks.iter_mut() {
         if task.job == JobId(1) && task.index == 0 {
--- a/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
+++ b/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
@@ -8,8 +8,8 @@
 use crate::common::site::Site;
 use crate::fixtures::{checkpointing_array, moves_enabled, run_for, LIMITS};
 
-/// Two teams on the same machines, one turns hot: what comes free goes to the other first, until it has
-/// its share. Without the switch the earlier jobs of the hot team keep it out.
+/// Two teams on the same machines, of which one turns hot: free capacity goes to the other first,
+/// until it has its share. Without the switch the earlier jobs of the hot team keep it out.
 #[test]
 fn a_team_within_its_share_is_not_kept_out_by_a_hot_one() {
     let team =
@@ -50,8 +50,8 @@
     assert_eq!(begun(true), 8);
 }
 
-/// Two teams of sixteen CPUs together, the first of which turns hot or brings a burst of so many jobs, and
-/// then a job of the other. Tasks of each that were launched in the first round.
+/// Two teams on sixteen CPUs: the first submits `jobs` jobs, enough to turn hot or only a burst,
+/// then the other submits one. Returns the tasks of each that were launched in the first cycle.
 fn launched_in_first_cycle(jobs: u64, deadline_s: Option<f64>, calm_tasks: u32) -> (usize, usize) {
     let team =
         |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
@@ -68,7 +68,7 @@
     for id in 0..jobs {
         site.submit(JobSpec { deadline_s, ..plain(id + 1, "first", 8) });
     }
-    // Many tasks, of which its owner thinks that they are short: no hot team.
+    // Many tasks with a short estimate: its team does not turn hot.
     site.submit(JobSpec { estimate_s: 1.0, ..plain(1_000, "calm", calm_tasks) });
     site.pass(400);
     let of =
@@ -87,8 +87,8 @@
     assert_eq!(launched_in_first_cycle(40, Some(600.0), 40), (8, 8), "half of the cluster each");
 }
 
-/// Two teams turn hot in the same second on the same machines, one of them with its limit reached, and both
-/// cool in the same second; again and again.
+/// Two teams turn hot in the same second on the same machines, one of them at its limit, and cool
+/// in the same second, again and again.
 #[test]
 fn two_teams_that_turn_hot_and_cool_together_keep_limit_and_budget() {
     let team = |name: &str, cpus_max| Team {
--- a/crates/latchtrack-core/tests/load_balancing/launch_checks.rs
+++ b/crates/latchtrack-core/tests/load_balancing/launch_checks.rs
@@ -12,7 +12,7 @@
     site_with_crowded_machine,
 };
 
-/// A run that nobody knew of brings the team to its limit while a task is on its way.
+/// An unknown task run brings the team to its limit while a task moves.
 #[test]
 fn a_moved_task_is_not_launched_beyond_its_teams_limit() {
     let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 8.0, gpus: 0.0, gpus_max: 0.0 };
@@ -24,13 +24,17 @@
     site.report(5);
     finish_checkpoints(&mut site);
     site.pass(2_000);
-    assert_eq!(machines_running(&site, task), Vec::<u64>::new(), "the stray run has its place");
+    assert_eq!(
+        machines_running(&site, task),
+        Vec::<u64>::new(),
+        "the unknown run has its part of the limit"
+    );
     assert!(site.notes.iter().any(|n| n.contains("team at its limit")), "{:?}", site.notes);
     let running: usize = (0..6).map(|i| live_tasks_on(&site, i)).sum();
     assert!(running <= 8, "{running} CPUs of 8");
 }
 
-/// A run that nobody knew of takes the last place that a job which is to be apart has in its zone.
+/// An unknown task run is the last that a spread job may have in its zone.
 #[test]
 fn a_moved_task_is_not_launched_where_its_zone_constraints_no_longer_allow_it() {
     let mut site = Site::new(6, moves_enabled());
@@ -59,7 +63,7 @@
     assert_eq!(in_zone_a.count(), 2, "{task} waits: {:?}", site.notes);
 }
 
-/// A run that nobody knew of takes the room that was reserved.
+/// An unknown task run takes the capacity that was reserved.
 #[test]
 fn a_moved_task_is_not_launched_on_a_target_that_is_full() {
     let mut site = Site::new(14, moves_enabled());
@@ -87,7 +91,7 @@
     assert_ne!(machines_running(&site, task), [target]);
 }
 
-/// Given to a machine that is not heard, the task would wait until that is given up.
+/// On a silent machine the task would wait until that is given up.
 #[test]
 fn a_moved_task_is_not_launched_on_a_target_that_is_silent() {
     let mut site = site_with_crowded_machine(moves_enabled());
@@ -101,11 +105,11 @@
     assert!(on.len() == 1 && on != [target], "placed elsewhere at once: {on:?}");
 }
 
-/// A job keeps off a machine on which it failed for longer than that machine is on probation.
+/// A job avoids a machine on which it failed for longer than the probation of that machine.
 #[test]
 fn a_moved_task_is_not_launched_where_its_job_failed_lately() {
     let mut site = site_with_crowded_machine(moves_enabled());
-    // The third machine of the zone has little room.
+    // The third machine of the zone has little free capacity.
     site.submit(array_without_checkpoints(10, 6, "a"));
     site.pass(400);
     let (task, _, target) = pass_until_stage(&mut site, MoveStage::Launching);
@@ -128,7 +132,7 @@
     assert!(site.notes.iter().any(|n| n.contains("not allowed")), "{:?}", site.notes);
 }
 
-/// The team's limit is lowered by another task of the team between the stop and the launch.
+/// Other tasks of the team take up its limit between the stop and the launch.
 #[test]
 fn a_team_at_its_limit_launches_no_moved_task_beyond_it() {
     let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 8.0, gpus: 0.0, gpus_max: 0.0 };
--- a/crates/latchtrack-core/tests/load_balancing/main.rs
+++ b/crates/latchtrack-core/tests/load_balancing/main.rs
@@ -1,5 +1,5 @@
-//! Load balancing by its leader: each hard case of a move, placement between locality and balance, and the
-//! order among teams.
+//! Load balancing by the scheduler: the hard cases of moves, placement between locality and
+//! balance, and the order among teams.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/latchtrack-core/tests/load_balancing/placement.rs
+++ b/crates/latchtrack-core/tests/load_balancing/placement.rs
@@ -5,8 +5,8 @@
 use crate::common::site::Site;
 use crate::fixtures::{advance_tasks, checkpointing_array, live_tasks_on, moves_enabled};
 
-/// Images on one machine: by the present order everything goes there; with balanced placement the machine
-/// is preferred until it is crowded by more than the fetch is worth.
+/// One machine holds the image. By default all tasks go there; with balanced placement it is
+/// preferred until it is crowded by more than the fetch is worth.
 #[test]
 fn balanced_placement_fetches_an_image_rather_than_crowd_its_holder() {
     let loads = |placement| {
--- a/crates/latchtrack-core/tests/load_balancing/reservations.rs
+++ b/crates/latchtrack-core/tests/load_balancing/reservations.rs
@@ -1,4 +1,4 @@
-//! What a move reserves on its target is kept for it, and for nothing else.
+//! The capacity that a move reserves on its target is kept for it alone.
 
 use latchtrack_balance::moves::MoveStage;
 use latchtrack_core::job::JobSpec;
@@ -14,7 +14,7 @@
     let mut site = site_with_crowded_machine(moves_enabled());
     let (_, source, target) = pass_until_stage(&mut site, MoveStage::Stopping);
     assert_eq!(source, 0);
-    // As many tasks of one CPU as the zone has room for, but for the one that is reserved.
+    // One task more than the zone has capacity for beside the reservation.
     site.submit(JobSpec { zone: Some("a".into()), ..checkpointing_array(2, 16) });
     site.pass(400);
     let others: usize = (0..6).map(|i| live_tasks_on(&site, i)).sum::<usize>() - 8;
@@ -31,17 +31,17 @@
         site_with_crowded_machine(Policy { on_demand_idle_timeout_ms: 12_000, ..moves_enabled() });
     site.deletes = true;
     let (_, _, target) = pass_until_stage(&mut site, MoveStage::Stopping);
-    // The tasks take their time to save.
+    // The tasks are slow to save.
     site.pass(15_000);
-    assert!(!site.tasks.contains_key(&1), "an empty machine of the other zone has gone back");
-    assert!(site.tasks.contains_key(&target), "the target has not");
+    assert!(!site.tasks.contains_key(&1), "an empty machine of the other zone is terminated");
+    assert!(site.tasks.contains_key(&target), "the target is not");
     advance_tasks(&mut site);
     site.pass(1_000);
     assert!(live_tasks_on(&site, target) > 0);
 }
 
-/// The end of a task on its source may come with a report between two rounds, and be planned in the same
-/// moment: its target is its own all the same.
+/// The end of a task on its source may come with a heartbeat between two ticks, and a cycle may run
+/// at once: the task goes to its target all the same.
 #[test]
 fn a_stopped_task_goes_to_its_target_and_not_into_the_queue() {
     let mut site = site_with_crowded_machine(moves_enabled());
--- a/crates/latchtrack-core/tests/load_balancing/selection.rs
+++ b/crates/latchtrack-core/tests/load_balancing/selection.rs
@@ -60,7 +60,7 @@
 
 #[test]
 fn nothing_moves_under_overload_or_right_after_a_failover() {
-    // A task of eight CPUs in a zone whose machines all carry something: it waits for one to be empty.
+    // A task of eight CPUs in a zone whose machines all run tasks: it waits for one to be empty.
     let mut site = site_with_crowded_machine(moves_enabled());
     for machine in [2, 4] {
         let one = JobSpec { zone: Some("a".into()), ..checkpointing_array(10 + machine, 7) };
@@ -76,13 +76,13 @@
     let balance = BalancePolicy { calm_ms: 30_000, ..moves_enabled().balance };
     let mut site = site_with_crowded_machine(Policy { balance, ..moves_enabled() });
     run_for(&mut site, 28_000);
-    assert_eq!(site.stops, [], "a new leader");
+    assert_eq!(site.stops, [], "after a failover");
     run_for(&mut site, 10_000);
     assert_ne!(site.stops, []);
 }
 
-/// A machine of the earlier leader has not been heard: what runs there is not known, and who waits for it
-/// is not either.
+/// While a machine of the earlier leader has not been heard, neither what runs there is known nor
+/// who waits.
 #[test]
 fn nothing_moves_while_a_machine_is_unreconciled() {
     let mut site = site_with_crowded_machine(moves_enabled());
@@ -113,7 +113,7 @@
     assert_eq!(over_bound(&site), 1);
 }
 
-/// A cancelled job's tasks run on where the stop does not arrive: they are no work to move.
+/// Tasks of a cancelled job run on where the stop does not arrive: they are not to be moved.
 #[test]
 fn tasks_that_are_stopping_already_are_not_moved() {
     let mut site = site_with_crowded_machine(moves_enabled());
@@ -121,18 +121,18 @@
     site.deaf.insert(0);
     site.drive(Event::JobClosed(JobId(1)));
     site.pass(12_000);
-    assert_eq!(live_tasks_on(&site, 0), 8, "it has not heard of it");
+    assert_eq!(live_tasks_on(&site, 0), 8, "the stop has not arrived");
     assert_eq!(site.leader.balance_summary().unwrap().counts.begun, 0, "{:?}", site.notes);
 }
 
 #[test]
 fn an_unhealthy_machine_is_no_target() {
-    for fault in [Fault::Notice, Fault::Failed, Fault::Silent] {
+    for fault in [Fault::PreemptionNotice, Fault::Failed, Fault::Silent] {
         let mut site = site_with_crowded_machine(moves_enabled());
-        // Another one with less on it than the third of the zone.
+        // Another machine with fewer tasks than the third of the zone.
         site.submit(array_without_checkpoints(10, 1, "a"));
         site.pass(400);
-        inject_fault(&mut site, 2, Fault::Notice);
+        inject_fault(&mut site, 2, Fault::PreemptionNotice);
         site.report(2);
         site.submit(array_without_checkpoints(11, 2, "a"));
         site.pass(400);
@@ -140,7 +140,7 @@
         clear_faults(&mut site);
         inject_fault(&mut site, 2, fault);
         site.report(2);
-        // Long enough for its silence to show.
+        // Longer than the heartbeat timeout for moves.
         site.pass(5_000);
         advance_tasks(&mut site);
         let (.., target) = pass_until_stage(&mut site, MoveStage::Stopping);
@@ -148,7 +148,8 @@
     }
 }
 
-/// A leader that stood still has heard nothing meanwhile: what it knows of the machines is old.
+/// A leader that was paused has received no heartbeats meanwhile: what it knows of the machines is
+/// old.
 #[test]
 fn nothing_moves_right_after_a_leader_was_paused() {
     let mut site = site_with_crowded_machine(moves_enabled());
@@ -162,7 +163,7 @@
 
 #[test]
 fn moves_respect_zone_constraints() {
-    // One zone, and apart: each with tasks in zone a on a crowded machine.
+    // One zone, spread, and a given zone: each with tasks in zone a on a crowded machine.
     for spec in [
         JobSpec { one_zone: true, ..checkpointing_array(1, 8) },
         JobSpec { spread: true, ..checkpointing_array(1, 16) },
@@ -185,7 +186,7 @@
     }
 }
 
-/// Amounts from the cloud that make no sense: named once, and nothing is planned with them.
+/// Machine types with invalid amounts are logged once, and nothing is planned with them.
 #[test]
 fn machine_types_with_invalid_amounts_are_logged_once_and_left_out() {
     let mut site = site_with_crowded_machine(moves_enabled());
