--- a/crates/latchtrack-balance/tests/balancer.rs
+++ b/crates/latchtrack-balance/tests/balancer.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use latchtrack_balance::balancer::{Balancer, MoveLimits};
+use latchtrack_balance::balancer::{Balancer, MoveLimits, NewMoves};
 use latchtrack_balance::moves::{AbandonReason, MoveEvent, MoveStage, MoveUnit};
 use latchtrack_balance::planner::PlanInput;
 
@@ -19,7 +19,7 @@
     worth_factor: 2.0,
 };
 
-/// Machines of 16 CPUs and the tasks of one CPU that run on each.
+/// Machines of 16 CPUs, and the tasks of one CPU that run on each.
 struct Fleet {
     on: Vec<Vec<MoveUnit>>,
 }
@@ -44,9 +44,9 @@
         input
     }
 
-    /// Looks once; what begins is carried out at once. Returns how many moves began.
-    fn look(&mut self, balancer: &mut Balancer, now: u64) -> usize {
-        let begun = balancer.observe(now, self.input(), false);
+    /// Observes the loads once and completes the moves that begin. Returns how many they are.
+    fn observe_and_complete(&mut self, balancer: &mut Balancer, now: u64) -> usize {
+        let begun = balancer.observe(now, self.input(), NewMoves::Allowed);
         for m in &begun {
             let task_move = &m.task_moves[0];
             let index = |name: &str| (0..self.on.len()).find(|i| *common::name(*i) == *name);
@@ -65,7 +65,7 @@
         begun.len()
     }
 
-    fn greatest(&self) -> usize {
+    fn max_tasks(&self) -> usize {
         self.on.iter().map(Vec::len).max().unwrap_or(0)
     }
 }
@@ -74,30 +74,30 @@
 fn a_machine_must_be_over_the_bound_for_a_while() {
     let mut fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
-    assert_eq!(fleet.look(&mut balancer, 1_000), 0);
+    assert_eq!(fleet.observe_and_complete(&mut balancer, 1_000), 0);
     assert_eq!(balancer.over_bound(), 1);
-    assert_eq!(fleet.look(&mut balancer, 10_999), 0);
-    assert_eq!(fleet.look(&mut balancer, 11_000), 1);
+    assert_eq!(fleet.observe_and_complete(&mut balancer, 10_999), 0);
+    assert_eq!(fleet.observe_and_complete(&mut balancer, 11_000), 1);
     // Over the bound, not over it, and over it again: the time begins anew.
     let mut balancer = Balancer::new(LIMITS);
     let even = Fleet::new(&[3, 3, 3, 3]);
     let mut fleet = Fleet::new(&[12, 0, 0, 0]);
-    fleet.look(&mut balancer, 1_000);
-    balancer.observe(8_000, even.input(), false);
-    assert_eq!(fleet.look(&mut balancer, 12_000), 0);
+    fleet.observe_and_complete(&mut balancer, 1_000);
+    balancer.observe(8_000, even.input(), NewMoves::Allowed);
+    assert_eq!(fleet.observe_and_complete(&mut balancer, 12_000), 0);
 }
 
 #[test]
-fn nothing_begins_while_the_leader_is_unsettled() {
+fn no_move_begins_while_moves_are_suspended() {
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
     for now in (0..60_000).step_by(1_000) {
-        assert_eq!(balancer.observe(now, fleet.input(), true), []);
+        assert_eq!(balancer.observe(now, fleet.input(), NewMoves::Suspended), []);
     }
     assert_eq!(
-        balancer.observe(61_000, fleet.input(), false).len(),
+        balancer.observe(61_000, fleet.input(), NewMoves::Allowed).len(),
         1,
-        "it was observed meanwhile"
+        "the loads were observed meanwhile"
     );
 }
 
@@ -107,18 +107,18 @@
     let mut balancer = Balancer::new(LIMITS);
     let mut begun: BTreeMap<u64, usize> = BTreeMap::new();
     for now in (0..600_000).step_by(1_000) {
-        *begun.entry(now / 60_000).or_default() += fleet.look(&mut balancer, now);
+        *begun.entry(now / 60_000).or_default() += fleet.observe_and_complete(&mut balancer, now);
     }
     assert!(begun.values().all(|n| *n <= 6), "{begun:?}");
     // 32 tasks on 8 machines: 4 on average, 1.25 times that and one task.
-    assert!(fleet.greatest() <= 6, "{:?}", fleet.on.iter().map(Vec::len).collect::<Vec<_>>());
+    assert!(fleet.max_tasks() <= 6, "{:?}", fleet.on.iter().map(Vec::len).collect::<Vec<_>>());
     assert_eq!(balancer.counts().settled, balancer.counts().begun);
     let late: usize = begun.iter().filter(|(minute, _)| **minute >= 6).map(|(_, n)| n).sum();
     assert_eq!(late, 0, "once within the bound nothing moves: {begun:?}");
 }
 
-/// Two teams turn hot at once and cool in the same second: the load appears and disappears on the same
-/// machines. Tasks do not wander to and fro.
+/// Load appears and disappears on the same machines again and again, as when two teams turn hot and
+/// cool together. No task moves back and forth.
 #[test]
 fn load_that_comes_and_goes_moves_no_task_twice() {
     let mut fleet = Fleet::new(&[4; 8]);
@@ -136,7 +136,7 @@
                 units.retain(|unit| unit.job < 100);
             }
         }
-        for m in balancer.observe(now, fleet.input(), false) {
+        for m in balancer.observe(now, fleet.input(), NewMoves::Allowed) {
             moved.entry(m.unit).or_default().push(now);
             balancer.handle_event(now, m.unit, MoveEvent::Failed(AbandonReason::TeamLimit));
         }
@@ -158,66 +158,70 @@
         movable.ran_ms = LIMITS.min_run_ms - 1;
     }
     for now in (0..60_000).step_by(1_000) {
-        assert_eq!(balancer.observe(now, input.clone(), false), []);
+        assert_eq!(balancer.observe(now, input.clone(), NewMoves::Allowed), []);
     }
 }
 
 /// A crowded machine that was relieved a moment ago does not use up the budget of another one.
 #[test]
-fn a_machine_that_rests_leaves_the_budget_to_others() {
+fn a_machine_in_cooldown_leaves_the_budget_to_others() {
     let limits = MoveLimits { machine_gap_ms: 60_000, moves_per_minute: 2, ..LIMITS };
     let fleet = Fleet::new(&[16, 0, 0, 0, 0, 0, 0, 0]);
     let mut balancer = Balancer::new(limits);
-    balancer.observe(0, fleet.input(), false);
-    assert_eq!(balancer.observe(10_000, fleet.input(), false).len(), 1);
+    balancer.observe(0, fleet.input(), NewMoves::Allowed);
+    assert_eq!(balancer.observe(10_000, fleet.input(), NewMoves::Allowed).len(), 1);
     let fleet = Fleet::new(&[16, 0, 0, 0, 0, 0, 0, 12]);
-    balancer.observe(11_000, fleet.input(), false);
-    let begun = balancer.observe(21_000, fleet.input(), false);
+    balancer.observe(11_000, fleet.input(), NewMoves::Allowed);
+    let begun = balancer.observe(21_000, fleet.input(), NewMoves::Allowed);
     assert_eq!(begun.len(), 1);
     assert_eq!(*begun[0].task_moves[0].source, *name(7));
 }
 
-/// Operators may set the cooldown to nothing.
+/// Operators may set the cooldowns to 0.
 #[test]
-fn a_task_that_is_on_its_way_is_not_planned_again() {
+fn a_moving_task_is_not_planned_again() {
     let limits =
         MoveLimits { task_cooldown_ms: 0, machine_gap_ms: 0, moves_per_minute: 600, ..LIMITS };
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(limits);
     let mut units = std::collections::BTreeSet::new();
     for now in (0..40_000).step_by(1_000) {
-        for m in balancer.observe(now, fleet.input(), false) {
+        for m in balancer.observe(now, fleet.input(), NewMoves::Allowed) {
             assert!(units.insert(m.unit), "{:?} again", m.unit);
         }
     }
     assert!(units.len() > 1);
 }
 
-/// A machine whose stops come late would have one task after the other told to stop.
+/// Without a cooldown a machine whose stops time out would have one task after the other told to
+/// stop.
 #[test]
-fn a_machine_that_was_in_the_way_is_left_alone_for_a_while() {
+fn a_machine_that_made_a_move_fail_is_in_cooldown() {
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
-    balancer.observe(0, fleet.input(), false);
-    let unit = balancer.observe(10_000, fleet.input(), false)[0].unit;
+    balancer.observe(0, fleet.input(), NewMoves::Allowed);
+    let unit = balancer.observe(10_000, fleet.input(), NewMoves::Allowed)[0].unit;
     balancer.handle_event(20_000, unit, MoveEvent::Failed(AbandonReason::StopTimedOut));
     for now in (20_000..20_000 + LIMITS.machine_cooldown_ms).step_by(1_000) {
-        assert_eq!(balancer.observe(now, fleet.input(), false), []);
+        assert_eq!(balancer.observe(now, fleet.input(), NewMoves::Allowed), []);
     }
     let after = 20_000 + LIMITS.machine_cooldown_ms;
-    assert_eq!(balancer.observe(after, fleet.input(), false).len(), 1);
+    assert_eq!(balancer.observe(after, fleet.input(), NewMoves::Allowed).len(), 1);
 }
 
 #[test]
 fn a_reservation_lasts_until_the_move_is_over() {
     let fleet = Fleet::new(&[12, 0, 0, 0]);
     let mut balancer = Balancer::new(LIMITS);
-    balancer.observe(0, fleet.input(), false);
-    let begun = balancer.observe(10_000, fleet.input(), false);
+    balancer.observe(0, fleet.input(), NewMoves::Allowed);
+    let begun = balancer.observe(10_000, fleet.input(), NewMoves::Allowed);
     let (unit, target) = (begun[0].unit, begun[0].task_moves[0].target.clone());
     assert!(balancer.is_reserved(&target));
     // The same task is not planned again while it is on its way; another one may be.
-    assert!(balancer.observe(30_000, fleet.input(), false).iter().all(|m| m.unit != unit));
+    assert!(balancer
+        .observe(30_000, fleet.input(), NewMoves::Allowed)
+        .iter()
+        .all(|m| m.unit != unit));
     let reserved = balancer.reserved_on(&target).cpus;
     let failed = MoveEvent::Failed(AbandonReason::TargetLost);
     assert!(matches!(balancer.handle_event(31_000, unit, failed), Some(MoveStage::Abandoned(_))));
--- /dev/null
+++ b/crates/latchtrack-quota/tests/model/world/manager_steps.rs
@@ -0,0 +1,85 @@
+//! A cell reads the state service and lets its manager decide.
+
+use super::*;
+
+impl World {
+    pub(super) fn snapshot(&self) -> LedgerSnapshot {
+        let mut snapshot = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
+        if let Some((revision, ledger)) = &self.ledger {
+            let mut ledger = ledger.clone();
+            ledger.complete |= self.removed == Some(Guard::Complete);
+            let stored = StoredLedger { revision: *revision, ledger: Ok(ledger) };
+            snapshot.teams.insert(TEAM.into(), stored);
+        }
+        let lease_ms = if self.removed == Some(Guard::Leases) { 0 } else { LEASE_MS };
+        for (name, cell) in NAMES.iter().zip(&self.cells) {
+            let record = CellRecord {
+                cloud: name.to_string(),
+                leader_lease_ms: lease_ms,
+                worker_lease_ms: lease_ms,
+            };
+            let status = CellStatus {
+                has_leader: cell.has_leader,
+                term_revision: cell.term,
+                record: Some(record),
+            };
+            snapshot.cells.insert(name.to_string(), status);
+        }
+        snapshot
+    }
+
+    /// A cell reads the state service.
+    pub(super) fn read_snapshot(&self, i: usize) -> Option<World> {
+        if self.budget.snapshots == 0 {
+            return None;
+        }
+        let mut next = self.after(format!("{} reads a snapshot", NAMES[i]));
+        next.budget.snapshots -= 1;
+        let (now, snapshot) = (next.now, next.snapshot());
+        next.cells[i].manager.as_mut()?.observe(now, snapshot);
+        next.apply_launch_limit(i);
+        Some(next)
+    }
+
+    pub(super) fn apply_launch_limit(&mut self, i: usize) {
+        let cell = &mut self.cells[i];
+        // Log lines are no difference between states.
+        cell.manager.as_mut().map(AllotmentManager::take_notices);
+        let manager = cell.manager.as_ref();
+        let limit = manager.and_then(|manager| manager.launch_limit(TEAM)?.millicpus);
+        cell.launch_limit = limit.unwrap_or(0);
+    }
+
+    /// A cell decides what to write.
+    pub(super) fn step(&self, i: usize) -> Option<World> {
+        if self.budget.steps == 0 {
+            return None;
+        }
+        let mut next = self.after(format!("{} steps", NAMES[i]));
+        next.budget.steps -= 1;
+        next.now += STEP_MS;
+        let now = next.now;
+        let removed = next.removed;
+        let cell = &mut next.cells[i];
+        let is_known = cell.known == cell.running;
+        let used = if removed == Some(Guard::UsedIsKept) { 0 } else { cell.known * TASK };
+        let usage = LocalUsage {
+            is_reconciled: is_known || removed == Some(Guard::Reconciled),
+            used: millicpus(used),
+            waiting: millicpus(cell.waiting * TASK),
+            next_start: millicpus(TASK),
+            started: MilliResources::NONE,
+        };
+        let usages = BTreeMap::from([(TEAM.to_string(), usage)]);
+        let writes = cell.manager.as_mut()?.step(now, &usages);
+        let term = cell.term;
+        let sent = writes.into_iter().map(|write| Write { write, term, is_unanswered: false });
+        cell.writes.extend(sent);
+        let launch_limit = next.cells[i].launch_limit;
+        next.apply_launch_limit(i);
+        if removed == Some(Guard::LoweredBeforeSend) {
+            next.cells[i].launch_limit = launch_limit;
+        }
+        Some(next)
+    }
+}
