--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -184,7 +184,7 @@
     /// The assignments of its tasks, by index.
     pub placed: BTreeMap<u32, Assignment>,
     /// Tasks that were requeued, to be placed before those never tried.
-    pub again: BTreeSet<u32>,
+    pub requeued: BTreeSet<u32>,
     /// Tasks neither done nor assigned.
     waiting: u32,
     /// Its equivalence class, which the scheduler sets.
@@ -229,7 +229,7 @@
             done,
             closed_elsewhere: false,
             placed: BTreeMap::new(),
-            again: BTreeSet::new(),
+            requeued: BTreeSet::new(),
             next_untried: 0,
             backoff_until: 0,
             failed_on: BTreeMap::new(),
@@ -249,7 +249,7 @@
 
     /// Whether nothing of it was ever placed in this term, and nothing is done.
     pub fn never_started(&self) -> bool {
-        self.waiting == self.spec.tasks && self.again.is_empty()
+        self.waiting == self.spec.tasks && self.requeued.is_empty()
     }
 
     /// Assigns a task.
@@ -275,7 +275,7 @@
     pub fn take(&mut self, count: u32) -> Vec<u32> {
         let mut taken = Vec::with_capacity(count as usize);
         while (taken.len() as u32) < count {
-            let next = match self.again.pop_first() {
+            let next = match self.requeued.pop_first() {
                 Some(index) => index,
                 None if self.next_untried < self.spec.tasks => {
                     self.next_untried += 1;
@@ -295,7 +295,7 @@
         if self.done.get(index) || self.placed.contains_key(&index) || index >= self.spec.tasks {
             return false;
         }
-        self.again.remove(&index);
+        self.requeued.remove(&index);
         true
     }
 
@@ -304,7 +304,7 @@
         if self.placed.remove(&index).is_some() && !self.done.get(index) {
             self.waiting += 1;
             if index < self.next_untried {
-                self.again.insert(index);
+                self.requeued.insert(index);
             }
         }
     }
--- a/crates/latchtrack-core/src/scheduler/cycle_state.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle_state.rs
@@ -110,6 +110,15 @@
     }
 }
 
+/// Tasks that a capacity of the cycle takes, or could take.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct TasksAt {
+    /// The index of the capacity in the cycle.
+    pub index: usize,
+    /// How many tasks.
+    pub tasks: u32,
+}
+
 /// Whether a job may use what is reserved for jobs of other classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReservationAccess {
--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Notes for the other jobs of its class that a job found no ready machine. What a job finds that
-    /// is bound by where its own tasks are, or where they failed, says nothing of the others.
+    /// Notes for the other jobs of its class that a job found no ready machine. What a job finds
+    /// that is bound by where its own tasks are, or where they failed, says nothing of the others.
     fn note_ready_exhausted(
         &self,
         shortage: &Shortage,
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -13,7 +13,7 @@
 
 /// What a team uses and waits for, in dominant shares of the cluster.
 #[derive(Clone, Copy, Debug, Default)]
-struct TeamUse {
+struct TeamShares {
     /// Of its live tasks.
     running: f64,
     /// Of the tasks that its jobs may have placed now.
@@ -53,7 +53,7 @@
     fn hot_shares(
         &mut self,
         now: Millis,
-        used: &BTreeMap<String, TeamUse>,
+        used: &BTreeMap<String, TeamShares>,
         total: &Resources,
     ) -> BTreeMap<String, f64> {
         let demand = |team: &Team| {
@@ -73,8 +73,8 @@
     }
 
     /// What each team uses, and what its jobs in the queue wait for.
-    fn team_use(&self, ranked: &[RankedJob], total: &Resources) -> BTreeMap<String, TeamUse> {
-        let mut used: BTreeMap<String, TeamUse> = BTreeMap::new();
+    fn team_use(&self, ranked: &[RankedJob], total: &Resources) -> BTreeMap<String, TeamShares> {
+        let mut used: BTreeMap<String, TeamShares> = BTreeMap::new();
         let runs = self.inventory.runs();
         for spec in runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref()) {
             used.entry(spec.team.clone()).or_default().running += task_share(spec, total);
@@ -96,7 +96,7 @@
     task_share(&job.spec, total) * f64::from(job.schedulable_tasks())
 }
 
-fn team_demand(team: &Team, used: TeamUse, total: &Resources) -> TeamDemand {
+fn team_demand(team: &Team, used: TeamShares, total: &Resources) -> TeamDemand {
     let part = |amount: f64, all: f64| if all > 0.0 { amount / all } else { 0.0 };
     let limits = [part(team.cpus_max, total.cpus), part(team.gpus_max, total.gpus)];
     let limit = limits.into_iter().filter(|limit| *limit > 0.0).fold(f64::INFINITY, f64::min);
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use super::cycle_state::SchedulingCycle;
+use super::cycle_state::{SchedulingCycle, TasksAt};
 use super::task_placement::zone_with_most_capacity;
 use super::Scheduler;
 use crate::constants::GANG_RESERVE_TTL_MS;
@@ -130,19 +130,19 @@
     /// Reserves what is free; notes for how many tasks there was nothing.
     fn reserve_free(&mut self, class: ClassId, cycle: &mut SchedulingCycle) {
         let demand = &self.spec.demand;
-        let mut free: Vec<(usize, u32)> = cycle
+        let mut free: Vec<TasksAt> = cycle
             .capacities()
             .iter()
             .enumerate()
             .filter(|(_, capacity)| capacity.ready && capacity.reservation.is_none())
             .filter(|(_, capacity)| self.may_use(capacity))
-            .map(|(index, capacity)| (index, capacity.holds(demand)))
-            .filter(|(_, tasks)| *tasks > 0)
+            .map(|(index, capacity)| TasksAt { index, tasks: capacity.holds(demand) })
+            .filter(|at| at.tasks > 0)
             .collect();
         // On few machines; those first that hold the image of the last such gang.
         let lacks_image =
             |index: usize| !cycle.capacities()[index].images.contains(&self.spec.image);
-        free.sort_by_key(|(index, tasks)| (lacks_image(*index), Reverse(*tasks)));
+        free.sort_by_key(|at| (lacks_image(at.index), Reverse(at.tasks)));
         let reserved_for = ReservedFor::Class(class);
         self.lacking = reserve_free(&free, demand, self.spec.tasks, reserved_for, cycle);
     }
@@ -176,19 +176,22 @@
             let zones = zones_in_use.iter().map(|zone| &**zone);
             rules::may_start(spec, &capacity.kind, &capacity.zone, capacity.spot, zones)
         };
-        let mut candidates: Vec<(usize, u32)> = self
+        let mut candidates: Vec<TasksAt> = self
             .usable_capacities(now, job, cycle)
             .filter(|(_, capacity)| capacity.reservation.is_none())
             .filter(|(_, capacity)| capacity.holds(&spec.demand) < slice && may_start(capacity))
-            .map(|(index, capacity)| (index, self.tasks_when_empty(spec, capacity)))
-            .filter(|(_, tasks)| *tasks > 0)
+            .map(|(index, capacity)| TasksAt {
+                index,
+                tasks: self.tasks_when_empty(spec, capacity),
+            })
+            .filter(|at| at.tasks > 0)
             .collect();
         let free_cpus = |index: usize| cycle.capacities()[index].free.cpus;
-        candidates.sort_by(|(a, _), (b, _)| {
-            free_cpus(*b).partial_cmp(&free_cpus(*a)).unwrap_or(Ordering::Equal)
+        candidates.sort_by(|a, b| {
+            free_cpus(b.index).partial_cmp(&free_cpus(a.index)).unwrap_or(Ordering::Equal)
         });
         let mut remaining = tasks;
-        for (index, when_empty) in candidates {
+        for TasksAt { index, tasks: when_empty } in candidates {
             if remaining == 0 {
                 break;
             }
@@ -211,13 +214,13 @@
         let Some(job) = self.jobs.get(&spec.id) else { return };
         let in_zone =
             |capacity: &FreeCapacity| zone.as_ref().is_none_or(|zone| *zone == capacity.zone);
-        let mut free: Vec<(usize, u32)> = self
+        let mut free: Vec<TasksAt> = self
             .usable_capacities(now, job, cycle)
             .filter(|(_, capacity)| capacity.reservation.is_none() && in_zone(capacity))
-            .map(|(index, capacity)| (index, capacity.holds(&spec.demand)))
-            .filter(|(_, tasks)| *tasks > 0)
+            .map(|(index, capacity)| TasksAt { index, tasks: capacity.holds(&spec.demand) })
+            .filter(|at| at.tasks > 0)
             .collect();
-        free.sort_by_key(|(_, tasks)| Reverse(*tasks));
+        free.sort_by_key(|at| Reverse(at.tasks));
         let lacking = reserve_free(&free, &spec.demand, spec.tasks, reserved_for, cycle);
         if lacking == 0 {
             return;
@@ -312,24 +315,24 @@
     }
 }
 
-/// Reserves free capacities, given by index with how many tasks each takes, in their order; returns
+/// Reserves free capacities, given with how many tasks each takes, in their order; returns
 /// for how many of the tasks there was nothing.
 fn reserve_free(
-    free: &[(usize, u32)],
+    free: &[TasksAt],
     demand: &Resources,
     tasks: u32,
     reserved_for: ReservedFor,
     cycle: &mut SchedulingCycle,
 ) -> u32 {
     let mut remaining = tasks;
-    for (index, fitting) in free {
+    for at in free {
         if remaining == 0 {
             break;
         }
-        let here = remaining.min(*fitting);
-        let mut spare = cycle.capacities()[*index].free;
+        let here = remaining.min(at.tasks);
+        let mut spare = cycle.capacities()[at.index].free;
         spare.take_multiple(demand, here);
-        cycle.reserve(*index, Reservation { reserved_for, spare });
+        cycle.reserve(at.index, Reservation { reserved_for, spare });
         remaining -= here;
     }
     remaining
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use super::cycle_state::SchedulingCycle;
+use super::cycle_state::{SchedulingCycle, TasksAt};
 use super::messages::Effect;
 use super::Scheduler;
 use crate::constants::{ATTEMPT_BITS, STARVATION_MS};
@@ -44,12 +44,20 @@
     }
 }
 
-/// A capacity of the cycle by its index, and how many tasks it is to take.
-type TaskCount = (usize, u32);
-
-/// What ranks a candidate, the smallest first: the cost of its image and load, the CPUs of the
-/// machine, whether it is on demand, and its score.
-type CandidateKey = (f64, f64, bool, f64);
+/// What ranks the candidates for tasks of a job, the smallest first, by the fields in their order.
+#[derive(Clone, Copy, PartialEq, PartialOrd)]
+struct CandidateRank {
+    /// What weighs against the machine: that it has to fetch the image, or its load.
+    cost: f64,
+    /// CPUs of the whole machine: the smallest types first.
+    total_cpus: f64,
+    /// Spot machines come first.
+    is_on_demand: bool,
+    /// By Eq. 8 of the paper: the machine with the least free first.
+    score: f64,
+    /// The index of its capacity in the cycle.
+    index: usize,
+}
 
 impl Scheduler {
     /// The ready capacities that a job may use, whatever their size, with their indices in the
@@ -91,7 +99,7 @@
         }
         // Counted before anything is placed, since a slice starts whole.
         let counts = self.choose_counts(now, job, zones_in_use, candidates, wanted, cycle);
-        let found: u32 = counts.iter().map(|(_, tasks)| tasks).sum();
+        let found: u32 = counts.iter().map(|count| count.tasks).sum();
         let slice = self.slice_size(spec);
         let placed = if found == wanted { found } else { found / slice * slice };
         self.assign_counts(now, spec, counts, placed, cycle);
@@ -124,25 +132,26 @@
         let spec = &job.spec;
         let waits_for_image = self.waits_for_image_anywhere(now, job);
         let weights = self.policy.weights;
-        let mut candidates: Vec<(CandidateKey, usize)> = self
+        let mut candidates: Vec<CandidateRank> = self
             .usable_capacities(now, job, cycle)
             .filter(|(_, capacity)| self.tasks_admitted(now, job, capacity) > 0)
             .filter(|(_, capacity)| !(waits_for_image && capacity.surely_lacks(&spec.image)))
-            .map(|(index, capacity)| {
-                let score = placement::score(&capacity.free, cycle.total(), &weights);
-                let cost = self.placement_cost(spec, capacity);
-                ((cost, capacity.total_cpus, !capacity.spot, score), index)
+            .map(|(index, capacity)| CandidateRank {
+                cost: self.placement_cost(spec, capacity),
+                total_cpus: capacity.total_cpus,
+                is_on_demand: !capacity.spot,
+                score: placement::score(&capacity.free, cycle.total(), &weights),
+                index,
             })
             .collect();
-        let by_key = |a: &(CandidateKey, usize), b: &(CandidateKey, usize)| {
-            a.partial_cmp(b).unwrap_or(Ordering::Equal)
-        };
+        let by_rank =
+            |a: &CandidateRank, b: &CandidateRank| a.partial_cmp(b).unwrap_or(Ordering::Equal);
         if !spec.is_zone_constrained() && candidates.len() > wanted as usize {
-            candidates.select_nth_unstable_by(wanted as usize, by_key);
+            candidates.select_nth_unstable_by(wanted as usize, by_rank);
             candidates.truncate(wanted as usize);
         }
-        candidates.sort_by(by_key);
-        candidates.into_iter().map(|(_, index)| index).collect()
+        candidates.sort_by(by_rank);
+        candidates.into_iter().map(|candidate| candidate.index).collect()
     }
 
     /// How many tasks each candidate takes, in their order, `wanted` in all at most; of a job that
@@ -155,13 +164,13 @@
         candidates: Vec<usize>,
         wanted: u32,
         cycle: &SchedulingCycle,
-    ) -> Vec<TaskCount> {
+    ) -> Vec<TasksAt> {
         let spec = &job.spec;
         let mut tasks_in_zone: HashMap<Arc<str>, u32> = HashMap::new();
         for zone in zones_in_use {
             *tasks_in_zone.entry(zone).or_default() += 1;
         }
-        let mut counts: Vec<TaskCount> = Vec::new();
+        let mut counts: Vec<TasksAt> = Vec::new();
         let mut remaining = wanted;
         for index in candidates {
             let capacity = &cycle.capacities()[index];
@@ -172,7 +181,7 @@
                 *here += tasks;
             }
             if tasks > 0 {
-                counts.push((index, tasks));
+                counts.push(TasksAt { index, tasks });
                 remaining -= tasks;
             }
             if remaining == 0 {
@@ -187,13 +196,13 @@
         &mut self,
         now: Millis,
         spec: &Arc<JobSpec>,
-        counts: Vec<TaskCount>,
+        counts: Vec<TasksAt>,
         tasks: u32,
         cycle: &mut SchedulingCycle,
     ) {
         let mut remaining = tasks;
-        for (index, count) in counts {
-            let here = count.min(remaining);
+        for TasksAt { index, tasks } in counts {
+            let here = tasks.min(remaining);
             if here == 0 {
                 break;
             }
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -21,7 +21,7 @@
     }
     c.handle(2_000, Event::Tick);
     // Two tasks to a machine are placed, and no job holds more than its bits.
-    let placed: usize = c.jobs().values().map(|j| j.placed.len() + j.again.len()).sum();
+    let placed: usize = c.jobs().values().map(|j| j.placed.len() + j.requeued.len()).sum();
     assert_eq!(placed, 60);
 }
 
