--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -57,14 +57,17 @@
         self.next_of_team.clear();
     }
 
-    fn note_launched(&mut self, spec: &JobSpec, tasks: u32) {
+    /// Notes that tasks of a job are launched.
+    pub fn note_launched(&mut self, spec: &JobSpec, tasks: u32) {
         if self.is_shared() {
             let launched = self.launched.entry(spec.team.clone()).or_default();
             *launched = launched.plus(demand_of(spec, tasks));
         }
     }
 
-    fn note_next_to_start(&mut self, spec: &JobSpec, tasks: u32) {
+    /// Notes that tasks of a starving job are to start: the first such job of each team is the next
+    /// to start.
+    pub fn note_next_to_start(&mut self, spec: &JobSpec, tasks: u32) {
         if self.is_shared() {
             self.next_of_team.entry(spec.team.clone()).or_insert(demand_of(spec, tasks));
         }
@@ -186,15 +189,4 @@
         };
         self.policy.teams.iter().map(team_use).collect()
     }
-
-    /// Notes that tasks of a job are launched.
-    pub(super) fn note_launched(&mut self, spec: &JobSpec, tasks: u32) {
-        self.quota.note_launched(spec, tasks);
-    }
-
-    /// Notes that tasks of a starving job are to start: the first such job of each team is
-    /// the next to start.
-    pub(super) fn note_next_to_start(&mut self, spec: &JobSpec, tasks: u32) {
-        self.quota.note_next_to_start(spec, tasks);
-    }
 }
--- a/crates/latchtrack-core/src/scheduler/starvation.rs
+++ b/crates/latchtrack-core/src/scheduler/starvation.rs
@@ -51,7 +51,7 @@
     fn serve_starving_job(&mut self, now: Millis, id: JobId, cycle: &mut SchedulingCycle) {
         let Some(spec) = self.jobs.get(&id).map(|job| job.spec.clone()) else { return };
         let slice = self.slice_size(&spec);
-        self.note_next_to_start(&spec, slice);
+        self.quota.note_next_to_start(&spec, slice);
         let allowed = slice.min(self.tasks_within_limit(&spec, cycle.used()));
         // A gang starts whole or not at all.
         let may_start = allowed == slice || !spec.gang;
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -250,7 +250,7 @@
         }
         m.idle_since = None;
         self.dispatcher.pending.insert(machine.to_string());
-        self.note_launched(spec, tasks.len() as u32);
+        self.quota.note_launched(spec, tasks.len() as u32);
     }
 }
 
