--- /dev/null
+++ b/crates/latchtrack-core/tests/gangs/main.rs
@@ -0,0 +1,37 @@
+//! Gangs, each rule as a small case of its own. The simulation has them in all its troubles.
+
+mod attempts;
+#[path = "../common/mod.rs"]
+mod common;
+mod failover;
+mod reservations;
+mod team_limits;
+
+use common::site::Site;
+use common::{policy, spec};
+use latchtrack_core::job::JobSpec;
+use latchtrack_core::scheduler::Policy;
+
+/// Nothing is given back while a case lasts.
+fn patient() -> Policy {
+    Policy { on_demand_idle_timeout_ms: 600_000, ..policy() }
+}
+
+/// A gang of tasks of four CPUs, two to a machine.
+fn gang(id: u64, tasks: u32) -> JobSpec {
+    JobSpec { gang: true, spot: false, ..(*spec(id, tasks)).clone() }
+}
+
+fn array(id: u64, tasks: u32) -> JobSpec {
+    JobSpec { spot: false, ..(*spec(id, tasks)).clone() }
+}
+
+/// The attempt in which all tasks of the job are, and no other.
+#[track_caller]
+fn only_attempt(site: &Site, id: u64, tasks: usize) -> u64 {
+    let live = site.live(id);
+    assert_eq!(live.len(), 1, "{live:?}");
+    let (attempt, n) = live.into_iter().next().unwrap();
+    assert_eq!(n, tasks);
+    attempt
+}
