--- a/crates/latchtrack/src/actors/job_cache/records.rs
+++ b/crates/latchtrack/src/actors/job_cache/records.rs
@@ -5,8 +5,9 @@
 use latchtrack_core::job::JobId;
 
 use crate::actors::messages::election::LeaderKey;
-use crate::actors::messages::job_cache::{JobView, OpenJob, OpenJobsSnapshot, TaskCounts};
+use crate::actors::messages::job_cache::{JobView, OpenJobsSnapshot, TaskCounts};
 use crate::actors::messages::scheduler::JobChange;
+use crate::actors::messages::OpenJob;
 use crate::actors::store::reads::Snapshot;
 use crate::wire::records::{LeaderRecord, Record, JOBS, LEADER};
 use crate::wire::store::KeyChange;
--- a/crates/latchtrack/src/actors/messages/job_cache.rs
+++ b/crates/latchtrack/src/actors/messages/job_cache.rs
@@ -1,13 +1,11 @@
 //! Messages to the job cache.
 
-use std::sync::Arc;
-
 use actix::prelude::*;
-use latchtrack_core::job::{JobId, JobSpec};
+use latchtrack_core::job::JobId;
 
 use super::election::LeaderKeyObserved;
 use super::scheduler::CacheAdvanced;
-use super::NodeRole;
+use super::{NodeRole, OpenJob};
 use crate::wire::records::Record;
 
 /// The state service could not be read in time.
@@ -82,17 +80,6 @@
 #[rtype(result = "()")]
 pub struct UpdateTaskCounts(pub Vec<TaskCounts>);
 
-/// An open job of the cache.
-#[derive(Clone, Debug)]
-pub struct OpenJob {
-    /// What was submitted.
-    pub spec: Arc<JobSpec>,
-    /// Time of day of the submission, ms.
-    pub submitted_at_wall_ms: u64,
-    /// Revision of the record.
-    pub revision: u64,
-}
-
 /// What a new term starts from.
 pub struct OpenJobsSnapshot {
     /// All open jobs.
--- a/crates/latchtrack/src/actors/messages/mod.rs
+++ b/crates/latchtrack/src/actors/messages/mod.rs
@@ -12,6 +12,10 @@
 pub mod scheduler;
 pub mod store;
 
+use std::sync::Arc;
+
+use latchtrack_core::job::JobSpec;
+
 /// What this node is in the current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeRole {
@@ -20,3 +24,14 @@
     /// Another node does, or none.
     Follower,
 }
+
+/// An open job of the cache.
+#[derive(Clone, Debug)]
+pub struct OpenJob {
+    /// What was submitted.
+    pub spec: Arc<JobSpec>,
+    /// Time of day of the submission, ms.
+    pub submitted_at_wall_ms: u64,
+    /// Revision of the record.
+    pub revision: u64,
+}
--- a/crates/latchtrack/src/actors/messages/scheduler.rs
+++ b/crates/latchtrack/src/actors/messages/scheduler.rs
@@ -6,8 +6,8 @@
 use latchtrack_core::scheduler::Event;
 
 use super::election::{LeaderKeyLost, Resign};
-use super::job_cache::OpenJob;
 use super::quota::{ChangeLedger, QuotaTerm};
+use super::OpenJob;
 use crate::wire::status::NodeView;
 
 /// A term of this node as the leader.
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -16,7 +16,7 @@
     LEDGER_WRITE_WAIT_MS, MAILBOX, QUOTA_FULL_READ_INTERVAL_MS, QUOTA_REFRESH_INTERVAL_MS,
 };
 use crate::settings::Settings;
-use crate::wire::quota::{transaction, SharedKeys, SHARED};
+use crate::wire::quota::{ledger_transaction, SharedKeys, SHARED};
 use crate::wire::store::{KeyChange, Txn};
 
 /// The actor that reads and writes the ledgers while this node leads.
@@ -126,7 +126,7 @@
 
     /// The transaction of a change, None if it can't be serialized or its value is too large.
     fn ledger_txn(&self, token: u64, write: &LedgerWrite) -> Option<Txn> {
-        let txn = transaction(token, write).ok()?;
+        let txn = ledger_transaction(token, write).ok()?;
         let max_bytes = self.value_bytes;
         if txn.changes.iter().all(|change| change.bytes() <= max_bytes) {
             return Some(txn);
--- a/crates/latchtrack/src/actors/scheduler_driver/mod.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/mod.rs
@@ -4,6 +4,7 @@
 mod effects;
 mod heartbeat_routing;
 mod recovery;
+mod state_read;
 mod status;
 mod term;
 mod worker_calls;
@@ -17,19 +18,20 @@
 use latchtrack_core::scheduler::{Event, Policy, Scheduler};
 
 use self::heartbeat_routing::HeartbeatRouter;
-use self::recovery::StateRead;
+use self::state_read::StateRead;
 use self::term::TermState;
 use self::write_state::WriteState;
 use super::cloud::Cloud;
 use super::job_cache::JobCache;
 use super::messages::cloud::MachineTypesUpdate;
-use super::messages::job_cache::{OpenJob, TaskCounts, UpdateTaskCounts};
+use super::messages::job_cache::{TaskCounts, UpdateTaskCounts};
 use super::messages::peers::BroadcastFrame;
 use super::messages::quota::QuotaTerm;
 use super::messages::scheduler::{
     CacheAdvanced, ConnectElection, ConnectQuota, HeartbeatReceived, HeartbeatResponse,
     HeartbeatRoute, JobChange, Leadership, OverdueMachines, SchedulerEvent,
 };
+use super::messages::OpenJob;
 use super::peers::Peers;
 use super::store::Store;
 use crate::clock::{self, now_ms};
--- a/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
@@ -8,23 +8,13 @@
 use latchtrack_core::job::JobId;
 use latchtrack_core::scheduler::{Event, Scheduler, StoredResults, TermRevisions};
 
+use super::state_read::StateRead;
 use super::SchedulerDriver;
 use crate::actors::messages::scheduler::JobChange;
 use crate::actors::stored::{read_stored_state, StoredState};
 use crate::clock::{self, now_ms};
 use crate::constants::REFRESH_RETRY_MS;
 
-/// Whether the stored state is being read.
-pub(super) enum StateRead {
-    /// It is not.
-    Idle,
-    /// It is.
-    InProgress {
-        /// Changes of the job cache that have come meanwhile.
-        changes: Vec<JobChange>,
-    },
-}
-
 /// Results that are stored of each job: bits of done tasks by chunk.
 type ChunksByJob = HashMap<JobId, Vec<(u32, Vec<u8>)>>;
 
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -8,7 +8,8 @@
 use serde_json::value::RawValue;
 
 use super::job_cache::JobCache;
-use super::messages::job_cache::{ListOpenJobs, OpenJob, OpenJobsSnapshot};
+use super::messages::job_cache::{ListOpenJobs, OpenJobsSnapshot};
+use super::messages::OpenJob;
 use super::store::{self, Store};
 use crate::wire::records::{
     encode_machine_set, encode_results, job_key, machine_set_key, parse_machine_set, parse_results,
--- a/crates/latchtrack/src/wire/quota.rs
+++ b/crates/latchtrack/src/wire/quota.rs
@@ -47,7 +47,7 @@
 
 /// The transaction of a change of a ledger: fenced by the writer's leader key, by the revision of
 /// the ledger that it replaces, and by the keys of the cells that it takes to be dead.
-pub fn transaction(token: u64, write: &LedgerWrite) -> serde_json::Result<Txn> {
+pub fn ledger_transaction(token: u64, write: &LedgerWrite) -> serde_json::Result<Txn> {
     let key = team_key(&write.team);
     let mut conditions = vec![
         Condition { key: LEADER.into(), revision: token },
--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -5,7 +5,7 @@
 use latchtrack::limit::{limit, LimitError, TeamTerms};
 use latchtrack::node::{self, StartError};
 use latchtrack::settings::{QuotaTuning, Tuning};
-use latchtrack::wire::quota::{campaign_changes, transaction, SharedKeys};
+use latchtrack::wire::quota::{campaign_changes, ledger_transaction, SharedKeys};
 use latchtrack::wire::store::{Change, Condition, Txn};
 use latchtrack_quota::{Account, Amounts, CellRecord, DeadCell, LedgerWrite, Limit, TeamLedger};
 use latchtrack_standins::site::{site_at, Site};
@@ -53,7 +53,7 @@
     let ledger = TeamLedger::new(Limit::of(4.0, 0.0), Amounts::NONE);
     let dead = vec![DeadCell { cell: "west".into(), term_revision: 9 }];
     let write = LedgerWrite { team: "t".into(), expect: 12, ledger, dead };
-    let txn = transaction(5, &write).unwrap();
+    let txn = ledger_transaction(5, &write).unwrap();
     let conditions: Vec<(&str, u64)> =
         txn.conditions.iter().map(|c| (c.key.as_str(), c.revision)).collect();
     let expected =
