--- a/crates/latchtrack-balance/src/moves.rs
+++ b/crates/latchtrack-balance/src/moves.rs
@@ -1,13 +1,13 @@
 //! The state machine of one move, from the reserved target to the task that runs there.
 //!
 //! ```text
-//! Reserved --stop sent--> Stopping --every task ended--> Ready --launched--> Launching --runs--> Settled
-//!     \_________________________\________________________\______________________\--> Abandoned
+//! Reserved --stop sent--> Stopping --all ended--> Ready --launched--> Launching --all run--> Settled
+//!     \_______________________\_____________________\___________________\--> Abandoned
 //! ```
 //!
-//! A move owns nothing but the capacity that it reserves on its targets. The scheduler stops and launches by
-//! the heartbeats of the machines alone. A move that is abandoned, or lost with its leader, costs the task its
-//! place in the queue and nothing else.
+//! A move owns nothing but the capacity that it reserves on its targets. The scheduler stops and
+//! launches by the heartbeats of the machines alone. A move that is abandoned, or lost with its
+//! leader, costs the task its place in the queue and nothing else.
 
 use std::fmt;
 use std::sync::Arc;
--- a/crates/latchtrack-balance/tests/moves.rs
+++ b/crates/latchtrack-balance/tests/moves.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use common::*;
-use latchtrack_balance::constants::*;
+use latchtrack_balance::constants::{
+    LAUNCH_TIMEOUT_MS, RESERVATION_TIMEOUT_MS, STOP_TIMEOUT_MARGIN_MS,
+};
 use latchtrack_balance::moves::{AbandonReason, Move, MoveEvent, MoveStage, MoveUnit};
 use latchtrack_balance::resources::Resources;
 use proptest::prelude::*;
@@ -50,12 +52,14 @@
             if before.stage.is_final() {
                 prop_assert_eq!(&m, &before, "nothing happens to a move that is over");
             }
-            let reserves = matches!(m.stage, MoveStage::Reserved | MoveStage::Stopping | MoveStage::Ready);
+            let reserves =
+                matches!(m.stage, MoveStage::Reserved | MoveStage::Stopping | MoveStage::Ready);
             let reserved = if reserves { cpus_and_memory(6.0) } else { Resources::default() };
             prop_assert_eq!(m.reserved_on("n-000001"), reserved);
             prop_assert_eq!(m.reserved_on("n-000000"), Resources::default());
             if matches!(m.stage, MoveStage::Ready | MoveStage::Launching | MoveStage::Settled) {
-                prop_assert!(m.task_moves.iter().all(|task_move| task_move.ended), "every task is off its source");
+                let all_ended = m.task_moves.iter().all(|task_move| task_move.ended);
+                prop_assert!(all_ended, "every task is off its source");
             }
         }
     }
@@ -67,7 +71,8 @@
         for event in events {
             m.handle(0, event);
         }
-        let most = RESERVATION_TIMEOUT_MS * 2 + m.save_ms + STOP_TIMEOUT_MARGIN_MS + LAUNCH_TIMEOUT_MS;
+        let stop_ms = m.save_ms + STOP_TIMEOUT_MARGIN_MS;
+        let most = RESERVATION_TIMEOUT_MS * 2 + stop_ms + LAUNCH_TIMEOUT_MS;
         for now in (0..=most).step_by(1_000) {
             m.handle(now, MoveEvent::Tick);
         }
--- a/crates/latchtrack-balance/tests/planner.rs
+++ b/crates/latchtrack-balance/tests/planner.rs
@@ -101,11 +101,13 @@
         let mut units = BTreeSet::new();
         for m in &plan.moves {
             prop_assert!(units.insert(m.unit), "a unit moves once");
-            let sources: BTreeSet<_> = m.task_moves.iter().map(|task_move| &task_move.source).collect();
+            let sources: BTreeSet<_> =
+                m.task_moves.iter().map(|task_move| &task_move.source).collect();
             for task_move in &m.task_moves {
                 let (from, to) = (by_name[&task_move.source], by_name[&task_move.target]);
                 prop_assert_eq!(from.pool, to.pool);
-                prop_assert!(from.may_give && to.may_receive && !sources.contains(&task_move.target));
+                prop_assert!(from.may_give && to.may_receive);
+                prop_assert!(!sources.contains(&task_move.target));
             }
         }
     }
@@ -150,7 +152,11 @@
     }
 
     #[test]
-    fn machines_and_movables_with_invalid_numbers_take_no_part(input in cluster(), bad in 0usize..4, at in 0usize..24) {
+    fn machines_and_movables_with_invalid_numbers_take_no_part(
+        input in cluster(),
+        bad in 0usize..4,
+        at in 0usize..24,
+    ) {
         let bad = [f64::NAN, f64::INFINITY, -1.0, f64::NEG_INFINITY][bad];
         let mut input = input;
         let at = at % input.machines.len();
@@ -379,5 +385,5 @@
     input.machines[2].used = cpus_and_memory(6.0);
     assert_eq!(plan(&input).moves, []);
     input.machines[2].used = cpus_and_memory(5.0);
-    assert_eq!(plan(&input).moves.len(), 1, "room for both");
+    assert_eq!(plan(&input).moves.len(), 1, "capacity for both");
 }
--- a/crates/latchtrack-balance/tests/shares.rs
+++ b/crates/latchtrack-balance/tests/shares.rs
@@ -64,8 +64,14 @@
     }
 
     #[test]
-    fn the_placement_term_is_bounded(fetch in any::<f64>(), run in any::<f64>(), load in any::<f64>(), bound in any::<f64>()) {
-        let cost = PlacementOption { fetch_s: fetch.abs(), run_s: run.abs(), load_after: load, bound }.cost();
+    fn the_placement_term_is_bounded(
+        fetch in any::<f64>(),
+        run in any::<f64>(),
+        load_after in any::<f64>(),
+        bound in any::<f64>(),
+    ) {
+        let (fetch_s, run_s) = (fetch.abs(), run.abs());
+        let cost = PlacementOption { fetch_s, run_s, load_after, bound }.cost();
         prop_assert!((0.0..=1.0).contains(&cost), "{cost}");
     }
 }
--- a/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
+++ b/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_burst_puts_nobody_behind() {
+fn a_burst_puts_no_team_behind() {
     // In the order of their names the two jobs of the burst go first, and fill the machines.
     assert_eq!(launched_in_first_cycle(2, None, 8), (16, 0));
 }
--- a/crates/latchtrack-quota/src/apportionment.rs
+++ b/crates/latchtrack-quota/src/apportionment.rs
@@ -77,7 +77,7 @@
         self.own.target
     }
 
-    /// Whether other cells lack more than what is allotted to nobody, so that this one must keep to
+    /// Whether other cells lack more than what is unallotted, so that this one must keep to
     /// its target.
     pub(crate) fn must_yield(&self) -> bool {
         let shortfalls = self.others.iter().flat_map(ClaimStatus::shortfall);
@@ -94,7 +94,7 @@
         self.others.iter().any(|other| !other.need.fits_in(other.held))
     }
 
-    /// What the cell may take now of what is allotted to nobody.
+    /// What the cell may take now of what is unallotted.
     pub(crate) fn grantable(&self) -> MilliResources {
         self.grants()[0]
     }
@@ -104,7 +104,7 @@
         std::iter::once(&self.own).chain(&self.others).collect()
     }
 
-    /// How what is allotted to nobody goes to the claims, in the order of [`Apportionment::all`]:
+    /// How what is unallotted goes to the claims, in the order of [`Apportionment::all`]:
     /// first to the first part of all targets, then to the second and so on, within a part by
     /// request number.
     fn grants(&self) -> Vec<MilliResources> {
@@ -123,7 +123,7 @@
         grants
     }
 
-    /// Requests of other cells that what is allotted to nobody would cover.
+    /// Requests of other cells that what is unallotted would cover.
     pub(crate) fn grantable_requests(&self) -> Vec<OpenRequest> {
         let grants = self.grants();
         let mut requests = Vec::new();
--- a/crates/latchtrack-quota/src/constants.rs
+++ b/crates/latchtrack-quota/src/constants.rs
@@ -34,6 +34,6 @@
 /// Writes of a cell in flight at a time, whatever the number of teams: the leader's other writes
 /// wait behind them.
 pub const MAX_WRITES_IN_FLIGHT: usize = 4;
-/// Part of the limit that a cell takes beside what it can use while nobody else asks, so that not
+/// Part of the limit that a cell takes beside what it can use while no other asks, so that not
 /// each new job costs a write.
 pub const HEADROOM_PART: u64 = 16;
--- a/crates/latchtrack-quota/src/ledger.rs
+++ b/crates/latchtrack-quota/src/ledger.rs
@@ -125,7 +125,7 @@
         !self.limit.counted(self.allotted()).fits_in(self.limit.total())
     }
 
-    /// What is allotted to nobody.
+    /// What of the limit is allotted to no cell.
     pub fn unallotted(&self) -> MilliResources {
         self.limit.total().minus(self.limit.counted(self.allotted()))
     }
@@ -139,4 +139,30 @@
     pub fn request_of(&self, cell: &str) -> Option<&Request> {
         self.allotments.get(cell)?.request.as_ref()
     }
+
+    /// Sets what a cell holds and asks for. The term of its allotment changes with the amount
+    /// alone.
+    pub(crate) fn set_allotment(
+        &mut self,
+        cell: &str,
+        term: u64,
+        amount: MilliResources,
+        request: Option<Request>,
+    ) {
+        let allotment = self.allotments.entry(cell.to_string()).or_default();
+        if allotment.amount != amount {
+            allotment.term = term;
+        }
+        allotment.amount = amount;
+        allotment.request = request;
+    }
+
+    /// Removes the requests of these cells.
+    pub(crate) fn remove_requests(&mut self, cells: &[String]) {
+        for cell in cells {
+            if let Some(allotment) = self.allotments.get_mut(cell) {
+                allotment.request = None;
+            }
+        }
+    }
 }
--- a/crates/latchtrack-quota/src/manager/ledger_changes.rs
+++ b/crates/latchtrack-quota/src/manager/ledger_changes.rs
@@ -133,21 +133,12 @@
         };
         let amount = context.next_allotment(team, held);
         let mut next = ledger.clone();
-        for cell in &stale {
-            if let Some(allotment) = next.allotments.get_mut(cell) {
-                allotment.request = None;
-            }
-        }
+        next.remove_requests(&stale);
         let current = ledger.request_of(&self.cell);
         let request = context.next_request(team, current, amount, &mut next.next_request_number);
         let has_allotment = ledger.allotments.contains_key(&self.cell);
         if has_allotment || amount != MilliResources::NONE || request.is_some() {
-            let allotment = next.allotments.entry(self.cell.clone()).or_default();
-            if allotment.amount != amount {
-                allotment.term = self.term;
-            }
-            allotment.amount = amount;
-            allotment.request = request;
+            next.set_allotment(&self.cell, self.term, amount, request);
         }
         if next == ledger {
             return None;
