--- a/crates/latchtrack-core/tests/common/mod.rs
+++ b/crates/latchtrack-core/tests/common/mod.rs
@@ -82,7 +82,7 @@
     })
 }
 
-pub const STAMPS: TermRevisions = TermRevisions { token: 7, leaderless_since: 7 };
+pub const TERM: TermRevisions = TermRevisions { token: 7, leaderless_since: 7 };
 
 pub fn types() -> Vec<MachineType> {
     vec![machine_type(vec!["a".into()])]
@@ -101,7 +101,7 @@
     vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
 }
 
-pub fn report(i: u64, sequence: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+pub fn heartbeat(i: u64, sequence: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: name(i),
         addr: name(i),
@@ -116,7 +116,7 @@
     }
 }
 
-pub fn returned(effects: &[Effect]) -> Vec<String> {
+pub fn terminated(effects: &[Effect]) -> Vec<String> {
     effects
         .iter()
         .filter_map(|e| match e {
@@ -130,7 +130,7 @@
 pub fn launches(effects: &[Effect]) -> usize {
     let all = effects.iter().map(|e| match e {
         Effect::Respond(commands) | Effect::CallWorker { commands, .. } => {
-            commands.iter().filter(|c| matches!(c, Command::Launch { .. })).count()
+            commands.iter().filter(|command| matches!(command, Command::Launch { .. })).count()
         }
         _ => 0,
     });
@@ -139,27 +139,33 @@
 
 /// A leader with `n` settled machines, each running one task of a job, all heard at 1,000 ms.
 pub fn busy_fleet(n: u64) -> Scheduler {
-    let mut c = Scheduler::new(policy(), STAMPS, types(), stored_set(0..n), Vec::new(), 1_000);
+    let mut scheduler =
+        Scheduler::new(policy(), TERM, types(), stored_set(0..n), Vec::new(), 1_000);
     let job =
         Event::JobOpened { spec: spec(1, n as u32), submitted_at: 0, revision: 3, done: None };
-    c.handle(1_000, job);
+    scheduler.handle(1_000, job);
     for i in 0..n {
         let task = TaskStatus {
             task: format!("req-000001/{i}").parse().unwrap(),
             attempt: 5,
             phase: TaskPhase::Running,
         };
-        c.handle(1_000, Event::Heartbeat(report(i, 1, 7, vec![task])));
+        scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, vec![task])));
     }
-    c
+    scheduler
 }
 
-pub fn seen(run: &TaskRun) -> TaskStatus {
+pub fn status_of(run: &TaskRun) -> TaskStatus {
     TaskStatus { task: run.task, attempt: run.attempt, phase: run.phase }
 }
 
 /// Ticks from one time to another, every direct call ending as `outcome` says 1 s later.
-pub fn ticks(c: &mut Scheduler, from: u64, to: u64, outcome: &CallOutcome) -> Vec<Effect> {
+pub fn tick_until(
+    scheduler: &mut Scheduler,
+    from: u64,
+    to: u64,
+    outcome: &CallOutcome,
+) -> Vec<Effect> {
     let mut out = Vec::new();
     let mut open: Vec<(u64, String, u64)> = Vec::new();
     for now in (from..to).step_by(200) {
@@ -169,9 +175,9 @@
                 continue;
             }
             let outcome = outcome.clone();
-            out.extend(c.handle(now, Event::CallFinished { machine, call, outcome }));
+            out.extend(scheduler.handle(now, Event::CallFinished { machine, call, outcome }));
         }
-        let effects = c.handle(now, Event::Tick);
+        let effects = scheduler.handle(now, Event::Tick);
         for e in &effects {
             if let Effect::CallWorker { machine, call, .. } = e {
                 open.push((now + 1_000, machine.clone(), *call));
@@ -180,29 +186,35 @@
         out.extend(effects);
     }
     for (_, machine, call) in open {
-        out.extend(c.handle(to, Event::CallFinished { machine, call, outcome: outcome.clone() }));
+        out.extend(
+            scheduler.handle(to, Event::CallFinished { machine, call, outcome: outcome.clone() }),
+        );
     }
     out
 }
 
 /// Machines are kept however long they are empty.
-pub fn patient() -> Policy {
+pub fn long_idle_timeout() -> Policy {
     Policy { spot_idle_timeout_ms: 1_000_000, ..policy() }
 }
 
 /// Whether all runs that a machine lists have ended.
-pub fn ends(c: &Scheduler, i: u64) -> bool {
-    c.machines()[&name(i)].runs.values().all(|r| matches!(r.phase, TaskPhase::Ended(_)))
+pub fn has_only_ended(scheduler: &Scheduler, i: u64) -> bool {
+    scheduler.machines()[&name(i)].runs.values().all(|r| matches!(r.phase, TaskPhase::Ended(_)))
 }
 
-/// All jobs of class c are late from the start.
-pub fn c_policy() -> Policy {
+/// All jobs of class scheduler are late from the start.
+pub fn late_class_policy() -> Policy {
     let completion_objectives =
         vec![CompletionObjective { class: "c".into(), due: Due::Within(1) }];
-    Policy { completion_objectives, classes_with_objectives: ["c".to_string()].into(), ..patient() }
+    Policy {
+        completion_objectives,
+        classes_with_objectives: ["c".to_string()].into(),
+        ..long_idle_timeout()
+    }
 }
 
 /// A type that no zone has any more: with something to rent, a job keeps no machines meanwhile.
-pub fn sold_out() -> Vec<MachineType> {
+pub fn types_out_of_stock() -> Vec<MachineType> {
     vec![MachineType { zones: Vec::new(), ..types().remove(0) }]
 }
--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -11,95 +11,104 @@
 
 #[test]
 fn an_inherited_job_waits_until_every_machine_carries_the_token() {
-    let mut c = Scheduler::new(policy(), STAMPS, types(), stored_set(0..2), Vec::new(), 1_000);
+    let mut scheduler =
+        Scheduler::new(policy(), TERM, types(), stored_set(0..2), Vec::new(), 1_000);
     let job = |id, revision| Event::JobOpened {
         spec: spec(id, 2),
         submitted_at: 0,
         revision,
         done: None,
     };
-    c.handle(1_000, job(1, 3));
-    let mut n = launches(&c.handle(1_100, Event::Heartbeat(report(0, 1, 7, Vec::new()))));
+    scheduler.handle(1_000, job(1, 3));
+    let mut n =
+        launches(&scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new()))));
     // An older token proves nothing.
-    n += launches(&c.handle(1_200, Event::Heartbeat(report(1, 1, 6, Vec::new()))));
-    n += launches(&c.handle(1_500, Event::Tick));
+    n += launches(&scheduler.handle(1_200, Event::Heartbeat(heartbeat(1, 1, 6, Vec::new()))));
+    n += launches(&scheduler.handle(1_500, Event::Tick));
     assert_eq!(n, 0);
     // A job accepted in this term need not wait.
-    c.handle(1_600, job(2, 8));
-    assert_eq!(launches(&c.handle(1_700, Event::Tick)), 2);
-    let mut n = launches(&c.handle(2_000, Event::Heartbeat(report(1, 2, 7, Vec::new()))));
-    n += launches(&c.handle(2_200, Event::Tick));
+    scheduler.handle(1_600, job(2, 8));
+    assert_eq!(launches(&scheduler.handle(1_700, Event::Tick)), 2);
+    let mut n =
+        launches(&scheduler.handle(2_000, Event::Heartbeat(heartbeat(1, 2, 7, Vec::new()))));
+    n += launches(&scheduler.handle(2_200, Event::Tick));
     assert_eq!(n, 2, "settled now");
 }
 
 #[test]
 fn a_result_is_forgotten_only_after_it_is_stored() {
-    let mut c = Scheduler::new(policy(), STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
+    let mut scheduler =
+        Scheduler::new(policy(), TERM, types(), stored_set(0..1), Vec::new(), 1_000);
     // As many as are forgotten without another command to go with.
     let demand = Demand { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
     let spec = Arc::new(JobSpec { demand, ..(*spec(1, 8)).clone() });
-    c.handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None });
-    let effects = c.handle(1_100, Event::Heartbeat(report(0, 1, 7, Vec::new())));
+    scheduler.handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None });
+    let effects = scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     assert_eq!(launches(&effects), 8);
-    let ended = |c: &Scheduler| -> Vec<TaskStatus> {
-        let runs = c.machines()[&name(0)].runs.values();
-        runs.map(|r| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..seen(r) }).collect()
+    let ended = |scheduler: &Scheduler| -> Vec<TaskStatus> {
+        let runs = scheduler.machines()[&name(0)].runs.values();
+        runs.map(|r| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(r) })
+            .collect()
     };
-    let tasks = ended(&c);
+    let tasks = ended(&scheduler);
     let forgets = |effects: &[Effect]| {
         effects.iter().any(|e| match e {
             Effect::Respond(commands) => {
-                commands.iter().any(|c| matches!(c, Command::Forget { .. }))
+                commands.iter().any(|command| matches!(command, Command::Forget { .. }))
             }
             _ => false,
         })
     };
-    let effects = c.handle(5_000, Event::Heartbeat(report(0, 2, 7, tasks.clone())));
+    let effects = scheduler.handle(5_000, Event::Heartbeat(heartbeat(0, 2, 7, tasks.clone())));
     assert!(!forgets(&effects));
-    let writes = c.next_writes(5_000, 8);
+    let writes = scheduler.next_writes(5_000, 8);
     assert!(matches!(writes[0], RecordWrite::JobDone { job: JobId(1), revision: 8, tasks: 8 }));
     let failed =
         Event::WritesFinished { writes: writes.clone(), outcome: BatchOutcome::NotExecuted };
-    c.handle(5_100, failed);
-    assert!(!forgets(&c.handle(5_600, Event::Heartbeat(report(0, 3, 7, tasks.clone())))));
-    let writes = c.next_writes(5_650, 8);
-    c.handle(5_700, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(9) });
-    assert!(forgets(&c.handle(6_200, Event::Heartbeat(report(0, 4, 7, tasks)))));
+    scheduler.handle(5_100, failed);
+    assert!(!forgets(
+        &scheduler.handle(5_600, Event::Heartbeat(heartbeat(0, 3, 7, tasks.clone())))
+    ));
+    let writes = scheduler.next_writes(5_650, 8);
+    scheduler.handle(5_700, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(9) });
+    assert!(forgets(&scheduler.handle(6_200, Event::Heartbeat(heartbeat(0, 4, 7, tasks)))));
 }
 
 /// Hunted day: after a take-over the runs of the earlier leader seemed short, and eleven machines of
 /// forty were returned as slow though one was.
 #[test]
 fn runs_of_an_earlier_leader_do_not_make_machines_look_slow() {
-    let mut c = busy_fleet(4);
-    let end = |c: &Scheduler, i: u64| -> Vec<TaskStatus> {
-        let runs = c.machines()[&name(i)].runs.values();
-        runs.map(|r| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..seen(r) }).collect()
+    let mut scheduler = busy_fleet(4);
+    let end = |scheduler: &Scheduler, i: u64| -> Vec<TaskStatus> {
+        let runs = scheduler.machines()[&name(i)].runs.values();
+        runs.map(|r| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(r) })
+            .collect()
     };
     // Adopted at 1 s, they end at 2 s: they have run for longer than that.
     for i in 0..3 {
-        let tasks = end(&c, i);
-        c.handle(2_000, Event::Heartbeat(report(i, 2, 7, tasks)));
+        let tasks = end(&scheduler, i);
+        scheduler.handle(2_000, Event::Heartbeat(heartbeat(i, 2, 7, tasks)));
     }
-    assert_eq!(c.jobs()[&JobId(1)].ran, (0, 0));
-    let tasks = end(&c, 3);
-    c.handle(30_000, Event::Heartbeat(report(3, 2, 7, tasks)));
-    assert_eq!(c.machines()[&name(3)].slow_votes, 0);
+    assert_eq!(scheduler.jobs()[&JobId(1)].ran, (0, 0));
+    let tasks = end(&scheduler, 3);
+    scheduler.handle(30_000, Event::Heartbeat(heartbeat(3, 2, 7, tasks)));
+    assert_eq!(scheduler.machines()[&name(3)].slow_votes, 0);
 }
 
 /// Found in review: a new leader counted deadlines from when it first saw a job, not from when the
 /// user submitted it, so that after a take-over the oldest looked as good as new.
 #[test]
 fn deadlines_count_from_the_submission_whoever_leads() {
-    let mut c = Scheduler::new(policy(), STAMPS, types(), stored_set(0..1), Vec::new(), 100_000);
+    let mut scheduler =
+        Scheduler::new(policy(), TERM, types(), stored_set(0..1), Vec::new(), 100_000);
     let due = |id, deadline_s, submitted_at| {
         let spec = JobSpec { deadline_s: Some(deadline_s), ..(*spec(id, 2)).clone() };
         Event::JobOpened { spec: Arc::new(spec), submitted_at, revision: 8, done: None }
     };
-    c.handle(100_000, due(1, 60.0, 99_000));
-    c.handle(100_000, due(2, 90.0, 20_000));
-    c.handle(100_100, Event::Heartbeat(report(0, 1, 7, Vec::new())));
-    let placed = |id| c.jobs()[&JobId(id)].placed.len();
+    scheduler.handle(100_000, due(1, 60.0, 99_000));
+    scheduler.handle(100_000, due(2, 90.0, 20_000));
+    scheduler.handle(100_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
+    let placed = |id| scheduler.jobs()[&JobId(id)].placed.len();
     assert_eq!((placed(1), placed(2)), (0, 2), "due at 159 s and at 110 s");
 }
 
@@ -109,74 +118,85 @@
 fn a_garbled_machine_set_holds_inherited_jobs_for_a_lease() {
     let mut stored = stored_set(0..1);
     stored.push(StoredMachineSet { name: "3-2".into(), revision: 5, machines: None });
-    let mut c = Scheduler::new(patient(), STAMPS, types(), stored, Vec::new(), 1_000);
-    c.handle(
+    let mut scheduler =
+        Scheduler::new(long_idle_timeout(), TERM, types(), stored, Vec::new(), 1_000);
+    scheduler.handle(
         1_000,
         Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 3, done: None },
     );
     let mut first = None;
     for step in 0..20 {
         let now = 1_100 + step * 3_000;
-        let mut effects = c.handle(now, Event::Heartbeat(report(0, 1 + step, 7, Vec::new())));
-        effects.extend(ticks(&mut c, now, now + 3_000, &CallOutcome::NotSent));
+        let mut effects =
+            scheduler.handle(now, Event::Heartbeat(heartbeat(0, 1 + step, 7, Vec::new())));
+        effects.extend(tick_until(&mut scheduler, now, now + 3_000, &CallOutcome::NotSent));
         if launches(&effects) > 0 {
             first.get_or_insert(now);
         }
     }
     assert!(first.is_some_and(|at| at > 1_000 + LEASE), "{first:?}");
-    let writes = c.next_writes(70_000, 8);
+    let writes = scheduler.next_writes(70_000, 8);
     let drops = |w: &RecordWrite| matches!(w, RecordWrite::MachineSet { pack, machines } if pack.name == "3-2" && machines.is_empty());
     assert!(writes.iter().any(drops), "dropped then: {writes:?}");
 }
 
 /// What was accepted while nobody led can't have been launched, and need not wait for the fleet.
 #[test]
-fn a_job_accepted_while_nobody_led_starts_before_the_fleet_is_settled() {
+fn a_job_accepted_while_nobody_led_starts_before_the_fleet_is_reconciled() {
     let revisions = TermRevisions { token: 7, leaderless_since: 5 };
-    let mut c = Scheduler::new(patient(), revisions, types(), stored_set(0..2), Vec::new(), 1_000);
+    let mut scheduler = Scheduler::new(
+        long_idle_timeout(),
+        revisions,
+        types(),
+        stored_set(0..2),
+        Vec::new(),
+        1_000,
+    );
     let job = |id, revision| Event::JobOpened {
         spec: spec(id, 1),
         submitted_at: 0,
         revision,
         done: None,
     };
-    c.handle(1_000, job(1, 4));
-    c.handle(1_000, job(2, 6));
-    let n = launches(&c.handle(1_100, Event::Heartbeat(report(0, 1, 7, Vec::new()))));
-    assert_eq!((n, c.jobs()[&JobId(2)].placed.len()), (1, 1));
+    scheduler.handle(1_000, job(1, 4));
+    scheduler.handle(1_000, job(2, 6));
+    let n = launches(&scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new()))));
+    assert_eq!((n, scheduler.jobs()[&JobId(2)].placed.len()), (1, 1));
 }
 
 /// Found in review: a question without an answer marked every run of the machine as perhaps launched
 /// again, none of which was then ever forgotten; after a cut the reports of a machine grew without end.
 #[test]
-fn a_question_without_an_answer_keeps_no_run_from_being_forgotten() {
+fn a_probe_without_an_answer_keeps_no_run_from_being_forgotten() {
     let forgets = |commands: bool| {
-        let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
+        let mut scheduler =
+            Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..1), Vec::new(), 1_000);
         let demand = Demand { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
         let spec = Arc::new(JobSpec { demand, ..(*spec(1, 8)).clone() });
         let job = Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None };
         if !commands {
-            c.handle(1_000, job.clone());
+            scheduler.handle(1_000, job.clone());
         }
-        c.handle(1_100, Event::Heartbeat(report(0, 1, 7, Vec::new())));
+        scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
         if commands {
-            c.handle(1_200, job);
+            scheduler.handle(1_200, job);
         }
         // Launched by the answer or by a direct call; in either case the next call is lost.
-        let running = |c: &Scheduler, phase| -> Vec<TaskStatus> {
-            let runs = c.machines()[&name(0)].runs.values();
-            runs.map(|r| TaskStatus { phase, ..seen(r) }).collect()
+        let running = |scheduler: &Scheduler, phase| -> Vec<TaskStatus> {
+            let runs = scheduler.machines()[&name(0)].runs.values();
+            runs.map(|r| TaskStatus { phase, ..status_of(r) }).collect()
         };
-        ticks(&mut c, 1_300, 9_000, &CallOutcome::NoAnswer);
-        let tasks = running(&c, TaskPhase::Running);
-        c.handle(9_100, Event::Heartbeat(report(0, 2, 7, tasks)));
-        let tasks = running(&c, TaskPhase::Ended(ExitCause::Done));
-        c.handle(10_000, Event::Heartbeat(report(0, 3, 7, tasks.clone())));
-        let writes = c.next_writes(10_100, 8);
-        c.handle(10_200, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(9) });
-        let effects = c.handle(11_000, Event::Heartbeat(report(0, 4, 7, tasks)));
+        tick_until(&mut scheduler, 1_300, 9_000, &CallOutcome::NoAnswer);
+        let tasks = running(&scheduler, TaskPhase::Running);
+        scheduler.handle(9_100, Event::Heartbeat(heartbeat(0, 2, 7, tasks)));
+        let tasks = running(&scheduler, TaskPhase::Ended(ExitCause::Done));
+        scheduler.handle(10_000, Event::Heartbeat(heartbeat(0, 3, 7, tasks.clone())));
+        let writes = scheduler.next_writes(10_100, 8);
+        scheduler
+            .handle(10_200, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(9) });
+        let effects = scheduler.handle(11_000, Event::Heartbeat(heartbeat(0, 4, 7, tasks)));
         let Some(Effect::Respond(answer)) = effects.first() else { panic!("{effects:?}") };
-        answer.iter().filter(|c| matches!(c, Command::Forget { .. })).count()
+        answer.iter().filter(|command| matches!(command, Command::Forget { .. })).count()
     };
     assert_eq!(forgets(false), 8, "only questions were lost");
     assert_eq!(forgets(true), 0, "a launch may come late");
--- a/crates/latchtrack-core/tests/failure_detection.rs
+++ b/crates/latchtrack-core/tests/failure_detection.rs
@@ -11,31 +11,31 @@
 /// limit at a time when few others had, so that the guard against cuts saw no cut.
 #[test]
 fn machines_that_fall_silent_one_after_the_other_are_still_a_cut() {
-    let mut c = busy_fleet(22);
+    let mut scheduler = busy_fleet(22);
     for step in 1..150 {
         let now = 1_000 + step * 200;
-        let mut effects = c.handle(now, Event::Tick);
+        let mut effects = scheduler.handle(now, Event::Tick);
         // Six go on; the others' last reports were 100 ms apart.
         for i in 0..22 {
             let last = 1_000 + if i < 6 { 1_000_000 } else { i * 100 };
             if now <= last && (step % 10 == 0 || i >= 6) {
-                let r = report(
+                let r = heartbeat(
                     i,
                     1 + step,
                     7,
-                    c.machines()[&name(i)].runs.values().map(seen).collect(),
+                    scheduler.machines()[&name(i)].runs.values().map(status_of).collect(),
                 );
-                effects.extend(c.handle(now, Event::Heartbeat(r)));
+                effects.extend(scheduler.handle(now, Event::Heartbeat(r)));
             }
         }
-        let gone = returned(&effects);
+        let gone = terminated(&effects);
         assert!(gone.is_empty() || now > 1_000 + LEASE, "{gone:?} at {now}");
     }
 }
 
 #[test]
 fn a_silent_machine_that_the_list_lost_goes_at_once() {
-    let mut c = busy_fleet(4);
+    let mut scheduler = busy_fleet(4);
     let listed = |names: &[u64]| {
         let all = names.iter().map(|i| ListedMachine {
             name: name(*i),
@@ -48,11 +48,12 @@
         });
         Event::MachinesListed(all.collect())
     };
-    let running: Vec<TaskStatus> = c.machines()[&name(0)].runs.values().map(seen).collect();
+    let running: Vec<TaskStatus> =
+        scheduler.machines()[&name(0)].runs.values().map(status_of).collect();
     // Heard lately: an old list proves nothing.
-    c.handle(17_000, Event::Heartbeat(report(0, 2, 7, running)));
-    c.handle(18_000, listed(&[2, 3]));
-    let gone = returned(&c.handle(18_100, Event::Tick));
+    scheduler.handle(17_000, Event::Heartbeat(heartbeat(0, 2, 7, running)));
+    scheduler.handle(18_000, listed(&[2, 3]));
+    let gone = terminated(&scheduler.handle(18_100, Event::Tick));
     assert_eq!(gone, [name(1)], "silent and not listed any more");
 }
 
@@ -60,12 +61,13 @@
 /// after which it may delete them, and the next began to wait again.
 #[test]
 fn a_leader_that_never_heard_a_machine_does_not_resign_but_deletes_them() {
-    let mut c = Scheduler::new(policy(), STAMPS, types(), stored_set(0..4), Vec::new(), 1_000);
+    let mut scheduler =
+        Scheduler::new(policy(), TERM, types(), stored_set(0..4), Vec::new(), 1_000);
     let mut gone = Vec::new();
     for step in 1..300 {
-        let effects = c.handle(1_000 + step * 200, Event::Tick);
+        let effects = scheduler.handle(1_000 + step * 200, Event::Tick);
         assert!(!effects.iter().any(|e| matches!(e, Effect::Resign(_))));
-        gone.extend(returned(&effects));
+        gone.extend(terminated(&effects));
     }
     assert_eq!(gone.len(), 4);
 }
@@ -74,8 +76,8 @@
 #[test]
 fn a_leader_names_all_machines_of_a_large_fleet_that_it_misses() {
     let machines = 6_000;
-    let c = busy_fleet(machines);
-    assert_eq!(c.overdue(60_000).len(), machines as usize);
+    let scheduler = busy_fleet(machines);
+    assert_eq!(scheduler.overdue(60_000).len(), machines as usize);
     // Names of a length that no cloud has are bounded by their bytes, so that the frame goes through.
     let long = |i: u64| StoredMachine {
         name: format!("{i:0200}"),
@@ -86,8 +88,8 @@
     };
     let machines = Some((0..machines).map(long).collect());
     let stored = vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }];
-    let c = Scheduler::new(policy(), STAMPS, types(), stored, Vec::new(), 1_000);
-    let overdue = c.overdue(60_000);
+    let scheduler = Scheduler::new(policy(), TERM, types(), stored, Vec::new(), 1_000);
+    let overdue = scheduler.overdue(60_000);
     let bytes: usize = overdue.iter().map(String::len).sum();
     assert!(overdue.len() > 500 && bytes <= 128 * 1024, "{} names, {bytes} bytes", overdue.len());
 }
@@ -96,18 +98,18 @@
 /// node could reach both; the leader must name them before it gives them up.
 #[test]
 fn overdue_machines_are_named_long_before_they_are_given_up() {
-    let mut c = busy_fleet(6);
-    assert_eq!(c.overdue(4_000), Vec::<String>::new(), "between two reports");
-    assert_eq!(c.overdue(5_300).len(), 6);
+    let mut scheduler = busy_fleet(6);
+    assert_eq!(scheduler.overdue(4_000), Vec::<String>::new(), "between two reports");
+    assert_eq!(scheduler.overdue(5_300).len(), 6);
     // One is relayed in time and stays; the others are given up only after the limit.
     for step in 1..80 {
         let now = 5_000 + step * 200;
         if step % 15 == 1 {
-            let tasks = c.machines()[&name(0)].runs.values().map(seen).collect();
-            c.handle(now, Event::Heartbeat(report(0, 1 + step, 7, tasks)));
-            assert!(!c.overdue(now).contains(&name(0)));
+            let tasks = scheduler.machines()[&name(0)].runs.values().map(status_of).collect();
+            scheduler.handle(now, Event::Heartbeat(heartbeat(0, 1 + step, 7, tasks)));
+            assert!(!scheduler.overdue(now).contains(&name(0)));
         }
-        let gone = returned(&c.handle(now, Event::Tick));
+        let gone = terminated(&scheduler.handle(now, Event::Tick));
         assert!(!gone.contains(&name(0)) && (gone.is_empty() || now >= 13_000));
     }
 }
@@ -115,19 +117,25 @@
 /// Users' check: a machine's reports arrive, answers and commands don't reach it. Unsettled, it
 /// would hold up all inherited jobs for as long as it reports.
 #[test]
-fn a_machine_that_reports_with_an_old_token_for_ever_is_given_up() {
-    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..5), Vec::new(), 1_000);
+fn a_machine_that_heartbeats_with_an_old_token_for_ever_is_given_up() {
+    let mut scheduler =
+        Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..5), Vec::new(), 1_000);
     for i in 1..5 {
-        c.handle(1_100, Event::Heartbeat(report(i, 1, 7, Vec::new())));
+        scheduler.handle(1_100, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
     let mut gone = Vec::new();
     for step in 0..10 {
         let now = 1_200 + step * 3_000;
-        c.handle(now, Event::Heartbeat(report(0, 2 + step, 6, Vec::new())));
+        scheduler.handle(now, Event::Heartbeat(heartbeat(0, 2 + step, 6, Vec::new())));
         for i in 1..5 {
-            c.handle(now, Event::Heartbeat(report(i, 2 + step, 7, Vec::new())));
+            scheduler.handle(now, Event::Heartbeat(heartbeat(i, 2 + step, 7, Vec::new())));
         }
-        gone.extend(returned(&ticks(&mut c, now, now + 3_000, &CallOutcome::NoAnswer)));
+        gone.extend(terminated(&tick_until(
+            &mut scheduler,
+            now,
+            now + 3_000,
+            &CallOutcome::NoAnswer,
+        )));
     }
     assert_eq!(gone[..1], [name(0)]);
 }
@@ -136,8 +144,9 @@
 /// given.
 #[test]
 fn a_machine_that_takes_no_launch_is_given_up_and_its_tasks_go_elsewhere() {
-    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
-    c.handle(
+    let mut scheduler =
+        Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..1), Vec::new(), 1_000);
+    scheduler.handle(
         1_000,
         Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 8, done: None },
     );
@@ -145,44 +154,54 @@
     let mut gone = Vec::new();
     for step in 0..8 {
         let now = 1_100 + step * 3_000;
-        let effects = c.handle(now, Event::Heartbeat(report(0, 1 + step, 7, Vec::new())));
+        let effects =
+            scheduler.handle(now, Event::Heartbeat(heartbeat(0, 1 + step, 7, Vec::new())));
         given += launches(&effects);
-        gone.extend(returned(&ticks(&mut c, now, now + 3_000, &CallOutcome::NoAnswer)));
+        gone.extend(terminated(&tick_until(
+            &mut scheduler,
+            now,
+            now + 3_000,
+            &CallOutcome::NoAnswer,
+        )));
     }
     assert!(given >= 4, "repeated with each answer: {given}");
     assert_eq!(gone, [name(0)]);
-    c.handle(30_000, Event::TerminateFinished { names: gone, ok: true });
-    assert_eq!(c.jobs()[&JobId(1)].waiting(), 2);
+    scheduler.handle(30_000, Event::TerminateFinished { names: gone, ok: true });
+    assert_eq!(scheduler.jobs()[&JobId(1)].waiting(), 2);
 }
 
 /// Users' check: copies of reports come late, from before the term, of machines that an earlier
 /// leader has deleted. A copy brings back nothing, settles nothing and refreshes nothing.
 #[test]
 fn a_late_copy_proves_nothing() {
-    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..2), Vec::new(), 1_000);
-    c.handle(
+    let mut scheduler =
+        Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..2), Vec::new(), 1_000);
+    scheduler.handle(
         1_000,
         Event::JobOpened { spec: spec(1, 4), submitted_at: 0, revision: 8, done: None },
     );
-    let known = c.machines().len();
+    let known = scheduler.machines().len();
     // Of a machine unknown to us, and of one that has not yet spoken in this term.
-    let mut effects = c.handle(1_100, Event::Heartbeat(report(9, 40, 6, Vec::new())));
-    effects.extend(c.handle(1_200, Event::Heartbeat(report(1, 40, 6, Vec::new()))));
-    effects.extend(c.handle(1_400, Event::Tick));
-    assert_eq!((c.machines().len(), launches(&effects)), (known, 0));
-    assert_eq!(c.machines()[&name(1)].last_heartbeat_at, None);
-    assert!(c.next_writes(1_500, 8).is_empty(), "nothing is stored for it");
+    let mut effects = scheduler.handle(1_100, Event::Heartbeat(heartbeat(9, 40, 6, Vec::new())));
+    effects.extend(scheduler.handle(1_200, Event::Heartbeat(heartbeat(1, 40, 6, Vec::new()))));
+    effects.extend(scheduler.handle(1_400, Event::Tick));
+    assert_eq!((scheduler.machines().len(), launches(&effects)), (known, 0));
+    assert_eq!(scheduler.machines()[&name(1)].last_heartbeat_at, None);
+    assert!(scheduler.next_writes(1_500, 8).is_empty(), "nothing is stored for it");
     // Settled; then a copy of an earlier report, from within the term, refreshes nothing.
-    c.handle(2_000, Event::Heartbeat(report(0, 50, 7, Vec::new())));
-    let effects = c.handle(9_000, Event::Heartbeat(report(0, 49, 7, Vec::new())));
-    assert_eq!((c.machines()[&name(0)].last_heartbeat_at, launches(&effects)), (Some(2_000), 0));
+    scheduler.handle(2_000, Event::Heartbeat(heartbeat(0, 50, 7, Vec::new())));
+    let effects = scheduler.handle(9_000, Event::Heartbeat(heartbeat(0, 49, 7, Vec::new())));
+    assert_eq!(
+        (scheduler.machines()[&name(0)].last_heartbeat_at, launches(&effects)),
+        (Some(2_000), 0)
+    );
     // Deleted in this term: not brought back, whatever token the copy shows.
-    c.handle(9_100, Event::TerminateFinished { names: vec![name(0)], ok: true });
-    c.handle(80_000, Event::Heartbeat(report(0, 51, 7, Vec::new())));
-    assert!(!c.machines().contains_key(&name(0)));
+    scheduler.handle(9_100, Event::TerminateFinished { names: vec![name(0)], ok: true });
+    scheduler.handle(80_000, Event::Heartbeat(heartbeat(0, 51, 7, Vec::new())));
+    assert!(!scheduler.machines().contains_key(&name(0)));
     // A rental carried out late shows our token half a second after it first hears it.
-    c.handle(80_100, Event::Heartbeat(report(9, 41, 7, Vec::new())));
-    assert!(c.machines().contains_key(&name(9)));
+    scheduler.handle(80_100, Event::Heartbeat(heartbeat(9, 41, 7, Vec::new())));
+    assert!(scheduler.machines().contains_key(&name(9)));
 }
 
 /// A node that is late itself hears late: while its questions are still open, a silent machine is
@@ -190,19 +209,20 @@
 #[test]
 fn a_late_leader_does_not_take_its_lateness_for_death() {
     let run = |answered: bool| {
-        let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..5), Vec::new(), 1_000);
+        let mut scheduler =
+            Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..5), Vec::new(), 1_000);
         let mut gone = None;
         for step in 0..40u64 {
             let now = 1_100 + step * 1_000;
             // The first never speaks.
             for i in 1..5 {
-                c.handle(now, Event::Heartbeat(report(i, 1 + step, 7, Vec::new())));
+                scheduler.handle(now, Event::Heartbeat(heartbeat(i, 1 + step, 7, Vec::new())));
             }
             let effects = match answered {
-                true => ticks(&mut c, now, now + 900, &CallOutcome::NotSent),
-                false => c.handle(now, Event::Tick),
+                true => tick_until(&mut scheduler, now, now + 900, &CallOutcome::NotSent),
+                false => scheduler.handle(now, Event::Tick),
             };
-            if returned(&effects).contains(&name(0)) {
+            if terminated(&effects).contains(&name(0)) {
                 gone.get_or_insert(now);
             }
         }
@@ -216,28 +236,32 @@
 /// answered holds nothing any more, and the inherited jobs start.
 #[test]
 fn machines_that_outlast_their_lease_hold_up_nobody() {
-    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..2), Vec::new(), 1_000);
-    c.handle(
+    let mut scheduler =
+        Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..2), Vec::new(), 1_000);
+    scheduler.handle(
         1_000,
         Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 3, done: None },
     );
     for step in 0..9 {
         let now = 1_100 + step * 3_000;
-        let effects = c.handle(now, Event::Heartbeat(report(0, 1 + step, 7, Vec::new())));
+        let effects =
+            scheduler.handle(now, Event::Heartbeat(heartbeat(0, 1 + step, 7, Vec::new())));
         assert_eq!(launches(&effects), 0, "at {now}");
-        let effects = ticks(&mut c, now, now + 3_000, &CallOutcome::NoAnswer);
+        let effects = tick_until(&mut scheduler, now, now + 3_000, &CallOutcome::NoAnswer);
         assert_eq!(launches(&effects), 0, "at {now}");
         for e in effects {
             if let Effect::Terminate(names) = e {
-                c.handle(now + 3_000, Event::TerminateFinished { names, ok: false });
+                scheduler.handle(now + 3_000, Event::TerminateFinished { names, ok: false });
             }
         }
     }
     let mut n = 0;
     for step in 9..12 {
         let now = 1_100 + step * 3_000;
-        n += launches(&c.handle(now, Event::Heartbeat(report(0, 1 + step, 7, Vec::new()))));
-        n += launches(&ticks(&mut c, now, now + 3_000, &CallOutcome::NoAnswer));
+        n += launches(
+            &scheduler.handle(now, Event::Heartbeat(heartbeat(0, 1 + step, 7, Vec::new()))),
+        );
+        n += launches(&tick_until(&mut scheduler, now, now + 3_000, &CallOutcome::NoAnswer));
     }
     assert!(n >= 2, "started after the lease: {n}");
 }
--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -11,37 +11,43 @@
 /// large array meets three faulty machines of a large fleet at once, and was then held back for up
 /// to a minute while the faulty machines kept their names.
 #[test]
-fn a_large_job_on_a_few_faulty_machines_is_not_suspected() {
-    let phases = |c: &Scheduler, i: u64, phase| -> Vec<TaskStatus> {
-        let runs = c.machines()[&name(i)].runs.values();
-        runs.map(|r| TaskStatus { phase, ..seen(r) }).collect()
+fn a_large_job_on_a_few_faulty_machines_is_not_quarantined() {
+    let phases = |scheduler: &Scheduler, i: u64, phase| -> Vec<TaskStatus> {
+        let runs = scheduler.machines()[&name(i)].runs.values();
+        runs.map(|r| TaskStatus { phase, ..status_of(r) }).collect()
     };
     let run = |tasks: u32| {
-        let mut c =
-            Scheduler::new(patient(), STAMPS, types(), stored_set(0..20), Vec::new(), 1_000);
+        let mut scheduler = Scheduler::new(
+            long_idle_timeout(),
+            TERM,
+            types(),
+            stored_set(0..20),
+            Vec::new(),
+            1_000,
+        );
         for i in 0..20 {
-            c.handle(1_000, Event::Heartbeat(report(i, 1, 7, Vec::new())));
+            scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
         }
         let job =
             Event::JobOpened { spec: spec(1, tasks), submitted_at: 0, revision: 8, done: None };
-        c.handle(1_100, job);
-        c.handle(1_300, Event::Tick);
+        scheduler.handle(1_100, job);
+        scheduler.handle(1_300, Event::Tick);
         // All its tasks on three of its machines fail.
         let on: Vec<u64> =
-            (0..20).filter(|i| !c.machines()[&name(*i)].runs.is_empty()).take(3).collect();
+            (0..20).filter(|i| !scheduler.machines()[&name(*i)].runs.is_empty()).take(3).collect();
         for i in on {
-            let failed = phases(&c, i, TaskPhase::Ended(ExitCause::Failed));
-            c.handle(2_000, Event::Heartbeat(report(i, 2, 7, failed)));
+            let failed = phases(&scheduler, i, TaskPhase::Ended(ExitCause::Failed));
+            scheduler.handle(2_000, Event::Heartbeat(heartbeat(i, 2, 7, failed)));
         }
-        c
+        scheduler
     };
     let mut large = run(30);
     // Three failures say nothing once others are seen to run for longer.
-    let rest: Vec<u64> = (0..20).filter(|i| !ends(&large, *i)).collect();
+    let rest: Vec<u64> = (0..20).filter(|i| !has_only_ended(&large, *i)).collect();
     for (sequence, now) in [(3, 2_500), (4, 6_000)] {
         for i in &rest {
             let running = phases(&large, *i, TaskPhase::Running);
-            large.handle(now, Event::Heartbeat(report(*i, sequence, 7, running)));
+            large.handle(now, Event::Heartbeat(heartbeat(*i, sequence, 7, running)));
         }
     }
     large.handle(6_200, Event::Tick);
@@ -57,8 +63,14 @@
 #[test]
 fn two_broken_arrays_over_the_same_machines_lose_none_of_them() {
     let machines = 20u64;
-    let mut c =
-        Scheduler::new(patient(), STAMPS, types(), stored_set(0..machines), Vec::new(), 1_000);
+    let mut scheduler = Scheduler::new(
+        long_idle_timeout(),
+        TERM,
+        types(),
+        stored_set(0..machines),
+        Vec::new(),
+        1_000,
+    );
     let mut seqs = vec![1; machines as usize];
     let job = |id, tasks, at| Event::JobOpened {
         spec: spec(id, tasks),
@@ -71,15 +83,15 @@
     for step in 0..1_200u64 {
         let now = 1_000 + step * 500;
         match step {
-            4 => drop(c.handle(now, job(1, 100, now))),
-            5 => drop(c.handle(now, job(2, 100, now))),
-            _ if step % 40 == 10 => drop(c.handle(now, job(10 + step, 8, now))),
+            4 => drop(scheduler.handle(now, job(1, 100, now))),
+            5 => drop(scheduler.handle(now, job(2, 100, now))),
+            _ if step % 40 == 10 => drop(scheduler.handle(now, job(10 + step, 8, now))),
             _ => {}
         }
-        let mut effects = c.handle(now, Event::Tick);
+        let mut effects = scheduler.handle(now, Event::Tick);
         for i in 0..machines {
             seqs[i as usize] += 1;
-            let runs = c.machines()[&name(i)].runs.clone();
+            let runs = scheduler.machines()[&name(i)].runs.clone();
             let tasks = runs.iter().map(|(key, run)| {
                 let phase = match run.phase {
                     TaskPhase::Assigned | TaskPhase::Fetching if key.0.job.0 < 3 => {
@@ -96,10 +108,10 @@
                     }
                     other => other,
                 };
-                TaskStatus { phase, ..seen(run) }
+                TaskStatus { phase, ..status_of(run) }
             });
-            let r = report(i, seqs[i as usize], 7, tasks.collect());
-            effects.extend(c.handle(now, Event::Heartbeat(r)));
+            let r = heartbeat(i, seqs[i as usize], 7, tasks.collect());
+            effects.extend(scheduler.handle(now, Event::Heartbeat(r)));
         }
         for e in &effects {
             if let Effect::Log(text) = e {
@@ -117,10 +129,11 @@
 /// whole; what it suffered speaks against those machines.
 #[test]
 fn a_good_job_that_met_three_faulty_machines_gets_going_again() {
-    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..5), Vec::new(), 1_000);
-    let report_all = |c: &mut Scheduler, now: u64, sequence: u64| {
+    let mut scheduler =
+        Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..5), Vec::new(), 1_000);
+    let report_all = |scheduler: &mut Scheduler, now: u64, sequence: u64| {
         for i in 0..5 {
-            let runs = c.machines()[&name(i)].runs.clone();
+            let runs = scheduler.machines()[&name(i)].runs.clone();
             let tasks = runs.values().map(|run| {
                 let phase = match run.phase {
                     TaskPhase::Assigned if i < 3 => TaskPhase::Ended(ExitCause::Failed),
@@ -128,14 +141,14 @@
                     TaskPhase::Running => TaskPhase::Ended(ExitCause::Done),
                     other => other,
                 };
-                TaskStatus { phase, ..seen(run) }
+                TaskStatus { phase, ..status_of(run) }
             });
-            let r = report(i, sequence, 7, tasks.collect());
-            c.handle(now, Event::Heartbeat(r));
+            let r = heartbeat(i, sequence, 7, tasks.collect());
+            scheduler.handle(now, Event::Heartbeat(r));
         }
     };
     for i in 0..5 {
-        c.handle(1_000, Event::Heartbeat(report(i, 1, 7, Vec::new())));
+        scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
     // Others have the sound machines; then the job starts on the faulty ones.
     let job = |id, tasks| Event::JobOpened {
@@ -144,20 +157,20 @@
         revision: 8,
         done: None,
     };
-    c.handle(1_100, job(1, 6));
-    c.handle(1_300, Event::Tick);
+    scheduler.handle(1_100, job(1, 6));
+    scheduler.handle(1_300, Event::Tick);
     let mut suspected = false;
     for step in 1..400 {
         let now = 1_300 + step * 500;
-        c.handle(now, Event::Tick);
-        report_all(&mut c, now, 1 + step);
+        scheduler.handle(now, Event::Tick);
+        report_all(&mut scheduler, now, 1 + step);
         if step == 4 {
-            c.handle(now, job(2, 2));
+            scheduler.handle(now, job(2, 2));
         }
-        suspected |= c.jobs().get(&JobId(1)).is_some_and(|j| j.is_quarantined);
+        suspected |= scheduler.jobs().get(&JobId(1)).is_some_and(|j| j.is_quarantined);
     }
     assert!(suspected);
-    let done = c.jobs().get(&JobId(1)).map_or(6, |j| j.done.ones());
+    let done = scheduler.jobs().get(&JobId(1)).map_or(6, |j| j.done.ones());
     assert_eq!(done, 6);
 }
 
@@ -165,34 +178,45 @@
 /// back: the job is tried there again, soon enough for nobody to wait 90 s where there is room.
 #[test]
 fn a_job_goes_back_to_a_machine_whose_fault_has_passed() {
-    let mut c = Scheduler::new(patient(), STAMPS, sold_out(), stored_set(0..1), Vec::new(), 1_000);
+    let mut scheduler = Scheduler::new(
+        long_idle_timeout(),
+        TERM,
+        types_out_of_stock(),
+        stored_set(0..1),
+        Vec::new(),
+        1_000,
+    );
     for (id, tasks) in [(1, 2), (2, 1)] {
         let spec = spec(id, tasks);
-        c.handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 3, done: None });
+        scheduler
+            .handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 3, done: None });
     }
     let task = |task: &str, phase| TaskStatus { task: task.parse().unwrap(), attempt: 5, phase };
     let long = task("req-000002/0", TaskPhase::Running);
     let first = task("req-000001/0", TaskPhase::Ended(ExitCause::Done));
-    c.handle(1_000, Event::Heartbeat(report(0, 1, 7, vec![long, first])));
+    scheduler.handle(1_000, Event::Heartbeat(heartbeat(0, 1, 7, vec![long, first])));
     let mut failed_at = None;
     for now in (1_200..120_000).step_by(200) {
         let mut tasks = vec![long];
-        for run in c.machines()[&name(0)].runs.values().filter(|r| r.task.job == JobId(1)) {
+        for run in scheduler.machines()[&name(0)].runs.values().filter(|r| r.task.job == JobId(1)) {
             // The first try of the other task fails, at once.
             let fails = run.is_live() && failed_at.is_none_or(|at| at == now);
             if fails {
                 failed_at = Some(now);
-                tasks.push(TaskStatus { phase: TaskPhase::Ended(ExitCause::Failed), ..seen(run) });
+                tasks.push(TaskStatus {
+                    phase: TaskPhase::Ended(ExitCause::Failed),
+                    ..status_of(run)
+                });
             } else if run.phase == TaskPhase::Assigned {
                 let at = failed_at.unwrap();
                 assert!((at + 10_000..at + 80_000).contains(&now), "{at}, {now}");
                 return;
             } else {
-                tasks.push(seen(run));
+                tasks.push(status_of(run));
             }
         }
-        c.handle(now, Event::Heartbeat(report(0, now, 7, tasks)));
-        c.handle(now, Event::Tick);
+        scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, tasks)));
+        scheduler.handle(now, Event::Tick);
     }
     panic!("never tried again, failed at {failed_at:?}");
 }
--- a/crates/latchtrack-core/tests/gangs/attempts.rs
+++ b/crates/latchtrack-core/tests/gangs/attempts.rs
@@ -8,11 +8,11 @@
 use latchtrack_core::scheduler::{AttemptState, Event, RecordWrite};
 
 use super::common::site::{zone_of, Site, TOKEN};
-use super::{gang, only_attempt, patient};
+use super::{gang, long_idle_timeout, only_attempt};
 
 #[test]
 fn a_gang_starts_whole_under_one_attempt_number_or_not_at_all() {
-    let mut site = Site::new(2, patient());
+    let mut site = Site::new(2, long_idle_timeout());
     site.submit(gang(1, 5));
     site.pass(1_000);
     assert_eq!(site.launches, [], "five do not fit");
@@ -32,14 +32,14 @@
 
 #[test]
 fn a_gang_of_one_zone_is_in_one_zone() {
-    let mut site = Site::new(4, patient());
+    let mut site = Site::new(4, long_idle_timeout());
     site.submit(JobSpec { one_zone: true, ..gang(1, 4) });
     site.pass(400);
     only_attempt(&site, 1, 4);
     let zones: BTreeSet<&str> = site.launches.iter().map(|(i, ..)| zone_of(*i)).collect();
     assert_eq!(zones.len(), 1);
     // Half of one that is to be apart, rounded up.
-    let mut site = Site::new(4, patient());
+    let mut site = Site::new(4, long_idle_timeout());
     site.submit(JobSpec { spread: true, ..gang(1, 5) });
     site.pass(400);
     only_attempt(&site, 1, 5);
@@ -59,7 +59,7 @@
             ExitCause::InsufficientResources,
             ExitCause::Unrecognised,
         ] {
-            let mut site = Site::new(2, patient());
+            let mut site = Site::new(2, long_idle_timeout());
             site.submit(gang(1, 4));
             site.pass(400);
             let first = only_attempt(&site, 1, 4);
@@ -89,7 +89,7 @@
 /// The fetch would begin anew with the next attempt, and time be short again.
 #[test]
 fn after_a_slow_fetch_the_image_is_there_for_the_next_attempt() {
-    let mut site = Site::new(2, patient());
+    let mut site = Site::new(2, long_idle_timeout());
     site.submit(gang(1, 4));
     site.pass(400);
     site.set(1, TaskPhase::Waiting, |i| i < 2);
@@ -113,7 +113,7 @@
 
 #[test]
 fn the_first_task_that_is_done_completes_the_gang() {
-    let mut site = Site::new(2, patient());
+    let mut site = Site::new(2, long_idle_timeout());
     site.submit(gang(1, 4));
     site.pass(400);
     site.set(1, TaskPhase::Running, |_| true);
@@ -129,7 +129,7 @@
 /// What an earlier version, which knew no gangs, stored of one.
 #[test]
 fn a_stored_result_of_one_task_means_that_the_gang_is_done() {
-    let mut site = Site::new(2, patient());
+    let mut site = Site::new(2, long_idle_timeout());
     let mut done = latchtrack_core::bitmap::Bitmap::new(4);
     done.set(2);
     let spec = Arc::new(gang(1, 4));
@@ -144,7 +144,7 @@
     for stage in
         [TaskPhase::Fetching, TaskPhase::Waiting, TaskPhase::Running, TaskPhase::Checkpointing]
     {
-        let mut site = Site::new(2, patient());
+        let mut site = Site::new(2, long_idle_timeout());
         site.submit(gang(1, 4));
         site.pass(400);
         site.set(1, stage, |_| true);
@@ -160,7 +160,7 @@
 #[test]
 fn a_gang_that_can_save_is_stopped_whole_with_enough_grace() {
     let saving = JobSpec { checkpoint_s: 20.0, save_s: 3.0, ..gang(1, 4) };
-    let mut site = Site::new(2, patient());
+    let mut site = Site::new(2, long_idle_timeout());
     site.submit(saving.clone());
     site.pass(400);
     site.set(1, TaskPhase::Running, |_| true);
@@ -177,7 +177,7 @@
     site.drive(Event::Tick);
     assert_eq!(site.live(1).len(), 0);
 
-    let mut site = Site::new(2, patient());
+    let mut site = Site::new(2, long_idle_timeout());
     site.submit(saving);
     site.pass(400);
     // A waiting gang has nothing to save.
@@ -190,7 +190,7 @@
 /// machines are not suspected beyond the first.
 #[test]
 fn the_failures_of_one_attempt_count_once() {
-    let mut site = Site::new(4, patient());
+    let mut site = Site::new(4, long_idle_timeout());
     let demand = Demand { cpus: 8.0, gpus: 0.0, memory_gb: 8.0 };
     site.submit(JobSpec { demand, ..gang(1, 4) });
     site.pass(400);
@@ -208,7 +208,7 @@
 /// machine is known not to run it.
 #[test]
 fn a_launch_that_may_come_late_keeps_the_next_attempt_waiting() {
-    let mut site = Site::new(2, patient());
+    let mut site = Site::new(2, long_idle_timeout());
     site.deaf.insert(1);
     site.submit(gang(1, 4));
     site.pass(400);
--- a/crates/latchtrack-core/tests/gangs/main.rs
+++ b/crates/latchtrack-core/tests/gangs/main.rs
@@ -13,7 +13,7 @@
 use latchtrack_core::scheduler::Policy;
 
 /// Nothing is given back while a case lasts.
-fn patient() -> Policy {
+fn long_idle_timeout() -> Policy {
     Policy { on_demand_idle_timeout_ms: 600_000, ..policy() }
 }
 
--- a/crates/latchtrack-core/tests/gangs/reservations.rs
+++ b/crates/latchtrack-core/tests/gangs/reservations.rs
@@ -8,13 +8,13 @@
 
 use super::common::policy;
 use super::common::site::{new_leader, Site, TOKEN};
-use super::{array, gang, only_attempt, patient};
+use super::{array, gang, long_idle_timeout, only_attempt};
 
 /// Two gangs that each could hold half: room comes free for one task after the other, and an array is
 /// there to take it.
 #[test]
-fn room_is_gathered_for_one_gang_after_the_other() {
-    let mut site = Site::new(2, patient());
+fn capacity_is_reserved_for_one_gang_after_the_other() {
+    let mut site = Site::new(2, long_idle_timeout());
     site.submit(array(1, 4));
     site.pass(400);
     site.set(1, TaskPhase::Running, |_| true);
@@ -35,7 +35,7 @@
 /// A gang far down the queue, with no aim, all the same begins soon.
 #[test]
 fn a_gang_behind_an_endless_queue_begins() {
-    let mut policy = patient();
+    let mut policy = long_idle_timeout();
     policy.completion_objectives =
         vec![CompletionObjective { class: "aimed".into(), due: Due::Within(3_600_000) }];
     let mut site = Site::new(2, policy);
@@ -84,18 +84,18 @@
 
 /// A class of gangs that are to start within a second.
 fn start_objectives() -> Policy {
-    Policy { start_objectives: vec![("prompt".into(), 1_000)], ..patient() }
+    Policy { start_objectives: vec![("prompt".into(), 1_000)], ..long_idle_timeout() }
 }
 
-fn prompt_gang(id: u64, tasks: u32) -> JobSpec {
+fn gang_with_start_objective(id: u64, tasks: u32) -> JobSpec {
     JobSpec { class: "prompt".into(), ..gang(id, tasks) }
 }
 
 #[test]
-fn room_for_the_largest_prompt_gang_is_kept_from_others_while_more_may_come() {
+fn capacity_for_the_largest_gang_with_a_start_objective_is_reserved_while_more_may_come() {
     let mut site = Site::new(4, start_objectives());
     for (id, tasks) in [(1, 3), (2, 2)] {
-        site.submit(prompt_gang(id, tasks));
+        site.submit(gang_with_start_objective(id, tasks));
         site.pass(400);
         site.set(id, TaskPhase::Ended(ExitCause::Done), |_| true);
         site.pass(1_000);
@@ -105,14 +105,14 @@
     site.pass(3_000);
     assert_eq!(site.live(3).len(), 5);
     site.set(3, TaskPhase::Running, |_| true);
-    site.submit(prompt_gang(4, 3));
+    site.submit(gang_with_start_objective(4, 3));
     site.pass(400);
     only_attempt(&site, 4, 3);
     // What comes free is for the next, before the array.
     site.set(3, TaskPhase::Ended(ExitCause::Done), |i| i < 3);
     site.pass(2_000);
     assert_eq!(site.live(3).len(), 2);
-    site.submit(prompt_gang(5, 3));
+    site.submit(gang_with_start_objective(5, 3));
     site.pass(400);
     only_attempt(&site, 5, 3);
     // None came for long: nothing is kept any more.
@@ -124,10 +124,10 @@
 }
 
 #[test]
-fn a_machine_that_is_kept_for_prompt_gangs_is_not_idle() {
+fn a_machine_that_is_reserved_for_gangs_to_come_is_not_idle() {
     let policy = Policy { on_demand_idle_timeout_ms: 4_000, ..start_objectives() };
     let mut site = Site::new(2, policy);
-    site.submit(prompt_gang(1, 2));
+    site.submit(gang_with_start_objective(1, 2));
     site.pass(400);
     site.set(1, TaskPhase::Ended(ExitCause::Done), |_| true);
     let to_terminate =
@@ -140,10 +140,10 @@
 
 /// Nothing that is up could ever hold it: it is rented before the next one comes.
 #[test]
-fn what_no_machine_could_hold_is_rented_for_the_next_prompt_gang() {
+fn what_no_machine_could_hold_is_provisioned_for_the_next_gang_with_a_start_objective() {
     let mut site = Site::new(1, start_objectives());
     site.no_capacity = true;
-    site.submit(prompt_gang(1, 4));
+    site.submit(gang_with_start_objective(1, 4));
     site.pass(400);
     // For the gang itself; called off, it leaves nothing to rent for but the next.
     let before = site.hired.len();
--- a/crates/latchtrack-core/tests/gangs/team_limits.rs
+++ b/crates/latchtrack-core/tests/gangs/team_limits.rs
@@ -5,11 +5,11 @@
 use latchtrack_core::scheduler::{CompletionObjective, Due, Policy};
 
 use super::common::site::Site;
-use super::{array, gang, only_attempt, patient};
+use super::{array, gang, long_idle_timeout, only_attempt};
 
 #[test]
 fn a_gang_counts_whole_against_its_teams_limit() {
-    let mut policy = patient();
+    let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 16.0;
     let mut site = Site::new(4, policy);
     site.submit(gang(1, 4));
@@ -33,7 +33,7 @@
 /// that had not begun for long it was counted as used, and with it the whole limit.
 #[test]
 fn a_slice_above_its_teams_limit_holds_up_nobody() {
-    let mut policy = Policy { slice: 2, ..patient() };
+    let mut policy = Policy { slice: 2, ..long_idle_timeout() };
     policy.teams[0].cpus_max = 4.0;
     let mut site = Site::new(2, policy);
     // There is no machine for it just now.
@@ -48,8 +48,8 @@
 /// Found by simulation: a gang submitted with a mistake was to begin before all others for ever, and kept
 /// its team's limit from a good one.
 #[test]
-fn nothing_is_kept_for_a_suspect_gang() {
-    let mut policy = patient();
+fn nothing_is_reserved_for_a_quarantined_gang() {
+    let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 16.0;
     let mut site = Site::new(4, policy);
     site.submit(gang(1, 4));
@@ -72,8 +72,8 @@
 /// Found by simulation: a job that was to begin before all others needed a machine that was not there, and
 /// in its turn, behind the team's other jobs, their limit was used up: none was rented.
 #[test]
-fn a_machine_is_rented_for_a_job_that_is_to_begin_before_its_team_uses_its_limit() {
-    let mut policy = patient();
+fn a_machine_is_provisioned_for_a_starving_job_before_its_team_uses_its_limit() {
+    let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 8.0;
     policy.completion_objectives =
         vec![CompletionObjective { class: "aimed".into(), due: Due::Within(3_600_000) }];
@@ -103,7 +103,7 @@
 /// limit went, and stopped again, over and over.
 #[test]
 fn a_gang_is_never_launched_in_part_under_its_teams_limit() {
-    let mut policy = patient();
+    let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 16.0;
     let mut site = Site::new(4, policy);
     site.submit(array(1, 2));
@@ -124,7 +124,7 @@
 /// jobs took that, and when it had the limit again its machines had been given back.
 #[test]
 fn a_gang_keeps_its_teams_limit_while_its_machines_boot() {
-    let mut policy = patient();
+    let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 16.0;
     let mut site = Site::new(2, policy);
     site.no_capacity = true;
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -39,7 +39,7 @@
 
 /// A room is open to the jobs it is kept for whole, and to others for what those leave.
 #[test]
-fn a_kept_room_is_open_to_others_for_what_its_holder_leaves() {
+fn reserved_capacity_is_open_to_others_for_what_its_holder_leaves() {
     let amount = |cpus| Demand { cpus, gpus: 0.0, memory_gb: cpus };
     let mut room = FreeCapacity {
         machine: None,
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -10,24 +10,26 @@
 use latchtrack_core::scheduler::*;
 
 #[test]
-fn many_large_jobs_take_bounded_memory_and_short_rounds() {
-    let mut c = Scheduler::new(policy(), STAMPS, types(), stored_set(0..30), Vec::new(), 1_000);
+fn many_large_jobs_take_bounded_memory_and_short_cycles() {
+    let mut scheduler =
+        Scheduler::new(policy(), TERM, types(), stored_set(0..30), Vec::new(), 1_000);
     for i in 0..30 {
-        c.handle(1_000, Event::Heartbeat(report(i, 1, 7, Vec::new())));
+        scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
     for id in 1..=200 {
         let spec = spec(id, 100_000);
-        c.handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None });
+        scheduler
+            .handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None });
     }
-    c.handle(2_000, Event::Tick);
+    scheduler.handle(2_000, Event::Tick);
     // Two tasks to a machine are placed, and no job holds more than its bits.
-    let placed: usize = c.jobs().values().map(|j| j.placed.len() + j.again.len()).sum();
+    let placed: usize = scheduler.jobs().values().map(|j| j.placed.len() + j.again.len()).sum();
     assert_eq!(placed, 60);
 }
 
 #[test]
 fn absurd_numbers_from_outside_are_only_absurd() {
-    let mut c = busy_fleet(2);
+    let mut scheduler = busy_fleet(2);
     let absurd = JobSpec { deadline_s: Some(1e300), estimate_s: 1e300, ..(*spec(2, 3)).clone() };
     let job = Event::JobOpened {
         spec: Arc::new(absurd),
@@ -35,10 +37,10 @@
         revision: u64::MAX,
         done: None,
     };
-    c.handle(2_000, job);
-    let mut r = report(0, u64::MAX, 7, Vec::new());
+    scheduler.handle(2_000, job);
+    let mut r = heartbeat(0, u64::MAX, 7, Vec::new());
     (r.agent_epoch, r.notice_s) = (u64::MAX, Some(1e300));
-    c.handle(2_100, Event::Heartbeat(r));
+    scheduler.handle(2_100, Event::Heartbeat(r));
     let listed = ListedMachine {
         name: name(9),
         kind: "unknown".into(),
@@ -48,12 +50,12 @@
         running: false,
         age_ms: u64::MAX,
     };
-    c.handle(2_200, Event::MachinesListed(vec![listed]));
+    scheduler.handle(2_200, Event::MachinesListed(vec![listed]));
     for step in 0..50 {
-        c.handle(3_000 + step * 200, Event::Tick);
+        scheduler.handle(3_000 + step * 200, Event::Tick);
     }
     // The machine moved to another session without its task, which waits again.
-    assert_eq!(c.jobs()[&JobId(1)].placed.len(), 1);
+    assert_eq!(scheduler.jobs()[&JobId(1)].placed.len(), 1);
 }
 
 /// Recorded day: large jobs that can't be in time made the small ones behind them late too.
@@ -65,29 +67,32 @@
             .completion_objectives
             .push(CompletionObjective { class: "c".into(), due: Due::Within(ms) });
     }
-    let mut c = Scheduler::new(policy, STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
+    let mut scheduler = Scheduler::new(policy, TERM, types(), stored_set(0..1), Vec::new(), 1_000);
     // Nobody is placed before the machine has spoken; 8 tasks of 20 s need 80 s of its 8 CPUs.
     for (id, tasks) in [(1, 8), (2, 1)] {
         let spec = spec(id, tasks);
-        c.handle(1_000 + id, Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None });
+        scheduler.handle(
+            1_000 + id,
+            Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None },
+        );
     }
-    c.handle(2_000, Event::Heartbeat(report(0, 1, 7, Vec::new())));
-    let placed = |id| c.jobs()[&JobId(id)].placed.len();
+    scheduler.handle(2_000, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
+    let placed = |id| scheduler.jobs()[&JobId(id)].placed.len();
     assert_eq!((placed(1), placed(2)), (1, 1));
 }
 
 /// A task that is to start within a second must not land where its image takes four to come, while
 /// another machine holds it and may be free in time; after that second it takes what there is.
 #[test]
-fn a_prompt_job_waits_for_a_machine_that_holds_its_image() {
-    let policy = Policy { start_objectives: vec![("p".into(), 1_000)], ..patient() };
-    let mut c = Scheduler::new(policy, STAMPS, types(), Vec::new(), Vec::new(), 1_000);
+fn a_job_with_a_start_objective_waits_for_a_machine_that_holds_its_image() {
+    let policy = Policy { start_objectives: vec![("p".into(), 1_000)], ..long_idle_timeout() };
+    let mut scheduler = Scheduler::new(policy, TERM, types(), Vec::new(), Vec::new(), 1_000);
     // Two machines of this term; the first has run the image.
     for i in 0..2 {
-        c.handle(1_000, Event::Heartbeat(report(i, 1, 7, Vec::new())));
+        scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
-    let writes = c.next_writes(1_000, 8);
-    c.handle(1_000, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(9) });
+    let writes = scheduler.next_writes(1_000, 8);
+    scheduler.handle(1_000, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(9) });
     let start_objectives = |id, tasks, submitted_at| {
         let spec = JobSpec {
             class: "p".into(),
@@ -97,24 +102,24 @@
         };
         Event::JobOpened { spec: Arc::new(spec), submitted_at, revision: 8, done: None }
     };
-    c.handle(2_000, start_objectives(1, 1, 2_000));
-    c.handle(2_100, Event::Tick);
-    let on = c.jobs()[&JobId(1)].placed[&0].machine.to_string();
+    scheduler.handle(2_000, start_objectives(1, 1, 2_000));
+    scheduler.handle(2_100, Event::Tick);
+    let on = scheduler.jobs()[&JobId(1)].placed[&0].machine.to_string();
     let i = u64::from(on == name(1));
-    let running = c.machines()[&on]
+    let running = scheduler.machines()[&on]
         .runs
         .values()
-        .map(|r| TaskStatus { phase: TaskPhase::Running, ..seen(r) });
+        .map(|r| TaskStatus { phase: TaskPhase::Running, ..status_of(r) });
     let running = running.collect();
-    c.handle(3_000, Event::Heartbeat(report(i, 2, 7, running)));
+    scheduler.handle(3_000, Event::Heartbeat(heartbeat(i, 2, 7, running)));
     // One place is left beside it, two are free on the machine without the image.
-    c.handle(5_000, start_objectives(2, 2, 5_000));
-    c.handle(5_100, Event::Tick);
+    scheduler.handle(5_000, start_objectives(2, 2, 5_000));
+    scheduler.handle(5_100, Event::Tick);
     let placed: Vec<String> =
-        c.jobs()[&JobId(2)].placed.values().map(|p| p.machine.to_string()).collect();
+        scheduler.jobs()[&JobId(2)].placed.values().map(|p| p.machine.to_string()).collect();
     assert_eq!(placed, [on]);
-    c.handle(6_100, Event::Tick);
-    assert_eq!(c.jobs()[&JobId(2)].placed.len(), 2);
+    scheduler.handle(6_100, Event::Tick);
+    assert_eq!(scheduler.jobs()[&JobId(2)].placed.len(), 2);
 }
 
 #[test]
@@ -131,58 +136,65 @@
 /// Recorded day inc-062e: idle-time work without any aim stood before all jobs that could not be in
 /// time, and kept a full fleet from them for minutes.
 #[test]
-fn idle_time_work_waits_for_what_is_late_and_rents_nothing_dear() {
-    let mut c = Scheduler::new(c_policy(), STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
-    let spare = JobSpec { class: "idle".into(), priority: Priority::Low, ..(*spec(1, 40)).clone() };
+fn best_effort_work_waits_for_what_is_late_and_provisions_only_spot_machines() {
+    let mut scheduler =
+        Scheduler::new(late_class_policy(), TERM, types(), stored_set(0..1), Vec::new(), 1_000);
+    let best_effort =
+        JobSpec { class: "idle".into(), priority: Priority::Low, ..(*spec(1, 40)).clone() };
     let job = |spec| Event::JobOpened { spec, submitted_at: 0, revision: 9, done: None };
-    c.handle(1_000, job(Arc::new(spare.clone())));
-    c.handle(1_000, job(spec(2, 2)));
-    c.handle(2_000, Event::Heartbeat(report(0, 1, 7, Vec::new())));
-    let placed = |c: &Scheduler, id| c.jobs()[&JobId(id)].placed.len();
-    assert_eq!((placed(&c, 1), placed(&c, 2)), (0, 2), "the late one goes first");
-    let mut hired = Vec::new();
+    scheduler.handle(1_000, job(Arc::new(best_effort.clone())));
+    scheduler.handle(1_000, job(spec(2, 2)));
+    scheduler.handle(2_000, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
+    let placed = |scheduler: &Scheduler, id| scheduler.jobs()[&JobId(id)].placed.len();
+    assert_eq!((placed(&scheduler, 1), placed(&scheduler, 2)), (0, 2), "the late one goes first");
+    let mut provisioned_spot = Vec::new();
     for now in (2_200..60_000).step_by(200) {
-        for e in c.handle(now, Event::Tick) {
+        for e in scheduler.handle(now, Event::Tick) {
             let Effect::Provision { request_id, offer, .. } = e else { continue };
-            hired.push(offer.spot);
-            c.handle(
+            provisioned_spot.push(offer.spot);
+            scheduler.handle(
                 now,
                 Event::ProvisionFinished { request_id, outcome: ProvisionOutcome::NoCapacity },
             );
         }
     }
-    assert!(!hired.is_empty() && hired.iter().all(|spot| *spot), "{hired:?}");
+    assert!(
+        !provisioned_spot.is_empty() && provisioned_spot.iter().all(|spot| *spot),
+        "{provisioned_spot:?}"
+    );
 
     // Behind others that are late for ever it has its share all the same.
-    let mut c = Scheduler::new(c_policy(), STAMPS, types(), stored_set(0..40), Vec::new(), 200_000);
-    c.handle(200_000, job(Arc::new(spare)));
-    c.handle(200_000, job(spec(2, 1_000)));
+    let mut scheduler =
+        Scheduler::new(late_class_policy(), TERM, types(), stored_set(0..40), Vec::new(), 200_000);
+    scheduler.handle(200_000, job(Arc::new(best_effort)));
+    scheduler.handle(200_000, job(spec(2, 1_000)));
     for i in 0..40 {
         let now = 200_000 + 200 * i;
-        c.handle(now, Event::Tick);
-        c.handle(now, Event::Heartbeat(report(i, 1, 7, Vec::new())));
+        scheduler.handle(now, Event::Tick);
+        scheduler.handle(now, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
     // Of eighty places in all.
-    assert!((15..=20).contains(&placed(&c, 1)), "{}", placed(&c, 1));
-    assert_eq!(placed(&c, 1) + placed(&c, 2), 80);
+    assert!((15..=20).contains(&placed(&scheduler, 1)), "{}", placed(&scheduler, 1));
+    assert_eq!(placed(&scheduler, 1) + placed(&scheduler, 2), 80);
 }
 
 /// Hunted days of kolkata: six such jobs shared what was left, so that none was done by the day's end.
 #[test]
-fn idle_time_work_is_done_one_job_after_the_other() {
-    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..3), Vec::new(), 1_000);
+fn best_effort_work_is_done_one_job_after_the_other() {
+    let mut scheduler =
+        Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..3), Vec::new(), 1_000);
     for id in [1, 2] {
         let low = JobSpec { priority: Priority::Low, ..(*spec(id, 5)).clone() };
         let job =
             Event::JobOpened { spec: Arc::new(low), submitted_at: id, revision: 8, done: None };
-        c.handle(1_000, job);
+        scheduler.handle(1_000, job);
     }
     for i in 0..3 {
         let now = 1_200 + 200 * i;
-        c.handle(now, Event::Tick);
-        c.handle(now, Event::Heartbeat(report(i, 1, 7, Vec::new())));
+        scheduler.handle(now, Event::Tick);
+        scheduler.handle(now, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
-    let placed = |id| c.jobs()[&JobId(id)].placed.len();
+    let placed = |id| scheduler.jobs()[&JobId(id)].placed.len();
     assert_eq!((placed(1), placed(2)), (5, 1));
 }
 
@@ -190,15 +202,16 @@
 /// in time, the largest first, and began 500 s later.
 #[test]
 fn a_small_job_past_its_deadline_is_not_left_to_the_end() {
-    let mut c = Scheduler::new(patient(), STAMPS, types(), stored_set(0..1), Vec::new(), 100_000);
+    let mut scheduler =
+        Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..1), Vec::new(), 100_000);
     let late = |id, tasks| {
         let spec = JobSpec { deadline_s: Some(1.0), ..(*spec(id, tasks)).clone() };
         Event::JobOpened { spec: Arc::new(spec), submitted_at: 90_000, revision: 8, done: None }
     };
-    c.handle(100_000, late(1, 50));
-    c.handle(100_000, late(2, 2));
-    c.handle(100_000, Event::Heartbeat(report(0, 1, 7, Vec::new())));
-    assert_eq!(c.jobs()[&JobId(2)].placed.len(), 2, "the least work first");
+    scheduler.handle(100_000, late(1, 50));
+    scheduler.handle(100_000, late(2, 2));
+    scheduler.handle(100_000, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
+    assert_eq!(scheduler.jobs()[&JobId(2)].placed.len(), 2, "the least work first");
 }
 
 /// A machine of eight CPUs with a task of four, kept for a task of six; when a job of this size that
@@ -209,19 +222,26 @@
         let spec = Arc::new(JobSpec { demand, ..(*spec(id, 1)).clone() });
         Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None }
     };
-    let mut c = Scheduler::new(patient(), STAMPS, sold_out(), stored_set(0..1), Vec::new(), 1_000);
-    c.handle(1_000, sized(1, 4.0));
+    let mut scheduler = Scheduler::new(
+        long_idle_timeout(),
+        TERM,
+        types_out_of_stock(),
+        stored_set(0..1),
+        Vec::new(),
+        1_000,
+    );
+    scheduler.handle(1_000, sized(1, 4.0));
     let phase = TaskPhase::Running;
     let long = TaskStatus { task: "req-000001/0".parse().unwrap(), attempt: 5, phase };
     for now in (1_000..within).step_by(200) {
         if now == 1_200 {
-            c.handle(now, sized(2, 6.0));
+            scheduler.handle(now, sized(2, 6.0));
         } else if now == 6_000 {
-            c.handle(now, sized(3, cpus));
+            scheduler.handle(now, sized(3, cpus));
         }
-        c.handle(now, Event::Heartbeat(report(0, now, 7, vec![long])));
-        c.handle(now, Event::Tick);
-        let placed = |id| c.jobs().get(&JobId(id)).is_some_and(|j| !j.placed.is_empty());
+        scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, vec![long])));
+        scheduler.handle(now, Event::Tick);
+        let placed = |id| scheduler.jobs().get(&JobId(id)).is_some_and(|j| !j.placed.is_empty());
         assert!(!placed(2), "there is no room for six");
         if placed(3) {
             return Some(now);
@@ -233,7 +253,7 @@
 /// Runs of the simulation: whole machines stood empty, kept for a job that could not use them, and others
 /// had two CPUs free of eight, kept for tasks of six, for as long as the overload lasted.
 #[test]
-fn a_kept_machine_is_open_to_what_its_holder_cannot_use_and_to_those_who_wait_for_long() {
+fn a_reserved_machine_is_open_to_what_its_holder_cannot_use_and_to_those_who_wait_for_long() {
     let (small, large) = (starts_beside(2.0, 90_000), starts_beside(4.0, 90_000));
     assert!(small.is_some_and(|at| at < 7_000), "beside: {small:?}");
     assert!(large.is_some_and(|at| (60_000..80_000).contains(&at)), "instead: {large:?}");
@@ -241,59 +261,72 @@
 
 /// One whose tasks must stay in another zone keeps nothing here.
 #[test]
-fn a_job_that_may_not_use_a_machine_does_not_keep_it() {
+fn a_job_that_may_not_use_a_machine_does_not_reserve_it() {
     let mut fleet = stored_set(0..2);
     fleet[0].machines.as_mut().unwrap()[1].zone = "b".into();
-    let mut c = Scheduler::new(patient(), STAMPS, sold_out(), fleet, Vec::new(), 1_000);
+    let mut scheduler =
+        Scheduler::new(long_idle_timeout(), TERM, types_out_of_stock(), fleet, Vec::new(), 1_000);
     let bound = JobSpec { one_zone: true, ..(*spec(1, 9)).clone() };
-    c.handle(
+    scheduler.handle(
         1_000,
         Event::JobOpened { spec: Arc::new(bound), submitted_at: 0, revision: 8, done: None },
     );
-    let in_b = |sequence| Heartbeat { zone: "b".into(), ..report(1, sequence, 7, Vec::new()) };
+    let in_b = |sequence| Heartbeat { zone: "b".into(), ..heartbeat(1, sequence, 7, Vec::new()) };
     for now in (1_000..20_000).step_by(200) {
-        let tasks = c.machines()[&name(0)].runs.values().map(seen).collect();
-        c.handle(now, Event::Heartbeat(report(0, now, 7, tasks)));
+        let tasks = scheduler.machines()[&name(0)].runs.values().map(status_of).collect();
+        scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, tasks)));
         if now >= 8_000 {
-            let tasks = c.machines()[&name(1)].runs.values().map(seen).collect();
-            c.handle(now, Event::Heartbeat(Heartbeat { tasks, ..in_b(now) }));
+            let tasks = scheduler.machines()[&name(1)].runs.values().map(status_of).collect();
+            scheduler.handle(now, Event::Heartbeat(Heartbeat { tasks, ..in_b(now) }));
         }
         if now == 14_000 {
             let demand = Demand { cpus: 3.0, gpus: 0.0, memory_gb: 4.0 };
             let spec = Arc::new(JobSpec { demand, ..(*spec(2, 1)).clone() });
-            c.handle(now, Event::JobOpened { spec, submitted_at: now, revision: 9, done: None });
+            scheduler
+                .handle(now, Event::JobOpened { spec, submitted_at: now, revision: 9, done: None });
         }
-        c.handle(now, Event::Tick);
+        scheduler.handle(now, Event::Tick);
     }
-    assert_eq!(c.jobs()[&JobId(1)].placed.len(), 2, "as many as go into the machine in its zone");
-    assert_eq!(c.jobs()[&JobId(2)].placed.len(), 1, "the machine in the other zone is empty");
+    assert_eq!(
+        scheduler.jobs()[&JobId(1)].placed.len(),
+        2,
+        "as many as go into the machine in its zone"
+    );
+    assert_eq!(
+        scheduler.jobs()[&JobId(2)].placed.len(),
+        1,
+        "the machine in the other zone is empty"
+    );
 }
 
 /// An own day with a team at its limit: what each end left of the limit waited for the next round, for up
 /// to a second, so that the team stayed below its limit for as long as jobs waited beside room.
 #[test]
 fn what_an_end_leaves_of_a_limit_is_given_out_at_once() {
-    let limit = Team { cpus_max: 4.0, ..patient().teams.remove(0) };
-    let policy = Policy { teams: vec![limit], ..patient() };
-    let mut c = Scheduler::new(policy, STAMPS, types(), stored_set(0..1), Vec::new(), 1_000);
-    c.handle(
+    let limit = Team { cpus_max: 4.0, ..long_idle_timeout().teams.remove(0) };
+    let policy = Policy { teams: vec![limit], ..long_idle_timeout() };
+    let mut scheduler = Scheduler::new(policy, TERM, types(), stored_set(0..1), Vec::new(), 1_000);
+    scheduler.handle(
         1_000,
         Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 8, done: None },
     );
-    c.handle(1_000, Event::Heartbeat(report(0, 1, 7, Vec::new())));
+    scheduler.handle(1_000, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     for now in (1_200..10_000).step_by(200) {
-        let runs = c.machines()[&name(0)].runs.values();
-        let tasks = runs.map(|r| TaskStatus { phase: TaskPhase::Running, ..seen(r) }).collect();
-        c.handle(now, Event::Heartbeat(report(0, now, 7, tasks)));
-        c.handle(now, Event::Tick);
+        let runs = scheduler.machines()[&name(0)].runs.values();
+        let tasks =
+            runs.map(|r| TaskStatus { phase: TaskPhase::Running, ..status_of(r) }).collect();
+        scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, tasks)));
+        scheduler.handle(now, Event::Tick);
     }
-    let runs = |c: &Scheduler| c.machines()[&name(0)].runs.values().filter(|r| r.is_live()).count();
-    assert_eq!(runs(&c), 1, "four CPUs are all that the team may use");
+    let runs = |scheduler: &Scheduler| {
+        scheduler.machines()[&name(0)].runs.values().filter(|r| r.is_live()).count()
+    };
+    assert_eq!(runs(&scheduler), 1, "four CPUs are all that the team may use");
     // A round was made just now.
-    c.handle(10_000, Event::Tick);
-    let run = c.machines()[&name(0)].runs.values().next().unwrap();
-    let done = TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..seen(run) };
-    c.handle(10_050, Event::Heartbeat(report(0, 10_050, 7, vec![done])));
-    c.handle(10_200, Event::Tick);
-    assert_eq!(runs(&c), 1, "the other task has its place");
+    scheduler.handle(10_000, Event::Tick);
+    let run = scheduler.machines()[&name(0)].runs.values().next().unwrap();
+    let done = TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) };
+    scheduler.handle(10_050, Event::Heartbeat(heartbeat(0, 10_050, 7, vec![done])));
+    scheduler.handle(10_200, Event::Tick);
+    assert_eq!(runs(&scheduler), 1, "the other task has its place");
 }
--- a/crates/latchtrack-core/tests/refused_writes.rs
+++ b/crates/latchtrack-core/tests/refused_writes.rs
@@ -13,7 +13,7 @@
     Scheduler::new(policy(), revisions, types, Vec::new(), Vec::new(), 1_000)
 }
 
-fn report(name: &str, addr: String) -> Event {
+fn heartbeat_of(name: &str, addr: String) -> Event {
     Event::Heartbeat(Heartbeat {
         machine: name.into(),
         addr,
@@ -38,11 +38,15 @@
 
 /// Writes all that is to be written, to a service that takes no more than so many changes and so many
 /// bytes of a value; returns the machines stored and the transactions it took.
-fn write_all(c: &mut Scheduler, most_changes: usize, most_bytes: usize) -> (Vec<String>, usize) {
+fn write_all(
+    scheduler: &mut Scheduler,
+    most_changes: usize,
+    most_bytes: usize,
+) -> (Vec<String>, usize) {
     let mut stored = Vec::new();
     for cycle in 0..200 {
         let now = 10_000 + cycle * 10_000;
-        let writes = c.next_writes(now, 8);
+        let writes = scheduler.next_writes(now, 8);
         if writes.is_empty() {
             return (stored, cycle as usize);
         }
@@ -56,7 +60,7 @@
         } else {
             BatchOutcome::Rejected
         };
-        c.handle(now, Event::WritesFinished { writes, outcome });
+        scheduler.handle(now, Event::WritesFinished { writes, outcome });
     }
     panic!("refused without end");
 }
@@ -64,11 +68,11 @@
 #[test]
 fn refused_writes_go_on_in_smaller_pieces() {
     for (most_changes, most_bytes) in [(8, 1_000), (1, 100_000), (2, 300)] {
-        let mut c = leader();
+        let mut scheduler = leader();
         for i in 0..300 {
-            c.handle(1_000, report(&name(i), name(i)));
+            scheduler.handle(1_000, heartbeat_of(&name(i), name(i)));
         }
-        let (mut stored, cycles) = write_all(&mut c, most_changes, most_bytes);
+        let (mut stored, cycles) = write_all(&mut scheduler, most_changes, most_bytes);
         stored.sort();
         stored.dedup();
         assert_eq!(stored.len(), 300, "{most_changes} changes, {most_bytes} bytes");
@@ -78,14 +82,14 @@
 
 #[test]
 fn a_value_that_can_not_be_stored_blocks_no_other() {
-    let mut c = leader();
-    c.handle(1_000, report("n-large", "x".repeat(900)));
+    let mut scheduler = leader();
+    scheduler.handle(1_000, heartbeat_of("n-large", "x".repeat(900)));
     for i in 0..20 {
-        c.handle(1_000, report(&name(i), name(i)));
+        scheduler.handle(1_000, heartbeat_of(&name(i), name(i)));
     }
-    let (mut stored, _) = write_all(&mut c, 4, 600);
+    let (mut stored, _) = write_all(&mut scheduler, 4, 600);
     stored.sort();
     stored.dedup();
     assert_eq!(stored, (0..20).map(name).collect::<Vec<_>>());
-    assert!(!c.machines()["n-large"].persisted, "and it gets no task");
+    assert!(!scheduler.machines()["n-large"].persisted, "and it gets no task");
 }
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -33,17 +33,17 @@
 
 /// A fleet over three zones, in which some machines neither speak nor answer.
 struct Fleet {
-    c: Scheduler,
+    scheduler: Scheduler,
     now: u64,
     sequence: u64,
     agent_epoch: BTreeMap<u64, u64>,
     /// Open calls into the silence: when each ends, machine and number.
     calls: Vec<(u64, String, u64)>,
-    notes: Vec<String>,
-    returned: Vec<u64>,
+    log_lines: Vec<String>,
+    terminated: Vec<u64>,
     resigned: Vec<&'static str>,
     provisions: Vec<String>,
-    asked: BTreeMap<String, u32>,
+    probes: BTreeMap<String, u32>,
     /// Machines that don't answer may be heard by way of other nodes, and be given tasks.
     relays: bool,
 }
@@ -62,39 +62,39 @@
         let stored = vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }];
         let types = vec![machine_type((0..3).map(zone).collect())];
         let revisions = TermRevisions { token: 7, leaderless_since: 7 };
-        let mut c = Scheduler::new(settings(), revisions, types, stored, Vec::new(), 1_000);
+        let mut scheduler = Scheduler::new(settings(), revisions, types, stored, Vec::new(), 1_000);
         let tasks = 3 * PER_ZONE as u32;
-        c.handle(
+        scheduler.handle(
             1_000,
             Event::JobOpened { spec: spec(1, tasks), submitted_at: 0, revision: 3, done: None },
         );
         Fleet {
-            c,
+            scheduler,
             now: 1_000,
             sequence: 0,
             agent_epoch: BTreeMap::new(),
             calls: Vec::new(),
-            notes: Vec::new(),
-            returned: Vec::new(),
+            log_lines: Vec::new(),
+            terminated: Vec::new(),
             resigned: Vec::new(),
             provisions: Vec::new(),
-            asked: BTreeMap::new(),
+            probes: BTreeMap::new(),
             relays: false,
         }
     }
 
     /// The same once all machines are heard.
-    fn settled() -> Fleet {
-        let mut f = Fleet::inherited();
-        f.run(3_000, |_| false);
-        assert_eq!(f.c.summary(0).unreconciled, 0);
-        f
+    fn reconciled() -> Fleet {
+        let mut fleet = Fleet::inherited();
+        fleet.run(3_000, |_| false);
+        assert_eq!(fleet.scheduler.summary(0).unreconciled, 0);
+        fleet
     }
 
-    fn report(&mut self, i: u64) -> Heartbeat {
+    fn heartbeat(&mut self, i: u64) -> Heartbeat {
         self.sequence += 1;
         let agent_epoch = *self.agent_epoch.get(&i).unwrap_or(&1);
-        let runs = self.c.machines().get(&name(i)).map(|m| &m.runs);
+        let runs = self.scheduler.machines().get(&name(i)).map(|m| &m.runs);
         let known = runs.into_iter().flat_map(|r| r.values());
         let mut tasks: Vec<TaskStatus> = known
             .map(|r| TaskStatus { task: r.task, attempt: r.attempt, phase: TaskPhase::Running })
@@ -121,19 +121,19 @@
     fn take(&mut self, effects: Vec<Effect>, silent: &impl Fn(u64) -> bool) {
         for e in effects {
             match e {
-                Effect::Log(t) => self.notes.push(t),
+                Effect::Log(t) => self.log_lines.push(t),
                 Effect::Resign(why) => self.resigned.push(why),
-                Effect::Terminate(names) => self.returned.extend(names.iter().map(|n| index(n))),
+                Effect::Terminate(names) => self.terminated.extend(names.iter().map(|n| index(n))),
                 Effect::Provision { offer, .. } => self.provisions.push(offer.zone),
                 Effect::CallWorker { machine, call, commands, .. } if silent(index(&machine)) => {
                     assert!(commands.is_empty() || self.relays, "a command into the silence");
-                    *self.asked.entry(zone(index(&machine))).or_default() += 1;
+                    *self.probes.entry(zone(index(&machine))).or_default() += 1;
                     self.calls.push((self.now + 2_500, machine, call));
                 }
                 Effect::CallWorker { machine, call, .. } => {
-                    let outcome = CallOutcome::Executed(self.report(index(&machine)));
+                    let outcome = CallOutcome::Executed(self.heartbeat(index(&machine)));
                     let event = Event::CallFinished { machine, call, outcome };
-                    let effects = self.c.handle(self.now, event);
+                    let effects = self.scheduler.handle(self.now, event);
                     self.take(effects, silent);
                 }
                 _ => {}
@@ -152,23 +152,23 @@
             self.calls = open;
             for (_, machine, call) in over {
                 let event = Event::CallFinished { machine, call, outcome: CallOutcome::NoAnswer };
-                let effects = self.c.handle(now, event);
+                let effects = self.scheduler.handle(now, event);
                 self.take(effects, &silent);
             }
             for i in (0..3 * PER_ZONE).filter(|i| (now / 200 + i) % 10 == 0 && !silent(*i)) {
-                if self.c.machines().contains_key(&name(i)) {
-                    let r = self.report(i);
-                    let effects = self.c.handle(now, Event::Heartbeat(r));
+                if self.scheduler.machines().contains_key(&name(i)) {
+                    let r = self.heartbeat(i);
+                    let effects = self.scheduler.handle(now, Event::Heartbeat(r));
                     self.take(effects, &silent);
                 }
             }
-            let effects = self.c.handle(now, Event::Tick);
+            let effects = self.scheduler.handle(now, Event::Tick);
             self.take(effects, &silent);
         }
     }
 
     fn runs(&self, i: u64) -> usize {
-        self.c.machines()[&name(i)].runs.len()
+        self.scheduler.machines()[&name(i)].runs.len()
     }
 }
 
@@ -177,41 +177,47 @@
 }
 
 #[test]
-fn a_quiet_zone_is_cut_off_and_its_machines_are_there_when_the_cut_ends() {
-    let mut f = Fleet::settled();
-    f.run(PAST_LEASE - 2_000, in_b);
-    assert_eq!(f.returned, Vec::<u64>::new(), "nothing is thrown away");
-    assert_eq!(f.runs(1), 1, "its task may be running: it has its place");
-    f.run(8_000, in_b);
-    assert_eq!(f.runs(1), 0, "the lease is over");
-    assert!(f.c.jobs()[&JobId(1)].placed.values().all(|p| !in_b(index(&p.machine))));
-    assert_eq!((f.returned.len(), f.resigned.len()), (0, 0));
-    let needless = f.provisions.iter().filter(|z| *z == "b").count();
-    assert_eq!(needless, 0, "rented where nothing is heard: {:?}", f.provisions);
+fn an_unreachable_zone_is_cut_off_and_its_machines_are_there_when_the_cut_ends() {
+    let mut fleet = Fleet::reconciled();
+    fleet.run(PAST_LEASE - 2_000, in_b);
+    assert_eq!(fleet.terminated, Vec::<u64>::new(), "nothing is thrown away");
+    assert_eq!(fleet.runs(1), 1, "its task may be running: it has its place");
+    fleet.run(8_000, in_b);
+    assert_eq!(fleet.runs(1), 0, "the lease is over");
+    assert!(fleet.scheduler.jobs()[&JobId(1)].placed.values().all(|p| !in_b(index(&p.machine))));
+    assert_eq!((fleet.terminated.len(), fleet.resigned.len()), (0, 0));
+    let needless = fleet.provisions.iter().filter(|z| *z == "b").count();
+    assert_eq!(needless, 0, "rented where nothing is heard: {:?}", fleet.provisions);
     // Back, in the next session.
-    f.agent_epoch.extend((0..3 * PER_ZONE).filter(|i| in_b(*i)).map(|i| (i, 2)));
-    f.run(3_000, |_| false);
-    assert_eq!(f.returned, Vec::<u64>::new());
-    assert_eq!(f.c.summary(0).up, 3 * PER_ZONE as usize);
-    assert!(f.notes.iter().any(|n| n == "zone b is not quiet any more"), "{:?}", f.notes);
+    fleet.agent_epoch.extend((0..3 * PER_ZONE).filter(|i| in_b(*i)).map(|i| (i, 2)));
+    fleet.run(3_000, |_| false);
+    assert_eq!(fleet.terminated, Vec::<u64>::new());
+    assert_eq!(fleet.scheduler.summary(0).up, 3 * PER_ZONE as usize);
+    assert!(
+        fleet.log_lines.iter().any(|n| n == "zone b is not quiet any more"),
+        "{:?}",
+        fleet.log_lines
+    );
 }
 
 /// What was sent before the lease ran out and held back speaks of a session that is over.
 #[test]
-fn a_report_held_back_for_longer_than_the_lease_brings_no_run_back() {
-    let mut f = Fleet::settled();
-    let held = f.report(1);
-    f.run(PAST_LEASE + 4_000, in_b);
-    let effects = f.c.handle(f.now, Event::Heartbeat(held));
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Respond(c) if !c.is_empty())));
-    assert_eq!(f.runs(1), 0);
+fn a_heartbeat_held_back_for_longer_than_the_lease_brings_no_run_back() {
+    let mut fleet = Fleet::reconciled();
+    let held = fleet.heartbeat(1);
+    fleet.run(PAST_LEASE + 4_000, in_b);
+    let effects = fleet.scheduler.handle(fleet.now, Event::Heartbeat(held));
+    assert!(!effects
+        .iter()
+        .any(|e| matches!(e, Effect::Respond(commands) if !commands.is_empty())));
+    assert_eq!(fleet.runs(1), 0);
 }
 
 #[test]
-fn a_zone_that_stays_quiet_is_given_up_in_the_end() {
-    let mut f = Fleet::settled();
-    f.run(PAST_LEASE + 70_000, in_b);
-    let mut gone = f.returned.clone();
+fn a_zone_that_stays_unreachable_is_given_up_in_the_end() {
+    let mut fleet = Fleet::reconciled();
+    fleet.run(PAST_LEASE + 70_000, in_b);
+    let mut gone = fleet.terminated.clone();
     gone.sort_unstable();
     gone.dedup();
     assert_eq!(gone, (0..3 * PER_ZONE).filter(|i| in_b(*i)).collect::<Vec<_>>());
@@ -220,51 +226,51 @@
 /// On the working sites a new leader asked each machine of a cut zone by itself, 96 at a time, or
 /// waited for their lease, by which side of one half they were; all older jobs waited meanwhile.
 #[test]
-fn a_new_leader_gives_up_a_quiet_zone_at_once_and_the_others_go_on() {
-    let mut f = Fleet::inherited();
-    f.run(4_400, in_b);
-    assert_eq!(f.returned.len() as u64, PER_ZONE, "{:?}", f.notes);
-    assert!(f.returned.iter().all(|i| in_b(*i)));
-    assert!(f.asked["b"] <= 75, "asked {} times", f.asked["b"]);
+fn a_new_leader_gives_up_an_unreachable_zone_at_once_and_the_others_go_on() {
+    let mut fleet = Fleet::inherited();
+    fleet.run(4_400, in_b);
+    assert_eq!(fleet.terminated.len() as u64, PER_ZONE, "{:?}", fleet.log_lines);
+    assert!(fleet.terminated.iter().all(|i| in_b(*i)));
+    assert!(fleet.probes["b"] <= 75, "asked {} times", fleet.probes["b"]);
 }
 
 /// With nothing heard of any zone it is rather us.
 #[test]
 fn a_leader_that_hears_no_zone_resigns_and_a_new_one_waits_for_the_lease() {
-    let mut f = Fleet::settled();
-    f.run(12_000, |_| true);
-    assert!(f.resigned.contains(&"no machine is heard any more"));
-    assert_eq!(f.returned, Vec::<u64>::new());
-    let mut f = Fleet::inherited();
-    f.run(LEASE, |_| true);
-    assert_eq!((f.resigned.len(), f.returned.len()), (0, 0));
+    let mut fleet = Fleet::reconciled();
+    fleet.run(12_000, |_| true);
+    assert!(fleet.resigned.contains(&"no machine is heard any more"));
+    assert_eq!(fleet.terminated, Vec::<u64>::new());
+    let mut fleet = Fleet::inherited();
+    fleet.run(LEASE, |_| true);
+    assert_eq!((fleet.resigned.len(), fleet.terminated.len()), (0, 0));
 }
 
 #[test]
 fn scattered_machines_are_given_up_one_by_one() {
-    let mut f = Fleet::settled();
-    f.run(18_000, |i| i % 4 == 0);
-    f.returned.sort_unstable();
-    assert_eq!(f.returned, (0..3 * PER_ZONE).filter(|i| i % 4 == 0).collect::<Vec<_>>());
+    let mut fleet = Fleet::reconciled();
+    fleet.run(18_000, |i| i % 4 == 0);
+    fleet.terminated.sort_unstable();
+    assert_eq!(fleet.terminated, (0..3 * PER_ZONE).filter(|i| i % 4 == 0).collect::<Vec<_>>());
 }
 
 /// An outage for longer than the workers' lease: nobody listened, and on the first tick after it
 /// the whole fleet would have been deleted.
 #[test]
 fn a_leader_that_was_away_does_not_take_that_for_the_machines_silence() {
-    let mut f = Fleet::settled();
-    f.now += PAST_LEASE + 20_000;
-    f.agent_epoch.extend((0..3 * PER_ZONE).map(|i| (i, 2)));
-    f.run(3_000, |_| false);
-    assert_eq!((f.returned.len(), f.resigned.len()), (0, 0), "{:?}", f.notes);
-    assert_eq!(f.c.summary(0).up, 3 * PER_ZONE as usize);
+    let mut fleet = Fleet::reconciled();
+    fleet.now += PAST_LEASE + 20_000;
+    fleet.agent_epoch.extend((0..3 * PER_ZONE).map(|i| (i, 2)));
+    fleet.run(3_000, |_| false);
+    assert_eq!((fleet.terminated.len(), fleet.resigned.len()), (0, 0), "{:?}", fleet.log_lines);
+    assert_eq!(fleet.scheduler.summary(0).up, 3 * PER_ZONE as usize);
 }
 
 /// Taken back while it booted, a machine says nothing, and counted as room on its way for four
 /// boot times.
 #[test]
 fn a_machine_that_the_list_lost_before_it_came_up_counts_no_more() {
-    let mut f = Fleet::settled();
+    let mut fleet = Fleet::reconciled();
     let listed = |n: u64| ListedMachine {
         name: name(n),
         kind: "g".into(),
@@ -275,39 +281,39 @@
         age_ms: 2_000,
     };
     let all = |n: u64| Event::MachinesListed((0..n).map(listed).collect());
-    let now = f.now;
-    f.c.handle(now, all(3 * PER_ZONE + 1));
-    f.c.handle(now + 5_000, all(3 * PER_ZONE));
-    assert!(!f.c.machines()[&name(3 * PER_ZONE)].to_terminate, "lists are late");
-    f.c.handle(now + 14_000, all(3 * PER_ZONE));
-    assert!(f.c.machines()[&name(3 * PER_ZONE)].to_terminate);
+    let now = fleet.now;
+    fleet.scheduler.handle(now, all(3 * PER_ZONE + 1));
+    fleet.scheduler.handle(now + 5_000, all(3 * PER_ZONE));
+    assert!(!fleet.scheduler.machines()[&name(3 * PER_ZONE)].to_terminate, "lists are late");
+    fleet.scheduler.handle(now + 14_000, all(3 * PER_ZONE));
+    assert!(fleet.scheduler.machines()[&name(3 * PER_ZONE)].to_terminate);
 }
 
 /// Day apart of the working sites: the leader lost its workers for a minute, others passed their
 /// reports on, and what was launched waited for the next of these.
 #[test]
 fn a_leader_that_machines_reach_only_by_way_of_others_resigns() {
-    let mut f = Fleet::settled();
-    f.relays = true;
+    let mut fleet = Fleet::reconciled();
+    fleet.relays = true;
     for _ in 0..20 {
-        f.run(400, |i| i != 0);
-        let r = f.report(3);
-        let effects = f.c.handle(f.now, Event::RelayedHeartbeat(r));
-        f.take(effects, &|i| i != 0);
+        fleet.run(400, |i| i != 0);
+        let r = fleet.heartbeat(3);
+        let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(r));
+        fleet.take(effects, &|i| i != 0);
     }
-    assert_eq!(f.resigned, Vec::<&str>::new(), "one speaks to it: the others are cut off");
+    assert_eq!(fleet.resigned, Vec::<&str>::new(), "one speaks to it: the others are cut off");
     // Recorded day inc-16b6: nobody had spoken for a minute, then one by way of another node.
-    f.now += 60_000;
-    let r = f.report(3);
-    let effects = f.c.handle(f.now, Event::RelayedHeartbeat(r));
-    f.take(effects, &|_| false);
-    f.run(2_000, |_| false);
-    assert_eq!(f.resigned, Vec::<&str>::new(), "one report by way of another says nothing");
+    fleet.now += 60_000;
+    let r = fleet.heartbeat(3);
+    let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(r));
+    fleet.take(effects, &|_| false);
+    fleet.run(2_000, |_| false);
+    assert_eq!(fleet.resigned, Vec::<&str>::new(), "one report by way of another says nothing");
     for _ in 0..20 {
-        f.run(400, |_| true);
-        let r = f.report(3);
-        let effects = f.c.handle(f.now, Event::RelayedHeartbeat(r));
-        f.take(effects, &|_| true);
+        fleet.run(400, |_| true);
+        let r = fleet.heartbeat(3);
+        let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(r));
+        fleet.take(effects, &|_| true);
     }
-    assert!(f.resigned.contains(&"machines are heard by way of other nodes only"));
+    assert!(fleet.resigned.contains(&"machines are heard by way of other nodes only"));
 }
