--- a/crates/latchtrack-core/tests/common/mod.rs
+++ b/crates/latchtrack-core/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! What the small cases share; each test file uses its part of it.
+//! Fixtures of the small cases: policies, jobs, machines, heartbeats, and a leader with machines
+//! that run. The machines are `n-000000`, `n-000001` and so on; tests name them by their number.
 
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod site;
 
@@ -11,9 +12,10 @@
 use latchtrack_core::placement::ScoreWeights;
 use latchtrack_core::scheduler::*;
 
-/// The workers' lease.
+/// The worker lease, ms.
 pub const LEASE: u64 = 24_000;
 
+/// A policy with one team, `t`, that has neither limit nor guarantee.
 pub fn policy() -> Policy {
     Policy {
         weights: ScoreWeights::default(),
@@ -39,7 +41,7 @@
     }
 }
 
-/// A type of eight CPUs, in these zones.
+/// The machine type `g` of eight CPUs, in these zones.
 pub fn machine_type(zones: Vec<String>) -> MachineType {
     MachineType {
         name: "g".into(),
@@ -55,10 +57,12 @@
     }
 }
 
-pub fn name(i: u64) -> String {
-    format!("n-{i:06}")
+/// The name of a machine.
+pub fn name(number: u64) -> String {
+    format!("n-{number:06}")
 }
 
+/// A job of team `t` and class `c` whose tasks take four CPUs, half a machine.
 pub fn spec(id: u64, tasks: u32) -> Arc<JobSpec> {
     Arc::new(JobSpec {
         id: JobId(id),
@@ -82,29 +86,32 @@
     })
 }
 
+/// The term of token 7; until then there was an earlier leader.
 pub const TERM: TermRevisions = TermRevisions { token: 7, leaderless_since: 7 };
 
+/// Machine type `g` in zone `a` only.
 pub fn types() -> Vec<MachineType> {
     vec![machine_type(vec!["a".into()])]
 }
 
-/// The stored set of so many machines, in one value.
-pub fn stored_set(which: std::ops::Range<u64>) -> Vec<StoredMachineSet> {
-    let machine = |i| StoredMachine {
-        name: name(i),
+/// The stored machine set of these machines, in one value.
+pub fn stored_set(numbers: std::ops::Range<u64>) -> Vec<StoredMachineSet> {
+    let machine = |number| StoredMachine {
+        name: name(number),
         kind: "g".into(),
         zone: "a".into(),
         spot: true,
-        addr: name(i),
+        addr: name(number),
     };
-    let machines = Some(which.map(machine).collect());
+    let machines = Some(numbers.map(machine).collect());
     vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
 }
 
-pub fn heartbeat(i: u64, sequence: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+/// A heartbeat of a spot machine in zone `a`, in its first agent epoch.
+pub fn heartbeat(number: u64, sequence: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
-        machine: name(i),
-        addr: name(i),
+        machine: name(number),
+        addr: name(number),
         kind: "g".into(),
         zone: "a".into(),
         spot: true,
@@ -116,10 +123,11 @@
     }
 }
 
+/// The machines that the cloud is asked to take back.
 pub fn terminated(effects: &[Effect]) -> Vec<String> {
     effects
         .iter()
-        .filter_map(|e| match e {
+        .filter_map(|effect| match effect {
             Effect::Terminate(names) => Some(names.clone()),
             _ => None,
         })
@@ -127,83 +135,104 @@
         .collect()
 }
 
+/// Launches in responses and direct calls.
 pub fn launches(effects: &[Effect]) -> usize {
-    let all = effects.iter().map(|e| match e {
+    let counts = effects.iter().map(|effect| match effect {
         Effect::Respond(commands) | Effect::CallWorker { commands, .. } => {
             commands.iter().filter(|command| matches!(command, Command::Launch { .. })).count()
         }
         _ => 0,
     });
-    all.sum()
+    counts.sum()
 }
 
-/// A leader with `n` settled machines, each running one task of a job, all heard at 1,000 ms.
-pub fn busy_fleet(n: u64) -> Scheduler {
+/// A leader with so many reconciled machines, each running one task of job 1, all heard at 1,000
+/// ms.
+pub fn busy_fleet(machines: u64) -> Scheduler {
     let mut scheduler =
-        Scheduler::new(policy(), TERM, types(), stored_set(0..n), Vec::new(), 1_000);
-    let job =
-        Event::JobOpened { spec: spec(1, n as u32), submitted_at: 0, revision: 3, done: None };
+        Scheduler::new(policy(), TERM, types(), stored_set(0..machines), Vec::new(), 1_000);
+    let job = Event::JobOpened {
+        spec: spec(1, machines as u32),
+        submitted_at: 0,
+        revision: 3,
+        done: None,
+    };
     scheduler.handle(1_000, job);
-    for i in 0..n {
+    for number in 0..machines {
         let task = TaskStatus {
-            task: format!("req-000001/{i}").parse().unwrap(),
+            task: format!("req-000001/{number}").parse().expect("a task id"),
             attempt: 5,
             phase: TaskPhase::Running,
         };
-        scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, vec![task])));
+        scheduler.handle(1_000, Event::Heartbeat(heartbeat(number, 1, 7, vec![task])));
     }
     scheduler
 }
 
+/// A run as its machine reports it, in the phase that the scheduler knows.
 pub fn status_of(run: &TaskRun) -> TaskStatus {
     TaskStatus { task: run.task, attempt: run.attempt, phase: run.phase }
 }
 
-/// Ticks from one time to another, every direct call ending as `outcome` says 1 s later.
+/// ms after which direct calls end in [`tick_until`].
+const CALL_MS: u64 = 1_000;
+
+/// A direct call that has not ended.
+struct OpenCall {
+    ends_at: u64,
+    machine: String,
+    call: u64,
+}
+
+/// Ticks from one time to another, every 200 ms; every direct call ends with this outcome 1 s
+/// later, at the latest at the end.
 pub fn tick_until(
     scheduler: &mut Scheduler,
     from: u64,
     to: u64,
     outcome: &CallOutcome,
 ) -> Vec<Effect> {
-    let mut out = Vec::new();
-    let mut open: Vec<(u64, String, u64)> = Vec::new();
+    let mut all = Vec::new();
+    let mut open: Vec<OpenCall> = Vec::new();
     for now in (from..to).step_by(200) {
-        for (at, machine, call) in std::mem::take(&mut open) {
-            if at > now {
-                open.push((at, machine, call));
+        for open_call in std::mem::take(&mut open) {
+            if open_call.ends_at > now {
+                open.push(open_call);
                 continue;
             }
+            let OpenCall { machine, call, .. } = open_call;
             let outcome = outcome.clone();
-            out.extend(scheduler.handle(now, Event::CallFinished { machine, call, outcome }));
+            all.extend(scheduler.handle(now, Event::CallFinished { machine, call, outcome }));
         }
         let effects = scheduler.handle(now, Event::Tick);
-        for e in &effects {
-            if let Effect::CallWorker { machine, call, .. } = e {
-                open.push((now + 1_000, machine.clone(), *call));
+        for effect in &effects {
+            if let Effect::CallWorker { machine, call, .. } = effect {
+                let (ends_at, machine, call) = (now + CALL_MS, machine.clone(), *call);
+                open.push(OpenCall { ends_at, machine, call });
             }
         }
-        out.extend(effects);
+        all.extend(effects);
     }
-    for (_, machine, call) in open {
-        out.extend(
+    for OpenCall { machine, call, .. } in open {
+        all.extend(
             scheduler.handle(to, Event::CallFinished { machine, call, outcome: outcome.clone() }),
         );
     }
-    out
+    all
 }
 
-/// Machines are kept however long they are empty.
+/// A policy that keeps spot machines however long they are idle.
 pub fn long_idle_timeout() -> Policy {
     Policy { spot_idle_timeout_ms: 1_000_000, ..policy() }
 }
 
-/// Whether all runs that a machine lists have ended.
-pub fn has_only_ended(scheduler: &Scheduler, i: u64) -> bool {
-    scheduler.machines()[&name(i)].runs.values().all(|r| matches!(r.phase, TaskPhase::Ended(_)))
+/// Whether all runs on a machine have ended, as far as the scheduler knows.
+pub fn has_only_ended(scheduler: &Scheduler, number: u64) -> bool {
+    let mut runs = scheduler.machines()[&name(number)].runs.values();
+    runs.all(|run| matches!(run.phase, TaskPhase::Ended(_)))
 }
 
-/// All jobs of class scheduler are late from the start.
+/// A policy by which all jobs of class `c` are late from the start.
 pub fn late_class_policy() -> Policy {
     let completion_objectives =
         vec![CompletionObjective { class: "c".into(), due: Due::Within(1) }];
@@ -214,7 +243,8 @@
     }
 }
 
-/// A type that no zone has any more: with something to rent, a job keeps no machines meanwhile.
+/// A machine type that no zone offers any more: while something can be provisioned, a job reserves
+/// no machines.
 pub fn types_out_of_stock() -> Vec<MachineType> {
     vec![MachineType { zones: Vec::new(), ..types().remove(0) }]
 }
--- a/crates/latchtrack-core/tests/common/site.rs
+++ b/crates/latchtrack-core/tests/common/site.rs
@@ -1,4 +1,4 @@
-//! A leader with machines that do what they are told, and a referee of what starts on them.
+//! A leader with machines that execute its commands at once, and a referee of what starts on them.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,44 +11,61 @@
 
 use super::*;
 
+/// The fencing token of the first leader.
 pub const TOKEN: u64 = 7;
+/// ms of a step of [`Site::pass`].
+const STEP_MS: u64 = 200;
+/// ms between two heartbeats of each machine.
+const HEARTBEAT_MS: u64 = 1_000;
+/// Changes of a transaction.
+const MAX_CHANGES: usize = 8;
 
-/// A leader with machines of eight CPUs that do what they are told at once.
+/// A leader with machines of eight CPUs. Times are in ms; machines are named by their numbers.
 pub struct Site {
+    /// The scheduler of the term.
     pub leader: Scheduler,
+    /// The time.
     pub now: u64,
-    /// What each machine lists.
+    /// The attempts on each machine.
     pub tasks: BTreeMap<u64, BTreeMap<(TaskId, u64), TaskPhase>>,
+    /// Sequence of the last heartbeat of any machine.
     pub sequence: u64,
-    /// Grace of the stops that machines were told, and how many launches.
+    /// Stops that machines were told, with their grace in seconds.
     pub stops: Vec<(TaskId, f64)>,
+    /// Launches that machines executed: machine, task and attempt.
     pub launches: Vec<(u64, TaskId, u64)>,
-    /// Machines whose answers and commands are lost.
+    /// Machines that responses and commands do not reach.
     pub deaf: BTreeSet<u64>,
+    /// Preemption notices of machines, in seconds.
     pub notice: BTreeMap<u64, f64>,
+    /// All writes of the leader.
     pub writes: Vec<RecordWrite>,
-    /// Rentals asked for, and whether the cloud has nothing.
-    pub hired: Vec<Offer>,
+    /// Offers that machines were asked for.
+    pub provisions: Vec<Offer>,
+    /// The cloud answers that it has no capacity; otherwise it does not answer.
     pub no_capacity: bool,
-    /// Machines that neither report nor answer.
+    /// Machines that neither heartbeat nor respond.
     pub silent: BTreeSet<u64>,
-    /// The session of each machine, and when its last answered report was sent.
+    /// The agent epoch of each machine.
     pub agent_epoch: BTreeMap<u64, u64>,
+    /// When the last heartbeat of each machine that got its response was sent.
     pub lease_from: BTreeMap<u64, u64>,
-    /// Deletes are carried out and answered.
+    /// Terminations are executed and confirmed.
     pub deletes: bool,
-    /// Machines that refuse every launch, for want of room as they say.
+    /// Machines that reject every launch for insufficient resources.
     pub refusing: BTreeSet<u64>,
     /// Times at which a task started on one machine while it was on another.
     pub ran_twice: Vec<String>,
-    /// What the leader wrote to its log.
+    /// Log lines of the leader.
     pub notes: Vec<String>,
 }
 
+/// Even machines are in zone a, odd ones in zone b.
 pub fn zone_of(machine: u64) -> &'static str {
     ["a", "b"][(machine % 2) as usize]
 }
 
+/// The stored set of on-demand machines with numbers below this.
 fn stored(machines: u64) -> Vec<StoredMachineSet> {
     let machine = |i| StoredMachine {
         name: name(i),
@@ -61,6 +78,7 @@
     vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
 }
 
+/// A leader that inherits so many machines.
 pub fn new_leader(machines: u64, token: u64, policy: Policy, now: u64) -> Scheduler {
     let types = vec![machine_type(vec!["a".into(), "b".into()])];
     let revisions = TermRevisions { token, leaderless_since: token };
@@ -68,7 +86,7 @@
 }
 
 impl Site {
-    /// Even machines are in zone a, odd ones in zone b; all are up and settled.
+    /// So many machines, all up and reconciled.
     pub fn new(machines: u64, policy: Policy) -> Site {
         let mut site = Site {
             leader: new_leader(machines, TOKEN, policy, 1_000),
@@ -80,7 +98,7 @@
             deaf: BTreeSet::new(),
             notice: BTreeMap::new(),
             writes: Vec::new(),
-            hired: Vec::new(),
+            provisions: Vec::new(),
             no_capacity: false,
             silent: BTreeSet::new(),
             agent_epoch: (0..machines).map(|i| (i, 1)).collect(),
@@ -94,6 +112,7 @@
         site
     }
 
+    /// A job is opened now.
     pub fn submit(&mut self, spec: JobSpec) {
         let event = Event::JobOpened {
             spec: Arc::new(spec),
@@ -104,6 +123,7 @@
         self.drive(event);
     }
 
+    /// Hands an event to the leader and carries out its effects.
     pub fn drive(&mut self, event: Event) {
         let reporting = match &event {
             Event::Heartbeat(report) => Some(report.machine.clone()),
@@ -112,19 +132,19 @@
         for effect in self.leader.handle(self.now, event) {
             match effect {
                 Effect::Respond(commands) => {
-                    let machine = reporting.clone().expect("an answer to a report");
+                    let machine = reporting.clone().expect("a response only to a heartbeat");
                     self.execute(&machine, &commands);
                 }
                 Effect::CallWorker { machine, call, commands, .. } => {
-                    let last_heartbeat_at = self.execute(&machine, &commands);
-                    let outcome = match last_heartbeat_at {
-                        true => CallOutcome::Executed(self.report_of(number(&machine))),
-                        false => CallOutcome::NoAnswer,
+                    let outcome = if self.execute(&machine, &commands) {
+                        CallOutcome::Executed(self.report_of(number(&machine)))
+                    } else {
+                        CallOutcome::NoAnswer
                     };
                     self.drive(Event::CallFinished { machine, call, outcome });
                 }
                 Effect::Provision { request_id, offer, .. } => {
-                    self.hired.push(offer);
+                    self.provisions.push(offer);
                     if self.no_capacity {
                         self.drive(Event::ProvisionFinished {
                             request_id,
@@ -144,22 +164,23 @@
         }
     }
 
-    /// False for a machine that hears nothing.
+    /// A machine executes commands; returns whether they reached it.
     pub fn execute(&mut self, machine: &str, commands: &[Command]) -> bool {
         let i = number(machine);
         if self.deaf.contains(&i) || self.silent.contains(&i) {
             return false;
         }
         self.check_starts(i, commands);
-        let refuses = self.refusing.contains(&i);
+        let rejects = self.refusing.contains(&i);
         let Some(tasks) = self.tasks.get_mut(&i) else { return false };
         for command in commands {
             match *command {
                 Command::Launch { task, attempt } => {
                     if let Entry::Vacant(free) = tasks.entry((task, attempt)) {
-                        free.insert(match refuses {
-                            true => TaskPhase::Ended(ExitCause::InsufficientResources),
-                            false => TaskPhase::Fetching,
+                        free.insert(if rejects {
+                            TaskPhase::Ended(ExitCause::InsufficientResources)
+                        } else {
+                            TaskPhase::Fetching
                         });
                         self.launches.push((i, task, attempt));
                     }
@@ -183,6 +204,7 @@
         true
     }
 
+    /// The next heartbeat of a machine.
     pub fn report_of(&mut self, i: u64) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks[&i].iter().map(|((task, attempt), phase)| TaskStatus {
@@ -204,18 +226,19 @@
         }
     }
 
+    /// A machine heartbeats, unless it is silent.
     pub fn report(&mut self, i: u64) {
         if self.silent.contains(&i) || !self.tasks.contains_key(&i) {
             return;
         }
-        let report = self.report_of(i);
-        self.drive(Event::Heartbeat(report));
+        let heartbeat = self.report_of(i);
+        self.drive(Event::Heartbeat(heartbeat));
         if !self.deaf.contains(&i) {
             self.lease_from.insert(i, self.now);
         }
     }
 
-    /// The referee sees which tasks are to start.
+    /// The referee: no task starts while it is on another machine.
     fn check_starts(&mut self, machine: u64, commands: &[Command]) {
         for command in commands {
             let Command::Launch { task, attempt } = command else { continue };
@@ -231,7 +254,7 @@
         }
     }
 
-    /// Machines that nobody has answered for their lease lose what they run.
+    /// Machines whose lease has expired lose what they run.
     fn end_leases(&mut self) {
         for (i, from) in self.lease_from.clone() {
             if self.now > from + LEASE {
@@ -244,23 +267,24 @@
         }
     }
 
+    /// All machines heartbeat.
     pub fn report_all(&mut self) {
         for i in self.tasks.keys().copied().collect::<Vec<_>>() {
             self.report(i);
         }
     }
 
-    /// Time passes, with reports and writes as usual.
+    /// Lets time pass, with heartbeats and writes.
     pub fn pass(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
-            self.now += 200;
+            self.now += STEP_MS;
             self.end_leases();
             self.drive(Event::Tick);
-            if self.now % 1_000 == 0 {
+            if self.now % HEARTBEAT_MS == 0 {
                 self.report_all();
             }
-            let writes = self.leader.next_writes(self.now, 8);
+            let writes = self.leader.next_writes(self.now, MAX_CHANGES);
             if !writes.is_empty() {
                 self.writes.extend(writes.clone());
                 let outcome = BatchOutcome::Committed(self.now);
@@ -281,7 +305,7 @@
         }
     }
 
-    /// Tasks of a job that machines list and that have not ended, by attempt.
+    /// Number of live tasks of a job on the machines, by attempt.
     pub fn live(&self, id: u64) -> BTreeMap<u64, usize> {
         let mut live = BTreeMap::new();
         for ((task, attempt), phase) in self.tasks.values().flatten() {
@@ -292,11 +316,13 @@
         live
     }
 
+    /// The state of a gang's attempt, as the leader has it.
     pub fn state(&self, id: u64) -> AttemptState {
         self.leader.attempt_state(&self.leader.jobs()[&JobId(id)])
     }
 }
 
+/// The number of a machine with this name.
 pub fn number(machine: &str) -> u64 {
-    machine[2..].parse().unwrap()
+    machine[2..].parse().expect("a name as `n-000001`")
 }
--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -1,4 +1,5 @@
-//! What a new leader may do before it knows its machines, and what it learns from them: each failure that was found as a small case.
+//! What a new leader may do before it knows its machines, and what it learns from them: each
+//! failure that was found as a small case.
 
 mod common;
 
@@ -20,19 +21,19 @@
         done: None,
     };
     scheduler.handle(1_000, job(1, 3));
-    let mut n =
+    let mut count =
         launches(&scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new()))));
     // An older token proves nothing.
-    n += launches(&scheduler.handle(1_200, Event::Heartbeat(heartbeat(1, 1, 6, Vec::new()))));
-    n += launches(&scheduler.handle(1_500, Event::Tick));
-    assert_eq!(n, 0);
+    count += launches(&scheduler.handle(1_200, Event::Heartbeat(heartbeat(1, 1, 6, Vec::new()))));
+    count += launches(&scheduler.handle(1_500, Event::Tick));
+    assert_eq!(count, 0);
     // A job accepted in this term need not wait.
     scheduler.handle(1_600, job(2, 8));
     assert_eq!(launches(&scheduler.handle(1_700, Event::Tick)), 2);
-    let mut n =
+    let mut count =
         launches(&scheduler.handle(2_000, Event::Heartbeat(heartbeat(1, 2, 7, Vec::new()))));
-    n += launches(&scheduler.handle(2_200, Event::Tick));
-    assert_eq!(n, 2, "settled now");
+    count += launches(&scheduler.handle(2_200, Event::Tick));
+    assert_eq!(count, 2, "reconciled now");
 }
 
 #[test]
@@ -47,12 +48,12 @@
     assert_eq!(launches(&effects), 8);
     let ended = |scheduler: &Scheduler| -> Vec<TaskStatus> {
         let runs = scheduler.machines()[&name(0)].runs.values();
-        runs.map(|r| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(r) })
+        runs.map(|run| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) })
             .collect()
     };
     let tasks = ended(&scheduler);
     let forgets = |effects: &[Effect]| {
-        effects.iter().any(|e| match e {
+        effects.iter().any(|effect| match effect {
             Effect::Respond(commands) => {
                 commands.iter().any(|command| matches!(command, Command::Forget { .. }))
             }
@@ -74,14 +75,14 @@
     assert!(forgets(&scheduler.handle(6_200, Event::Heartbeat(heartbeat(0, 4, 7, tasks)))));
 }
 
-/// Hunted day: after a take-over the runs of the earlier leader seemed short, and eleven machines of
-/// forty were returned as slow though one was.
+/// Hunted day: after a failover the runs of the earlier leader seemed short, and eleven machines
+/// of forty were returned as slow though one was.
 #[test]
 fn runs_of_an_earlier_leader_do_not_make_machines_look_slow() {
     let mut scheduler = busy_fleet(4);
     let end = |scheduler: &Scheduler, i: u64| -> Vec<TaskStatus> {
         let runs = scheduler.machines()[&name(i)].runs.values();
-        runs.map(|r| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(r) })
+        runs.map(|run| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) })
             .collect()
     };
     // Adopted at 1 s, they end at 2 s: they have run for longer than that.
@@ -96,7 +97,7 @@
 }
 
 /// Found in review: a new leader counted deadlines from when it first saw a job, not from when the
-/// user submitted it, so that after a take-over the oldest looked as good as new.
+/// user submitted it, so that after a failover the oldest looked as good as new.
 #[test]
 fn deadlines_count_from_the_submission_whoever_leads() {
     let mut scheduler =
@@ -136,7 +137,10 @@
     }
     assert!(first.is_some_and(|at| at > 1_000 + LEASE), "{first:?}");
     let writes = scheduler.next_writes(70_000, 8);
-    let drops = |w: &RecordWrite| matches!(w, RecordWrite::MachineSet { pack, machines } if pack.name == "3-2" && machines.is_empty());
+    let drops = |write: &RecordWrite| match write {
+        RecordWrite::MachineSet { pack, machines } => pack.name == "3-2" && machines.is_empty(),
+        _ => false,
+    };
     assert!(writes.iter().any(drops), "dropped then: {writes:?}");
 }
 
@@ -160,12 +164,14 @@
     };
     scheduler.handle(1_000, job(1, 4));
     scheduler.handle(1_000, job(2, 6));
-    let n = launches(&scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new()))));
-    assert_eq!((n, scheduler.jobs()[&JobId(2)].placed.len()), (1, 1));
+    let count =
+        launches(&scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new()))));
+    assert_eq!((count, scheduler.jobs()[&JobId(2)].placed.len()), (1, 1));
 }
 
-/// Found in review: a question without an answer marked every run of the machine as perhaps launched
-/// again, none of which was then ever forgotten; after a cut the reports of a machine grew without end.
+/// Found in review: a probe without an answer marked every run of the machine as perhaps
+/// launched again, none of which was then ever forgotten; after a cut the heartbeats of a machine grew
+/// without end.
 #[test]
 fn a_probe_without_an_answer_keeps_no_run_from_being_forgotten() {
     let forgets = |commands: bool| {
@@ -184,7 +190,7 @@
         // Launched by the answer or by a direct call; in either case the next call is lost.
         let running = |scheduler: &Scheduler, phase| -> Vec<TaskStatus> {
             let runs = scheduler.machines()[&name(0)].runs.values();
-            runs.map(|r| TaskStatus { phase, ..status_of(r) }).collect()
+            runs.map(|run| TaskStatus { phase, ..status_of(run) }).collect()
         };
         tick_until(&mut scheduler, 1_300, 9_000, &CallOutcome::NoAnswer);
         let tasks = running(&scheduler, TaskPhase::Running);
@@ -198,6 +204,6 @@
         let Some(Effect::Respond(answer)) = effects.first() else { panic!("{effects:?}") };
         answer.iter().filter(|command| matches!(command, Command::Forget { .. })).count()
     };
-    assert_eq!(forgets(false), 8, "only questions were lost");
+    assert_eq!(forgets(false), 8, "only probes were lost");
     assert_eq!(forgets(true), 0, "a launch may come late");
 }
--- a/crates/latchtrack-core/tests/failure_detection.rs
+++ b/crates/latchtrack-core/tests/failure_detection.rs
@@ -1,4 +1,5 @@
-//! Machines that fall silent, take no commands, or are taken back: each failure that was found as a small case.
+//! Machines that fall silent, take no commands, or are taken back: each failure that was found as a
+//! small case.
 
 mod common;
 
@@ -15,17 +16,17 @@
     for step in 1..150 {
         let now = 1_000 + step * 200;
         let mut effects = scheduler.handle(now, Event::Tick);
-        // Six go on; the others' last reports were 100 ms apart.
+        // Six go on; the others' last heartbeats were 100 ms apart.
         for i in 0..22 {
             let last = 1_000 + if i < 6 { 1_000_000 } else { i * 100 };
             if now <= last && (step % 10 == 0 || i >= 6) {
-                let r = heartbeat(
+                let heartbeat = heartbeat(
                     i,
                     1 + step,
                     7,
                     scheduler.machines()[&name(i)].runs.values().map(status_of).collect(),
                 );
-                effects.extend(scheduler.handle(now, Event::Heartbeat(r)));
+                effects.extend(scheduler.handle(now, Event::Heartbeat(heartbeat)));
             }
         }
         let gone = terminated(&effects);
@@ -66,7 +67,7 @@
     let mut gone = Vec::new();
     for step in 1..300 {
         let effects = scheduler.handle(1_000 + step * 200, Event::Tick);
-        assert!(!effects.iter().any(|e| matches!(e, Effect::Resign(_))));
+        assert!(!effects.iter().any(|effect| matches!(effect, Effect::Resign(_))));
         gone.extend(terminated(&effects));
     }
     assert_eq!(gone.len(), 4);
@@ -78,7 +79,8 @@
     let machines = 6_000;
     let scheduler = busy_fleet(machines);
     assert_eq!(scheduler.overdue(60_000).len(), machines as usize);
-    // Names of a length that no cloud has are bounded by their bytes, so that the frame goes through.
+    // Names of a length that no cloud has are bounded by their bytes, so that the frame goes
+    // through.
     let long = |i: u64| StoredMachine {
         name: format!("{i:0200}"),
         kind: "g".into(),
@@ -99,7 +101,7 @@
 #[test]
 fn overdue_machines_are_named_long_before_they_are_given_up() {
     let mut scheduler = busy_fleet(6);
-    assert_eq!(scheduler.overdue(4_000), Vec::<String>::new(), "between two reports");
+    assert_eq!(scheduler.overdue(4_000), Vec::<String>::new(), "between two heartbeats");
     assert_eq!(scheduler.overdue(5_300).len(), 6);
     // One is relayed in time and stays; the others are given up only after the limit.
     for step in 1..80 {
@@ -114,8 +116,8 @@
     }
 }
 
-/// Users' check: a machine's reports arrive, answers and commands don't reach it. Unsettled, it
-/// would hold up all inherited jobs for as long as it reports.
+/// Users' check: a machine's heartbeats arrive, responses and commands don't reach it. Unreconciled, it
+/// would hold up all inherited jobs for as long as it heartbeats.
 #[test]
 fn a_machine_that_heartbeats_with_an_old_token_for_ever_is_given_up() {
     let mut scheduler =
@@ -140,7 +142,7 @@
     assert_eq!(gone[..1], [name(0)]);
 }
 
-/// Users' check, the same for a machine that was settled: it reports and never starts what it is
+/// Users' check, the same for a machine that was reconciled: it heartbeats and never starts what it is
 /// given.
 #[test]
 fn a_machine_that_takes_no_launch_is_given_up_and_its_tasks_go_elsewhere() {
@@ -170,8 +172,8 @@
     assert_eq!(scheduler.jobs()[&JobId(1)].waiting(), 2);
 }
 
-/// Users' check: copies of reports come late, from before the term, of machines that an earlier
-/// leader has deleted. A copy brings back nothing, settles nothing and refreshes nothing.
+/// Users' check: copies of heartbeats come late, from before the term, of machines that an earlier
+/// leader has deleted. A copy brings back nothing, reconciles nothing and refreshes nothing.
 #[test]
 fn a_late_copy_proves_nothing() {
     let mut scheduler =
@@ -188,7 +190,7 @@
     assert_eq!((scheduler.machines().len(), launches(&effects)), (known, 0));
     assert_eq!(scheduler.machines()[&name(1)].last_heartbeat_at, None);
     assert!(scheduler.next_writes(1_500, 8).is_empty(), "nothing is stored for it");
-    // Settled; then a copy of an earlier report, from within the term, refreshes nothing.
+    // Reconciled; then a copy of an earlier heartbeat, from within the term, refreshes nothing.
     scheduler.handle(2_000, Event::Heartbeat(heartbeat(0, 50, 7, Vec::new())));
     let effects = scheduler.handle(9_000, Event::Heartbeat(heartbeat(0, 49, 7, Vec::new())));
     assert_eq!(
@@ -199,12 +201,12 @@
     scheduler.handle(9_100, Event::TerminateFinished { names: vec![name(0)], ok: true });
     scheduler.handle(80_000, Event::Heartbeat(heartbeat(0, 51, 7, Vec::new())));
     assert!(!scheduler.machines().contains_key(&name(0)));
-    // A rental carried out late shows our token half a second after it first hears it.
+    // A request carried out late shows our token half a second after it first hears it.
     scheduler.handle(80_100, Event::Heartbeat(heartbeat(9, 41, 7, Vec::new())));
     assert!(scheduler.machines().contains_key(&name(9)));
 }
 
-/// A node that is late itself hears late: while its questions are still open, a silent machine is
+/// A node that is late itself hears late: while its probes are still open, a silent machine is
 /// not given up before its lease has run out.
 #[test]
 fn a_late_leader_does_not_take_its_lateness_for_death() {
@@ -249,19 +251,19 @@
         assert_eq!(launches(&effects), 0, "at {now}");
         let effects = tick_until(&mut scheduler, now, now + 3_000, &CallOutcome::NoAnswer);
         assert_eq!(launches(&effects), 0, "at {now}");
-        for e in effects {
-            if let Effect::Terminate(names) = e {
+        for effect in effects {
+            if let Effect::Terminate(names) = effect {
                 scheduler.handle(now + 3_000, Event::TerminateFinished { names, ok: false });
             }
         }
     }
-    let mut n = 0;
+    let mut launched = 0;
     for step in 9..12 {
         let now = 1_100 + step * 3_000;
-        n += launches(
+        launched += launches(
             &scheduler.handle(now, Event::Heartbeat(heartbeat(0, 1 + step, 7, Vec::new()))),
         );
-        n += launches(&tick_until(&mut scheduler, now, now + 3_000, &CallOutcome::NoAnswer));
+        launched += launches(&tick_until(&mut scheduler, now, now + 3_000, &CallOutcome::NoAnswer));
     }
-    assert!(n >= 2, "started after the lease: {n}");
+    assert!(launched >= 2, "started after the lease: {launched}");
 }
--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Whose fault a failure is, the job's or the machine's: each failure that was found as a small case.
+//! Whose fault a failure is, the job's or the machine's: each failure that was found as a small
+//! case.
 
 mod common;
 
@@ -7,14 +8,14 @@
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
-/// Seen in the design for a few machines, where three of them failing a job spoke against the job: a
-/// large array meets three faulty machines of a large fleet at once, and was then held back for up
-/// to a minute while the faulty machines kept their names.
+/// Seen in the design for a few machines, where three of them failing a job spoke against the job:
+/// a large array meets three faulty machines of a large fleet at once, and was then held back for
+/// up to a minute while the faulty machines kept their names.
 #[test]
 fn a_large_job_on_a_few_faulty_machines_is_not_quarantined() {
     let phases = |scheduler: &Scheduler, i: u64, phase| -> Vec<TaskStatus> {
         let runs = scheduler.machines()[&name(i)].runs.values();
-        runs.map(|r| TaskStatus { phase, ..status_of(r) }).collect()
+        runs.map(|run| TaskStatus { phase, ..status_of(run) }).collect()
     };
     let run = |tasks: u32| {
         let mut scheduler = Scheduler::new(
@@ -57,9 +58,9 @@
     assert!(small.jobs()[&JobId(1)].is_quarantined, "it has failed wherever it was");
 }
 
-/// Own days with mistaken jobs (28,000 failed starts in one): two arrays submitted with a mistake met on
-/// the same machines, which then counted as faulty and went back with what else ran there; and every
-/// minute all their tasks were launched again.
+/// Own days with broken jobs (28,000 failed starts in one): two arrays submitted with a mistake
+/// met on the same machines, which then counted as faulty and went back with what else ran there;
+/// and every minute all their tasks were launched again.
 #[test]
 fn two_broken_arrays_over_the_same_machines_lose_none_of_them() {
     let machines = 20u64;
@@ -110,11 +111,11 @@
                 };
                 TaskStatus { phase, ..status_of(run) }
             });
-            let r = heartbeat(i, seqs[i as usize], 7, tasks.collect());
-            effects.extend(scheduler.handle(now, Event::Heartbeat(r)));
+            let heartbeat = heartbeat(i, seqs[i as usize], 7, tasks.collect());
+            effects.extend(scheduler.handle(now, Event::Heartbeat(heartbeat)));
         }
-        for e in &effects {
-            if let Effect::Log(text) = e {
+        for effect in &effects {
+            if let Effect::Log(text) = effect {
                 gone.extend(text.contains("fails every job").then(|| text.clone()));
             }
         }
@@ -125,8 +126,8 @@
     assert!(good_done >= 8 * 28, "{good_done} tasks of good jobs done");
 }
 
-/// A good job whose first tasks all met faulty machines is tried where others succeed, and then goes on
-/// whole; what it suffered speaks against those machines.
+/// A good job whose first tasks all met faulty machines is tried where others succeed, and then
+/// goes on whole; what it suffered speaks against those machines.
 #[test]
 fn a_good_job_that_met_three_faulty_machines_gets_going_again() {
     let mut scheduler =
@@ -143,8 +144,8 @@
                 };
                 TaskStatus { phase, ..status_of(run) }
             });
-            let r = heartbeat(i, sequence, 7, tasks.collect());
-            scheduler.handle(now, Event::Heartbeat(r));
+            let heartbeat = heartbeat(i, sequence, 7, tasks.collect());
+            scheduler.handle(now, Event::Heartbeat(heartbeat));
         }
     };
     for i in 0..5 {
@@ -174,8 +175,9 @@
     assert_eq!(done, 6);
 }
 
-/// A machine that was faulty for a while is all that a job fits, and another job keeps it from being given
-/// back: the job is tried there again, soon enough for nobody to wait 90 s where there is room.
+/// A machine that was faulty for a while is all that a job fits, and another job keeps it from
+/// being given back: the job is tried there again, soon enough for nobody to wait 90 s where there
+/// is room.
 #[test]
 fn a_job_goes_back_to_a_machine_whose_fault_has_passed() {
     let mut scheduler = Scheduler::new(
--- a/crates/latchtrack-core/tests/gangs/attempts.rs
+++ b/crates/latchtrack-core/tests/gangs/attempts.rs
@@ -47,8 +47,8 @@
     assert!((2..=3).contains(&in_a), "{in_a} in zone a");
 }
 
-/// Whatever the stage and the cause, the other tasks are told to go when one has, and the next attempt
-/// waits until all of them have.
+/// Whatever the stage and the cause, the other tasks are told to go when one has, and the next
+/// attempt waits until all of them have.
 #[test]
 fn the_next_attempt_starts_when_every_task_of_the_last_one_is_gone() {
     for stage in [TaskPhase::Fetching, TaskPhase::Waiting, TaskPhase::Running] {
@@ -186,8 +186,8 @@
     assert_eq!(site.stops, []);
 }
 
-/// One attempt is one observation: a gang whose tasks all fail at once is not yet a suspect, and its
-/// machines are not suspected beyond the first.
+/// One attempt is one observation: a gang whose tasks all fail at once is not yet a suspect, and
+/// its machines are not suspected beyond the first.
 #[test]
 fn the_failures_of_one_attempt_count_once() {
     let mut site = Site::new(4, long_idle_timeout());
@@ -204,8 +204,8 @@
     assert_eq!(suspected, 1);
 }
 
-/// The launch of one task was never answered, and may be executed later: the attempt stays until that
-/// machine is known not to run it.
+/// The launch of one task was never answered, and may be executed later: the attempt stays until
+/// that machine is known not to run it.
 #[test]
 fn a_launch_that_may_come_late_keeps_the_next_attempt_waiting() {
     let mut site = Site::new(2, long_idle_timeout());
--- a/crates/latchtrack-core/tests/gangs/main.rs
+++ b/crates/latchtrack-core/tests/gangs/main.rs
@@ -1,4 +1,4 @@
-//! Gangs, each rule as a small case of its own. The simulation has them in all its troubles.
+//! Gangs, each rule as a small case of its own. The simulation has them in all its faults.
 
 mod attempts;
 #[path = "../common/mod.rs"]
@@ -12,7 +12,7 @@
 use latchtrack_core::job::JobSpec;
 use latchtrack_core::scheduler::Policy;
 
-/// Nothing is given back while a case lasts.
+/// A policy that terminates no idle machine while a case lasts.
 fn long_idle_timeout() -> Policy {
     Policy { on_demand_idle_timeout_ms: 600_000, ..policy() }
 }
@@ -22,6 +22,7 @@
     JobSpec { gang: true, spot: false, ..(*spec(id, tasks)).clone() }
 }
 
+/// An array of tasks of four CPUs, on on-demand machines.
 fn array(id: u64, tasks: u32) -> JobSpec {
     JobSpec { spot: false, ..(*spec(id, tasks)).clone() }
 }
@@ -31,7 +32,7 @@
 fn only_attempt(site: &Site, id: u64, tasks: usize) -> u64 {
     let live = site.live(id);
     assert_eq!(live.len(), 1, "{live:?}");
-    let (attempt, n) = live.into_iter().next().unwrap();
-    assert_eq!(n, tasks);
+    let (attempt, count) = live.into_iter().next().expect("one attempt");
+    assert_eq!(count, tasks);
     attempt
 }
--- a/crates/latchtrack-core/tests/gangs/reservations.rs
+++ b/crates/latchtrack-core/tests/gangs/reservations.rs
@@ -10,8 +10,8 @@
 use super::common::site::{new_leader, Site, TOKEN};
 use super::{array, gang, long_idle_timeout, only_attempt};
 
-/// Two gangs that each could hold half: room comes free for one task after the other, and an array is
-/// there to take it.
+/// Two gangs that each could hold half: room comes free for one task after the other, and an array
+/// is there to take it.
 #[test]
 fn capacity_is_reserved_for_one_gang_after_the_other() {
     let mut site = Site::new(2, long_idle_timeout());
@@ -64,8 +64,8 @@
     only_attempt(&site, 2, 3);
 }
 
-/// Found by simulation: the machines of a gang that needs several came up one after the other, and each
-/// was given back as idle before the next was there.
+/// Found by simulation: the machines of a gang that needs several came up one after the other, and
+/// each was given back as idle before the next was there.
 #[test]
 fn machines_that_wait_for_the_others_of_a_gang_are_not_idle() {
     let mut site = Site::new(3, Policy { on_demand_idle_timeout_ms: 4_000, ..policy() });
@@ -146,9 +146,9 @@
     site.submit(gang_with_start_objective(1, 4));
     site.pass(400);
     // For the gang itself; called off, it leaves nothing to rent for but the next.
-    let before = site.hired.len();
+    let before = site.provisions.len();
     assert!(before >= 1);
     site.drive(Event::JobClosed(JobId(1)));
     site.pass(15_000);
-    assert!(site.hired.len() > before);
+    assert!(site.provisions.len() > before);
 }
--- a/crates/latchtrack-core/tests/gangs/team_limits.rs
+++ b/crates/latchtrack-core/tests/gangs/team_limits.rs
@@ -29,8 +29,8 @@
     only_attempt(&site, waits, 4);
 }
 
-/// Found by simulation: an operator's slice of two tasks was more than the team's limit allows. Of a job
-/// that had not begun for long it was counted as used, and with it the whole limit.
+/// Found by simulation: an operator's slice of two tasks was more than the team's limit allows. Of
+/// a job that had not begun for long it was counted as used, and with it the whole limit.
 #[test]
 fn a_slice_above_its_teams_limit_holds_up_nobody() {
     let mut policy = Policy { slice: 2, ..long_idle_timeout() };
@@ -45,8 +45,8 @@
     only_attempt(&site, 2, 4);
 }
 
-/// Found by simulation: a gang submitted with a mistake was to begin before all others for ever, and kept
-/// its team's limit from a good one.
+/// Found by simulation: a gang submitted with a mistake was to begin before all others for ever,
+/// and kept its team's limit from a good one.
 #[test]
 fn nothing_is_reserved_for_a_quarantined_gang() {
     let mut policy = long_idle_timeout();
@@ -69,8 +69,8 @@
     assert_eq!(site.leader.jobs()[&JobId(1)].unschedulable_since, None);
 }
 
-/// Found by simulation: a job that was to begin before all others needed a machine that was not there, and
-/// in its turn, behind the team's other jobs, their limit was used up: none was rented.
+/// Found by simulation: a job that was to begin before all others needed a machine that was not
+/// there, and in its turn, behind the team's other jobs, their limit was used up: none was rented.
 #[test]
 fn a_machine_is_provisioned_for_a_starving_job_before_its_team_uses_its_limit() {
     let mut policy = long_idle_timeout();
@@ -90,17 +90,17 @@
         let running = site.tasks[&0].iter().filter(|(_, phase)| **phase == TaskPhase::Running);
         let first = running.map(|((task, _), _)| task.index).min();
         site.set(1, TaskPhase::Ended(ExitCause::Done), |i| Some(i) == first);
-        let before = site.hired.len();
+        let before = site.provisions.len();
         site.pass(1_000);
-        if site.hired[before..].iter().any(|offer| offer.zone == "b") {
+        if site.provisions[before..].iter().any(|offer| offer.zone == "b") {
             return;
         }
     }
     panic!("never rented");
 }
 
-/// Found by simulation: a gang that was to begin before all others was launched in part, as far as its team's
-/// limit went, and stopped again, over and over.
+/// Found by simulation: a gang that was to begin before all others was launched in part, as far as
+/// its team's limit went, and stopped again, over and over.
 #[test]
 fn a_gang_is_never_launched_in_part_under_its_teams_limit() {
     let mut policy = long_idle_timeout();
@@ -120,8 +120,8 @@
     only_attempt(&site, 2, 4);
 }
 
-/// Found by simulation: a gang had its team's limit, but while the machines for it booted the team's other
-/// jobs took that, and when it had the limit again its machines had been given back.
+/// Found by simulation: a gang had its team's limit, but while the machines for it booted the
+/// team's other jobs took that, and when it had the limit again its machines had been given back.
 #[test]
 fn a_gang_keeps_its_teams_limit_while_its_machines_boot() {
     let mut policy = long_idle_timeout();
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -9,13 +9,13 @@
 /// = 0.05 + 0.016666...; Eq. 9 for 5 tasks of 4 CPUs and 12 GB: (0.05 + 0.0125) * 5.
 #[test]
 fn scores_follow_the_papers_equations() {
-    let w = ScoreWeights::default();
+    let weights = ScoreWeights::default();
     let total = Demand { cpus: 16.0 + 16.0 + 32.0, gpus: 0.0, memory_gb: 64.0 + 64.0 + 64.0 };
     let free = Demand { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
-    assert!((score(&free, &total, &w) - (0.05 + 1.0 / 60.0)).abs() < 1e-12);
+    assert!((score(&free, &total, &weights) - (0.05 + 1.0 / 60.0)).abs() < 1e-12);
     let task = Demand { cpus: 4.0, gpus: 0.0, memory_gb: 12.0 };
-    assert!((job_demand(&task, 5, &total, &w) - 0.3125).abs() < 1e-12);
-    assert_eq!(score(&free, &Demand::default(), &w), 0.0, "no machine runs");
+    assert!((job_demand(&task, 5, &total, &weights) - 0.3125).abs() < 1e-12);
+    assert_eq!(score(&free, &Demand::default(), &weights), 0.0, "no machine runs");
 }
 
 #[test]
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -23,7 +23,8 @@
     }
     scheduler.handle(2_000, Event::Tick);
     // Two tasks to a machine are placed, and no job holds more than its bits.
-    let placed: usize = scheduler.jobs().values().map(|j| j.placed.len() + j.again.len()).sum();
+    let placed: usize =
+        scheduler.jobs().values().map(|job| job.placed.len() + job.again.len()).sum();
     assert_eq!(placed, 60);
 }
 
@@ -38,9 +39,9 @@
         done: None,
     };
     scheduler.handle(2_000, job);
-    let mut r = heartbeat(0, u64::MAX, 7, Vec::new());
-    (r.agent_epoch, r.notice_s) = (u64::MAX, Some(1e300));
-    scheduler.handle(2_100, Event::Heartbeat(r));
+    let mut heartbeat = heartbeat(0, u64::MAX, 7, Vec::new());
+    (heartbeat.agent_epoch, heartbeat.notice_s) = (u64::MAX, Some(1e300));
+    scheduler.handle(2_100, Event::Heartbeat(heartbeat));
     let listed = ListedMachine {
         name: name(9),
         kind: "unknown".into(),
@@ -54,7 +55,7 @@
     for step in 0..50 {
         scheduler.handle(3_000 + step * 200, Event::Tick);
     }
-    // The machine moved to another session without its task, which waits again.
+    // The machine moved to another agent epoch without its task, which waits again.
     assert_eq!(scheduler.jobs()[&JobId(1)].placed.len(), 1);
 }
 
@@ -109,14 +110,17 @@
     let running = scheduler.machines()[&on]
         .runs
         .values()
-        .map(|r| TaskStatus { phase: TaskPhase::Running, ..status_of(r) });
+        .map(|run| TaskStatus { phase: TaskPhase::Running, ..status_of(run) });
     let running = running.collect();
     scheduler.handle(3_000, Event::Heartbeat(heartbeat(i, 2, 7, running)));
     // One place is left beside it, two are free on the machine without the image.
     scheduler.handle(5_000, start_objectives(2, 2, 5_000));
     scheduler.handle(5_100, Event::Tick);
-    let placed: Vec<String> =
-        scheduler.jobs()[&JobId(2)].placed.values().map(|p| p.machine.to_string()).collect();
+    let placed: Vec<String> = scheduler.jobs()[&JobId(2)]
+        .placed
+        .values()
+        .map(|assignment| assignment.machine.to_string())
+        .collect();
     assert_eq!(placed, [on]);
     scheduler.handle(6_100, Event::Tick);
     assert_eq!(scheduler.jobs()[&JobId(2)].placed.len(), 2);
@@ -133,7 +137,7 @@
     assert!(images.contains("huge") && !images.contains("a"), "it runs, so it is there");
 }
 
-/// Recorded day inc-062e: idle-time work without any aim stood before all jobs that could not be in
+/// Recorded day inc-062e: best-effort work without any objective stood before all jobs that could not be in
 /// time, and kept a full fleet from them for minutes.
 #[test]
 fn best_effort_work_waits_for_what_is_late_and_provisions_only_spot_machines() {
@@ -149,8 +153,8 @@
     assert_eq!((placed(&scheduler, 1), placed(&scheduler, 2)), (0, 2), "the late one goes first");
     let mut provisioned_spot = Vec::new();
     for now in (2_200..60_000).step_by(200) {
-        for e in scheduler.handle(now, Event::Tick) {
-            let Effect::Provision { request_id, offer, .. } = e else { continue };
+        for effect in scheduler.handle(now, Event::Tick) {
+            let Effect::Provision { request_id, offer, .. } = effect else { continue };
             provisioned_spot.push(offer.spot);
             scheduler.handle(
                 now,
@@ -178,7 +182,8 @@
     assert_eq!(placed(&scheduler, 1) + placed(&scheduler, 2), 80);
 }
 
-/// Hunted days of kolkata: six such jobs shared what was left, so that none was done by the day's end.
+/// Hunted days of kolkata: six such jobs shared what was left, so that none was done by the day's
+/// end.
 #[test]
 fn best_effort_work_is_done_one_job_after_the_other() {
     let mut scheduler =
@@ -198,8 +203,8 @@
     assert_eq!((placed(1), placed(2)), (5, 1));
 }
 
-/// Own days: a job of 25 tasks that missed its deadline by a second stood behind hundreds that could not be
-/// in time, the largest first, and began 500 s later.
+/// Own days: a job of 25 tasks that missed its deadline by a second stood behind hundreds that
+/// could not be in time, the largest first, and began 500 s later.
 #[test]
 fn a_small_job_past_its_deadline_is_not_left_to_the_end() {
     let mut scheduler =
@@ -214,8 +219,8 @@
     assert_eq!(scheduler.jobs()[&JobId(2)].placed.len(), 2, "the least work first");
 }
 
-/// A machine of eight CPUs with a task of four, kept for a task of six; when a job of this size that
-/// comes later starts there, if it does within so many ms.
+/// A machine of eight CPUs with a task of four, reserved for a task of six; when a job of this size
+/// that comes later starts there, if it does within so many ms.
 fn starts_beside(cpus: f64, within: u64) -> Option<u64> {
     let sized = |id, cpus| {
         let demand = Demand { cpus, gpus: 0.0, memory_gb: 1.0 };
@@ -241,7 +246,8 @@
         }
         scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, vec![long])));
         scheduler.handle(now, Event::Tick);
-        let placed = |id| scheduler.jobs().get(&JobId(id)).is_some_and(|j| !j.placed.is_empty());
+        let placed =
+            |id| scheduler.jobs().get(&JobId(id)).is_some_and(|job| !job.placed.is_empty());
         assert!(!placed(2), "there is no room for six");
         if placed(3) {
             return Some(now);
@@ -250,8 +256,8 @@
     None
 }
 
-/// Runs of the simulation: whole machines stood empty, kept for a job that could not use them, and others
-/// had two CPUs free of eight, kept for tasks of six, for as long as the overload lasted.
+/// Runs of the simulation: whole machines stood empty, reserved for a job that could not use them, and
+/// others had two CPUs free of eight, reserved for tasks of six, for as long as the overload lasted.
 #[test]
 fn a_reserved_machine_is_open_to_what_its_holder_cannot_use_and_to_those_who_wait_for_long() {
     let (small, large) = (starts_beside(2.0, 90_000), starts_beside(4.0, 90_000));
@@ -259,7 +265,7 @@
     assert!(large.is_some_and(|at| (60_000..80_000).contains(&at)), "instead: {large:?}");
 }
 
-/// One whose tasks must stay in another zone keeps nothing here.
+/// One whose tasks must stay in another zone reserves nothing here.
 #[test]
 fn a_job_that_may_not_use_a_machine_does_not_reserve_it() {
     let mut fleet = stored_set(0..2);
@@ -299,8 +305,9 @@
     );
 }
 
-/// An own day with a team at its limit: what each end left of the limit waited for the next round, for up
-/// to a second, so that the team stayed below its limit for as long as jobs waited beside room.
+/// An own day with a team at its limit: what each end left of the limit waited for the next cycle,
+/// for up to a second, so that the team stayed below its limit for as long as jobs waited beside
+/// room.
 #[test]
 fn what_an_end_leaves_of_a_limit_is_given_out_at_once() {
     let limit = Team { cpus_max: 4.0, ..long_idle_timeout().teams.remove(0) };
@@ -314,15 +321,15 @@
     for now in (1_200..10_000).step_by(200) {
         let runs = scheduler.machines()[&name(0)].runs.values();
         let tasks =
-            runs.map(|r| TaskStatus { phase: TaskPhase::Running, ..status_of(r) }).collect();
+            runs.map(|run| TaskStatus { phase: TaskPhase::Running, ..status_of(run) }).collect();
         scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, tasks)));
         scheduler.handle(now, Event::Tick);
     }
     let runs = |scheduler: &Scheduler| {
-        scheduler.machines()[&name(0)].runs.values().filter(|r| r.is_live()).count()
+        scheduler.machines()[&name(0)].runs.values().filter(|run| run.is_live()).count()
     };
     assert_eq!(runs(&scheduler), 1, "four CPUs are all that the team may use");
-    // A round was made just now.
+    // A cycle ran just now.
     scheduler.handle(10_000, Event::Tick);
     let run = scheduler.machines()[&name(0)].runs.values().next().unwrap();
     let done = TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) };
--- a/crates/latchtrack-core/tests/record_shards.rs
+++ b/crates/latchtrack-core/tests/record_shards.rs
@@ -1,4 +1,5 @@
-//! Entries that share stored values: late writes, few writes, and values of an earlier, higher limit.
+//! Entries that share stored values: late writes, few writes, and values of an earlier, higher
+//! limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,57 +14,57 @@
     let mut late_applied = 0;
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut packs: RecordShards<u32> = RecordShards::new(7, 40, 500);
+        let mut shards: RecordShards<u32> = RecordShards::new(7, 40, 500);
         let mut store: BTreeMap<String, (u64, Vec<u32>)> = BTreeMap::new();
         let mut late: Vec<ShardWrite<u32>> = Vec::new();
-        let (mut stored, mut next, mut epoch) = (BTreeSet::new(), 0, 0);
+        let (mut stored, mut next, mut revision) = (BTreeSet::new(), 0, 0);
         for step in 0..400u64 {
             let now = step * 100;
             match rng.random_range(0..3) {
                 0 => {
                     next += 1;
-                    packs.put(next, 10, true);
+                    shards.put(next, 10, true);
                 }
                 1 => {
                     let k = rng.random_range(0..=next);
                     stored.remove(&k);
-                    packs.remove(&k);
+                    shards.remove(&k);
                 }
                 _ => {}
             }
-            let mut apply = |w: &ShardWrite<u32>, epoch: &mut u64| {
-                let have = store.get(&w.name).map_or(0, |(revision, _)| *revision);
-                if w.expect.is_some_and(|e| e != have) {
+            let mut apply = |write: &ShardWrite<u32>, revision: &mut u64| {
+                let have = store.get(&write.name).map_or(0, |(revision, _)| *revision);
+                if write.expect.is_some_and(|expected| expected != have) {
                     return false;
                 }
-                *epoch += 1;
-                if w.entries.is_empty() {
-                    store.remove(&w.name);
+                *revision += 1;
+                if write.entries.is_empty() {
+                    store.remove(&write.name);
                 } else {
-                    store.insert(w.name.clone(), (*epoch, w.entries.clone()));
+                    store.insert(write.name.clone(), (*revision, write.entries.clone()));
                 }
                 true
             };
             if rng.random_bool(0.2) && !late.is_empty() {
-                let w = late.swap_remove(rng.random_range(0..late.len()));
-                late_applied += u32::from(apply(&w, &mut epoch));
+                let write = late.swap_remove(rng.random_range(0..late.len()));
+                late_applied += u32::from(apply(&write, &mut revision));
             }
-            let Some(w) = packs.next(now) else { continue };
+            let Some(write) = shards.next(now) else { continue };
             match rng.random_range(0..4) {
                 0 => {
-                    late.push(w.clone());
-                    packs.wrote(&w, ShardOutcome::Unknown);
+                    late.push(write.clone());
+                    shards.wrote(&write, ShardOutcome::Unknown);
                 }
-                1 => packs.wrote(&w, ShardOutcome::NotExecuted),
-                _ if apply(&w, &mut epoch) => {
-                    stored.extend(w.entries.iter().copied());
-                    packs.wrote(&w, ShardOutcome::Committed(epoch));
+                1 => shards.wrote(&write, ShardOutcome::NotExecuted),
+                _ if apply(&write, &mut revision) => {
+                    stored.extend(write.entries.iter().copied());
+                    shards.wrote(&write, ShardOutcome::Committed(revision));
                 }
-                _ => packs.wrote(&w, ShardOutcome::Unknown),
+                _ => shards.wrote(&write, ShardOutcome::Unknown),
             }
             let found: BTreeSet<u32> =
                 store.values().flat_map(|(_, entries)| entries.iter().copied()).collect();
-            let lost: Vec<&u32> = stored.iter().filter(|k| !found.contains(k)).collect();
+            let lost: Vec<&u32> = stored.iter().filter(|key| !found.contains(key)).collect();
             assert!(lost.is_empty(), "seed {seed} step {step}: {lost:?}");
         }
     }
@@ -72,45 +73,45 @@
 
 #[test]
 fn many_entries_cost_few_writes() {
-    let mut packs: RecordShards<u32> = RecordShards::new(7, 4_000, 500);
+    let mut shards: RecordShards<u32> = RecordShards::new(7, 4_000, 500);
     for k in 0..1_000 {
-        packs.put(k, 80, true);
+        shards.put(k, 80, true);
     }
     let mut writes = 0;
-    while let Some(w) = packs.next(0) {
-        assert!(w.entries.len() <= 50);
+    while let Some(write) = shards.next(0) {
+        assert!(write.entries.len() <= 50);
         writes += 1;
     }
     assert_eq!(writes, 20);
-    assert!(!packs.due(0));
+    assert!(!shards.due(0));
 }
 
-/// Values written under a higher limit are read, and split when they are next written: no value above
-/// today's limit is written any more, and no entry is ever missing.
+/// Values written under a higher limit are read, and split when they are next written: no value
+/// above today's limit is written any more, and no entry is ever missing.
 #[test]
 fn values_above_a_lowered_limit_are_split_on_their_next_write() {
     let mut store: BTreeMap<String, Vec<u32>> = BTreeMap::new();
-    let mut packs: RecordShards<u32> = RecordShards::new(9, 100, 0);
+    let mut shards: RecordShards<u32> = RecordShards::new(9, 100, 0);
     for value in 0..5u32 {
         let name = format!("7-{value}");
         let entries: Vec<u32> = (value * 30..value * 30 + 30).collect();
-        packs.load(&name, u64::from(value) + 1, entries.iter().map(|k| (*k, 10)));
+        shards.load(&name, u64::from(value) + 1, entries.iter().map(|k| (*k, 10)));
         store.insert(name, entries);
     }
-    assert!(!packs.due(0), "what is only read is not written");
+    assert!(!shards.due(0), "what is only read is not written");
     for value in 0..5u32 {
-        packs.remove(&(value * 30));
+        shards.remove(&(value * 30));
     }
-    let mut epoch = 10;
-    while let Some(write) = packs.next(0) {
+    let mut revision = 10;
+    while let Some(write) = shards.next(0) {
         assert!(write.entries.len() <= 10, "{} entries of 10 bytes", write.entries.len());
-        epoch += 1;
+        revision += 1;
         if write.entries.is_empty() {
             store.remove(&write.name);
         } else {
             store.insert(write.name.clone(), write.entries.clone());
         }
-        packs.wrote(&write, ShardOutcome::Committed(epoch));
+        shards.wrote(&write, ShardOutcome::Committed(revision));
         let found: BTreeSet<u32> = store.values().flatten().copied().collect();
         let missing = (0..150).filter(|k| k % 30 != 0 && !found.contains(k)).count();
         assert_eq!(missing, 0, "after {}", write.name);
@@ -121,18 +122,18 @@
 /// A value whose entries have another form now: it stays until all of them are stored anew.
 #[test]
 fn a_value_that_is_replaced_stays_until_its_entries_are_stored_elsewhere() {
-    let mut packs: RecordShards<u32> = RecordShards::new(9, 100, 0);
-    packs.load_to_replace("7-1", (0..25).map(|k| (k, 10)));
+    let mut shards: RecordShards<u32> = RecordShards::new(9, 100, 0);
+    shards.load_to_replace("7-1", (0..25).map(|k| (k, 10)));
     let mut stored = BTreeSet::new();
     let mut dropped = false;
-    while let Some(write) = packs.next(0) {
+    while let Some(write) = shards.next(0) {
         if write.name == "7-1" {
             assert!(write.entries.is_empty());
             assert_eq!(stored.len(), 25, "dropped before all were stored");
             dropped = true;
         }
         stored.extend(write.entries.iter().copied());
-        packs.wrote(&write, ShardOutcome::Committed(1));
+        shards.wrote(&write, ShardOutcome::Committed(1));
     }
     assert!(dropped);
 }
--- a/crates/latchtrack-core/tests/refused_writes.rs
+++ b/crates/latchtrack-core/tests/refused_writes.rs
@@ -1,5 +1,5 @@
-//! The state service refuses what is above its limits, whatever the settings say: a leader that meets
-//! that goes on in smaller pieces, and one value that can't be stored blocks no other.
+//! The state service refuses what is above its limits, whatever the settings say: a leader that
+//! meets that goes on in smaller pieces, and one value that can't be stored blocks no other.
 
 mod common;
 
@@ -7,12 +7,14 @@
 use latchtrack_core::machine::Heartbeat;
 use latchtrack_core::scheduler::*;
 
+/// A leader without machines.
 fn leader() -> Scheduler {
     let types = vec![machine_type(vec!["a".into()])];
     let revisions = TermRevisions { token: 7, leaderless_since: 7 };
     Scheduler::new(policy(), revisions, types, Vec::new(), Vec::new(), 1_000)
 }
 
+/// The first heartbeat of a machine.
 fn heartbeat_of(name: &str, addr: String) -> Event {
     Event::Heartbeat(Heartbeat {
         machine: name.into(),
@@ -32,29 +34,32 @@
 fn bytes(write: &RecordWrite) -> usize {
     match write {
         RecordWrite::MachineSet { machines, .. } => machines.iter().map(StoredMachine::bytes).sum(),
-        other => panic!("{other:?}"),
+        other => panic!("expected a machine set, not {other:?}"),
     }
 }
 
-/// Writes all that is to be written, to a service that takes no more than so many changes and so many
-/// bytes of a value; returns the machines stored and the transactions it took.
-fn write_all(
-    scheduler: &mut Scheduler,
-    most_changes: usize,
-    most_bytes: usize,
-) -> (Vec<String>, usize) {
-    let mut stored = Vec::new();
+/// What a leader has written.
+struct Written {
+    /// The machines stored, some of them more than once.
+    machines: Vec<String>,
+    transactions: usize,
+}
+
+/// Writes all that is to be written, to a service that takes no more than so many changes and so
+/// many bytes of a value.
+fn write_all(scheduler: &mut Scheduler, most_changes: usize, most_bytes: usize) -> Written {
+    let mut machines = Vec::new();
     for cycle in 0..200 {
         let now = 10_000 + cycle * 10_000;
         let writes = scheduler.next_writes(now, 8);
         if writes.is_empty() {
-            return (stored, cycle as usize);
+            return Written { machines, transactions: cycle as usize };
         }
         let fits = writes.len() <= most_changes && writes.iter().all(|w| bytes(w) <= most_bytes);
         let outcome = if fits {
             for write in &writes {
-                let RecordWrite::MachineSet { machines, .. } = write else { continue };
-                stored.extend(machines.iter().map(|m| m.name.clone()));
+                let RecordWrite::MachineSet { machines: stored, .. } = write else { continue };
+                machines.extend(stored.iter().map(|machine| machine.name.clone()));
             }
             BatchOutcome::Committed(100 + cycle)
         } else {
@@ -62,7 +67,7 @@
         };
         scheduler.handle(now, Event::WritesFinished { writes, outcome });
     }
-    panic!("refused without end");
+    panic!("expected all to be written within 200 transactions");
 }
 
 #[test]
@@ -72,11 +77,12 @@
         for i in 0..300 {
             scheduler.handle(1_000, heartbeat_of(&name(i), name(i)));
         }
-        let (mut stored, cycles) = write_all(&mut scheduler, most_changes, most_bytes);
+        let Written { machines: mut stored, transactions } =
+            write_all(&mut scheduler, most_changes, most_bytes);
         stored.sort();
         stored.dedup();
         assert_eq!(stored.len(), 300, "{most_changes} changes, {most_bytes} bytes");
-        assert!(cycles < 150, "{cycles} transactions");
+        assert!(transactions < 150, "{transactions} transactions");
     }
 }
 
@@ -87,7 +93,7 @@
     for i in 0..20 {
         scheduler.handle(1_000, heartbeat_of(&name(i), name(i)));
     }
-    let (mut stored, _) = write_all(&mut scheduler, 4, 600);
+    let Written { machines: mut stored, .. } = write_all(&mut scheduler, 4, 600);
     stored.sort();
     stored.dedup();
     assert_eq!(stored, (0..20).map(name).collect::<Vec<_>>());
--- a/crates/latchtrack-core/tests/results.rs
+++ b/crates/latchtrack-core/tests/results.rs
@@ -1,7 +1,7 @@
 //! Stored results: bits of done tasks in chunks, of the size written now and of the earlier one.
 
 use latchtrack_core::bitmap::*;
-use latchtrack_core::constants::*;
+use latchtrack_core::constants::{CHUNK_TASKS, FIRST_CHUNK_INDEX, LEGACY_CHUNK_TASKS, MAX_TASKS};
 
 #[test]
 fn chunks_carry_a_large_job_over() {
@@ -57,8 +57,8 @@
     assert_eq!(a, b);
 }
 
-/// The rule by which the version in production reads a chunk, restated: none of its bits may be set by
-/// a small chunk, nor may it fail on one.
+/// The rule by which the version in production reads a chunk, restated: none of its bits may be set
+/// by a small chunk, nor may it fail on one.
 #[test]
 fn the_production_version_ignores_small_chunks() {
     for chunk in all_chunks().filter(|chunk| *chunk >= FIRST_CHUNK_INDEX) {
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -1,4 +1,5 @@
-//! What is made of silence: of single machines, of a zone, of the whole fleet, of our own.
+//! Failure detection: what is made of the silence of single machines, of a zone, of the whole
+//! fleet, and of a leader that was away itself.
 
 mod common;
 
@@ -9,11 +10,12 @@
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
-/// After which a worker's lease surely has run out.
+/// ms after which a worker lease has surely expired.
 const PAST_LEASE: u64 = LEASE + 5_000;
+/// Machines of each of the three zones.
 const PER_ZONE: u64 = 100;
 
-/// What a node would make of its settings.
+/// The policy that a node derives from its settings.
 fn settings() -> Policy {
     Policy {
         on_demand_provision_delay_ms: 8_000,
@@ -23,28 +25,36 @@
     }
 }
 
+/// The zone of a machine.
 fn zone(i: u64) -> String {
     ["a", "b", "c"][(i % 3) as usize].into()
 }
 
+/// The number of a machine with this name.
 fn index(name: &str) -> u64 {
-    name.strip_prefix("n-").and_then(|t| t.parse().ok()).unwrap()
+    name.strip_prefix("n-").and_then(|number| number.parse().ok()).expect("a name as `n-000001`")
 }
 
-/// A fleet over three zones, in which some machines neither speak nor answer.
+/// A direct call to a silent machine.
+struct LostCall {
+    ends_at: u64,
+    machine: String,
+    call: u64,
+}
+
+/// A fleet over three zones, in which some machines neither heartbeat nor respond. Times are in ms.
 struct Fleet {
     scheduler: Scheduler,
     now: u64,
     sequence: u64,
     agent_epoch: BTreeMap<u64, u64>,
-    /// Open calls into the silence: when each ends, machine and number.
-    calls: Vec<(u64, String, u64)>,
+    calls: Vec<LostCall>,
     log_lines: Vec<String>,
     terminated: Vec<u64>,
     resigned: Vec<&'static str>,
     provisions: Vec<String>,
     probes: BTreeMap<String, u32>,
-    /// Machines that don't answer may be heard by way of other nodes, and be given tasks.
+    /// Machines that do not respond may be relayed by other nodes, and be given tasks.
     relays: bool,
 }
 
@@ -83,7 +93,7 @@
         }
     }
 
-    /// The same once all machines are heard.
+    /// The same once all machines are reconciled.
     fn reconciled() -> Fleet {
         let mut fleet = Fleet::inherited();
         fleet.run(3_000, |_| false);
@@ -94,14 +104,18 @@
     fn heartbeat(&mut self, i: u64) -> Heartbeat {
         self.sequence += 1;
         let agent_epoch = *self.agent_epoch.get(&i).unwrap_or(&1);
-        let runs = self.scheduler.machines().get(&name(i)).map(|m| &m.runs);
+        let runs = self.scheduler.machines().get(&name(i)).map(|machine| &machine.runs);
         let known = runs.into_iter().flat_map(|r| r.values());
         let mut tasks: Vec<TaskStatus> = known
-            .map(|r| TaskStatus { task: r.task, attempt: r.attempt, phase: TaskPhase::Running })
+            .map(|run| TaskStatus {
+                task: run.task,
+                attempt: run.attempt,
+                phase: TaskPhase::Running,
+            })
             .collect();
         // What the earlier leader has launched.
         if tasks.is_empty() && agent_epoch == 1 {
-            let task = format!("req-000001/{i}").parse().unwrap();
+            let task = format!("req-000001/{i}").parse().expect("a task id");
             tasks.push(TaskStatus { task, attempt: 5, phase: TaskPhase::Running });
         }
         Heartbeat {
@@ -119,8 +133,8 @@
     }
 
     fn take(&mut self, effects: Vec<Effect>, silent: &impl Fn(u64) -> bool) {
-        for e in effects {
-            match e {
+        for effect in effects {
+            match effect {
                 Effect::Log(t) => self.log_lines.push(t),
                 Effect::Resign(why) => self.resigned.push(why),
                 Effect::Terminate(names) => self.terminated.extend(names.iter().map(|n| index(n))),
@@ -128,7 +142,8 @@
                 Effect::CallWorker { machine, call, commands, .. } if silent(index(&machine)) => {
                     assert!(commands.is_empty() || self.relays, "a command into the silence");
                     *self.probes.entry(zone(index(&machine))).or_default() += 1;
-                    self.calls.push((self.now + 2_500, machine, call));
+                    let ends_at = self.now + 2_500;
+                    self.calls.push(LostCall { ends_at, machine, call });
                 }
                 Effect::CallWorker { machine, call, .. } => {
                     let outcome = CallOutcome::Executed(self.heartbeat(index(&machine)));
@@ -141,24 +156,24 @@
         }
     }
 
-    /// So many ms, in which the machines that are not silent report every 2 s.
+    /// Lets so many ms pass, in which the machines that are not silent heartbeat every 2 s.
     fn run(&mut self, ms: u64, silent: impl Fn(u64) -> bool) {
         let end = self.now + ms;
         while self.now < end {
             self.now += 200;
             let now = self.now;
             let calls = std::mem::take(&mut self.calls);
-            let (over, open) = calls.into_iter().partition::<Vec<_>, _>(|(at, ..)| *at <= now);
+            let (over, open) = calls.into_iter().partition::<Vec<_>, _>(|lost| lost.ends_at <= now);
             self.calls = open;
-            for (_, machine, call) in over {
+            for LostCall { machine, call, .. } in over {
                 let event = Event::CallFinished { machine, call, outcome: CallOutcome::NoAnswer };
                 let effects = self.scheduler.handle(now, event);
                 self.take(effects, &silent);
             }
             for i in (0..3 * PER_ZONE).filter(|i| (now / 200 + i) % 10 == 0 && !silent(*i)) {
                 if self.scheduler.machines().contains_key(&name(i)) {
-                    let r = self.heartbeat(i);
-                    let effects = self.scheduler.handle(now, Event::Heartbeat(r));
+                    let heartbeat = self.heartbeat(i);
+                    let effects = self.scheduler.handle(now, Event::Heartbeat(heartbeat));
                     self.take(effects, &silent);
                 }
             }
@@ -167,6 +182,7 @@
         }
     }
 
+    /// Runs on a machine, as the scheduler knows them.
     fn runs(&self, i: u64) -> usize {
         self.scheduler.machines()[&name(i)].runs.len()
     }
@@ -184,11 +200,14 @@
     assert_eq!(fleet.runs(1), 1, "its task may be running: it has its place");
     fleet.run(8_000, in_b);
     assert_eq!(fleet.runs(1), 0, "the lease is over");
-    assert!(fleet.scheduler.jobs()[&JobId(1)].placed.values().all(|p| !in_b(index(&p.machine))));
+    assert!(fleet.scheduler.jobs()[&JobId(1)]
+        .placed
+        .values()
+        .all(|assignment| !in_b(index(&assignment.machine))));
     assert_eq!((fleet.terminated.len(), fleet.resigned.len()), (0, 0));
     let needless = fleet.provisions.iter().filter(|z| *z == "b").count();
     assert_eq!(needless, 0, "rented where nothing is heard: {:?}", fleet.provisions);
-    // Back, in the next session.
+    // Back, in the next agent epoch.
     fleet.agent_epoch.extend((0..3 * PER_ZONE).filter(|i| in_b(*i)).map(|i| (i, 2)));
     fleet.run(3_000, |_| false);
     assert_eq!(fleet.terminated, Vec::<u64>::new());
@@ -200,7 +219,7 @@
     );
 }
 
-/// What was sent before the lease ran out and held back speaks of a session that is over.
+/// What was sent before the lease ran out and held back speaks of an agent epoch that is over.
 #[test]
 fn a_heartbeat_held_back_for_longer_than_the_lease_brings_no_run_back() {
     let mut fleet = Fleet::reconciled();
@@ -209,7 +228,7 @@
     let effects = fleet.scheduler.handle(fleet.now, Event::Heartbeat(held));
     assert!(!effects
         .iter()
-        .any(|e| matches!(e, Effect::Respond(commands) if !commands.is_empty())));
+        .any(|effect| matches!(effect, Effect::Respond(commands) if !commands.is_empty())));
     assert_eq!(fleet.runs(1), 0);
 }
 
@@ -266,7 +285,7 @@
     assert_eq!(fleet.scheduler.summary(0).up, 3 * PER_ZONE as usize);
 }
 
-/// Taken back while it booted, a machine says nothing, and counted as room on its way for four
+/// Taken back while it booted, a machine says nothing, and counted as pending capacity for four
 /// boot times.
 #[test]
 fn a_machine_that_the_list_lost_before_it_came_up_counts_no_more() {
@@ -289,30 +308,30 @@
     assert!(fleet.scheduler.machines()[&name(3 * PER_ZONE)].to_terminate);
 }
 
-/// Day apart of the working sites: the leader lost its workers for a minute, others passed their
-/// reports on, and what was launched waited for the next of these.
+/// Day apart of the working sites: the leader lost its workers for a minute, others relayed their
+/// heartbeats, and what was launched waited for the next of these.
 #[test]
 fn a_leader_that_machines_reach_only_by_way_of_others_resigns() {
     let mut fleet = Fleet::reconciled();
     fleet.relays = true;
     for _ in 0..20 {
         fleet.run(400, |i| i != 0);
-        let r = fleet.heartbeat(3);
-        let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(r));
+        let heartbeat = fleet.heartbeat(3);
+        let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(heartbeat));
         fleet.take(effects, &|i| i != 0);
     }
     assert_eq!(fleet.resigned, Vec::<&str>::new(), "one speaks to it: the others are cut off");
     // Recorded day inc-16b6: nobody had spoken for a minute, then one by way of another node.
     fleet.now += 60_000;
-    let r = fleet.heartbeat(3);
-    let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(r));
+    let heartbeat = fleet.heartbeat(3);
+    let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(heartbeat));
     fleet.take(effects, &|_| false);
     fleet.run(2_000, |_| false);
     assert_eq!(fleet.resigned, Vec::<&str>::new(), "one report by way of another says nothing");
     for _ in 0..20 {
         fleet.run(400, |_| true);
-        let r = fleet.heartbeat(3);
-        let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(r));
+        let heartbeat = fleet.heartbeat(3);
+        let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(heartbeat));
         fleet.take(effects, &|_| true);
     }
     assert!(fleet.resigned.contains(&"machines are heard by way of other nodes only"));
