--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -9,13 +9,13 @@
 /// = 0.05 + 0.016666...; Eq. 9 for 5 tasks of 4 CPUs and 12 GB: (0.05 + 0.0125) * 5.
 #[test]
 fn scores_follow_the_papers_equations() {
-    let w = ScoreWeights::default();
+    let weights = ScoreWeights::default();
     let total = Resources { cpus: 16.0 + 16.0 + 32.0, gpus: 0.0, memory_gb: 64.0 + 64.0 + 64.0 };
     let free = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 16.0 };
-    assert!((score(&free, &total, &w) - (0.05 + 1.0 / 60.0)).abs() < 1e-12);
+    assert!((score(&free, &total, &weights) - (0.05 + 1.0 / 60.0)).abs() < 1e-12);
     let task = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 12.0 };
-    assert!((job_demand(&task, 5, &total, &w) - 0.3125).abs() < 1e-12);
-    assert_eq!(score(&free, &Resources::default(), &w), 0.0, "no machine runs");
+    assert!((job_demand(&task, 5, &total, &weights) - 0.3125).abs() < 1e-12);
+    assert_eq!(score(&free, &Resources::default(), &weights), 0.0, "no machine runs");
 }
 
 #[test]
@@ -39,7 +39,7 @@
 
 /// A room is open to the jobs it is kept for whole, and to others for what those leave.
 #[test]
-fn a_kept_room_is_open_to_others_for_what_its_holder_leaves() {
+fn reserved_capacity_is_open_to_others_for_what_its_holder_leaves() {
     let amount = |cpus| Resources { cpus, gpus: 0.0, memory_gb: cpus };
     let mut room = FreeCapacity {
         machine: None,
