--- a/crates/latchtrack-core/tests/failure_detection.rs
+++ b/crates/latchtrack-core/tests/failure_detection.rs
@@ -220,17 +220,18 @@
             for i in 1..5 {
                 scheduler.handle(now, Event::Heartbeat(heartbeat(i, 1 + step, 7, Vec::new())));
             }
-            let effects = match answered {
-                true => tick_until(&mut scheduler, now, now + 900, &CallOutcome::NotSent),
-                false => scheduler.handle(now, Event::Tick),
+            let effects = if answered {
+                tick_until(&mut scheduler, now, now + 900, &CallOutcome::NotSent)
+            } else {
+                scheduler.handle(now, Event::Tick)
             };
             if terminated(&effects).contains(&name(0)) {
                 gone.get_or_insert(now);
             }
         }
-        gone.unwrap()
+        gone.expect("the silent machine is given up")
     };
-    assert!(run(true) < 1_000 + LEASE, "two questions without an answer");
+    assert!(run(true) < 1_000 + LEASE, "two probes without a response");
     assert!(run(false) > 1_000 + LEASE, "none came to an end");
 }
 
--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -160,7 +160,7 @@
     };
     scheduler.handle(1_100, job(1, 6));
     scheduler.handle(1_300, Event::Tick);
-    let mut suspected = false;
+    let mut was_quarantined = false;
     for step in 1..400 {
         let now = 1_300 + step * 500;
         scheduler.handle(now, Event::Tick);
@@ -168,16 +168,16 @@
         if step == 4 {
             scheduler.handle(now, job(2, 2));
         }
-        suspected |= scheduler.jobs().get(&JobId(1)).is_some_and(|j| j.is_quarantined);
+        was_quarantined |= scheduler.jobs().get(&JobId(1)).is_some_and(|job| job.is_quarantined);
     }
-    assert!(suspected);
-    let done = scheduler.jobs().get(&JobId(1)).map_or(6, |j| j.done.ones());
+    assert!(was_quarantined);
+    let done = scheduler.jobs().get(&JobId(1)).map_or(6, |job| job.done.ones());
     assert_eq!(done, 6);
 }
 
 /// A machine that was faulty for a while is all that a job fits, and another job keeps it from
 /// being given back: the job is tried there again, soon enough for nobody to wait 90 s where there
-/// is room.
+/// is free capacity.
 #[test]
 fn a_job_goes_back_to_a_machine_whose_fault_has_passed() {
     let mut scheduler = Scheduler::new(
@@ -193,7 +193,11 @@
         scheduler
             .handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 3, done: None });
     }
-    let task = |task: &str, phase| TaskStatus { task: task.parse().unwrap(), attempt: 5, phase };
+    let task = |task: &str, phase| TaskStatus {
+        task: task.parse().expect("a task id"),
+        attempt: 5,
+        phase,
+    };
     let long = task("req-000002/0", TaskPhase::Running);
     let first = task("req-000001/0", TaskPhase::Ended(ExitCause::Done));
     scheduler.handle(1_000, Event::Heartbeat(heartbeat(0, 1, 7, vec![long, first])));
@@ -210,7 +214,7 @@
                     ..status_of(run)
                 });
             } else if run.phase == TaskPhase::Assigned {
-                let at = failed_at.unwrap();
+                let at = failed_at.expect("a failure before the next attempt");
                 assert!((at + 10_000..at + 80_000).contains(&now), "{at}, {now}");
                 return;
             } else {
--- a/crates/latchtrack-core/tests/gangs/attempts.rs
+++ b/crates/latchtrack-core/tests/gangs/attempts.rs
@@ -23,7 +23,7 @@
     site.set(2, TaskPhase::Waiting, |i| i > 0);
     site.pass(2_000);
     assert_eq!(site.state(2), AttemptState::Starting);
-    let running = |site: &Site| site.leader.progress().find(|(id, ..)| id.0 == 2).unwrap().2;
+    let running = |site: &Site| site.leader.progress().find(|(id, ..)| id.0 == 2).expect("job 2").2;
     assert_eq!(running(&site), 0);
     site.set(2, TaskPhase::Running, |_| true);
     site.pass(1_000);
@@ -186,8 +186,8 @@
     assert_eq!(site.stops, []);
 }
 
-/// One attempt is one observation: a gang whose tasks all fail at once is not yet a suspect, and
-/// its machines are not suspected beyond the first.
+/// One attempt is one observation: a gang whose tasks all fail at once is not quarantined yet, and
+/// no machine but the first counts the failure.
 #[test]
 fn the_failures_of_one_attempt_count_once() {
     let mut site = Site::new(4, long_idle_timeout());
@@ -200,8 +200,9 @@
     site.report_all();
     let job = &site.leader.jobs()[&JobId(1)];
     assert_eq!((job.failed_on.len(), job.is_quarantined), (1, false));
-    let suspected = site.leader.machines().values().filter(|m| !m.failed_jobs.is_empty()).count();
-    assert_eq!(suspected, 1);
+    let blamed =
+        site.leader.machines().values().filter(|machine| !machine.failed_jobs.is_empty()).count();
+    assert_eq!(blamed, 1);
 }
 
 /// The launch of one task was never answered, and may be executed later: the attempt stays until
@@ -212,7 +213,7 @@
     site.deaf.insert(1);
     site.submit(gang(1, 4));
     site.pass(400);
-    let first = *site.live(1).keys().next().unwrap();
+    let first = *site.live(1).keys().next().expect("an attempt");
     site.set(1, TaskPhase::Ended(ExitCause::GangIncomplete), |_| true);
     site.pass(3_000);
     assert_eq!(site.live(1).len(), 0);
--- a/crates/latchtrack-core/tests/gangs/reservations.rs
+++ b/crates/latchtrack-core/tests/gangs/reservations.rs
@@ -10,7 +10,7 @@
 use super::common::site::{new_leader, Site, TOKEN};
 use super::{array, gang, long_idle_timeout, only_attempt};
 
-/// Two gangs that each could hold half: room comes free for one task after the other, and an array
+/// Two gangs that each could hold half: capacity comes free for one task after the other, and an array
 /// is there to take it.
 #[test]
 fn capacity_is_reserved_for_one_gang_after_the_other() {
@@ -82,11 +82,12 @@
     only_attempt(&site, 1, 6);
 }
 
-/// A class of gangs that are to start within a second.
+/// A policy with a class of gangs that are to start within a second.
 fn start_objectives() -> Policy {
     Policy { start_objectives: vec![("prompt".into(), 1_000)], ..long_idle_timeout() }
 }
 
+/// A gang of that class.
 fn gang_with_start_objective(id: u64, tasks: u32) -> JobSpec {
     JobSpec { class: "prompt".into(), ..gang(id, tasks) }
 }
@@ -138,14 +139,14 @@
     assert_eq!(to_terminate(&site), 2);
 }
 
-/// Nothing that is up could ever hold it: it is rented before the next one comes.
+/// Nothing that is up could ever hold it: it is provisioned before the next one comes.
 #[test]
 fn what_no_machine_could_hold_is_provisioned_for_the_next_gang_with_a_start_objective() {
     let mut site = Site::new(1, start_objectives());
     site.no_capacity = true;
     site.submit(gang_with_start_objective(1, 4));
     site.pass(400);
-    // For the gang itself; called off, it leaves nothing to rent for but the next.
+    // For the gang itself; called off, it leaves nothing to provision for but the next.
     let before = site.provisions.len();
     assert!(before >= 1);
     site.drive(Event::JobClosed(JobId(1)));
--- a/crates/latchtrack-core/tests/gangs/team_limits.rs
+++ b/crates/latchtrack-core/tests/gangs/team_limits.rs
@@ -61,7 +61,7 @@
     site.submit(array(2, 1));
     site.pass(1_000);
     site.set(2, TaskPhase::Running, |_| true);
-    // It takes the rest of the limit, and the suspect gang waits.
+    // It takes the rest of the limit, and the quarantined gang waits.
     site.submit(gang(3, 3));
     site.pass(120_000);
     assert_eq!((site.live(2).len(), site.live(1).len()), (1, 0));
@@ -70,7 +70,7 @@
 }
 
 /// Found by simulation: a job that was to begin before all others needed a machine that was not
-/// there, and in its turn, behind the team's other jobs, their limit was used up: none was rented.
+/// there, and in its turn, behind the team's other jobs, their limit was used up: none was provisioned.
 #[test]
 fn a_machine_is_provisioned_for_a_starving_job_before_its_team_uses_its_limit() {
     let mut policy = long_idle_timeout();
@@ -96,7 +96,7 @@
             return;
         }
     }
-    panic!("never rented");
+    panic!("expected a machine in zone b to be provisioned");
 }
 
 /// Found by simulation: a gang that was to begin before all others was launched in part, as far as
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -22,10 +22,10 @@
 fn the_largest_steps_back_when_not_all_can_be_in_time() {
     let job = |left_ms, work| TimedDemand { left_ms, run_ms: 0.0, work };
     let all = [job(10.0, 40.0), job(20.0, 300.0), job(25.0, 40.0), job(30.0, 40.0)];
-    assert_eq!(deferred(&all, 0.0, 100.0), [false; 4], "there is room for all");
+    assert_eq!(deferred(&all, 0.0, 100.0), [false; 4], "there is capacity for all");
     assert_eq!(deferred(&all, 0.0, 10.0), [false, true, false, false]);
     assert_eq!(deferred(&all, 60.0, 10.0), [false, true, false, false]);
-    assert_eq!(deferred(&all, 0.0, 0.0), [false; 4], "nothing known of the room");
+    assert_eq!(deferred(&all, 0.0, 0.0), [false; 4], "nothing known of the capacity");
 }
 
 #[test]
@@ -37,11 +37,12 @@
     assert_eq!(fits(&d, -1.0, 0.0, 64.0), 0);
 }
 
-/// A room is open to the jobs it is kept for whole, and to others for what those leave.
+/// Free capacity is open to the jobs it is reserved for as a whole, and to others for what those
+/// leave.
 #[test]
 fn reserved_capacity_is_open_to_others_for_what_its_holder_leaves() {
     let amount = |cpus| Demand { cpus, gpus: 0.0, memory_gb: cpus };
-    let mut room = FreeCapacity {
+    let mut capacity = FreeCapacity {
         machine: None,
         kind: "g".into(),
         zone: "a".into(),
@@ -55,9 +56,9 @@
         balance: None,
     };
     let task = amount(2.0);
-    assert_eq!((room.admits(&task, 1), room.admits(&task, 2)), (4, 2));
-    room.take(&task, 1);
-    assert_eq!((room.admits(&task, 1), room.admits(&task, 2)), (3, 1));
-    room.held = None;
-    assert_eq!(room.admits(&task, 2), 3);
+    assert_eq!((capacity.admits(&task, 1), capacity.admits(&task, 2)), (4, 2));
+    capacity.take(&task, 1);
+    assert_eq!((capacity.admits(&task, 1), capacity.admits(&task, 2)), (3, 1));
+    capacity.held = None;
+    assert_eq!(capacity.admits(&task, 2), 3);
 }
--- a/crates/latchtrack-core/tests/provisioning.rs
+++ b/crates/latchtrack-core/tests/provisioning.rs
@@ -1,4 +1,4 @@
-//! What is rented, and machines on their way: each failure that was found as a small case.
+//! What is provisioned, and pending capacity: each failure that was found as a small case.
 
 mod common;
 
@@ -17,14 +17,72 @@
     let job = Event::JobOpened { spec: ordinary, submitted_at: 0, revision: 8, done: None };
     scheduler.handle(1_000, job);
     let effects = scheduler.handle(1_000, Event::Tick);
-    let hired = effects
+    let provisions = effects
         .iter()
         .any(|effect| matches!(effect, Effect::Provision { offer, .. } if !offer.spot));
-    assert!(hired, "{effects:?}");
+    assert!(provisions, "{effects:?}");
 }
 
-/// Own day with boots five times as long: at four times all that booted went back and was rented
-/// again, which began it anew (1,695 ordinary machines rented where 700 are enough).
+/// ms that a boot takes which should take 10 s.
+const SLOW_BOOT_MS: u64 = 65_000;
+/// ms between two ticks.
+const TICK_MS: u64 = 200;
+
+/// A machine that boots.
+struct Boot {
+    number: u64,
+    /// When it was provisioned, ms.
+    at: u64,
+}
+
+/// A cloud whose machines boot slowly.
+#[derive(Default)]
+struct SlowCloud {
+    boots: Vec<Boot>,
+    /// Machines provisioned so far.
+    provisioned: u32,
+    /// Machines terminated so far.
+    terminated: usize,
+}
+
+impl SlowCloud {
+    /// Lets time pass, and carries out what the scheduler asks for.
+    fn run(&mut self, scheduler: &mut Scheduler, from: u64, to: u64) {
+        for now in (from..to).step_by(TICK_MS as usize) {
+            for effect in scheduler.handle(now, Event::Tick) {
+                self.carry_out(scheduler, now, effect);
+            }
+            for Boot { number, at } in &self.boots {
+                if now >= at + SLOW_BOOT_MS && now < at + SLOW_BOOT_MS + TICK_MS {
+                    scheduler.handle(now, Event::Heartbeat(heartbeat(*number, 1, 7, Vec::new())));
+                }
+            }
+        }
+    }
+
+    fn carry_out(&mut self, scheduler: &mut Scheduler, now: u64, effect: Effect) {
+        match effect {
+            Effect::Provision { request_id, number, .. } => {
+                let first = u64::from(self.provisioned);
+                let numbers = first..first + u64::from(number);
+                let names: Vec<String> = numbers.clone().map(name).collect();
+                self.boots.extend(numbers.map(|number| Boot { number, at: now }));
+                self.provisioned += number;
+                let outcome = ProvisionOutcome::Provisioned(names);
+                scheduler.handle(now, Event::ProvisionFinished { request_id, outcome });
+            }
+            Effect::Terminate(names) => {
+                self.terminated += names.len();
+                self.boots.retain(|boot| !names.contains(&name(boot.number)));
+                scheduler.handle(now, Event::TerminateFinished { names, ok: true });
+            }
+            _ => {}
+        }
+    }
+}
+
+/// Own day with boots five times as long: at four times all that booted was terminated and provisioned
+/// again, which began it anew (1,695 on-demand machines provisioned where 700 are enough).
 #[test]
 fn boots_late_for_a_whole_type_are_waited_for() {
     let mut scheduler =
@@ -33,49 +91,15 @@
         1_000,
         Event::JobOpened { spec: spec(1, 60), submitted_at: 0, revision: 8, done: None },
     );
-    let (mut rented, mut back, mut next) = (0, 0, 0);
-    let mut boots: Vec<(u64, u64)> = Vec::new();
-    let mut run = |scheduler: &mut Scheduler, from: u64, to: u64| {
-        for now in (from..to).step_by(200) {
-            for effect in scheduler.handle(now, Event::Tick) {
-                match effect {
-                    Effect::Provision { request_id, number, .. } => {
-                        let names: Vec<String> =
-                            (next..next + u64::from(number)).map(name).collect();
-                        boots.extend((next..next + u64::from(number)).map(|i| (now, i)));
-                        next += u64::from(number);
-                        rented += number;
-                        scheduler.handle(
-                            now,
-                            Event::ProvisionFinished {
-                                request_id,
-                                outcome: ProvisionOutcome::Provisioned(names),
-                            },
-                        );
-                    }
-                    Effect::Terminate(names) => {
-                        back += names.len();
-                        boots.retain(|(_, i)| !names.contains(&name(*i)));
-                        scheduler.handle(now, Event::TerminateFinished { names, ok: true });
-                    }
-                    _ => {}
-                }
-            }
-            // A boot of 10 s takes 65 s.
-            for (at, i) in &boots {
-                if now >= at + 65_000 && now < at + 65_200 {
-                    scheduler.handle(now, Event::Heartbeat(heartbeat(*i, 1, 7, Vec::new())));
-                }
-            }
-        }
-        (rented, back, scheduler.machines().values().filter(|machine| machine.is_up()).count())
-    };
-    let (rented, back, _) = run(&mut scheduler, 1_200, 63_000);
-    // Thirty are needed, and rented once more when the first seem late, before all do; then a few
-    // are tried now and then, and as many given back.
-    assert!((30..=70).contains(&rented), "{rented} rented");
-    assert!(back <= 8, "{back} given back");
-    let (_, _, up) = run(&mut scheduler, 63_000, 90_000);
+    let mut cloud = SlowCloud::default();
+    cloud.run(&mut scheduler, 1_200, 63_000);
+    // Thirty are needed, and provisioned once more when the first seem late, before all do; then a
+    // few are tried now and then, and as many terminated.
+    let SlowCloud { provisioned, terminated, .. } = cloud;
+    assert!((30..=70).contains(&provisioned), "{provisioned} provisioned");
+    assert!(terminated <= 8, "{terminated} terminated");
+    cloud.run(&mut scheduler, 63_000, 90_000);
+    let up = scheduler.machines().values().filter(|machine| machine.is_up()).count();
     assert!(up >= 24, "{up} up");
 }
 
@@ -101,7 +125,10 @@
         .handle(1_320, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(20) });
     assert_eq!(launches(&effects), 2);
     let outcome = ProvisionOutcome::Provisioned(vec![name(0)]);
-    scheduler.handle(1_400, Event::ProvisionFinished { request_id: request_id.unwrap(), outcome });
+    scheduler.handle(
+        1_400,
+        Event::ProvisionFinished { request_id: request_id.expect("a request"), outcome },
+    );
     let effects = scheduler.handle(1_600, Event::Tick);
     let more = effects
         .iter()
@@ -110,7 +137,7 @@
 }
 
 /// A run of the simulation: a job that must stay in one zone had a task there, and machines were
-/// rented for the rest in one zone after the other, and given back unused.
+/// provisioned for the rest in one zone after the other, and terminated unused.
 #[test]
 fn what_must_stay_in_one_zone_provisions_there() {
     let zones = vec!["a".to_string(), "b".into(), "c".into()];
@@ -136,8 +163,8 @@
     assert_eq!(scheduler.jobs()[&JobId(1)].placed.len(), 2);
 }
 
-/// A day with team limits that bind: each job of a team rented for what the limit left to the whole
-/// team, so that several times the machines were rented, booted for nothing and went back.
+/// A day with team limits that bind: each job of a team provisioned for what the limit left to the whole
+/// team, so that several times the machines were provisioned, booted for nothing and were terminated.
 #[test]
 fn no_machine_is_provisioned_for_what_a_teams_limit_holds_back() {
     let mut policy = long_idle_timeout();
@@ -150,13 +177,13 @@
             Event::JobOpened { spec: spec(id, 10), submitted_at: 0, revision: 8, done: None },
         );
     }
-    let mut rented = 0;
+    let mut provisioned = 0;
     for now in (1_200..5_000).step_by(200) {
         for effect in scheduler.handle(now, Event::Tick) {
             if let Effect::Provision { number, .. } = effect {
-                rented += number;
+                provisioned += number;
             }
         }
     }
-    assert_eq!(rented, 1);
+    assert_eq!(provisioned, 1);
 }
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -237,7 +237,7 @@
     );
     scheduler.handle(1_000, sized(1, 4.0));
     let phase = TaskPhase::Running;
-    let long = TaskStatus { task: "req-000001/0".parse().unwrap(), attempt: 5, phase };
+    let long = TaskStatus { task: "req-000001/0".parse().expect("a task id"), attempt: 5, phase };
     for now in (1_000..within).step_by(200) {
         if now == 1_200 {
             scheduler.handle(now, sized(2, 6.0));
@@ -248,7 +248,7 @@
         scheduler.handle(now, Event::Tick);
         let placed =
             |id| scheduler.jobs().get(&JobId(id)).is_some_and(|job| !job.placed.is_empty());
-        assert!(!placed(2), "there is no room for six");
+        assert!(!placed(2), "six CPUs are not free");
         if placed(3) {
             return Some(now);
         }
@@ -269,7 +269,7 @@
 #[test]
 fn a_job_that_may_not_use_a_machine_does_not_reserve_it() {
     let mut fleet = stored_set(0..2);
-    fleet[0].machines.as_mut().unwrap()[1].zone = "b".into();
+    fleet[0].machines.as_mut().expect("a machine set that was read")[1].zone = "b".into();
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types_out_of_stock(), fleet, Vec::new(), 1_000);
     let bound = JobSpec { one_zone: true, ..(*spec(1, 9)).clone() };
@@ -307,7 +307,7 @@
 
 /// An own day with a team at its limit: what each end left of the limit waited for the next cycle,
 /// for up to a second, so that the team stayed below its limit for as long as jobs waited beside
-/// room.
+/// free capacity.
 #[test]
 fn what_an_end_leaves_of_a_limit_is_given_out_at_once() {
     let limit = Team { cpus_max: 4.0, ..long_idle_timeout().teams.remove(0) };
@@ -331,7 +331,7 @@
     assert_eq!(runs(&scheduler), 1, "four CPUs are all that the team may use");
     // A cycle ran just now.
     scheduler.handle(10_000, Event::Tick);
-    let run = scheduler.machines()[&name(0)].runs.values().next().unwrap();
+    let run = scheduler.machines()[&name(0)].runs.values().next().expect("a run");
     let done = TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) };
     scheduler.handle(10_050, Event::Heartbeat(heartbeat(0, 10_050, 7, vec![done])));
     scheduler.handle(10_200, Event::Tick);
--- a/crates/latchtrack-core/tests/simulation/world/federation/shared_store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation/shared_store.rs
@@ -87,7 +87,7 @@
     pub(super) fn store_ledger(&mut self, team: &str, ledger: &TeamLedger) -> u64 {
         self.revision += 1;
         self.writes += 1;
-        let text = serde_json::to_string(ledger).unwrap();
+        let text = serde_json::to_string(ledger).expect("a ledger is plain JSON");
         self.teams.insert(team.into(), (self.revision, text));
         self.revision
     }
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -206,7 +206,7 @@
         .all(|assignment| !in_b(index(&assignment.machine))));
     assert_eq!((fleet.terminated.len(), fleet.resigned.len()), (0, 0));
     let needless = fleet.provisions.iter().filter(|z| *z == "b").count();
-    assert_eq!(needless, 0, "rented where nothing is heard: {:?}", fleet.provisions);
+    assert_eq!(needless, 0, "provisioned where nothing is heard: {:?}", fleet.provisions);
     // Back, in the next agent epoch.
     fleet.agent_epoch.extend((0..3 * PER_ZONE).filter(|i| in_b(*i)).map(|i| (i, 2)));
     fleet.run(3_000, |_| false);
