--- a/crates/latchtrack-emulator/src/lib.rs
+++ b/crates/latchtrack-emulator/src/lib.rs
@@ -1,10 +1,10 @@
 //! Emulators, on loopback, of what latchtrack speaks to: the state service, the cloud and the
 //! workers, by the published protocol. For tests and measurements only.
 //!
-//! - [`state`] and [`cloud`] serve the two services; [`mod@site`] starts them with nodes of latchtrack.
 //! - [`state`] and [`cloud`] serve the two services; [`mod@site`] starts them with nodes of
 //!   latchtrack.
-//!   themselves.
+//! - [`fleet`] emulates many workers that send heartbeats and run tasks; [`worker`] one, whose
+//!   messages a test writes itself.
 //! - [`race`] and [`spread`] are experiments over fleets; [`history`] records and checks what ran.
 
 pub mod client;
