--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -106,7 +106,7 @@
     /// Its name, by which the cloud knows it.
     pub name: Arc<str>,
     /// Its machine type.
-    pub kind: Arc<str>,
+    pub machine_type: Arc<str>,
     /// Its zone.
     pub zone: Arc<str>,
     /// Whether the cloud may preempt it.
@@ -162,10 +162,10 @@
 
 impl Machine {
     /// A machine of which nothing is known yet but that it was provisioned.
-    pub fn new(name: &str, kind: &str, zone: &str, spot: bool, now: Millis) -> Self {
+    pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, now: Millis) -> Self {
         Machine {
             name: name.into(),
-            kind: kind.into(),
+            machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             addr: None,
--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -11,7 +11,7 @@
     /// None for a machine that has only been requested.
     pub machine: Option<Arc<str>>,
     /// The machine type.
-    pub kind: Arc<str>,
+    pub machine_type: Arc<str>,
     /// The zone.
     pub zone: Arc<str>,
     /// Whether it is a spot machine.
--- a/crates/latchtrack-core/src/placement/offers.rs
+++ b/crates/latchtrack-core/src/placement/offers.rs
@@ -4,17 +4,17 @@
 use crate::machine::MachineType;
 
 /// Whether a job allows machines of this type and zone, spot or on-demand.
-pub fn allowed(spec: &JobSpec, kind: &str, zone: &str, spot: bool) -> bool {
+pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.zone.as_deref().is_none_or(|only| only == zone)
-        && spec.types.as_ref().is_none_or(|types| types.iter().any(|name| name == kind))
+        && spec.types.as_ref().is_none_or(|types| types.iter().any(|name| name == machine_type))
 }
 
 /// A machine type in a zone, spot or on-demand, that may be provisioned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
     /// The machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// The zone.
     pub zone: String,
     /// Whether it is a spot machine.
@@ -37,7 +37,7 @@
             for index in 0..zones.len() {
                 let zone = &zones[(index + zone_rotation) % zones.len()];
                 if allowed(spec, name, zone, spot) {
-                    offers.push(Offer { kind: name.clone(), zone: zone.clone(), spot });
+                    offers.push(Offer { machine_type: name.clone(), zone: zone.clone(), spot });
                 }
             }
         }
--- a/crates/latchtrack-core/src/rules.rs
+++ b/crates/latchtrack-core/src/rules.rs
@@ -19,12 +19,12 @@
 /// zone and kind, while its other live tasks are in `zones` (one entry a task).
 pub fn may_start<'a>(
     spec: &JobSpec,
-    kind: &str,
+    machine_type: &str,
     zone: &str,
     spot: bool,
     zones: impl Iterator<Item = &'a str>,
 ) -> bool {
-    if !allowed(spec, kind, zone, spot) {
+    if !allowed(spec, machine_type, zone, spot) {
         return false;
     }
     if !spec.is_zone_constrained() {
--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -204,11 +204,11 @@
         let zones_matter = spec.spread || (spec.one_zone && !spec.gang);
         if job.backoff_until > now
             || zones_matter
-            || !placement::allowed(spec, &capacity.kind, &capacity.zone, capacity.spot)
+            || !placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
             || self.avoids_machine(now, job, machine)
             || self.has_team_limit(spec)
             || (capacity.surely_lacks(&spec.image)
-                && self.waits_for_image(now, job, &capacity.kind))
+                && self.waits_for_image(now, job, &capacity.machine_type))
         {
             return 0;
         }
@@ -223,7 +223,7 @@
         machine: &str,
         capacity: &FreeCapacity,
     ) -> bool {
-        placement::allowed(&job.spec, &capacity.kind, &capacity.zone, capacity.spot)
+        placement::allowed(&job.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
             && !self.avoids_machine(now, job, machine)
             && capacity.admits(&job.spec.demand, job.equivalence_class) > 0
     }
--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -80,11 +80,14 @@
 
 impl MachinePool {
     fn of(machine: &Machine) -> Self {
-        MachinePool { machine_type: machine.kind.clone(), zone: machine.zone.clone() }
+        MachinePool { machine_type: machine.machine_type.clone(), zone: machine.zone.clone() }
     }
 
     fn of_offer(offer: &Offer) -> Self {
-        MachinePool { machine_type: offer.kind.as_str().into(), zone: offer.zone.as_str().into() }
+        MachinePool {
+            machine_type: offer.machine_type.as_str().into(),
+            zone: offer.zone.as_str().into(),
+        }
     }
 }
 
@@ -252,7 +255,7 @@
             if machine.to_terminate || self.failure_detector.is_unreachable(&machine.zone) {
                 continue;
             }
-            let limit_ms = self.boot_limit_ms(&machine.kind, BOOT_LATE_FACTOR);
+            let limit_ms = self.boot_limit_ms(&machine.machine_type, BOOT_LATE_FACTOR);
             let is_missing =
                 is_booting(machine) && now.saturating_sub(machine.provisioned_at) > limit_ms;
             if is_missing {
@@ -281,7 +284,8 @@
         for (provisioned_at, name) in never_joined {
             let Some(machine) = self.inventory.get(&name) else { continue };
             let pool = MachinePool::of(machine);
-            let hopeless_ms = self.boot_limit_ms(&machine.kind, BOOT_FAILED_FACTOR_WHILE_LATE);
+            let hopeless_ms =
+                self.boot_limit_ms(&machine.machine_type, BOOT_FAILED_FACTOR_WHILE_LATE);
             let is_hopeless = now.saturating_sub(provisioned_at) > hopeless_ms;
             let hope = if is_hopeless { BootHope::None } else { BootHope::MayCome };
             let given_up = given_up.entry(pool.clone()).or_default();
@@ -309,7 +313,7 @@
 
     /// Whether a machine that is not up is too old to be counted on.
     pub(super) fn is_late(&self, now: Millis, machine: &Machine) -> bool {
-        let limit_ms = self.boot_limit_ms(&machine.kind, BOOT_LATE_FACTOR);
+        let limit_ms = self.boot_limit_ms(&machine.machine_type, BOOT_LATE_FACTOR);
         let typical_ms = self.boot_tracker.typical_boot_ms(machine);
         now.saturating_sub(machine.provisioned_at)
             > limit_ms.max((typical_ms * BOOT_LATE_FACTOR) as Millis)
@@ -317,7 +321,7 @@
 
     /// Age in ms from which a machine that is not up may be terminated.
     fn boot_failed_after_ms(&self, machine: &Machine) -> Millis {
-        let limit_ms = self.boot_limit_ms(&machine.kind, BOOT_FAILED_FACTOR);
+        let limit_ms = self.boot_limit_ms(&machine.machine_type, BOOT_FAILED_FACTOR);
         let typical_ms = self.boot_tracker.typical_boot_ms(machine);
         limit_ms.max((typical_ms * BOOT_LATE_FACTOR) as Millis)
     }
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -14,12 +14,12 @@
         if !self.takes_tasks(now, machine) {
             return None;
         }
-        let machine_type = self.inventory.type_named(&machine.kind)?;
+        let machine_type = self.inventory.type_named(&machine.machine_type)?;
         let used = machine.allocated()?;
         let reserved = self.load_balancing.reserved_on(&machine.name);
         Some(FreeCapacity {
             machine: Some(machine.name.clone()),
-            kind: machine.kind.clone(),
+            machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
             total_cpus: machine_type.cpus,
@@ -58,7 +58,7 @@
         for machine in self.inventory.iter() {
             let Some(capacity) = self.free_capacity_of(now, machine) else { continue };
             if machine.is_up() {
-                if let Some(machine_type) = self.inventory.type_named(&machine.kind) {
+                if let Some(machine_type) = self.inventory.type_named(&machine.machine_type) {
                     total.cpus += machine_type.cpus;
                     total.gpus += machine_type.gpus;
                     total.memory_gb += machine_type.memory_gb;
@@ -70,7 +70,7 @@
             capacities.push(capacity);
         }
         for request in self.provisioning.open_requests() {
-            if let Some(machine_type) = self.inventory.type_named(&request.offer.kind) {
+            if let Some(machine_type) = self.inventory.type_named(&request.offer.machine_type) {
                 let capacity = pending_capacity(&request.offer, machine_type);
                 capacities.extend((0..request.number).map(|_| capacity.clone()));
             }
--- a/crates/latchtrack-core/src/scheduler/heartbeats.rs
+++ b/crates/latchtrack-core/src/scheduler/heartbeats.rs
@@ -56,8 +56,8 @@
         if heartbeat.token < self.token || self.inventory.contains(&heartbeat.machine) {
             return;
         }
-        let Heartbeat { machine, kind, zone, spot, .. } = heartbeat;
-        self.inventory.insert(Machine::new(machine, kind, zone, *spot, now));
+        let Heartbeat { machine, machine_type, zone, spot, .. } = heartbeat;
+        self.inventory.insert(Machine::new(machine, machine_type, zone, *spot, now));
         self.out.push(Effect::Log(LogEvent::MachineAdopted {
             machine: machine.clone(),
             source: AdoptionSource::Heartbeat,
@@ -152,7 +152,8 @@
 
     /// Takes in what a machine says of one task.
     fn reconcile_task(&mut self, now: Millis, name: &str, status: &TaskStatus) {
-        let machine_type = self.inventory.get(name).map(|m| m.kind.clone()).unwrap_or_default();
+        let machine_type =
+            self.inventory.get(name).map(|m| m.machine_type.clone()).unwrap_or_default();
         let cache_gb = self.inventory.type_named(&machine_type).map_or(0.0, |t| t.cache_gb);
         let Some(machine) = self.inventory.get_mut(name) else { return };
         let run = match machine.runs.entry((status.task, status.attempt)) {
--- a/crates/latchtrack-core/src/scheduler/inventory.rs
+++ b/crates/latchtrack-core/src/scheduler/inventory.rs
@@ -127,6 +127,6 @@
         persisted: true,
         inherited: true,
         heartbeat_expected_since: Some(now),
-        ..Machine::new(&stored.name, &stored.kind, &stored.zone, stored.spot, now)
+        ..Machine::new(&stored.name, &stored.machine_type, &stored.zone, stored.spot, now)
     }
 }
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -38,7 +38,7 @@
 impl PoolKey {
     fn of(machine: &Machine) -> Self {
         PoolKey {
-            machine_type: machine.kind.clone(),
+            machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
         }
@@ -199,7 +199,7 @@
             .inventory
             .iter()
             .filter(|machine| machine.is_up())
-            .filter_map(|machine| self.inventory.type_named(&machine.kind));
+            .filter_map(|machine| self.inventory.type_named(&machine.machine_type));
         waiting > OVERLOAD_SHARE * up_types.map(|machine_type| machine_type.cpus).sum::<f64>()
     }
 }
--- a/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
@@ -187,8 +187,13 @@
                 .filter(|capacity| capacity.ready && self.is_heard_lately(now, target))
                 .ok_or(AbandonReason::TargetLost)?;
             let others = zones.iter().map(|zone| &**zone);
-            let may_start =
-                rules::may_start(spec, &capacity.kind, &capacity.zone, capacity.spot, others);
+            let may_start = rules::may_start(
+                spec,
+                &capacity.machine_type,
+                &capacity.zone,
+                capacity.spot,
+                others,
+            );
             if !may_start || self.avoids_machine(now, job, &task_move.target) {
                 return Err(AbandonReason::ConstraintViolated);
             }
--- a/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
@@ -45,7 +45,7 @@
             return f64::from(u8::from(lacks_image));
         };
         let fetch_s = if lacks_image {
-            let machine_type = self.inventory.type_named(&free_capacity.kind);
+            let machine_type = self.inventory.type_named(&free_capacity.machine_type);
             let gb_per_s = machine_type.map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
             fetch_s(spec.image_gb, balance.fetching_gb, gb_per_s)
         } else {
--- a/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
@@ -58,7 +58,7 @@
             let unit = MoveUnit { job: spec.id.0, task: Some(run.task.index) };
             let tasks = vec![(run.task.index, index)];
             let since = run.running_since.unwrap_or(now);
-            input.movables.push(self.movable(now, unit, spec, tasks, since, &machine.kind));
+            input.movables.push(self.movable(now, unit, spec, tasks, since, &machine.machine_type));
         }
     }
 
@@ -73,7 +73,14 @@
             let Some(machine) = on.and_then(|name| self.inventory.get(&name)) else { continue };
             let since = self.latest_start(job).unwrap_or(now);
             let unit = MoveUnit { job: id.0, task: None };
-            input.movables.push(self.movable(now, unit, &job.spec, tasks, since, &machine.kind));
+            input.movables.push(self.movable(
+                now,
+                unit,
+                &job.spec,
+                tasks,
+                since,
+                &machine.machine_type,
+            ));
         }
     }
 
@@ -91,7 +98,7 @@
     /// a type.
     fn machine_load(&mut self, now: Millis, name: &str) -> Option<MachineLoad> {
         let machine = self.inventory.get(name)?;
-        let machine_type = self.inventory.type_named(&machine.kind)?;
+        let machine_type = self.inventory.type_named(&machine.machine_type)?;
         let capacity = Resources {
             cpus: machine_type.cpus,
             gpus: machine_type.gpus,
@@ -102,7 +109,7 @@
             .minus(&self.load_balancing.balancer.leaving_from(name));
         let may_take_part = self.may_take_part_in_moves(now, machine);
         if !capacity.is_valid() || !used.is_valid() {
-            let machine_type = machine.kind.to_string();
+            let machine_type = machine.machine_type.to_string();
             self.log_invalid_type(machine_type, &used);
             return None;
         }
--- a/crates/latchtrack-core/src/scheduler/machine_list.rs
+++ b/crates/latchtrack-core/src/scheduler/machine_list.rs
@@ -49,7 +49,8 @@
 
     /// A machine that is not called before its first heartbeat, as it may still boot.
     fn adopt_listed(&mut self, now: Millis, listed: ListedMachine) {
-        let mut machine = Machine::new(&listed.name, &listed.kind, &listed.zone, listed.spot, now);
+        let mut machine =
+            Machine::new(&listed.name, &listed.machine_type, &listed.zone, listed.spot, now);
         machine.provisioned_at = now.saturating_sub(listed.age_ms);
         machine.to_terminate = listed.failed;
         machine.listed_as_running = listed.running;
--- a/crates/latchtrack-core/src/scheduler/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -29,7 +29,7 @@
     /// Its name.
     pub name: String,
     /// Its machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether the cloud may preempt it.
@@ -75,7 +75,7 @@
     /// Its name.
     pub name: String,
     /// Its machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether the cloud may preempt it.
--- a/crates/latchtrack-core/src/scheduler/objectives.rs
+++ b/crates/latchtrack-core/src/scheduler/objectives.rs
@@ -39,11 +39,11 @@
     /// Whether a job with a start objective waits for a machine that holds its image rather than
     /// start on one of this type: while some machine has the image, and fetching it would miss the
     /// objective.
-    pub(super) fn waits_for_image(&self, now: Millis, job: &Job, kind: &str) -> bool {
+    pub(super) fn waits_for_image(&self, now: Millis, job: &Job, machine_type: &str) -> bool {
         let spec = &job.spec;
         let Some(within_ms) = self.start_objective_ms(spec) else { return false };
         let until = job.submitted_at.saturating_add(within_ms);
-        let gb_per_s = self.inventory.type_named(kind).map_or(0.0, |t| t.fetch_gb_per_s);
+        let gb_per_s = self.inventory.type_named(machine_type).map_or(0.0, |t| t.fetch_gb_per_s);
         gb_per_s > 0.0
             && now < until
             && self.image_locality.cached.contains(&spec.image)
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -23,7 +23,7 @@
 fn stored_machine(machine: &Machine) -> StoredMachine {
     StoredMachine {
         name: machine.name.to_string(),
-        kind: machine.kind.to_string(),
+        machine_type: machine.machine_type.to_string(),
         zone: machine.zone.to_string(),
         spot: machine.spot,
         addr: machine.addr.clone().unwrap_or_default(),
@@ -33,7 +33,7 @@
 impl StoredMachine {
     /// Bytes of a stored value that it takes.
     pub fn bytes(&self) -> usize {
-        let texts = [&self.name, &self.kind, &self.zone, &self.addr];
+        let texts = [&self.name, &self.machine_type, &self.zone, &self.addr];
         texts.iter().map(|text| text.len()).sum::<usize>() + ENTRY_BYTES
     }
 }
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -128,7 +128,8 @@
         }
         for name in names {
             if !self.inventory.was_terminated(&name) && !self.inventory.contains(&name) {
-                let machine = Machine::new(&name, &offer.kind, &offer.zone, offer.spot, now);
+                let machine =
+                    Machine::new(&name, &offer.machine_type, &offer.zone, offer.spot, now);
                 self.inventory.insert(machine);
             }
         }
@@ -149,7 +150,9 @@
             return 0;
         }
         let Some(offer) = self.choose_offer(now, spec, only, waited_ms) else { return 0 };
-        let Some(machine_type) = self.inventory.type_named(&offer.kind).cloned() else { return 0 };
+        let Some(machine_type) = self.inventory.type_named(&offer.machine_type).cloned() else {
+            return 0;
+        };
         let per_machine = machine_type.holds(&spec.demand).max(1);
         // Jobs of an equivalence class are decided together: one request for all of it, not one a
         // job. Team limits are left to each job.
@@ -206,7 +209,7 @@
 pub(super) fn pending_capacity(offer: &Offer, machine_type: &MachineType) -> FreeCapacity {
     FreeCapacity {
         machine: None,
-        kind: offer.kind.as_str().into(),
+        machine_type: offer.machine_type.as_str().into(),
         zone: offer.zone.as_str().into(),
         spot: offer.spot,
         total_cpus: machine_type.cpus,
@@ -237,7 +240,9 @@
             break;
         }
         let in_zone = only.is_none_or(|zone| zone == &*capacity.zone);
-        if in_zone && placement::allowed(spec, &capacity.kind, &capacity.zone, capacity.spot) {
+        if in_zone
+            && placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+        {
             let fitting = capacity.holds(&spec.demand).min(left);
             capacity.take(&spec.demand, fitting);
             left -= fitting;
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -108,7 +108,7 @@
     /// Whether a task of such a gang could be here, apart from its size.
     fn may_use(&self, capacity: &FreeCapacity) -> bool {
         let in_zone = self.zone.as_ref().is_none_or(|zone| *zone == capacity.zone);
-        in_zone && allowed(&self.spec, &capacity.kind, &capacity.zone, capacity.spot)
+        in_zone && allowed(&self.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
     }
 
     /// Chooses the zone: the present one as long as there are ready machines, else that with most
@@ -174,7 +174,7 @@
         let zones_in_use = self.zones_in_use(job);
         let may_start = |capacity: &FreeCapacity| {
             let zones = zones_in_use.iter().map(|zone| &**zone);
-            rules::may_start(spec, &capacity.kind, &capacity.zone, capacity.spot, zones)
+            rules::may_start(spec, &capacity.machine_type, &capacity.zone, capacity.spot, zones)
         };
         let mut candidates: Vec<TasksAt> = self
             .usable_capacities(now, job, cycle)
@@ -248,7 +248,7 @@
 
     /// How many tasks of a job its machine would take if it were empty.
     fn tasks_when_empty(&self, spec: &JobSpec, capacity: &FreeCapacity) -> u32 {
-        let machine_type = self.inventory.type_named(&capacity.kind);
+        let machine_type = self.inventory.type_named(&capacity.machine_type);
         machine_type.map_or(0, |machine_type| machine_type.holds(&spec.demand))
     }
 
@@ -256,7 +256,7 @@
     /// tasks there, it would stand idle. Part of it is in use by tasks that are small enough for
     /// it; larger ones must end in any case before a task of the job starts there.
     fn unusable_remainder(&self, spec: &JobSpec, tasks: u32, capacity: &FreeCapacity) -> Resources {
-        let Some(machine_type) = self.inventory.type_named(&capacity.kind) else {
+        let Some(machine_type) = self.inventory.type_named(&capacity.machine_type) else {
             return Resources::default();
         };
         let mut spare = Resources {
--- a/crates/latchtrack-core/src/scheduler/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/summary.rs
@@ -97,7 +97,7 @@
             ..SchedulerSummary::default()
         };
         for machine in self.inventory.iter() {
-            let cpus = self.inventory.type_named(&machine.kind).map_or(0.0, |t| t.cpus);
+            let cpus = self.inventory.type_named(&machine.machine_type).map_or(0.0, |t| t.cpus);
             summary.add_machine(machine, cpus);
         }
         for job in self.jobs.values() {
--- a/crates/latchtrack-core/src/scheduler/termination.rs
+++ b/crates/latchtrack-core/src/scheduler/termination.rs
@@ -41,7 +41,7 @@
         if let Some(machine) = self.inventory.remove(&name) {
             // The cloud has a machine of this offer again.
             self.provisioning.capacity_returned(&Offer {
-                kind: machine.kind.to_string(),
+                machine_type: machine.machine_type.to_string(),
                 zone: machine.zone.to_string(),
                 spot: machine.spot,
             });
--- a/crates/latchtrack-core/src/worker_messages.rs
+++ b/crates/latchtrack-core/src/worker_messages.rs
@@ -22,7 +22,7 @@
     /// Where the worker takes direct calls.
     pub addr: String,
     /// The machine's type.
-    pub kind: String,
+    pub machine_type: String,
     /// The machine's zone.
     pub zone: String,
     /// Whether the cloud may preempt it.
--- a/crates/latchtrack-core/tests/common/mod.rs
+++ b/crates/latchtrack-core/tests/common/mod.rs
@@ -98,7 +98,7 @@
 pub fn stored_set(numbers: std::ops::Range<u64>) -> Vec<StoredMachineSet> {
     let machine = |number| StoredMachine {
         name: name(number),
-        kind: "g".into(),
+        machine_type: "g".into(),
         zone: "a".into(),
         spot: true,
         addr: name(number),
@@ -112,7 +112,7 @@
     Heartbeat {
         machine: name(number),
         addr: name(number),
-        kind: "g".into(),
+        machine_type: "g".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: 1,
--- a/crates/latchtrack-core/tests/common/site.rs
+++ b/crates/latchtrack-core/tests/common/site.rs
@@ -69,7 +69,7 @@
 fn stored(machines: u64) -> Vec<StoredMachineSet> {
     let machine = |i| StoredMachine {
         name: name(i),
-        kind: "g".into(),
+        machine_type: "g".into(),
         zone: zone_of(i).into(),
         spot: false,
         addr: name(i),
@@ -218,7 +218,7 @@
         Heartbeat {
             machine: name(i),
             addr: name(i),
-            kind: "g".into(),
+            machine_type: "g".into(),
             zone: zone_of(i).into(),
             spot: false,
             agent_epoch: self.agent_epoch[&i],
--- a/crates/latchtrack-core/tests/failure_detection.rs
+++ b/crates/latchtrack-core/tests/failure_detection.rs
@@ -40,7 +40,7 @@
     let listed = |names: &[u64]| {
         let all = names.iter().map(|i| ListedMachine {
             name: name(*i),
-            kind: "g".into(),
+            machine_type: "g".into(),
             zone: "a".into(),
             spot: true,
             failed: false,
@@ -83,7 +83,7 @@
     // through.
     let long = |i: u64| StoredMachine {
         name: format!("{i:0200}"),
-        kind: "g".into(),
+        machine_type: "g".into(),
         zone: "a".into(),
         spot: true,
         addr: name(i),
--- a/crates/latchtrack-core/tests/load_balancing/fixtures.rs
+++ b/crates/latchtrack-core/tests/load_balancing/fixtures.rs
@@ -155,7 +155,7 @@
         Fault::Failed => {
             let listed = site.tasks.keys().map(|i| ListedMachine {
                 name: name(*i),
-                kind: "g".into(),
+                machine_type: "g".into(),
                 zone: zone_of(*i).into(),
                 spot: false,
                 failed: *i == machine,
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -44,7 +44,7 @@
     let amount = |cpus| Resources { cpus, gpus: 0.0, memory_gb: cpus };
     let mut capacity = FreeCapacity {
         machine: None,
-        kind: "g".into(),
+        machine_type: "g".into(),
         zone: "a".into(),
         spot: true,
         total_cpus: 16.0,
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -44,7 +44,7 @@
     scheduler.handle(2_100, Event::Heartbeat(heartbeat));
     let listed = ListedMachine {
         name: name(9),
-        kind: "unknown".into(),
+        machine_type: "unknown".into(),
         zone: "z".into(),
         spot: false,
         failed: false,
--- a/crates/latchtrack-core/tests/refused_writes.rs
+++ b/crates/latchtrack-core/tests/refused_writes.rs
@@ -19,7 +19,7 @@
     Event::Heartbeat(Heartbeat {
         machine: name.into(),
         addr,
-        kind: "g".into(),
+        machine_type: "g".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: 1,
--- a/crates/latchtrack-core/tests/simulation/world/cloud.rs
+++ b/crates/latchtrack-core/tests/simulation/world/cloud.rs
@@ -30,7 +30,7 @@
             return ProvisionOutcome::Provisioned(names.clone());
         }
         let is_of_offer = |worker: &&Worker| {
-            worker.machine_type == offer.kind
+            worker.machine_type == offer.machine_type
                 && worker.zone == offer.zone
                 && worker.spot == offer.spot
         };
@@ -56,7 +56,7 @@
         let never_boots = self.chance(never);
         let boot_ms = (self.rng.random_range(500..9_000) as f64 * slowdown) as u64;
         let worker = Worker {
-            machine_type: if offer.kind == "small" { "small" } else { "large" },
+            machine_type: if offer.machine_type == "small" { "small" } else { "large" },
             zone: ZONES.iter().find(|zone| **zone == offer.zone).unwrap_or(&ZONES[0]),
             spot: offer.spot,
             provisioned_at: self.now,
@@ -78,7 +78,7 @@
             |(_, worker): &(&String, &Worker)| worker.provisioned_at + LIST_LAG_MS < self.now;
         let row = |(name, worker): (&String, &Worker)| ListedMachine {
             name: name.clone(),
-            kind: worker.machine_type.into(),
+            machine_type: worker.machine_type.into(),
             zone: worker.zone.into(),
             spot: worker.spot,
             failed: !worker.alive,
--- a/crates/latchtrack-core/tests/simulation/world/trace.rs
+++ b/crates/latchtrack-core/tests/simulation/world/trace.rs
@@ -75,7 +75,10 @@
             format!("call {machine} {addr} {agent_epoch} {call}{}", describe_commands(commands))
         }
         Effect::Provision { request_id, offer, number } => {
-            format!("rent {request_id} {} {} {} {number}", offer.kind, offer.zone, offer.spot)
+            format!(
+                "rent {request_id} {} {} {} {number}",
+                offer.machine_type, offer.zone, offer.spot
+            )
         }
         Effect::Terminate(names) => format!("return {}", names.join(" ")),
         Effect::ListMachines => "list".into(),
@@ -102,7 +105,8 @@
                 let _ = write!(out, " {entry}");
             }
             for m in machines {
-                let _ = write!(out, " {} {} {} {} {}", m.name, m.kind, m.zone, m.spot, m.addr);
+                let _ =
+                    write!(out, " {} {} {} {} {}", m.name, m.machine_type, m.zone, m.spot, m.addr);
             }
             out
         }
--- a/crates/latchtrack-core/tests/simulation/world/workers.rs
+++ b/crates/latchtrack-core/tests/simulation/world/workers.rs
@@ -37,7 +37,7 @@
         Some(Heartbeat {
             machine: name.into(),
             addr: name.into(),
-            kind: worker.machine_type.into(),
+            machine_type: worker.machine_type.into(),
             zone: worker.zone.into(),
             spot: worker.spot,
             agent_epoch: worker.agent_epoch,
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -63,7 +63,7 @@
     fn inherited() -> Fleet {
         let machine = |i| StoredMachine {
             name: name(i),
-            kind: "g".into(),
+            machine_type: "g".into(),
             zone: zone(i),
             spot: true,
             addr: name(i),
@@ -121,7 +121,7 @@
         Heartbeat {
             machine: name(i),
             addr: name(i),
-            kind: "g".into(),
+            machine_type: "g".into(),
             zone: zone(i),
             spot: true,
             agent_epoch,
@@ -292,7 +292,7 @@
     let mut fleet = Fleet::reconciled();
     let listed = |n: u64| ListedMachine {
         name: name(n),
-        kind: "g".into(),
+        machine_type: "g".into(),
         zone: zone(n),
         spot: true,
         failed: false,
--- a/crates/latchtrack/src/actors/cloud/requests.rs
+++ b/crates/latchtrack/src/actors/cloud/requests.rs
@@ -61,7 +61,7 @@
         async move {
             let body = ProvisionRequest {
                 request: &request_id,
-                kind: &offer.kind,
+                machine_type: &offer.machine_type,
                 zone: &offer.zone,
                 spot: offer.spot,
                 number,
--- a/crates/latchtrack/src/wire/cloud.rs
+++ b/crates/latchtrack/src/wire/cloud.rs
@@ -64,7 +64,7 @@
     pub request: &'a str,
     /// Machine type.
     #[serde(rename = "build")]
-    pub kind: &'a str,
+    pub machine_type: &'a str,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: &'a str,
@@ -109,7 +109,7 @@
     #[serde(rename = "name_id")]
     pub name: String,
     #[serde(rename = "build")]
-    kind: String,
+    machine_type: String,
     #[serde(rename = "yard")]
     zone: String,
     #[serde(rename = "loaners", default)]
@@ -123,7 +123,7 @@
     fn from(dto: ListedDto) -> Self {
         ListedMachine {
             name: dto.name,
-            kind: dto.kind,
+            machine_type: dto.machine_type,
             zone: dto.zone,
             spot: dto.spot.unwrap_or(false),
             failed: dto.status == "failed",
--- a/crates/latchtrack/src/wire/records/machine_set.rs
+++ b/crates/latchtrack/src/wire/records/machine_set.rs
@@ -11,7 +11,8 @@
 /// The form before record shards: one machine to a key, its name in the key.
 #[derive(Deserialize)]
 struct OldMachine {
-    kind: String,
+    #[serde(rename = "kind")]
+    machine_type: String,
     zone: String,
     spot: bool,
     addr: String,
@@ -20,7 +21,7 @@
 /// A record shard of the machine set as it is stored.
 pub fn encode_machine_set(machines: &[StoredMachine]) -> serde_json::Result<Box<RawValue>> {
     let record = |m: &StoredMachine| -> MachineRecord {
-        (m.name.clone(), m.kind.clone(), m.zone.clone(), m.spot, m.addr.clone())
+        (m.name.clone(), m.machine_type.clone(), m.zone.clone(), m.spot, m.addr.clone())
     };
     let records: Vec<MachineRecord> = machines.iter().map(record).collect();
     serde_json::value::to_raw_value(&records)
@@ -31,10 +32,16 @@
 pub fn parse_machine_set(key: &str, json: &str) -> serde_json::Result<Vec<StoredMachine>> {
     if json.trim_start().starts_with('{') {
         let old: OldMachine = serde_json::from_str(json)?;
-        let OldMachine { kind, zone, spot, addr } = old;
-        return Ok(vec![StoredMachine { name: key.to_string(), kind, zone, spot, addr }]);
+        let OldMachine { machine_type, zone, spot, addr } = old;
+        return Ok(vec![StoredMachine { name: key.to_string(), machine_type, zone, spot, addr }]);
     }
     let records: Vec<MachineRecord> = serde_json::from_str(json)?;
-    let machine = |(name, kind, zone, spot, addr)| StoredMachine { name, kind, zone, spot, addr };
+    let machine = |(name, machine_type, zone, spot, addr)| StoredMachine {
+        name,
+        machine_type,
+        zone,
+        spot,
+        addr,
+    };
     Ok(records.into_iter().map(machine).collect())
 }
--- a/crates/latchtrack/src/wire/workers.rs
+++ b/crates/latchtrack/src/wire/workers.rs
@@ -22,7 +22,7 @@
     host: String,
     addr: String,
     #[serde(rename = "build")]
-    kind: String,
+    machine_type: String,
     #[serde(rename = "yard")]
     zone: String,
     #[serde(rename = "loaners", default)]
@@ -101,7 +101,7 @@
     Ok(Heartbeat {
         machine: dto.host,
         addr: dto.addr,
-        kind: dto.kind,
+        machine_type: dto.machine_type,
         zone: dto.zone,
         spot: dto.spot.unwrap_or(false),
         agent_epoch: dto.agent_epoch,
--- a/crates/latchtrack/tests/integration/status.rs
+++ b/crates/latchtrack/tests/integration/status.rs
@@ -55,7 +55,7 @@
     actix_web::rt::spawn(door.run());
     let machine = |name: &str, addr: &str| latchtrack_core::scheduler::StoredMachine {
         name: name.into(),
-        kind: "t1".into(),
+        machine_type: "t1".into(),
         zone: "a".into(),
         spot: true,
         addr: addr.into(),
--- a/crates/latchtrack/tests/samples/mod.rs
+++ b/crates/latchtrack/tests/samples/mod.rs
@@ -32,7 +32,7 @@
 pub fn stored_machine(name: &str) -> StoredMachine {
     StoredMachine {
         name: name.into(),
-        kind: "g".into(),
+        machine_type: "g".into(),
         zone: "a".into(),
         spot: true,
         addr: "1.2.3.4:9".into(),
