--- a/crates/latchtrack-emulator/src/lib.rs
+++ b/crates/latchtrack-emulator/src/lib.rs
@@ -1,9 +1,9 @@
 //! Emulators, on loopback, of what latchtrack speaks to: the state service, the cloud and the
 //! workers, by the published protocol. For tests and measurements only.
 //!
-//! - [`state`] and [`cloud`] serve the two services; [`site`] starts them with nodes of latchtrack.
-//! - [`state`] and [`cloud`] serve the two services; [`site`] starts them with nodes of
+//! - [`state`] and [`cloud`] serve the two services; [`mod@site`] starts them with nodes of
 //!   latchtrack.
+//! - [`worker`] is one worker that heartbeats when a test says so; [`fleet`] runs many that do so by
 //!   themselves.
 //! - [`race`] and [`spread`] are experiments over fleets; [`history`] records and checks what ran.
 
