--- a/crates/latchtrack-emulator/src/lib.rs
+++ b/crates/latchtrack-emulator/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! - [`state`] and [`cloud`] serve the two services; [`mod@site`] starts them with nodes of
 //!   latchtrack.
-//! - [`fleet`] emulates many workers that send heartbeats and run tasks; [`worker`] one, whose
-//!   messages a test writes itself.
+//! - [`worker`] is one worker that heartbeats when a test says so; [`fleet`] runs many that do so by
+//!   themselves.
 //! - [`race`] and [`spread`] are experiments over fleets; [`history`] records and checks what ran.
 
 pub mod client;
