--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -37,6 +37,11 @@
 }
 
 impl MachineType {
+    /// What an empty machine has.
+    pub fn resources(&self) -> Resources {
+        Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
+    }
+
     /// How many tasks of this demand fit on an empty machine.
     pub fn holds(&self, demand: &Resources) -> u32 {
         fits(demand, self.cpus, self.gpus, self.memory_gb)
--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -1,5 +1,5 @@
 //! This cell's part of limits and guarantees that cells share: what the teams use goes to the quota
-//! keeper, and what it allows limits placement. docs/quota.md says why no limit is passed.
+//! allotments, and what it allows limits placement. docs/quota.md says why no limit is passed.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct QuotaAccounting {
     /// The cell's part of the limits; None if this deployment has its teams alone.
-    keeper: Option<AllotmentManager>,
+    allotments: Option<AllotmentManager>,
     /// What each team needs for the first of its starving jobs.
     next_of_team: BTreeMap<String, MilliResources>,
     /// What was launched of each team in this term.
@@ -31,7 +31,7 @@
     /// The accounting of a new leader; `term` is its fencing token.
     pub fn new(policy: &Policy, term: u64) -> Self {
         QuotaAccounting {
-            keeper: new_keeper(policy, term),
+            allotments: new_allotment_manager(policy, term),
             next_of_team: BTreeMap::new(),
             launched: BTreeMap::new(),
         }
@@ -39,17 +39,17 @@
 
     /// Whether cells share the teams.
     pub fn is_shared(&self) -> bool {
-        self.keeper.is_some()
+        self.allotments.is_some()
     }
 
     /// What a team may use here, if it has a limit that cells share.
     pub fn launch_limit(&self, team: &str) -> Option<LaunchLimit> {
-        self.keeper.as_ref()?.launch_limit(team)
+        self.allotments.as_ref()?.launch_limit(team)
     }
 
     /// The cell's part of a team's guarantee, where cells share the team.
     pub fn guarantee(&self, team: &str) -> Option<Resources> {
-        let part = self.keeper.as_ref()?.guarantee(team)?;
+        let part = self.allotments.as_ref()?.guarantee(team)?;
         Some(Resources { cpus: part.cpus(), gpus: part.gpus(), memory_gb: 0.0 })
     }
 
@@ -75,12 +75,12 @@
     }
 
     fn take_notices(&mut self) -> Vec<Notice> {
-        self.keeper.as_mut().map(AllotmentManager::take_notices).unwrap_or_default()
+        self.allotments.as_mut().map(AllotmentManager::take_notices).unwrap_or_default()
     }
 }
 
-/// The quota keeper of a new leader, if cells share the teams.
-fn new_keeper(policy: &Policy, term: u64) -> Option<AllotmentManager> {
+/// The quota allotments of a new leader, if cells share the teams.
+fn new_allotment_manager(policy: &Policy, term: u64) -> Option<AllotmentManager> {
     let cell = policy.quota_cell.clone()?;
     let terms = |team: &Team| TeamQuota {
         limit: Limit::of(team.cpus_max, team.gpus_max),
@@ -106,8 +106,8 @@
 impl Scheduler {
     /// The cells' allotments were read.
     pub(super) fn on_quota_observed(&mut self, now: Millis, view: LedgerSnapshot) {
-        let Some(keeper) = self.quota.keeper.as_mut() else { return };
-        keeper.observe(now, view);
+        let Some(allotments) = self.quota.allotments.as_mut() else { return };
+        allotments.observe(now, view);
         // At once, before other cells change what was read.
         self.step_cell_quota(now);
     }
@@ -119,8 +119,8 @@
         write: &LedgerWrite,
         outcome: WriteOutcome,
     ) {
-        let Some(keeper) = self.quota.keeper.as_mut() else { return };
-        keeper.handle_write_outcome(now, write, outcome);
+        let Some(allotments) = self.quota.allotments.as_mut() else { return };
+        allotments.handle_write_outcome(now, write, outcome);
         self.log_quota_notices();
     }
 
@@ -131,15 +131,15 @@
             return;
         }
         let uses = self.team_uses(now);
-        let Some(keeper) = self.quota.keeper.as_mut() else { return };
-        let writes = keeper.step(now, &uses);
+        let Some(allotments) = self.quota.allotments.as_mut() else { return };
+        let writes = allotments.step(now, &uses);
         self.out.extend(writes.into_iter().map(Effect::WriteLedger));
         self.log_quota_notices();
     }
 
     /// The teams that cells share, for an operator; None if this deployment has its teams alone.
     pub fn quota_summary(&self) -> Option<Vec<TeamSummary>> {
-        self.quota.keeper.as_ref().map(AllotmentManager::summary)
+        self.quota.allotments.as_ref().map(AllotmentManager::summary)
     }
 
     fn log_quota_notices(&mut self) {
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -59,9 +59,7 @@
             let Some(capacity) = self.free_capacity_of(now, machine) else { continue };
             if machine.is_up() {
                 if let Some(machine_type) = self.inventory.type_named(&machine.machine_type) {
-                    total.cpus += machine_type.cpus;
-                    total.gpus += machine_type.gpus;
-                    total.memory_gb += machine_type.memory_gb;
+                    total.add_multiple(&machine_type.resources(), 1);
                 }
                 if machine.heartbeat_older_than(now, self.policy.probe_ms()) {
                     continue;
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -203,8 +203,3 @@
         waiting > OVERLOAD_SHARE * up_types.map(|machine_type| machine_type.cpus).sum::<f64>()
     }
 }
-
-/// A demand in the terms of `latchtrack-balance`.
-pub(super) fn resources_of(demand: &Resources) -> Resources {
-    Resources { cpus: demand.cpus, gpus: demand.gpus, memory_gb: demand.memory_gb }
-}
--- a/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
@@ -7,8 +7,7 @@
 use latchtrack_balance::spread::Spread;
 
 use super::super::Scheduler;
-use super::resources_of;
-use crate::job::{JobSpec, Resources};
+use crate::job::JobSpec;
 use crate::machine::{Machine, MachineType, TaskPhase};
 use crate::placement::{FreeCapacity, LoadInfo};
 
@@ -23,11 +22,7 @@
             return None;
         }
         Some(LoadInfo {
-            capacity: Resources {
-                cpus: machine_type.cpus,
-                gpus: machine_type.gpus,
-                memory_gb: machine_type.memory_gb,
-            },
+            capacity: machine_type.resources(),
             mean_load: self.load_balancing.mean_load(machine),
             fetching_gb: fetching_gb(machine),
         })
@@ -51,9 +46,9 @@
         } else {
             0.0
         };
-        let capacity = resources_of(&balance.capacity);
-        let demand = resources_of(&spec.demand);
-        let used = capacity.minus(&resources_of(&free_capacity.free)).plus(&demand);
+        let capacity = balance.capacity;
+        let demand = spec.demand;
+        let used = capacity.minus(&free_capacity.free).plus(&demand);
         let spread = Spread { mean: balance.mean_load, ..Spread::default() };
         PlacementOption {
             fetch_s,
--- a/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
@@ -8,10 +8,9 @@
 use latchtrack_balance::locality::fetch_s;
 use latchtrack_balance::moves::MoveUnit;
 use latchtrack_balance::planner::{MachineLoad, Movable, PlanInput};
-use latchtrack_balance::resources::Resources;
 
 use super::super::Scheduler;
-use super::{resources_of, PoolKey};
+use super::PoolKey;
 use crate::job::{Job, JobId, JobSpec, TaskId};
 use crate::machine::{Machine, TaskPhase, TaskRun};
 use crate::Millis;
@@ -99,12 +98,9 @@
     fn machine_load(&mut self, now: Millis, name: &str) -> Option<MachineLoad> {
         let machine = self.inventory.get(name)?;
         let machine_type = self.inventory.type_named(&machine.machine_type)?;
-        let capacity = Resources {
-            cpus: machine_type.cpus,
-            gpus: machine_type.gpus,
-            memory_gb: machine_type.memory_gb,
-        };
-        let used = resources_of(&machine.allocated()?)
+        let capacity = machine_type.resources();
+        let used = machine
+            .allocated()?
             .plus(&self.load_balancing.balancer.reserved_on(name))
             .minus(&self.load_balancing.balancer.leaving_from(name));
         let may_take_part = self.may_take_part_in_moves(now, machine);
@@ -155,7 +151,7 @@
         Movable {
             unit,
             tasks,
-            demand: resources_of(&spec.demand),
+            demand: spec.demand,
             save_s: spec.save_s,
             cost_s: spec.save_s + fetch_s + MOVE_OVERHEAD_S,
             remaining_s: spec.estimate_s - ran_ms as f64 / 1000.0,
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -7,7 +7,7 @@
 use super::messages::{Effect, ProvisionOutcome};
 use super::Scheduler;
 use crate::constants::{MAX_OPEN_PROVISIONS, OFFER_EXHAUSTED_MS};
-use crate::job::{JobSpec, Resources};
+use crate::job::JobSpec;
 use crate::machine::{Machine, MachineType};
 use crate::placement;
 use crate::placement::{FreeCapacity, Offer};
@@ -215,11 +215,7 @@
         total_cpus: machine_type.cpus,
         images: Arc::default(),
         images_incomplete: false,
-        free: Resources {
-            cpus: machine_type.cpus,
-            gpus: machine_type.gpus,
-            memory_gb: machine_type.memory_gb,
-        },
+        free: machine_type.resources(),
         ready: false,
         reservation: None,
         balance: None,
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -259,11 +259,7 @@
         let Some(machine_type) = self.inventory.type_named(&capacity.machine_type) else {
             return Resources::default();
         };
-        let mut spare = Resources {
-            cpus: machine_type.cpus,
-            gpus: machine_type.gpus,
-            memory_gb: machine_type.memory_gb,
-        };
+        let mut spare = machine_type.resources();
         spare.take_multiple(&spec.demand, tasks);
         let remainder = spare;
         let name = capacity.machine.as_deref().unwrap_or_default();
