--- a/crates/latchtrack/src/constants.rs
+++ b/crates/latchtrack/src/constants.rs
@@ -234,8 +234,8 @@
 pub const LEDGER_BYTES: usize = 260;
 /// Bytes of an allotment beside the cell's name, with the longest numbers that are in use.
 pub const ACCOUNT_BYTES: usize = 240;
-/// ms between two refreshes of the ledgers by a leader: with a step of the keeper at each, what
-/// another cell holds idle is available within the bound of docs/quota.md.
+/// ms between two refreshes of the ledgers by a leader: with a step of the allotment manager at
+/// each, what another cell holds idle is available within the bound of docs/quota.md.
 pub const QUOTA_REFRESH_INTERVAL_MS: u64 = 250;
 /// ms after which all ledgers are read again, in case a watch has skipped something.
 pub const QUOTA_FULL_READ_INTERVAL_MS: u64 = 30_000;
