--- a/crates/latchtrack-core/tests/simulation/decision_trace.rs
+++ b/crates/latchtrack-core/tests/simulation/decision_trace.rs
@@ -1,4 +1,4 @@
-//! Prints one line for each of some fifty seeded runs: a digest of all that their leaders decided.
+//! Prints one line for each of its seeded runs: a digest of all that their leaders decided.
 //! Two versions of the sources that decide alike print the same.
 //!
 //!     cargo run --release -p latchtrack-core --example decision_trace
@@ -11,7 +11,7 @@
 use world::faults::PlannedFault;
 use world::federation::{Federation, IgnoredCondition};
 use world::guards::DisabledGuard;
-use world::size::{Size, BUSY, CELL, FLEET, MOVING, SMALL};
+use world::size::{Size, BUSY, CELL, FLEET, MOVING, OVERLOAD, SMALL};
 use world::trace::DecisionTrace;
 use world::World;
 use PlannedFault::*;
@@ -95,18 +95,10 @@
 
 fn load() -> Vec<Scenario> {
     let guests = Size { fault_probability: 0.004, limited_team_cpus: 1e6, ..BUSY };
-    let overload = Size {
-        initial_jobs: 40,
-        submit_probability: 0.02,
-        max_tasks: 30,
-        limited_team_cpus: 1e6,
-        end_ms: 900_000,
-        ..SMALL
-    };
     let guest_jobs = [(20_000, SubmitGuestJobs), (60_000, CrashAllNodes)];
     vec![
         scenario("guests", guests, 0..2, &guest_jobs),
-        scenario("overload", overload, 0..1, &[]),
+        scenario("overload", OVERLOAD, 0..1, &[]),
         scenario("fleet", FLEET, 0..1, &[]),
     ]
 }
--- a/crates/latchtrack-core/tests/simulation/main.rs
+++ b/crates/latchtrack-core/tests/simulation/main.rs
@@ -15,7 +15,7 @@
 mod world;
 
 use world::guards::DisabledGuard;
-use world::size::{Size, SMALL};
+use world::size::OVERLOAD;
 use world::trace::DecisionTrace;
 use world::World;
 
@@ -79,16 +79,7 @@
 #[test]
 fn in_overload_all_classes_teams_and_largest_jobs_are_served() {
     for seed in 0..4 {
-        // Far more than the machines can do in time, and no limits, which would decide instead.
-        let size = Size {
-            initial_jobs: 40,
-            submit_probability: 0.02,
-            max_tasks: 30,
-            limited_team_cpus: 1e6,
-            end_ms: 900_000,
-            ..SMALL
-        };
-        let mut world = World::sized(seed, DisabledGuard::None, size);
+        let mut world = World::sized(seed, DisabledGuard::None, OVERLOAD);
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.poorly_served(), Vec::<String>::new(), "seed {seed}");
--- a/crates/latchtrack-core/tests/simulation/world/size.rs
+++ b/crates/latchtrack-core/tests/simulation/world/size.rs
@@ -76,6 +76,16 @@
     ..SMALL
 };
 
+/// Far more work than the machines can do in time, and no limits, which would decide instead.
+pub const OVERLOAD: Size = Size {
+    initial_jobs: 40,
+    submit_probability: 0.02,
+    max_tasks: 30,
+    limited_team_cpus: 1e6,
+    end_ms: 900_000,
+    ..SMALL
+};
+
 /// Machines enough that no job waits for long, and tasks that save: there is something to move.
 pub const MOVING: Size = Size {
     machines_per_offer: 6,
