--- a/crates/latchtrack-core/tests/common/mod.rs
+++ b/crates/latchtrack-core/tests/common/mod.rs
@@ -89,6 +89,11 @@
 /// The term of token 7; until then there was an earlier leader.
 pub const TERM: TermRevisions = TermRevisions { token: 7, leaderless_since: 7 };
 
+/// A job of that many tasks, submitted at time 0, opened at a revision of the state service.
+pub fn job_opened(id: u64, tasks: u32, revision: u64) -> Event {
+    Event::JobOpened { spec: spec(id, tasks), submitted_at: 0, revision, done: None }
+}
+
 /// Machine type `g` in zone `a` only.
 pub fn types() -> Vec<MachineType> {
     vec![machine_type(vec!["a".into()])]
@@ -151,12 +156,7 @@
 pub fn busy_fleet(machines: u64) -> Scheduler {
     let mut scheduler =
         Scheduler::new(policy(), TERM, types(), stored_set(0..machines), Vec::new(), 1_000);
-    let job = Event::JobOpened {
-        spec: spec(1, machines as u32),
-        submitted_at: 0,
-        revision: 3,
-        done: None,
-    };
+    let job = job_opened(1, machines as u32, 3);
     scheduler.handle(1_000, job);
     for number in 0..machines {
         let task = TaskStatus {
--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -14,12 +14,7 @@
 fn an_inherited_job_waits_until_every_machine_carries_the_token() {
     let mut scheduler =
         Scheduler::new(policy(), TERM, types(), stored_set(0..2), Vec::new(), 1_000);
-    let job = |id, revision| Event::JobOpened {
-        spec: spec(id, 2),
-        submitted_at: 0,
-        revision,
-        done: None,
-    };
+    let job = |id, revision| job_opened(id, 2, revision);
     scheduler.handle(1_000, job(1, 3));
     let mut count =
         launches(&scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new()))));
@@ -121,10 +116,7 @@
     stored.push(StoredMachineSet { name: "3-2".into(), revision: 5, machines: None });
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), stored, Vec::new(), 1_000);
-    scheduler.handle(
-        1_000,
-        Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 3, done: None },
-    );
+    scheduler.handle(1_000, job_opened(1, 2, 3));
     let mut first = None;
     for step in 0..20 {
         let now = 1_100 + step * 3_000;
@@ -156,12 +148,7 @@
         Vec::new(),
         1_000,
     );
-    let job = |id, revision| Event::JobOpened {
-        spec: spec(id, 1),
-        submitted_at: 0,
-        revision,
-        done: None,
-    };
+    let job = |id, revision| job_opened(id, 1, revision);
     scheduler.handle(1_000, job(1, 4));
     scheduler.handle(1_000, job(2, 6));
     let count =
--- a/crates/latchtrack-core/tests/failure_detection.rs
+++ b/crates/latchtrack-core/tests/failure_detection.rs
@@ -148,10 +148,7 @@
 fn a_machine_that_takes_no_launch_is_given_up_and_its_tasks_go_elsewhere() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..1), Vec::new(), 1_000);
-    scheduler.handle(
-        1_000,
-        Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 8, done: None },
-    );
+    scheduler.handle(1_000, job_opened(1, 2, 8));
     let mut given = 0;
     let mut gone = Vec::new();
     for step in 0..8 {
@@ -181,10 +178,7 @@
 fn a_late_copy_proves_nothing() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..2), Vec::new(), 1_000);
-    scheduler.handle(
-        1_000,
-        Event::JobOpened { spec: spec(1, 4), submitted_at: 0, revision: 8, done: None },
-    );
+    scheduler.handle(1_000, job_opened(1, 4, 8));
     let known = scheduler.machines().len();
     // Of a machine unknown to us, and of one that has not yet spoken in this term.
     let mut effects = scheduler.handle(1_100, Event::Heartbeat(heartbeat(9, 40, 6, Vec::new())));
@@ -247,10 +241,7 @@
 fn machines_that_outlast_their_lease_hold_up_nobody() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..2), Vec::new(), 1_000);
-    scheduler.handle(
-        1_000,
-        Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 3, done: None },
-    );
+    scheduler.handle(1_000, job_opened(1, 2, 3));
     for step in 0..9 {
         let now = 1_100 + step * 3_000;
         let effects =
--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -29,8 +29,7 @@
         for i in 0..20 {
             scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
         }
-        let job =
-            Event::JobOpened { spec: spec(1, tasks), submitted_at: 0, revision: 8, done: None };
+        let job = job_opened(1, tasks, 8);
         scheduler.handle(1_100, job);
         scheduler.handle(1_300, Event::Tick);
         // All its tasks on three of its machines fail.
@@ -152,12 +151,7 @@
         scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
     // Others have the sound machines; then the job starts on the faulty ones.
-    let job = |id, tasks| Event::JobOpened {
-        spec: spec(id, tasks),
-        submitted_at: 0,
-        revision: 8,
-        done: None,
-    };
+    let job = |id, tasks| job_opened(id, tasks, 8);
     scheduler.handle(1_100, job(1, 6));
     scheduler.handle(1_300, Event::Tick);
     let mut was_quarantined = false;
--- a/crates/latchtrack-core/tests/provisioning.rs
+++ b/crates/latchtrack-core/tests/provisioning.rs
@@ -90,10 +90,7 @@
 fn boots_late_for_a_whole_type_are_waited_for() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), Vec::new(), Vec::new(), 1_000);
-    scheduler.handle(
-        1_000,
-        Event::JobOpened { spec: spec(1, 60), submitted_at: 0, revision: 8, done: None },
-    );
+    scheduler.handle(1_000, job_opened(1, 60, 8));
     let mut cloud = SlowCloud::default();
     cloud.run(&mut scheduler, 1_200, 63_000);
     // Thirty are needed, and provisioned once more when the first seem late, before all do; then a
@@ -112,10 +109,7 @@
 fn a_machine_that_is_up_before_its_request_is_answered_is_used_at_once() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), Vec::new(), Vec::new(), 1_000);
-    scheduler.handle(
-        1_000,
-        Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 8, done: None },
-    );
+    scheduler.handle(1_000, job_opened(1, 2, 8));
     let effects = scheduler.handle(1_200, Event::Tick);
     let request_id = effects.iter().find_map(|effect| match effect {
         Effect::Provision { request_id, .. } => Some(request_id.clone()),
@@ -175,10 +169,7 @@
     policy.teams[0].cpus_max = 2.0 * spec(1, 1).demand.cpus;
     let mut scheduler = Scheduler::new(policy, TERM, types(), Vec::new(), Vec::new(), 1_000);
     for id in 1..=5 {
-        scheduler.handle(
-            1_000,
-            Event::JobOpened { spec: spec(id, 10), submitted_at: 0, revision: 8, done: None },
-        );
+        scheduler.handle(1_000, job_opened(id, 10, 8));
     }
     let mut provisioned = 0;
     for now in (1_200..5_000).step_by(200) {
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -316,10 +316,7 @@
     let limit = Team { cpus_max: 4.0, ..long_idle_timeout().teams.remove(0) };
     let policy = Policy { teams: vec![limit], ..long_idle_timeout() };
     let mut scheduler = Scheduler::new(policy, TERM, types(), stored_set(0..1), Vec::new(), 1_000);
-    scheduler.handle(
-        1_000,
-        Event::JobOpened { spec: spec(1, 2), submitted_at: 0, revision: 8, done: None },
-    );
+    scheduler.handle(1_000, job_opened(1, 2, 8));
     scheduler.handle(1_000, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     for now in (1_200..10_000).step_by(200) {
         let runs = scheduler.machines()[&name(0)].runs.values();
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -74,10 +74,7 @@
         let revisions = TermRevisions { token: 7, leaderless_since: 7 };
         let mut scheduler = Scheduler::new(settings(), revisions, types, stored, Vec::new(), 1_000);
         let tasks = 3 * PER_ZONE as u32;
-        scheduler.handle(
-            1_000,
-            Event::JobOpened { spec: spec(1, tasks), submitted_at: 0, revision: 3, done: None },
-        );
+        scheduler.handle(1_000, job_opened(1, tasks, 3));
         Fleet {
             scheduler,
             now: 1_000,
