--- a/crates/latchtrack-core/src/bitmap.rs
+++ b/crates/latchtrack-core/src/bitmap.rs
@@ -65,12 +65,12 @@
     }
 
     /// How many tasks are in the set.
-    pub fn ones(&self) -> u32 {
+    pub fn count_ones(&self) -> u32 {
         self.ones
     }
 
     /// Whether every task is in the set.
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.ones == self.len
     }
 
--- a/crates/latchtrack-core/src/constants.rs
+++ b/crates/latchtrack-core/src/constants.rs
@@ -6,7 +6,7 @@
 
 /// Slack when sums of CPUs, GPUs or GB are compared: amounts are decimal numbers, their sums are
 /// not exact.
-pub const AMOUNT_ROUNDING: f64 = 1e-6;
+pub const AMOUNT_TOLERANCE: f64 = 1e-6;
 
 // Scores.
 
@@ -168,7 +168,7 @@
 /// taken for a fault of this node.
 pub const MAX_SILENT_SHARE: f64 = 0.5;
 /// Machines below which neither that share nor an unreachable zone allows a judgement.
-pub const MIN_MACHINES_TO_JUDGE: usize = 3;
+pub const MIN_MACHINES_FOR_OUTAGE: usize = 3;
 /// Direct calls into a zone without an answer, since anything was heard of it, after which it
 /// counts as unreachable; two a machine are enough where it has few.
 pub const ZONE_UNANSWERED_CALLS: u32 = 12;
@@ -226,7 +226,7 @@
 /// ms for which a quarantined job waits for a machine where others have succeeded before it is
 /// tried anywhere: after a failover, or in a fleet that runs nothing else, no machine has proven
 /// itself.
-pub const TRIAL_ANYWHERE_MS: Millis = 10_000;
+pub const PROVEN_MACHINE_WAIT_MS: Millis = 10_000;
 /// Different jobs failing on a machine before it gets no more tasks and is terminated.
 pub const MACHINE_QUARANTINE_JOBS: usize = 2;
 /// ms of probation, in which a machine gets no task after one failed on it: until then other jobs
@@ -238,7 +238,7 @@
 /// Done tasks of a job that make a mean.
 pub const SLOW_MIN_SAMPLES: u32 = 2;
 /// Tasks in a row that count against a machine before it is slow and gets no more.
-pub const SLOW_VOTES: u32 = 3;
+pub const SLOW_MACHINE_TASKS: u32 = 3;
 
 // Stored records.
 
--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -19,7 +19,7 @@
 /// The text is not an id of a job or task.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not an id of the form req-000412")]
-pub struct BadId;
+pub struct ParseIdError;
 
 impl fmt::Display for JobId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -28,17 +28,17 @@
 }
 
 impl FromStr for JobId {
-    type Err = BadId;
-    fn from_str(s: &str) -> Result<Self, BadId> {
-        let digits = s.strip_prefix("req-").ok_or(BadId)?;
+    type Err = ParseIdError;
+    fn from_str(s: &str) -> Result<Self, ParseIdError> {
+        let digits = s.strip_prefix("req-").ok_or(ParseIdError)?;
         // One text per number, so that an id and its parsed form can stand for each other.
         let canonical = (digits.len() == 6 || (digits.len() > 6 && !digits.starts_with('0')))
             && digits.len() <= 18
             && digits.bytes().all(|b| b.is_ascii_digit());
         if !canonical {
-            return Err(BadId);
+            return Err(ParseIdError);
         }
-        digits.parse().map(JobId).map_err(|_| BadId)
+        digits.parse().map(JobId).map_err(|_| ParseIdError)
     }
 }
 
@@ -63,10 +63,10 @@
 }
 
 impl FromStr for TaskId {
-    type Err = BadId;
-    fn from_str(s: &str) -> Result<Self, BadId> {
-        let (job, index) = s.split_once('/').ok_or(BadId)?;
-        Ok(TaskId { job: job.parse()?, index: index.parse().map_err(|_| BadId)? })
+    type Err = ParseIdError;
+    fn from_str(s: &str) -> Result<Self, ParseIdError> {
+        let (job, index) = s.split_once('/').ok_or(ParseIdError)?;
+        Ok(TaskId { job: job.parse()?, index: index.parse().map_err(|_| ParseIdError)? })
     }
 }
 
@@ -196,7 +196,7 @@
     /// Machines on which it failed, and when last.
     pub failed_on: BTreeMap<String, Millis>,
     /// ms that a failed task had run at most.
-    pub failed_after: Millis,
+    pub longest_failed_run_ms: Millis,
     /// It has shown nothing but failures: one task at a time is tried.
     pub is_quarantined: bool,
     /// Trials that failed since then.
@@ -219,7 +219,7 @@
         done: Bitmap,
     ) -> Self {
         Job {
-            waiting: spec.tasks - done.ones(),
+            waiting: spec.tasks - done.count_ones(),
             equivalence_class: ClassId::default(),
             spec,
             submitted_at,
@@ -233,7 +233,7 @@
             next_untried: 0,
             backoff_until: 0,
             failed_on: BTreeMap::new(),
-            failed_after: 0,
+            longest_failed_run_ms: 0,
             is_quarantined: false,
             failed_trials: 0,
             unschedulable_since: None,
--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::constants::SLOW_VOTES;
+use crate::constants::{AMOUNT_TOLERANCE, SLOW_MACHINE_TASKS};
 use crate::job::{JobId, Resources, TaskId};
 use crate::scheduler::CallId;
 use crate::Millis;
@@ -43,19 +43,16 @@
     }
 
     /// How many tasks of this demand fit on an empty machine.
-    pub fn holds(&self, demand: &Resources) -> u32 {
-        fits(demand, self.cpus, self.gpus, self.memory_gb)
+    pub fn fitting_tasks(&self, demand: &Resources) -> u32 {
+        fitting_tasks(demand, self.cpus, self.gpus, self.memory_gb)
     }
 }
 
-/// Slack in comparing sums of amounts: amounts are decimal numbers, their sums as floats are not.
-const AMOUNT_SLACK: f64 = 1e-6;
-
 /// How many tasks of a demand fit into these free amounts.
-pub fn fits(demand: &Resources, cpus: f64, gpus: f64, memory_gb: f64) -> u32 {
+pub fn fitting_tasks(demand: &Resources, cpus: f64, gpus: f64, memory_gb: f64) -> u32 {
     let times = |need: f64, free: f64| {
         if need > 0.0 {
-            ((free + AMOUNT_SLACK) / need).floor().max(0.0)
+            ((free + AMOUNT_TOLERANCE) / need).floor().max(0.0)
         } else {
             f64::from(u32::MAX)
         }
@@ -73,9 +70,9 @@
 
 /// The images that a machine holds, the last used first: it keeps those for which it has space.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Images(Vec<CachedImage>);
+pub struct ImageCache(Vec<CachedImage>);
 
-impl Images {
+impl ImageCache {
     /// Whether the machine holds this image.
     pub fn contains(&self, image: &str) -> bool {
         self.0.iter().any(|cached| cached.name == image)
@@ -148,7 +145,7 @@
     /// No direct call before this time.
     pub next_call_at: Millis,
     /// Slow tasks in a row; too many, and it gets no more and is terminated once it is empty.
-    pub slow_votes: u32,
+    pub consecutive_slow_tasks: u32,
     /// Is to be terminated; no launches any more.
     pub to_terminate: bool,
     /// The cloud was asked to terminate it.
@@ -158,11 +155,11 @@
     /// Jobs that failed on it.
     pub failed_jobs: BTreeSet<JobId>,
     /// Until when it is on probation and gets no tasks.
-    pub quarantined_until: Millis,
+    pub probation_until: Millis,
     /// A task was done on it, and none has failed since.
     pub proven: bool,
     /// Images that it has fetched, as far as this term has seen.
-    pub images: Arc<Images>,
+    pub images: Arc<ImageCache>,
 }
 
 impl Machine {
@@ -186,12 +183,12 @@
             runs: BTreeMap::new(),
             open_call: None,
             next_call_at: 0,
-            slow_votes: 0,
+            consecutive_slow_tasks: 0,
             to_terminate: false,
             termination_sent: false,
             idle_since: None,
             failed_jobs: BTreeSet::new(),
-            quarantined_until: 0,
+            probation_until: 0,
             proven: false,
             images: Arc::default(),
         }
@@ -231,7 +228,7 @@
 
     /// Whether its tasks run much longer than their like.
     pub fn is_slow(&self) -> bool {
-        self.slow_votes >= SLOW_VOTES
+        self.consecutive_slow_tasks >= SLOW_MACHINE_TASKS
     }
 
     /// Capacity taken by live runs; `None` when a run of unknown size is on it.
--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::job::{ClassId, Resources};
-use crate::machine::{fits, Images};
+use crate::machine::{fitting_tasks, ImageCache};
 
 /// What of a machine is free.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     /// CPUs of the whole machine.
     pub total_cpus: f64,
     /// Images that it holds, as far as this term has seen.
-    pub images: Arc<Images>,
+    pub images: Arc<ImageCache>,
     /// It may hold others, from before this term.
     pub images_incomplete: bool,
     /// What no task uses and no move reserves.
@@ -64,20 +64,20 @@
 impl FreeCapacity {
     /// How many tasks with this demand a job of this class may put here: on a machine that is
     /// reserved for others, no more than these leave.
-    pub fn admits(&self, demand: &Resources, class: ClassId) -> u32 {
-        let by_size = self.holds(demand);
+    pub fn admissible_tasks(&self, demand: &Resources, class: ClassId) -> u32 {
+        let by_size = self.fitting_tasks(demand);
         match &self.reservation {
             Some(reservation) if reservation.reserved_for != ReservedFor::Class(class) => {
                 let spare = &reservation.spare;
-                by_size.min(fits(demand, spare.cpus, spare.gpus, spare.memory_gb))
+                by_size.min(fitting_tasks(demand, spare.cpus, spare.gpus, spare.memory_gb))
             }
             _ => by_size,
         }
     }
 
     /// How many tasks with this demand fit, by size alone.
-    pub fn holds(&self, demand: &Resources) -> u32 {
-        fits(demand, self.free.cpus, self.free.gpus, self.free.memory_gb)
+    pub fn fitting_tasks(&self, demand: &Resources) -> u32 {
+        fitting_tasks(demand, self.free.cpus, self.free.gpus, self.free.memory_gb)
     }
 
     /// Takes the demand of `tasks` tasks out of it.
@@ -89,7 +89,7 @@
     }
 
     /// Whether the machine would surely have to fetch this image.
-    pub fn surely_lacks(&self, image: &str) -> bool {
+    pub fn must_fetch(&self, image: &str) -> bool {
         !self.images_incomplete && !self.images.contains(image)
     }
 }
--- a/crates/latchtrack-core/src/placement/offers.rs
+++ b/crates/latchtrack-core/src/placement/offers.rs
@@ -26,7 +26,7 @@
 /// the zone to begin with, so that machines spread over the zones.
 pub fn offers(spec: &JobSpec, types: &[MachineType], zone_rotation: usize) -> Vec<Offer> {
     let mut fitting: Vec<&MachineType> =
-        types.iter().filter(|machine_type| machine_type.holds(&spec.demand) > 0).collect();
+        types.iter().filter(|machine_type| machine_type.fitting_tasks(&spec.demand) > 0).collect();
     fitting.sort_by(|a, b| {
         let size = |t: &MachineType| (t.gpus, t.cpus, t.memory_gb);
         size(a).partial_cmp(&size(b)).unwrap_or(std::cmp::Ordering::Equal)
--- a/crates/latchtrack-core/src/rules.rs
+++ b/crates/latchtrack-core/src/rules.rs
@@ -1,17 +1,17 @@
 //! The protocol's rules of placement. The scheduler checks them before every launch; the tests
 //! check them in a simulated world after every step.
 
-use crate::constants::AMOUNT_ROUNDING;
+use crate::constants::AMOUNT_TOLERANCE;
 use crate::job::JobSpec;
 use crate::placement::allowed;
 
 /// The rule `quota`: whether a team may use this much more of a resource. A limit of 0 is none.
 pub fn within_limit(used: f64, more: f64, limit: f64) -> bool {
-    limit <= 0.0 || used + more <= limit + AMOUNT_ROUNDING
+    limit <= 0.0 || used + more <= limit + AMOUNT_TOLERANCE
 }
 
 /// How many tasks of a job that is to be spread may be in one zone: half of them, rounded up.
-pub fn zone_share(tasks: u32) -> u32 {
+pub fn max_tasks_per_zone(tasks: u32) -> u32 {
     tasks.div_ceil(2)
 }
 
@@ -38,5 +38,5 @@
             elsewhere += 1;
         }
     }
-    (!spec.one_zone || elsewhere == 0) && (!spec.spread || here < zone_share(spec.tasks))
+    (!spec.one_zone || elsewhere == 0) && (!spec.spread || here < max_tasks_per_zone(spec.tasks))
 }
--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -207,7 +207,7 @@
             || !placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
             || self.avoids_machine(now, job, machine)
             || self.has_team_limit(spec)
-            || (capacity.surely_lacks(&spec.image)
+            || (capacity.must_fetch(&spec.image)
                 && self.waits_for_image(now, job, &capacity.machine_type))
         {
             return 0;
@@ -225,6 +225,6 @@
     ) -> bool {
         placement::allowed(&job.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
             && !self.avoids_machine(now, job, machine)
-            && capacity.admits(&job.spec.demand, job.equivalence_class) > 0
+            && capacity.admissible_tasks(&job.spec.demand, job.equivalence_class) > 0
     }
 }
--- a/crates/latchtrack-core/src/scheduler/dispatcher.rs
+++ b/crates/latchtrack-core/src/scheduler/dispatcher.rs
@@ -118,7 +118,7 @@
             match run.phase {
                 TaskPhase::Assigned => {
                     commands.push(Command::Launch { task, attempt });
-                    run.launch_sent(now);
+                    run.record_launch_sent(now);
                     // A cancelled launch may still arrive by a direct call. Started and stopped
                     // here, the attempt is known to the machine and the late command does nothing.
                     push_stop(run, now, StopResend::Always, &mut commands);
@@ -179,7 +179,7 @@
     for run in machine.runs.values_mut() {
         if run.phase == TaskPhase::Assigned && run.launch_sends == 0 {
             commands.push(Command::Launch { task: run.task, attempt: run.attempt });
-            run.launch_sent(now);
+            run.record_launch_sent(now);
         }
         if run.is_live() {
             push_stop(run, now, StopResend::AfterInterval, &mut commands);
--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -67,9 +67,9 @@
             .reservation
             .is_some_and(|reservation| reservation.reserved_for != ReservedFor::Exclusive);
         if for_a_class && self.reservation_access(now, job) == ReservationAccess::Ignores {
-            capacity.holds(&job.spec.demand)
+            capacity.fitting_tasks(&job.spec.demand)
         } else {
-            capacity.admits(&job.spec.demand, job.equivalence_class)
+            capacity.admissible_tasks(&job.spec.demand, job.equivalence_class)
         }
     }
 
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -13,7 +13,7 @@
 use crate::constants::{
     FAILED_MACHINE_AVOIDANCE_MS, FAILURE_BACKOFF_MS, HEALTHY_RUN_MARGIN_MS, HEALTHY_RUN_SCAN_LIMIT,
     JOB_QUARANTINE_MACHINES, MACHINE_PROBATION_MS, MACHINE_QUARANTINE_JOBS, MAX_FAILURE_BACKOFF_MS,
-    TRIAL_ANYWHERE_MS,
+    PROVEN_MACHINE_WAIT_MS,
 };
 use crate::job::{Job, JobId, TaskId};
 use crate::machine::TaskPhase;
@@ -27,9 +27,10 @@
     pub(super) fn on_run_failed(&mut self, now: Millis, machine: &str, id: JobId, ran_ms: Millis) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.failed_on.insert(machine.to_string(), now);
-        job.failed_after = job.failed_after.max(ran_ms);
+        job.longest_failed_run_ms = job.longest_failed_run_ms.max(ran_ms);
         let is_quarantined = job.is_quarantined;
-        let looks_broken = job.done.ones() == 0 && job.failed_on.len() >= JOB_QUARANTINE_MACHINES;
+        let looks_broken =
+            job.done.count_ones() == 0 && job.failed_on.len() >= JOB_QUARANTINE_MACHINES;
         if is_quarantined || (looks_broken && !self.has_healthy_run(now, id)) {
             if !is_quarantined {
                 self.quarantine_job(id);
@@ -51,13 +52,14 @@
     /// for among the first few, which were launched first.
     fn has_healthy_run(&self, now: Millis, id: JobId) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
-        let min_run_ms = job.failed_after.saturating_mul(2).saturating_add(HEALTHY_RUN_MARGIN_MS);
+        let min_run_ms =
+            job.longest_failed_run_ms.saturating_mul(2).saturating_add(HEALTHY_RUN_MARGIN_MS);
         let runs =
             job.placed.iter().take(HEALTHY_RUN_SCAN_LIMIT).filter_map(|(index, assignment)| {
                 let task = TaskId { job: id, index: *index };
                 self.inventory.get(&assignment.machine)?.runs.get(&(task, assignment.attempt))
             });
-        job.done.ones() > 0
+        job.done.count_ones() > 0
             || runs
                 .filter(|run| run.phase == TaskPhase::Running && run.stop.is_none())
                 .any(|run| run.running_since.is_some_and(|at| now >= at.saturating_add(min_run_ms)))
@@ -74,7 +76,7 @@
             let Some(machine) = self.inventory.get_mut(name) else { continue };
             machine.failed_jobs.remove(&id);
             if machine.failed_jobs.is_empty() {
-                machine.quarantined_until = 0;
+                machine.probation_until = 0;
             }
         }
         self.cycle_timer.request();
@@ -101,7 +103,7 @@
         let Some(machine) = self.inventory.get_mut(name) else { return };
         machine.failed_jobs.insert(id);
         machine.proven = false;
-        machine.quarantined_until = now + MACHINE_PROBATION_MS;
+        machine.probation_until = now + MACHINE_PROBATION_MS;
         if machine.failed_jobs.len() >= MACHINE_QUARANTINE_JOBS && !machine.to_terminate {
             machine.to_terminate = true;
             self.out.push(Effect::Log(LogEvent::MachineFailsJobs { machine: name.to_string() }));
@@ -129,6 +131,6 @@
             return failed;
         }
         let proven = || self.inventory.get(machine).is_some_and(|m| m.proven);
-        now < job.backoff_until.saturating_add(TRIAL_ANYWHERE_MS) && (failed || !proven())
+        now < job.backoff_until.saturating_add(PROVEN_MACHINE_WAIT_MS) && (failed || !proven())
     }
 }
--- a/crates/latchtrack-core/src/scheduler/failure_detector.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_detector.rs
@@ -12,8 +12,8 @@
 use super::Scheduler;
 use crate::constants::{
     IGNORED_LAUNCHES_MS, MAX_IGNORED_LAUNCHES, MAX_SILENT_SHARE, MAX_TICK_GAP_MS,
-    MIN_MACHINES_TO_JUDGE, MIN_UNANSWERED_CALLS, UNREACHABLE_ZONE_GRACE_MS, ZONE_UNANSWERED_CALLS,
-    ZONE_UNREACHABLE_AFTER_MS,
+    MIN_MACHINES_FOR_OUTAGE, MIN_UNANSWERED_CALLS, UNREACHABLE_ZONE_GRACE_MS,
+    ZONE_UNANSWERED_CALLS, ZONE_UNREACHABLE_AFTER_MS,
 };
 use crate::machine::{Machine, TaskPhase};
 use crate::Millis;
@@ -158,7 +158,7 @@
         let since =
             zone.last_heartbeat_at.unwrap_or(self.term_started_at).max(self.listening_since);
         let enough_calls = ZONE_UNANSWERED_CALLS.min(MIN_UNANSWERED_CALLS * machines);
-        machines as usize >= MIN_MACHINES_TO_JUDGE
+        machines as usize >= MIN_MACHINES_FOR_OUTAGE
             && zone.unanswered_calls >= enough_calls
             && now >= since + ZONE_UNREACHABLE_AFTER_MS
     }
@@ -189,7 +189,7 @@
             .filter_map(|machine| self.observed_silence(now, machine))
             .collect();
         let overdue = silences.iter().filter(|silent_ms| **silent_ms >= overdue_after_ms).count();
-        if silences.len() >= MIN_MACHINES_TO_JUDGE
+        if silences.len() >= MIN_MACHINES_FOR_OUTAGE
             && overdue as f64 > silences.len() as f64 * MAX_SILENT_SHARE
         {
             SilenceCause::ThisNode
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -42,7 +42,7 @@
             || machine.is_unreconciled()
             || machine.is_slow()
             || machine.preempt_at.is_some()
-            || now < machine.quarantined_until;
+            || now < machine.probation_until;
         if is_excluded || machine.is_up() {
             return !is_excluded;
         }
--- a/crates/latchtrack-core/src/scheduler/gangs.rs
+++ b/crates/latchtrack-core/src/scheduler/gangs.rs
@@ -129,7 +129,7 @@
                     job.requeue(index);
                 }
                 EndAction::Stop => {
-                    run.stop = Some(StopRequest::AT_ONCE);
+                    run.stop = Some(StopRequest::IMMEDIATE);
                     self.dispatcher.wake(&machine.name);
                 }
                 EndAction::Nothing => {}
--- a/crates/latchtrack-core/src/scheduler/guarantees.rs
+++ b/crates/latchtrack-core/src/scheduler/guarantees.rs
@@ -4,7 +4,7 @@
 
 use super::policy::Team;
 use super::Scheduler;
-use crate::constants::AMOUNT_ROUNDING;
+use crate::constants::AMOUNT_TOLERANCE;
 use crate::job::{Job, JobId, Resources};
 
 impl Scheduler {
@@ -40,9 +40,9 @@
         jobs.sort_by_key(|job| (job.submitted_at, job.spec.id));
         let mut used = Resources::default();
         for job in jobs {
-            used.add_multiple(&job.spec.demand, job.spec.tasks - job.done.ones());
-            if used.cpus > guarantee.cpus + AMOUNT_ROUNDING
-                || used.gpus > guarantee.gpus + AMOUNT_ROUNDING
+            used.add_multiple(&job.spec.demand, job.spec.tasks - job.done.count_ones());
+            if used.cpus > guarantee.cpus + AMOUNT_TOLERANCE
+                || used.gpus > guarantee.gpus + AMOUNT_TOLERANCE
             {
                 break;
             }
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -144,7 +144,7 @@
 
 impl Scheduler {
     /// Counts a submitted job towards what its team asks for.
-    pub(super) fn note_arrival(&mut self, spec: &JobSpec, submitted_at: Millis) {
+    pub(super) fn record_arrival(&mut self, spec: &JobSpec, submitted_at: Millis) {
         if self.policy.balance.teams {
             let cpu_seconds = spec.demand.cpus * spec.estimate_s * f64::from(spec.tasks);
             self.load_balancing.arrivals.add(submitted_at, &spec.team, cpu_seconds);
--- a/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
@@ -204,7 +204,7 @@
             capacity.free.memory_gb += own.memory_gb;
             let tasks_here = launched.entry(&task_move.target).or_default();
             *tasks_here += 1;
-            if capacity.holds(&spec.demand) < *tasks_here {
+            if capacity.fitting_tasks(&spec.demand) < *tasks_here {
                 return Err(AbandonReason::TargetFull);
             }
             zones.push(capacity.zone.clone());
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -266,16 +266,16 @@
             return;
         }
         let mut done = done.unwrap_or_else(|| Bitmap::new(spec.tasks));
-        if spec.gang && done.ones() > 0 {
+        if spec.gang && done.count_ones() > 0 {
             // The tasks of a gang complete together: if one is done, all are.
             done.set_all();
         }
-        let is_done = done.full();
+        let is_done = done.is_full();
         // The record's revision is that of its creation while the job is open.
         let inherited = revision < self.leaderless_since;
         let equivalence_class = self.equivalence_classes.of(&spec);
         self.note_gang_arrival(&spec, equivalence_class, submitted_at);
-        self.note_arrival(&spec, submitted_at);
+        self.record_arrival(&spec, submitted_at);
         let mut job = Job::new(spec, submitted_at, revision, inherited, done);
         job.equivalence_class = equivalence_class;
         self.jobs.insert(id, job);
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -153,7 +153,7 @@
         let Some(machine_type) = self.inventory.type_named(&offer.machine_type).cloned() else {
             return 0;
         };
-        let per_machine = machine_type.holds(&spec.demand).max(1);
+        let per_machine = machine_type.fitting_tasks(&spec.demand).max(1);
         // Jobs of an equivalence class are decided together: one request for all of it, not one a
         // job. Team limits are left to each job.
         let alike = match self.tasks_within_limit(spec, cycle.used()) {
@@ -239,7 +239,7 @@
         if in_zone
             && placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
         {
-            let fitting = capacity.holds(&spec.demand).min(left);
+            let fitting = capacity.fitting_tasks(&spec.demand).min(left);
             capacity.take(&spec.demand, fitting);
             left -= fitting;
         }
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -16,7 +16,7 @@
 use super::Scheduler;
 use crate::constants::GANG_RESERVE_TTL_MS;
 use crate::job::{ClassId, JobSpec, Resources};
-use crate::machine::fits;
+use crate::machine::fitting_tasks;
 use crate::placement::{allowed, FreeCapacity, Reservation, ReservedFor};
 use crate::rules;
 use crate::Millis;
@@ -67,7 +67,7 @@
         self.gang_reserves.values().any(|reserve| {
             reserve.lacking > 0
                 && reserve.may_use(capacity)
-                && capacity.holds(&reserve.spec.demand) > 0
+                && capacity.fitting_tasks(&reserve.spec.demand) > 0
         })
     }
 
@@ -136,7 +136,7 @@
             .enumerate()
             .filter(|(_, capacity)| capacity.ready && capacity.reservation.is_none())
             .filter(|(_, capacity)| self.may_use(capacity))
-            .map(|(index, capacity)| TasksAt { index, tasks: capacity.holds(demand) })
+            .map(|(index, capacity)| TasksAt { index, tasks: capacity.fitting_tasks(demand) })
             .filter(|at| at.tasks > 0)
             .collect();
         // On few machines; those first that hold the image of the last such gang.
@@ -179,7 +179,9 @@
         let mut candidates: Vec<TasksAt> = self
             .usable_capacities(now, job, cycle)
             .filter(|(_, capacity)| capacity.reservation.is_none())
-            .filter(|(_, capacity)| capacity.holds(&spec.demand) < slice && may_start(capacity))
+            .filter(|(_, capacity)| {
+                capacity.fitting_tasks(&spec.demand) < slice && may_start(capacity)
+            })
             .map(|(index, capacity)| TasksAt {
                 index,
                 tasks: self.tasks_when_empty(spec, capacity),
@@ -217,7 +219,7 @@
         let mut free: Vec<TasksAt> = self
             .usable_capacities(now, job, cycle)
             .filter(|(_, capacity)| capacity.reservation.is_none() && in_zone(capacity))
-            .map(|(index, capacity)| TasksAt { index, tasks: capacity.holds(&spec.demand) })
+            .map(|(index, capacity)| TasksAt { index, tasks: capacity.fitting_tasks(&spec.demand) })
             .filter(|at| at.tasks > 0)
             .collect();
         free.sort_by_key(|at| Reverse(at.tasks));
@@ -249,7 +251,7 @@
     /// How many tasks of a job its machine would take if it were empty.
     fn tasks_when_empty(&self, spec: &JobSpec, capacity: &FreeCapacity) -> u32 {
         let machine_type = self.inventory.type_named(&capacity.machine_type);
-        machine_type.map_or(0, |machine_type| machine_type.holds(&spec.demand))
+        machine_type.map_or(0, |machine_type| machine_type.fitting_tasks(&spec.demand))
     }
 
     /// What a machine has beside `tasks` tasks of a job, the most that it takes: without other
@@ -266,7 +268,8 @@
         let runs = self.inventory.get(name).into_iter().flat_map(|machine| machine.runs.values());
         let specs = runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref());
         for other in specs.filter(|other| other.demand != spec.demand) {
-            if fits(&other.demand, remainder.cpus, remainder.gpus, remainder.memory_gb) > 0 {
+            if fitting_tasks(&other.demand, remainder.cpus, remainder.gpus, remainder.memory_gb) > 0
+            {
                 spare.take_multiple(&other.demand, 1);
             }
         }
--- a/crates/latchtrack-core/src/scheduler/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/summary.rs
@@ -84,7 +84,7 @@
             let running = running_tasks.get(id).copied().unwrap_or(0);
             let has_started = !job.spec.gang || running == job.spec.tasks;
             let running = if has_started { running } else { 0 };
-            JobProgress { job: *id, done: job.done.ones(), running }
+            JobProgress { job: *id, done: job.done.count_ones(), running }
         })
     }
 
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -136,7 +136,7 @@
         let mut candidates: Vec<CandidateRank> = self
             .usable_capacities(now, job, cycle)
             .filter(|(_, capacity)| self.tasks_admitted(now, job, capacity) > 0)
-            .filter(|(_, capacity)| !(waits_for_image && capacity.surely_lacks(&spec.image)))
+            .filter(|(_, capacity)| !(waits_for_image && capacity.must_fetch(&spec.image)))
             .map(|(index, capacity)| CandidateRank {
                 cost: self.placement_cost(spec, capacity),
                 total_cpus: capacity.total_cpus,
@@ -178,7 +178,7 @@
             let mut tasks = self.tasks_admitted(now, job, capacity).min(remaining);
             if spec.spread {
                 let here = tasks_in_zone.entry(capacity.zone.clone()).or_default();
-                tasks = tasks.min(rules::zone_share(spec.tasks).saturating_sub(*here));
+                tasks = tasks.min(rules::max_tasks_per_zone(spec.tasks).saturating_sub(*here));
                 *here += tasks;
             }
             if tasks > 0 {
@@ -278,7 +278,7 @@
     let mut tasks_by_zone: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
     for capacity in capacities {
         *tasks_by_zone.entry(&capacity.zone).or_default() +=
-            u64::from(capacity.holds(&spec.demand));
+            u64::from(capacity.fitting_tasks(&spec.demand));
     }
     let (zone, tasks) = tasks_by_zone.into_iter().max_by_key(|(_, tasks)| *tasks)?;
     (tasks > 0).then(|| zone.clone())
--- a/crates/latchtrack-core/src/scheduler/task_runs.rs
+++ b/crates/latchtrack-core/src/scheduler/task_runs.rs
@@ -59,7 +59,7 @@
         let id = run.task.job;
         let Some(machine) = self.inventory.get_mut(name) else { return };
         machine.failed_jobs.clear();
-        machine.quarantined_until = 0;
+        machine.probation_until = 0;
         machine.proven = true;
         if self.jobs.get(&id).is_some_and(|job| job.spec.gang) {
             // The pace of a gang is that of its slowest machine, whichever that is.
@@ -84,9 +84,9 @@
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         let Some(machine) = self.inventory.get_mut(name) else { return };
         if !job.record_run_time(now.saturating_sub(since)) {
-            machine.slow_votes = 0;
+            machine.consecutive_slow_tasks = 0;
         } else if !machine.is_slow() {
-            machine.slow_votes += 1;
+            machine.consecutive_slow_tasks += 1;
             if machine.is_slow() {
                 self.out.push(Effect::Log(LogEvent::MachineSlow { machine: name.to_string() }));
             }
@@ -96,7 +96,7 @@
     fn complete_task(&mut self, run: &TaskRun) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         let is_new = job.complete(run.task.index, run.attempt);
-        if job.done.full() {
+        if job.done.is_full() {
             self.persistence.put_completed_job(run.task.job);
         } else if is_new {
             let chunk = chunk_of(run.task.index, job.spec.tasks);
@@ -127,7 +127,7 @@
 pub(super) fn adopt_run(machine: &str, status: &TaskStatus, job: Option<&mut Job>) -> TaskRun {
     let TaskStatus { task, attempt, .. } = *status;
     let spec = job.as_ref().map(|job| job.spec.clone());
-    let mut stop = Some(StopRequest::AT_ONCE);
+    let mut stop = Some(StopRequest::IMMEDIATE);
     if let Some(job) = job {
         if !job.done.get(task.index) && !job.placed.contains_key(&task.index) {
             job.place(task.index, Assignment { machine: machine.into(), attempt });
@@ -155,7 +155,7 @@
     });
     let mut any = false;
     for run in machine.runs.values_mut().filter(|run| run.task.job == id && run.is_live()) {
-        run.stop = Some(StopRequest::AT_ONCE);
+        run.stop = Some(StopRequest::IMMEDIATE);
         any = true;
     }
     any
--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -9,7 +9,7 @@
 use super::policy::Team;
 use super::Scheduler;
 use crate::job::{JobSpec, Resources};
-use crate::machine::fits;
+use crate::machine::fitting_tasks;
 
 /// What the teams use, by name.
 #[derive(Clone, Debug, Default)]
@@ -116,7 +116,7 @@
         let Some(team) = self.team_of(spec) else { return 0 };
         let Some(limit) = self.limit_of(team) else { return u32::MAX };
         let (cpus, gpus) = (limit.cpus - used.cpus, limit.gpus - used.gpus);
-        fits(&spec.demand, cpus, gpus, f64::INFINITY)
+        fitting_tasks(&spec.demand, cpus, gpus, f64::INFINITY)
     }
 
     /// The same by what all teams use: none while runs of unknown size may count against a limit.
--- a/crates/latchtrack-core/src/task_run.rs
+++ b/crates/latchtrack-core/src/task_run.rs
@@ -58,7 +58,7 @@
 
 impl StopRequest {
     /// To be sent, without time to save progress.
-    pub const AT_ONCE: StopRequest = StopRequest { grace_s: 0.0, sent_at: None };
+    pub const IMMEDIATE: StopRequest = StopRequest { grace_s: 0.0, sent_at: None };
 }
 
 /// One attempt at a task on a machine.
@@ -87,7 +87,7 @@
 
 impl TaskRun {
     /// Its launch is sent to the machine.
-    pub fn launch_sent(&mut self, now: Millis) {
+    pub fn record_launch_sent(&mut self, now: Millis) {
         if self.launch_sends == 0 {
             self.first_launch_at = now;
         }
--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -88,7 +88,7 @@
     assert_eq!(scheduler.jobs()[&JobId(1)].run_times, RunTimes::default());
     let tasks = end(&scheduler, 3);
     scheduler.handle(30_000, Event::Heartbeat(heartbeat(3, 2, 7, tasks)));
-    assert_eq!(scheduler.machines()[&name(3)].slow_votes, 0);
+    assert_eq!(scheduler.machines()[&name(3)].consecutive_slow_tasks, 0);
 }
 
 /// Found in review: a new leader counted deadlines from when it first saw a job, not from when the
--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -165,7 +165,7 @@
         was_quarantined |= scheduler.jobs().get(&JobId(1)).is_some_and(|job| job.is_quarantined);
     }
     assert!(was_quarantined);
-    let done = scheduler.jobs().get(&JobId(1)).map_or(6, |job| job.done.ones());
+    let done = scheduler.jobs().get(&JobId(1)).map_or(6, |job| job.done.count_ones());
     assert_eq!(done, 6);
 }
 
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -1,7 +1,7 @@
 //! The scores, what fits, and who is deferred.
 
 use latchtrack_core::job::{ClassId, Resources};
-use latchtrack_core::machine::fits;
+use latchtrack_core::machine::fitting_tasks;
 use latchtrack_core::placement::*;
 
 /// Worked by hand. Eqs 6 and 7: two machines of 16 CPUs/64 GB and one of 32/64 make 64 CPUs
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn fits_is_bounded_by_the_scarcest_part() {
+fn fitting_tasks_is_bounded_by_the_scarcest_part() {
     let d = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 15.0 };
-    assert_eq!(fits(&d, 16.0, 0.0, 64.0), 4);
-    assert_eq!(fits(&d, 16.0, 0.0, 44.0), 2);
-    assert_eq!(fits(&Resources { gpus: 1.0, ..d }, 16.0, 0.0, 64.0), 0);
-    assert_eq!(fits(&d, -1.0, 0.0, 64.0), 0);
+    assert_eq!(fitting_tasks(&d, 16.0, 0.0, 64.0), 4);
+    assert_eq!(fitting_tasks(&d, 16.0, 0.0, 44.0), 2);
+    assert_eq!(fitting_tasks(&Resources { gpus: 1.0, ..d }, 16.0, 0.0, 64.0), 0);
+    assert_eq!(fitting_tasks(&d, -1.0, 0.0, 64.0), 0);
 }
 
 /// Free capacity is open to the jobs it is reserved for as a whole, and to others for what those
@@ -59,9 +59,21 @@
         balance: None,
     };
     let task = amount(2.0);
-    assert_eq!((capacity.admits(&task, ClassId(1)), capacity.admits(&task, ClassId(2))), (4, 2));
+    assert_eq!(
+        (
+            capacity.admissible_tasks(&task, ClassId(1)),
+            capacity.admissible_tasks(&task, ClassId(2))
+        ),
+        (4, 2)
+    );
     capacity.take(&task, 1);
-    assert_eq!((capacity.admits(&task, ClassId(1)), capacity.admits(&task, ClassId(2))), (3, 1));
+    assert_eq!(
+        (
+            capacity.admissible_tasks(&task, ClassId(1)),
+            capacity.admissible_tasks(&task, ClassId(2))
+        ),
+        (3, 1)
+    );
     capacity.reservation = None;
-    assert_eq!(capacity.admits(&task, ClassId(2)), 3);
+    assert_eq!(capacity.admissible_tasks(&task, ClassId(2)), 3);
 }
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -131,7 +131,7 @@
 
 #[test]
 fn images_go_in_the_order_of_their_last_use() {
-    let mut images = Images::default();
+    let mut images = ImageCache::default();
     for (name, gb) in [("a", 2.0), ("b", 2.0), ("a", 2.0), ("c", 1.5)] {
         images.record_use(name, gb, 4.0);
     }
--- a/crates/latchtrack-core/tests/results.rs
+++ b/crates/latchtrack-core/tests/results.rs
@@ -13,12 +13,12 @@
     assert!(!a.set(LEGACY_CHUNK_TASKS + 10));
     let mut b = Bitmap::new(LEGACY_CHUNK_TASKS + 10);
     b.merge_chunk(0, a.chunk(0));
-    assert_eq!(b.ones(), 4);
+    assert_eq!(b.count_ones(), 4);
     b.merge_chunk(1, a.chunk(1));
     assert_eq!(a, b);
     b.merge_chunk(1, &[0xff; 5000]);
     b.merge_chunk(u32::MAX, &[0xff; 5000]);
-    assert_eq!(b.ones(), 14, "bits past the end are ignored");
+    assert_eq!(b.count_ones(), 14, "bits past the end are ignored");
 }
 
 #[test]
--- a/crates/latchtrack-core/tests/simulation/world/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/world/gangs.rs
@@ -163,7 +163,8 @@
                     ((free + CPU_TOLERANCE) / spec.demand.cpus) as u32;
             }
         }
-        let max_in_zone = if spec.spread { rules::zone_share(spec.tasks) } else { u32::MAX };
+        let max_in_zone =
+            if spec.spread { rules::max_tasks_per_zone(spec.tasks) } else { u32::MAX };
         let counts = by_zone.values().map(|count| (*count).min(max_in_zone));
         if spec.one_zone {
             counts.max().unwrap_or(0) >= spec.tasks
