--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -1,69 +1,71 @@
-//! Free capacity of machines, and what is reserved of it.
+//! Free capacity of machines, and the reservations on it.
 
 use std::sync::Arc;
 
 use crate::job::{ClassId, Resources};
 use crate::machine::{fitting_tasks, ImageCache};
 
-/// What of a machine is free.
+/// The free capacity of a machine.
 #[derive(Clone, Debug)]
 pub struct FreeCapacity {
-    /// None for a machine that has only been requested.
+    /// The name of the machine; `None` if it has only been requested.
     pub machine: Option<Arc<str>>,
     /// The machine type.
     pub machine_type: Arc<str>,
     /// The zone.
     pub zone: Arc<str>,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot machine, which the cloud may preempt.
     pub spot: bool,
-    /// CPUs of the whole machine.
+    /// The CPUs of the whole machine.
     pub total_cpus: f64,
-    /// Images that it holds, as far as this term has seen.
+    /// Images that it is known to have fetched in this term.
     pub images: Arc<ImageCache>,
-    /// It may hold others, from before this term.
+    /// Whether it may hold other images, from before this term.
     pub images_incomplete: bool,
-    /// What no task uses and no move reserves.
+    /// Resources that are neither used by tasks nor reserved by moves.
     pub free: Resources,
-    /// It is up and takes launches now; otherwise its capacity is pending.
+    /// Whether it is up and accepts launches now. Otherwise its capacity is pending.
     pub ready: bool,
-    /// Set if it is kept for jobs that have waited too long, or for gangs to come.
+    /// Set if it is reserved for jobs that have waited too long, or for future gangs.
     pub reservation: Option<Reservation>,
-    /// What load balancing knows of it, if that is switched on.
+    /// Its load, if load balancing is enabled.
     pub balance: Option<LoadInfo>,
 }
 
-/// What load balancing knows of a machine.
+/// The load of a machine, as needed for balanced placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadInfo {
-    /// All that the machine has.
+    /// The resources of the empty machine.
     pub capacity: Resources,
-    /// The mean load of the machines of its pool, as a part of a machine.
+    /// The mean load of the machines in its pool, as a share of a machine.
     pub mean_load: f64,
-    /// GB of images that it is fetching.
+    /// GB of images that are being fetched.
     pub fetching_gb: f64,
 }
 
-/// For whom a machine is reserved.
+/// The jobs that a machine is reserved for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReservedFor {
-    /// For the jobs of an equivalence class.
+    /// The jobs of an equivalence class.
     Class(ClassId),
-    /// For a starving job, which takes it before all others.
+    /// One starving job, which is placed before all others.
     Exclusive,
 }
 
-/// A machine is kept for the tasks of certain jobs, which start there as capacity comes free.
+/// A reservation of a machine for the tasks of certain jobs, which start there as capacity becomes
+/// free.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
-    /// Who may use all of the machine.
+    /// The jobs that may use the whole machine.
     pub reserved_for: ReservedFor,
-    /// What these jobs can't use, however much of the machine comes free. It is open to all.
+    /// Resources that these jobs can't use even if the whole machine becomes free. Any job may use
+    /// them.
     pub spare: Resources,
 }
 
 impl FreeCapacity {
-    /// How many tasks with this demand a job of this class may put here: on a machine that is
-    /// reserved for others, no more than these leave.
+    /// Returns how many tasks with this demand a job of this class may start here. If the machine
+    /// is reserved for others, only the spare resources count.
     pub fn admissible_tasks(&self, demand: &Resources, class: ClassId) -> u32 {
         let by_size = self.fitting_tasks(demand);
         match &self.reservation {
@@ -75,12 +77,12 @@
         }
     }
 
-    /// How many tasks with this demand fit, by size alone.
+    /// Returns how many tasks with this demand fit, regardless of reservations.
     pub fn fitting_tasks(&self, demand: &Resources) -> u32 {
         fitting_tasks(demand, self.free.cpus, self.free.gpus, self.free.memory_gb)
     }
 
-    /// Takes the demand of `tasks` tasks out of it.
+    /// Subtracts the demand of `tasks` tasks.
     pub fn take(&mut self, demand: &Resources, tasks: u32) {
         self.free.take_multiple(demand, tasks);
         if let Some(reservation) = &mut self.reservation {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Whether the machine would surely have to fetch this image.
+    /// Whether the machine is certain to have to fetch this image.
     pub fn must_fetch(&self, image: &str) -> bool {
         !self.images_incomplete && !self.images.contains(image)
     }
--- a/crates/latchtrack-core/src/placement/deferral.rs
+++ b/crates/latchtrack-core/src/placement/deferral.rs
@@ -1,22 +1,22 @@
-//! Which jobs are deferred when not all can be in time.
+//! Selects the jobs to defer when not all can finish in time.
 
 use std::collections::BinaryHeap;
 
-/// What a job demands, and by when.
+/// The demand of a job and its due time.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedDemand {
-    /// ms until it is due.
+    /// ms until the job is due.
     pub remaining_ms: f64,
-    /// ms one task runs, as its owner estimates.
+    /// The run time of one task in ms, as estimated by the user.
     pub run_ms: f64,
-    /// CPU-ms of all its waiting tasks.
+    /// CPU-ms of all waiting tasks.
     pub cpu_ms: f64,
 }
 
-/// Which jobs of a queue, in its order, are deferred when more is demanded than can be done in
-/// time: whenever one would be late, the one with the most work up to there (Moore and Hodgson's
-/// rule, which leaves the most jobs in time). `before_cpu_ms` is the work that goes before the
-/// queue, `cpus` how many CPUs do it; without any, nothing is deferred.
+/// Returns which jobs of a queue, given in its order, are deferred because not all can finish in
+/// time. Whenever a job would be late, the largest one up to it is deferred (Moore-Hodgson
+/// algorithm, which minimizes the number of late jobs). `before_cpu_ms` is the work ahead of the
+/// queue, and `cpus` is the number of CPUs available; without any, nothing is deferred.
 pub fn deferred(queue: &[TimedDemand], before_cpu_ms: f64, cpus: f64) -> Vec<bool> {
     let mut is_deferred = vec![false; queue.len()];
     if cpus <= 0.0 {
--- a/crates/latchtrack-core/src/placement/mod.rs
+++ b/crates/latchtrack-core/src/placement/mod.rs
@@ -1,5 +1,5 @@
-//! What placement is decided by: the free capacity of machines, the scores of the paper's Algorithm
-//! 3 (greedy best fit, decreasing), the jobs to defer, and the offers to provision.
+//! The basis of placement decisions: the free capacity of machines, the scores of the paper's
+//! Algorithm 3 (best-fit decreasing, greedy), the jobs to defer, and the offers to provision.
 
 mod capacity;
 mod deferral;
--- a/crates/latchtrack-core/src/placement/offers.rs
+++ b/crates/latchtrack-core/src/placement/offers.rs
@@ -1,29 +1,29 @@
-//! Offers: what may be provisioned for a job.
+//! Offers: machines that may be provisioned for a job.
 
 use crate::job::JobSpec;
 use crate::machine::MachineType;
 
-/// Whether a job allows machines of this type and zone, spot or on-demand.
+/// Whether a job allows spot or on-demand machines of this type and zone.
 pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.zone.as_deref().is_none_or(|only| only == zone)
         && spec.types.as_ref().is_none_or(|types| types.iter().any(|name| name == machine_type))
 }
 
-/// A machine type in a zone, spot or on-demand, that may be provisioned.
+/// A kind of machine that may be provisioned: its type, its zone, and whether it is spot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
     /// The machine type.
     pub machine_type: String,
     /// The zone.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot machine, which the cloud may preempt.
     pub spot: bool,
 }
 
-/// What could be provisioned for a job, the best first: spot before on-demand where the job allows
-/// it, then the smallest type that fits one task, then the zone. `zone_rotation` is the index of
-/// the zone to begin with, so that machines spread over the zones.
+/// Returns the offers that suit a job, best first: spot before on-demand if the job allows spot,
+/// then the smallest type that fits one task, then by zone. `zone_rotation` is the index of the
+/// first zone, which varies so that machines spread over the zones.
 pub fn offers(spec: &JobSpec, types: &[MachineType], zone_rotation: usize) -> Vec<Offer> {
     let mut fitting: Vec<&MachineType> =
         types.iter().filter(|machine_type| machine_type.fitting_tasks(&spec.demand) > 0).collect();
--- a/crates/latchtrack-core/src/placement/scoring.rs
+++ b/crates/latchtrack-core/src/placement/scoring.rs
@@ -1,16 +1,16 @@
-//! The scores of the paper.
+//! The scores defined in the paper.
 
 use crate::constants::{ALPHA, BETA, GAMMA};
 use crate::job::Resources;
 
-/// The weights of Eq. 5, and one for GPUs, which the paper does not have.
+/// The weights of Eq. 5, and one for GPUs, a term that the paper does not have.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoreWeights {
-    /// Of CPUs.
+    /// The weight of CPUs.
     pub alpha: f64,
-    /// Of memory.
+    /// The weight of memory.
     pub beta: f64,
-    /// Of GPUs.
+    /// The weight of GPUs.
     pub gamma: f64,
 }
 
@@ -20,8 +20,9 @@
     }
 }
 
-/// One term of a score: the weighted part of the cluster's total, 0 where it has none.
-fn weighted_part(amount: f64, total: f64, weight: f64) -> f64 {
+/// Returns one term of a score: the weighted share of the cluster's total, or 0 if the cluster has
+/// none.
+fn weighted_share(amount: f64, total: f64, weight: f64) -> f64 {
     if total > 0.0 {
         amount / total * weight
     } else {
@@ -29,15 +30,15 @@
     }
 }
 
-/// Eq. 8: free capacity as a weighted share of all that is up; Eq. 9 for one task is the same sum
-/// over its demand.
+/// Eq. 8: free capacity as a weighted share of all that is up. Applied to the demand of a task, it
+/// is also Eq. 9 for one task.
 pub fn score(amount: &Resources, total: &Resources, weights: &ScoreWeights) -> f64 {
-    weighted_part(amount.cpus, total.cpus, weights.alpha)
-        + weighted_part(amount.memory_gb, total.memory_gb, weights.beta)
-        + weighted_part(amount.gpus, total.gpus, weights.gamma)
+    weighted_share(amount.cpus, total.cpus, weights.alpha)
+        + weighted_share(amount.memory_gb, total.memory_gb, weights.beta)
+        + weighted_share(amount.gpus, total.gpus, weights.gamma)
 }
 
-/// Eq. 9: a job's demand is one task's weighted share times its count.
+/// Eq. 9: the demand of a job, which is the weighted share of one task times the number of tasks.
 pub fn job_demand(task: &Resources, tasks: u32, total: &Resources, weights: &ScoreWeights) -> f64 {
     score(task, total, weights) * f64::from(tasks)
 }
--- a/crates/latchtrack-core/src/rules.rs
+++ b/crates/latchtrack-core/src/rules.rs
@@ -1,22 +1,23 @@
-//! The protocol's rules of placement. The scheduler checks them before every launch; the tests
-//! check them in a simulated world after every step.
+//! The placement rules of the protocol. The scheduler checks them before every launch, and the
+//! simulation tests check them after every step.
 
 use crate::constants::AMOUNT_TOLERANCE;
 use crate::job::JobSpec;
 use crate::placement::allowed;
 
-/// The rule `quota`: whether a team may use this much more of a resource. A limit of 0 is none.
+/// The rule `quota`: whether a team that uses `used` of a resource may use `more`. A limit of 0
+/// means no limit.
 pub fn within_limit(used: f64, more: f64, limit: f64) -> bool {
     limit <= 0.0 || used + more <= limit + AMOUNT_TOLERANCE
 }
 
-/// How many tasks of a job that is to be spread may be in one zone: half of them, rounded up.
+/// Returns how many tasks of a spread job may be in one zone: half of them, rounded up.
 pub fn max_tasks_per_zone(tasks: u32) -> u32 {
     tasks.div_ceil(2)
 }
 
-/// The rule `wrong_place`: whether one more task of the job may start on a machine of this type,
-/// zone and kind, while its other live tasks are in `zones` (one entry a task).
+/// The rule `wrong_place`: whether another task of the job may start on a machine of this type,
+/// zone and kind. `zones` has the zone of each of the job's other live tasks.
 pub fn may_start<'a>(
     spec: &JobSpec,
     machine_type: &str,
