--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -1,9 +1,9 @@
-//! Drives load balancing: feeds `latchtrack-balance` with the loads of the cluster and carries out
-//! the moves that it proposes.
+//! Load balancing: passes the loads of the cluster to `latchtrack-balance` and carries out the
+//! moves that it proposes.
 //!
-//! A move uses the same stop and launch, with the same checks, as any other task. It owns nothing
-//! but the capacity that it reserves on its targets: if anything is in its way, it is abandoned and
-//! its tasks go through the queue like others.
+//! A move stops and launches its tasks with the same commands and checks as any other task. All
+//! that it holds is the capacity reserved on its targets. If anything prevents it, it is abandoned,
+//! and its tasks go through the queue like others.
 
 mod move_execution;
 mod placement_cost;
@@ -27,7 +27,8 @@
 use crate::machine::Machine;
 use crate::Millis;
 
-/// What makes machines alike in all that a job may ask for: machines of one pool share a bound.
+/// The properties of machines that a job can ask for. Machines with equal ones form a pool, and
+/// share a bound on their load.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PoolKey {
     machine_type: Arc<str>,
@@ -45,21 +46,21 @@
     }
 }
 
-/// The state of load balancing in one term. Nothing of it is stored.
+/// The load balancing state of one term. None of it is stored.
 #[derive(Clone, Debug)]
 pub(super) struct LoadBalancing {
     balancer: Balancer,
     arrivals: Arrivals,
-    /// Numbers of the pools seen so far.
+    /// The numbers assigned to pools so far.
     pools: HashMap<PoolKey, u32>,
     observed_at: Option<Millis>,
     summary_logged_at: Option<Millis>,
-    /// Machine types with invalid amounts, each of which is logged once.
+    /// Machine types with invalid resource amounts. Each is logged once.
     invalid_types: BTreeSet<String>,
 }
 
 impl LoadBalancing {
-    /// The state at the start of a term.
+    /// Creates the state for the start of a term.
     pub(super) fn new(limits: MoveLimits) -> Self {
         LoadBalancing {
             balancer: Balancer::new(limits),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// How much a team with this share of the cluster, in CPUs, has lately asked for.
+    /// Classifies how much a team with this share of the cluster, in CPUs, has recently asked for.
     pub(super) fn classify_arrivals(
         &mut self,
         now: Millis,
@@ -81,12 +82,13 @@
         self.arrivals.classify(now, team, share_cpus)
     }
 
-    /// What moves keep free on a machine.
+    /// Returns the resources that moves reserve on a machine.
     pub(super) fn reserved_on(&self, machine: &str) -> Resources {
         self.balancer.reserved_on(machine)
     }
 
-    /// Whether a move keeps anything free on a machine, so that it must not be given back as idle.
+    /// Whether a move has reserved resources on a machine, which must then not be terminated as
+    /// idle.
     pub(super) fn is_reserved(&self, machine: &str) -> bool {
         self.balancer.is_reserved(machine)
     }
@@ -99,33 +101,34 @@
         self.balancer.moves().iter().find(|active| active.unit == unit)
     }
 
-    /// Hands an event to the move of a unit; returns the stage of the move if that has changed.
+    /// Passes an event to the move of a unit. Returns the new stage of the move if it has changed.
     fn handle_event(&mut self, now: Millis, unit: MoveUnit, event: MoveEvent) -> Option<MoveStage> {
         self.balancer.handle_event(now, unit, event)
     }
 
-    /// Whether the loads are to be looked at again; if so, the interval begins anew.
+    /// Whether the loads are due to be observed again. If so, the interval starts over.
     fn begin_observation(&mut self, now: Millis) -> bool {
         begin_interval(&mut self.observed_at, now, BALANCE_INTERVAL_MS)
     }
 
-    /// Whether the summary is to be logged again; if so, the interval begins anew.
+    /// Whether the summary is due to be logged again. If so, the interval starts over.
     fn begin_summary_log(&mut self, now: Millis) -> bool {
         begin_interval(&mut self.summary_logged_at, now, BALANCE_LOG_INTERVAL_MS)
     }
 
-    /// Takes in the loads; returns the moves that begin now, with their targets reserved.
+    /// Observes the loads. Returns the moves that begin now, whose targets have been reserved.
     fn observe(&mut self, now: Millis, input: PlanInput, new_moves: NewMoves) -> Vec<Move> {
         self.balancer.observe(now, input, new_moves)
     }
 
-    /// The number of a machine's pool, a new one for a pool that was not seen before.
-    fn pool_number(&mut self, machine_pool: PoolKey) -> u32 {
+    /// Returns the number of a machine's pool, assigning a new one if the pool is new.
+    fn pool_number(&mut self, key: PoolKey) -> u32 {
         let next = self.pools.len() as u32;
-        *self.pools.entry(machine_pool).or_insert(next)
+        *self.pools.entry(key).or_insert(next)
     }
 
-    /// The mean load of a machine's pool as last observed, in parts of a machine; 0 if it was not.
+    /// Returns the mean load of a machine's pool when last observed, as a share of a machine; 0 if
+    /// it was never observed.
     fn mean_load(&self, machine: &Machine) -> f64 {
         let pool = self.pools.get(&PoolKey::of(machine));
         let spread = pool.and_then(|pool| self.balancer.spreads().get(pool));
@@ -143,7 +146,7 @@
 }
 
 impl Scheduler {
-    /// Counts a submitted job towards what its team asks for.
+    /// Counts a submitted job as demand of its team.
     pub(super) fn record_arrival(&mut self, spec: &JobSpec, submitted_at: Millis) {
         if self.policy.balance.teams {
             let cpu_seconds = spec.demand.cpus * spec.estimate_s * f64::from(spec.tasks);
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Carries on the moves under way, observes the loads and begins moves.
+    /// Advances the moves in progress, observes the loads and begins new moves.
     pub(super) fn balance_load(&mut self, now: Millis) {
         self.advance_moves(now);
         let policy = self.policy.balance;
@@ -164,14 +167,15 @@
         }
         let input = self.plan_input(now);
         let new_moves = if policy.moves { self.new_moves(now) } else { NewMoves::Suspended };
-        for begun in self.load_balancing.observe(now, input, new_moves) {
-            self.log_move_begun(&begun);
-            self.begin_move(now, &begun);
+        for new_move in self.load_balancing.observe(now, input, new_moves) {
+            self.log_move_started(&new_move);
+            self.begin_move(now, &new_move);
         }
     }
 
-    /// Whether moves may begin: the leader knows its machines, no zone is unreachable, and no jobs
-    /// wait for much of the cluster.
+    /// Allows new moves if all machines are reconciled and all zones reachable, and waiting jobs
+    /// don't ask for much of the cluster. Until some time after a failover, or after a pause of
+    /// this node, none are allowed.
     fn new_moves(&self, now: Millis) -> NewMoves {
         let is_calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
             && self.failure_detector.has_listened_for(now, self.policy.probe_ms());
@@ -186,8 +190,8 @@
         }
     }
 
-    /// Whether jobs that found no capacity for a while ask for a good part of the cluster. A move
-    /// takes capacity twice while its task saves, and waiting jobs have better use for it.
+    /// Whether jobs without capacity for some time ask for a large share of the cluster. A move
+    /// takes capacity twice while its task saves, and waiting jobs make better use of it.
     fn is_overloaded(&self, now: Millis) -> bool {
         let is_unschedulable = |job: &&Job| {
             job.unschedulable_since
--- a/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
@@ -1,5 +1,5 @@
-//! Carries out moves: stops the tasks on their sources, follows what becomes of them, and launches
-//! them on their targets.
+//! Carries out moves: stops their tasks on the source machines, tracks them, and launches them on
+//! the targets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::rules;
 use crate::Millis;
 
-/// Whether all tasks of a move have been told to stop.
+/// Whether all tasks of a move have been requested to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StopResult {
     Requested,
@@ -32,17 +32,18 @@
 }
 
 impl Scheduler {
-    /// The moves under way, for checks.
+    /// Returns the moves in progress, for checks in tests.
     pub fn moves(&self) -> &[Move] {
         self.load_balancing.moves()
     }
 
-    /// Tells the tasks of a move to save and stop. Its targets are reserved already.
-    pub(super) fn begin_move(&mut self, now: Millis, begun: &Move) {
-        let job = JobId(begun.unit.job);
-        let stop = match begun.unit.task {
+    /// Requests the tasks of a move to save and stop. The capacity on its targets is already
+    /// reserved.
+    pub(super) fn begin_move(&mut self, now: Millis, new_move: &Move) {
+        let job = JobId(new_move.unit.job);
+        let stop = match new_move.unit.task {
             None => self.stop_gang_for_move(now, job),
-            Some(_) => StopResult::requested_if(begun.task_moves.iter().all(|task_move| {
+            Some(_) => StopResult::requested_if(new_move.task_moves.iter().all(|task_move| {
                 self.stop_task_for_move(now, job, task_move) == StopResult::Requested
             })),
         };
@@ -50,7 +51,7 @@
             StopResult::Requested => MoveEvent::StopSent,
             StopResult::NotPossible => MoveEvent::Failed(AbandonReason::StopNotSent),
         };
-        self.handle_move_event(now, begun.unit, event);
+        self.handle_move_event(now, new_move.unit, event);
     }
 
     fn stop_gang_for_move(&mut self, now: Millis, id: JobId) -> StopResult {
@@ -79,8 +80,8 @@
         StopResult::Requested
     }
 
-    /// Carries on the moves under way by what is known of their tasks and machines, and launches
-    /// the tasks that are off their sources.
+    /// Advances the moves in progress by the state of their tasks and machines, and launches tasks
+    /// that have ended on their sources.
     pub(in crate::scheduler) fn advance_moves(&mut self, now: Millis) {
         if self.load_balancing.moves().is_empty() {
             return;
@@ -104,13 +105,13 @@
     fn handle_move_event(&mut self, now: Millis, unit: MoveUnit, event: MoveEvent) {
         let Some(stage) = self.load_balancing.handle_event(now, unit, event) else { return };
         if stage.is_final() {
-            // Either reserved capacity is free again, or a task waits in the queue.
+            // Either reserved capacity has become free, or a task has returned to the queue.
             self.cycle_timer.request();
-            self.log_move_over(unit, stage);
+            self.log_move_ended(unit, stage);
         }
     }
 
-    /// What has happened to a move since it was last looked at.
+    /// Returns what has happened to the tasks of a move in its current stage.
     fn move_events(&self, now: Millis, active: &Move) -> Vec<MoveEvent> {
         let Some(job) = self.jobs.get(&JobId(active.unit.job)) else {
             return vec![MoveEvent::Failed(AbandonReason::JobOver)];
@@ -123,7 +124,8 @@
         events.collect()
     }
 
-    /// What became of a task that was told to stop; None while it is still on its source.
+    /// Returns the event for a task that was requested to stop; `None` while it is still on its
+    /// source.
     fn stopping_event(&self, now: Millis, job: &Job, task_move: &TaskMove) -> Option<MoveEvent> {
         if job.done.get(task_move.task) {
             return Some(MoveEvent::Failed(AbandonReason::Completed));
@@ -141,7 +143,8 @@
         is_lost.then_some(MoveEvent::Failed(AbandonReason::SourceLost))
     }
 
-    /// What became of a task that was launched on its target; None until it is seen to run.
+    /// Returns the event for a task that was launched on its target; `None` until it is seen to
+    /// run.
     fn launching_event(&self, job: &Job, task_move: &TaskMove) -> Option<MoveEvent> {
         if job.done.get(task_move.task) {
             return Some(MoveEvent::Running { task: task_move.task });
@@ -156,8 +159,7 @@
         is_running.then_some(MoveEvent::Running { task: task_move.task })
     }
 
-    /// Launches the tasks of a move on its targets, if every rule allows it now; else why it does
-    /// not.
+    /// Launches the tasks of a move on its targets, or returns the reason why it must be abandoned.
     fn launch_on_targets(&mut self, now: Millis, ready: &Move) -> Result<(), AbandonReason> {
         let id = JobId(ready.unit.job);
         self.check_launch(now, id, ready)?;
@@ -170,8 +172,8 @@
         Ok(())
     }
 
-    /// The checks of any launch: what the job allows, its team's limit, and the free capacity of
-    /// each target.
+    /// Makes the same checks as for any launch: the constraints of the job, its team's limit, and
+    /// the free capacity of each target.
     fn check_launch(&self, now: Millis, id: JobId, ready: &Move) -> Result<(), AbandonReason> {
         let job = self.jobs.get(&id).ok_or(AbandonReason::JobOver)?;
         let spec = &job.spec;
@@ -184,7 +186,7 @@
             let target = self.inventory.get(&task_move.target).ok_or(AbandonReason::TargetLost)?;
             let mut capacity = self
                 .free_capacity_of(now, target)
-                .filter(|capacity| capacity.ready && self.is_heard_lately(now, target))
+                .filter(|capacity| capacity.ready && self.has_recent_heartbeat(now, target))
                 .ok_or(AbandonReason::TargetLost)?;
             let others = zones.iter().map(|zone| &**zone);
             let may_start = rules::may_start(
@@ -197,7 +199,7 @@
             if !may_start || self.avoids_machine(now, job, &task_move.target) {
                 return Err(AbandonReason::ConstraintViolated);
             }
-            // The free capacity lacks what the move itself has reserved.
+            // The free capacity excludes what this move has reserved.
             let own = ready.reserved_on(&task_move.target);
             capacity.free.cpus += own.cpus;
             capacity.free.gpus += own.gpus;
--- a/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
@@ -1,5 +1,5 @@
-//! Placement between locality and balance: what weighs against a machine that does not hold a job's
-//! image, and against one that is crowded.
+//! The cost of placing a job on a machine, which weighs locality against balance: fetching the
+//! image on one that lacks it, and the load of one that is crowded.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::placement::{FreeCapacity, LoadInfo};
 
 impl Scheduler {
-    /// What balanced placement needs to know of a machine; None while it is switched off.
+    /// Returns the load of a machine for balanced placement; `None` if that is disabled.
     pub(in crate::scheduler) fn load_info(
         &self,
         machine: &Machine,
@@ -28,8 +28,8 @@
         })
     }
 
-    /// What weighs against a machine before its size and score, from 0 to 1: that it lacks the
-    /// image, or, with balanced placement, [`PlacementOption::cost`].
+    /// Returns the cost of a machine, from 0 to 1, which is compared before its size and score: 1
+    /// if it lacks the image and 0 otherwise, or [`PlacementOption::cost`] with balanced placement.
     pub(in crate::scheduler) fn placement_cost(
         &self,
         spec: &JobSpec,
@@ -60,7 +60,7 @@
     }
 }
 
-/// GB of images that a machine is about to fetch, each image counted once.
+/// Returns the GB of images that a machine has yet to fetch, counting each image once.
 fn fetching_gb(machine: &Machine) -> f64 {
     let fetches = |phase| matches!(phase, TaskPhase::Assigned | TaskPhase::Fetching);
     let mut images: BTreeMap<&str, f64> = BTreeMap::new();
--- a/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
@@ -1,5 +1,5 @@
-//! The planner's input: the loads of the machines that are up, and the running tasks and gangs that
-//! may move.
+//! Builds the input of the planner: the loads of the machines that are up, and the running tasks
+//! and gangs that may move.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,11 +15,12 @@
 use crate::machine::{Machine, TaskPhase, TaskRun};
 use crate::Millis;
 
-/// The running tasks of gangs, each with the index of its machine in the planner's input.
+/// Running tasks of gangs, by gang: the index of each task and that of its machine in the planner
+/// input.
 type GangTasks = BTreeMap<JobId, Vec<(u32, usize)>>;
 
 impl Scheduler {
-    /// The loads of the machines that are up, and the tasks that may move.
+    /// Returns the loads of the machines that are up, and the tasks that may move.
     pub(super) fn plan_input(&mut self, now: Millis) -> PlanInput {
         let mut input = PlanInput::default();
         let mut gangs = GangTasks::new();
@@ -38,7 +39,7 @@
         input
     }
 
-    /// Adds the array tasks on a machine that may move, and collects the tasks of gangs there.
+    /// Adds the movable tasks of array jobs on a machine, and collects those of gangs.
     fn add_movable_tasks(
         &self,
         now: Millis,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Adds the gangs of which every task may move: a gang moves whole or not at all.
+    /// Adds the gangs whose tasks may all move. A gang moves as a whole or not at all.
     fn add_movable_gangs(&self, now: Millis, gangs: GangTasks, input: &mut PlanInput) {
         for (id, tasks) in gangs {
             let Some(job) = self.jobs.get(&id) else { continue };
@@ -83,7 +84,7 @@
         }
     }
 
-    /// When the last task of a gang was seen to start.
+    /// Returns the time at which the last task of a gang was seen to start.
     fn latest_start(&self, job: &Job) -> Option<Millis> {
         let starts = job.placed.iter().filter_map(|(index, assignment)| {
             let task = TaskId { job: job.spec.id, index: *index };
@@ -93,8 +94,8 @@
         starts.max()
     }
 
-    /// The load of a machine; None if its amounts are unknown, or invalid, which is logged once for
-    /// a type.
+    /// Returns the load of a machine; `None` if its resources are unknown or invalid. Invalid ones
+    /// are logged once per machine type.
     fn machine_load(&mut self, now: Millis, name: &str) -> Option<MachineLoad> {
         let machine = self.inventory.get(name)?;
         let machine_type = self.inventory.type_named(&machine.machine_type)?;
@@ -122,19 +123,21 @@
         })
     }
 
-    /// Whether a machine may be source or target of a move: it takes tasks, and was heard lately.
+    /// Whether a machine may be the source or target of a move: it accepts tasks and its heartbeats
+    /// are not overdue.
     fn may_take_part_in_moves(&self, now: Millis, machine: &Machine) -> bool {
         let takes_tasks = self.free_capacity_of(now, machine).is_some_and(|free| free.ready);
-        takes_tasks && self.is_heard_lately(now, machine)
+        takes_tasks && self.has_recent_heartbeat(now, machine)
     }
 
-    /// Whether a heartbeat of a machine is not overdue.
-    pub(super) fn is_heard_lately(&self, now: Millis, machine: &Machine) -> bool {
+    /// Whether the heartbeats of a machine are not overdue.
+    pub(super) fn has_recent_heartbeat(&self, now: Millis, machine: &Machine) -> bool {
         !machine.heartbeat_older_than(now, self.policy.overdue_ms())
     }
 
-    /// A running task or gang as the planner needs to know it: `tasks` with the index of their
-    /// machines, all of one type, and since when all of them run.
+    /// Returns a running task or gang as input for the planner. `tasks` has each task with the
+    /// index of its machine; the machines are of one type. All tasks have run since
+    /// `running_since`.
     fn movable(
         &self,
         now: Millis,
@@ -160,8 +163,8 @@
     }
 }
 
-/// Whether a run may be stopped to move: it runs, saves checkpoints, and is not told to stop
-/// already.
+/// Whether a run may be stopped to move it: it is running, saves checkpoints, and was not requested
+/// to stop.
 pub(super) fn is_movable(run: &TaskRun) -> bool {
     let saves = run.spec.as_ref().is_some_and(|spec| spec.checkpoint_s > 0.0);
     run.phase == TaskPhase::Running && saves && run.stop.is_none()
--- a/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
@@ -1,5 +1,5 @@
-//! What operators are told of load balancing: the summary for `latchtrack status`, and lines for
-//! the log.
+//! Reports on load balancing for operators: the summary shown by `latchtrack status`, and log
+//! lines.
 
 use latchtrack_balance::balancer::MoveCounts;
 use latchtrack_balance::moves::{Move, MoveStage, MoveUnit};
@@ -12,25 +12,26 @@
 use crate::job::{JobId, TaskId};
 use crate::Millis;
 
-/// The balance of the cluster, for an operator.
+/// A summary of the balance of the cluster, for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BalanceSummary {
-    /// The spread of the pool in which it is greatest.
+    /// The spread of the pool whose spread is greatest.
     pub spread: Spread,
-    /// Machines over the bound of their pool.
+    /// The number of machines above the bound of their pool.
     pub over_bound: usize,
     /// Teams that have asked for more than their share for some time.
     pub hot_teams: Vec<String>,
-    /// Moves under way, each in one line.
+    /// Moves in progress, one line each.
     pub moves: Vec<String>,
-    /// The last moves that are over, each in one line.
+    /// The most recent moves that have ended, one line each.
     pub recent: Vec<String>,
-    /// Moves of this term.
+    /// The number of moves in this term, by outcome.
     pub counts: MoveCounts,
 }
 
 impl Scheduler {
-    /// The balance of the cluster; None while all of load balancing is switched off.
+    /// Returns a summary of the balance of the cluster; `None` if all of load balancing is
+    /// disabled.
     pub fn balance_summary(&self) -> Option<BalanceSummary> {
         let policy = &self.policy.balance;
         if !policy.observes() && !policy.teams {
@@ -49,7 +50,7 @@
         })
     }
 
-    /// Logs the balance of the cluster, once a minute.
+    /// Logs the balance of the cluster if the log interval has passed.
     pub(super) fn log_balance_summary(&mut self, now: Millis) {
         if !self.load_balancing.begin_summary_log(now) {
             return;
@@ -58,19 +59,19 @@
         self.out.push(Effect::Log(LogEvent::Balance(Box::new(summary))));
     }
 
-    /// Logs that a move begins.
-    pub(super) fn log_move_begun(&mut self, begun: &Move) {
-        let description = describe_move(begun);
+    /// Logs that a move has begun.
+    pub(super) fn log_move_started(&mut self, new_move: &Move) {
+        let description = describe_move(new_move);
         self.out.push(Effect::Log(LogEvent::MoveStarted { description }));
     }
 
-    /// Logs that a move is over, with its last stage.
-    pub(super) fn log_move_over(&mut self, unit: MoveUnit, stage: MoveStage) {
+    /// Logs that a move has ended, with its final stage.
+    pub(super) fn log_move_ended(&mut self, unit: MoveUnit, stage: MoveStage) {
         let unit = describe_unit(unit);
         self.out.push(Effect::Log(LogEvent::MoveEnded { unit, stage }));
     }
 
-    /// Logs a machine type whose machines have invalid amounts, once in a term.
+    /// Logs a machine type with invalid resource amounts, once per term.
     pub(super) fn log_invalid_type(&mut self, machine_type: String, used: &Resources) {
         if self.load_balancing.invalid_types.insert(machine_type.clone()) {
             let used = *used;
@@ -86,7 +87,7 @@
     }
 }
 
-/// A move in one line, as `latchtrack status` prints it.
+/// Describes a move in one line, as printed by `latchtrack status`.
 fn describe_move(described: &Move) -> String {
     let machines: Vec<String> = described
         .task_moves
