--- a/crates/latchtrack-core/src/bitmap.rs
+++ b/crates/latchtrack-core/src/bitmap.rs
@@ -1,8 +1,8 @@
-//! A set of task indexes, one bit each, and the chunks in which it is stored.
+//! A bitmap of the tasks of a job, and the chunks in which it is stored.
 
 use crate::constants::{CHUNK_TASKS, FIRST_CHUNK_INDEX, LEGACY_CHUNK_TASKS, MAX_TASKS};
 
-/// The stored chunk that holds the task `index` of a job with `tasks` tasks.
+/// Returns the index of the stored chunk that holds task `index` of a job with `tasks` tasks.
 pub fn chunk_of(index: u32, tasks: u32) -> u32 {
     if tasks <= CHUNK_TASKS {
         return 0;
@@ -10,18 +10,19 @@
     FIRST_CHUNK_INDEX + index / CHUNK_TASKS
 }
 
-/// Every chunk in which results of a job may be stored, by this version or an earlier one.
+/// Returns every chunk in which results of a job may be stored, by this or an earlier version.
 pub fn all_chunks() -> impl Iterator<Item = u32> {
     let small = FIRST_CHUNK_INDEX..FIRST_CHUNK_INDEX + MAX_TASKS.div_ceil(CHUNK_TASKS);
     (0..MAX_TASKS.div_ceil(LEGACY_CHUNK_TASKS)).chain(small)
 }
 
-/// Whether a stored chunk is larger than what is written now.
+/// Whether a stored chunk is larger than the chunks that this version writes.
 pub fn is_large_chunk(bytes: &[u8]) -> bool {
     bytes.len() > (CHUNK_TASKS / 8) as usize
 }
 
-/// The small chunks that hold the same bits as a stored large one, each with its length in bytes.
+/// Returns the small chunks that hold the same bits as a stored large chunk, each with its length
+/// in bytes.
 pub fn small_chunks(chunk: u32, bytes: &[u8]) -> impl Iterator<Item = (u32, usize)> + '_ {
     let first = FIRST_CHUNK_INDEX + chunk.saturating_mul(LEGACY_CHUNK_TASKS / CHUNK_TASKS);
     let parts = bytes.chunks((CHUNK_TASKS / 8) as usize);
@@ -35,7 +36,7 @@
 }
 
 impl ChunkSpan {
-    /// The span of a chunk; `None` past the last task of every job.
+    /// Returns the span of a chunk, or `None` if it lies beyond the last possible task.
     fn of(chunk: u32) -> Option<Self> {
         let (number, tasks) = match chunk.checked_sub(FIRST_CHUNK_INDEX) {
             Some(number) => (number, CHUNK_TASKS),
@@ -44,13 +45,13 @@
         Some(ChunkSpan { first: number.checked_mul(tasks)?, tasks })
     }
 
-    /// Bytes of a bitmap that it takes.
+    /// The number of bytes of the bitmap that the span covers.
     fn bytes(&self) -> usize {
         (self.tasks / 8) as usize
     }
 }
 
-/// Which tasks of a job are in the set.
+/// A set of the tasks of a job, one bit per task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bitmap {
     bytes: Vec<u8>,
@@ -59,12 +60,12 @@
 }
 
 impl Bitmap {
-    /// An empty set over `len` tasks.
+    /// Creates an empty set for a job with `len` tasks.
     pub fn new(len: u32) -> Self {
         Bitmap { bytes: vec![0; len.div_ceil(8) as usize], len, ones: 0 }
     }
 
-    /// How many tasks are in the set.
+    /// Returns the number of tasks in the set.
     pub fn count_ones(&self) -> u32 {
         self.ones
     }
@@ -74,12 +75,13 @@
         self.ones == self.len
     }
 
-    /// Whether task `index` is in the set; false past the end.
+    /// Whether task `index` is in the set; false if the job has no such task.
     pub fn get(&self, index: u32) -> bool {
         index < self.len && self.bytes[(index / 8) as usize] & (1 << (index % 8)) != 0
     }
 
-    /// Puts task `index` in; true if it was not there and exists.
+    /// Adds task `index`. Returns whether it was added, which it is not if it was in the set
+    /// already or the job has no such task.
     pub fn set(&mut self, index: u32) -> bool {
         if index >= self.len || self.get(index) {
             return false;
@@ -89,14 +91,14 @@
         true
     }
 
-    /// Puts every task in.
+    /// Adds every task of the job.
     pub fn set_all(&mut self) {
         for index in 0..self.len {
             self.set(index);
         }
     }
 
-    /// The bytes of one stored chunk.
+    /// Returns the bytes of one stored chunk; empty beyond the last task.
     pub fn chunk(&self, chunk: u32) -> &[u8] {
         let Some(span) = ChunkSpan::of(chunk) else { return &[] };
         let from = ((span.first / 8) as usize).min(self.bytes.len());
@@ -104,13 +106,13 @@
         &self.bytes[from..to]
     }
 
-    /// Adds the tasks of a stored chunk. Bits past the last task are ignored.
+    /// Adds the tasks of a stored chunk, ignoring bits beyond the last task.
     pub fn merge_chunk(&mut self, chunk: u32, bytes: &[u8]) {
         let Some(span) = ChunkSpan::of(chunk) else { return };
-        for (at, byte) in bytes.iter().enumerate().take(span.bytes()) {
+        for (offset, byte) in bytes.iter().enumerate().take(span.bytes()) {
             for bit in 0..8 {
                 if byte & (1 << bit) != 0 {
-                    self.set(span.first.saturating_add(at as u32 * 8 + bit));
+                    self.set(span.first.saturating_add(offset as u32 * 8 + bit));
                 }
             }
         }
--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -5,18 +5,18 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// CPUs, GPUs and memory: what a task takes of its machine, or a machine has.
+/// CPUs, GPUs and memory: the demand of a task or the capacity of a machine.
 pub use latchtrack_balance::resources::Resources;
 
 use crate::bitmap::Bitmap;
 use crate::constants::{SLOW_FACTOR, SLOW_MIN_SAMPLES};
 use crate::Millis;
 
-/// The id of a job: `req-` and a number of at least six digits.
+/// The id of a job: as text `req-` and a number, padded to at least six digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct JobId(pub u64);
 
-/// The text is not an id of a job or task.
+/// The text is not a valid id of a job or task.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not an id of the form req-000412")]
 pub struct ParseIdError;
@@ -31,7 +31,8 @@
     type Err = ParseIdError;
     fn from_str(s: &str) -> Result<Self, ParseIdError> {
         let digits = s.strip_prefix("req-").ok_or(ParseIdError)?;
-        // One text per number, so that an id and its parsed form can stand for each other.
+        // Only the canonical text of a number is accepted, so that ids can be compared as text or
+        // parsed.
         let canonical = (digits.len() == 6 || (digits.len() > 6 && !digits.starts_with('0')))
             && digits.len() <= 18
             && digits.bytes().all(|b| b.is_ascii_digit());
@@ -42,17 +43,17 @@
     }
 }
 
-/// The id of an equivalence class: jobs with equal demands and constraints. Classes are numbered as
-/// a leader sees them first in its term.
+/// The id of an equivalence class of jobs with equal demands and constraints. A leader numbers the
+/// classes in its term in the order in which it first sees them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct ClassId(pub usize);
 
-/// One task of a job; as text the job's id, a slash and the index.
+/// The id of a task; as text the id of its job, a slash and its index.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Its index in the job, from 0.
+    /// The index of the task in its job, from 0.
     pub index: u32,
 }
 
@@ -70,95 +71,100 @@
     }
 }
 
-/// The priority of a job, the highest first.
+/// The priority of a job, from the highest to the lowest. Records store the position of the
+/// variant.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Priority {
-    /// Production.
+    /// Production jobs, `production` for users.
     Production,
-    /// High.
+    /// High priority.
     High,
-    /// Normal.
+    /// Normal priority, `standard` for users.
     Normal,
-    /// Low: without deadline and objective a best-effort job.
+    /// Low priority, `best_effort` for users. A job without a deadline or an objective is then
+    /// scheduled as best-effort.
     Low,
 }
 
-/// A job as its user described it.
+/// A job as submitted by its user.
 #[derive(Clone, PartialEq, Debug)]
 pub struct JobSpec {
-    /// Its id.
+    /// The id of the job.
     pub id: JobId,
-    /// Its workload class, to which objectives apply.
+    /// The workload class, which determines the objectives.
     pub class: String,
-    /// The team whose quota it counts against.
+    /// The team whose quota the job uses.
     pub team: String,
-    /// Who may be preempted for whom.
+    /// The priority. Only [`Priority::Low`] affects the order of the queue.
     pub priority: Priority,
-    /// How many tasks it has.
+    /// The number of tasks.
     pub tasks: u32,
-    /// All tasks run at the same time or none does; otherwise they are independent of each other.
+    /// Whether the job is a gang, whose tasks all run at the same time. The tasks of any other job
+    /// are independent of each other.
     pub gang: bool,
-    /// What one task takes of its machine.
+    /// The resources that one task needs.
     pub demand: Resources,
-    /// The machine types that it allows; None allows all.
+    /// The allowed machine types; `None` allows all.
     pub types: Option<Vec<String>>,
-    /// The zone in which it is to run; None allows all.
+    /// The zone in which the job must run; `None` allows all.
     pub zone: Option<String>,
-    /// All tasks are to be in one zone at a time, whichever that is.
+    /// Whether all tasks must be in one zone at a time, whichever it is.
     pub one_zone: bool,
-    /// No zone may have more than half of the tasks at a time.
+    /// Whether no zone may have more than half of the tasks at a time, rounded up.
     pub spread: bool,
-    /// Spot machines are allowed.
+    /// Whether spot machines are allowed.
     pub spot: bool,
-    /// The image that its tasks run.
+    /// The image that the tasks run.
     pub image: String,
-    /// GB of the image.
+    /// The size of the image in GB.
     pub image_gb: f64,
-    /// s that a task runs, as its owner estimates.
+    /// The run time of a task in s, as estimated by the user.
     pub estimate_s: f64,
-    /// s of progress after which a running task saves a checkpoint; 0 if it never saves, and its
-    /// work is lost when it is stopped.
+    /// s of progress between two checkpoints of a running task; 0 if it saves none and loses its
+    /// work when it is stopped.
     pub checkpoint_s: f64,
-    /// s that a task needs to save when it is stopped.
+    /// s that a task needs to save a checkpoint when it is stopped.
     pub save_s: f64,
-    /// s from submission by which it is to be done.
+    /// s from submission within which the job should be done.
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// Whether the zones of its tasks restrict where others may start.
+    /// Whether the zones of its running tasks restrict where other tasks may start.
     pub fn is_zone_constrained(&self) -> bool {
         self.one_zone || self.spread
     }
 }
 
-/// The machine and attempt to which a task is bound until it has surely ended there.
+/// The machine and attempt that a task is assigned to, until it is certain that the attempt has
+/// ended.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Assignment {
-    /// The machine.
+    /// The name of the machine.
     pub machine: Arc<str>,
     /// The number of the attempt.
     pub attempt: u64,
 }
 
-/// The run times of a job's done tasks.
+/// The run times of a job's completed tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunTimes {
     /// Their sum in ms.
     total_ms: Millis,
-    /// How many there are.
+    /// The number of run times in the sum.
     count: u32,
 }
 
 impl RunTimes {
-    /// Adds the run time of a task.
+    /// Adds the run time of a completed task.
     fn add(&mut self, ran_ms: Millis) {
         self.total_ms += ran_ms;
         self.count += 1;
     }
 
-    /// Whether a run time is beyond [`SLOW_FACTOR`] times the mean, if there are enough for a mean.
-    fn are_exceeded_by(&self, ran_ms: Millis) -> bool {
+    /// Whether a run time exceeds [`SLOW_FACTOR`] times the mean; false with too few samples for a
+    /// mean.
+    fn is_slow(&self, ran_ms: Millis) -> bool {
         self.count >= SLOW_MIN_SAMPLES
             && ran_ms as f64 * f64::from(self.count) > SLOW_FACTOR * self.total_ms as f64
     }
@@ -167,50 +173,52 @@
 /// An unfinished job as the scheduler sees it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What its user described.
+    /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// When it was submitted, in ms on the local steady clock.
+    /// The time of submission, in ms on the local steady clock.
     pub submitted_at: Millis,
-    /// The revision of its open record.
+    /// The revision of its open record in the state service.
     pub revision: u64,
-    /// Accepted under an earlier leader, which may have launched its tasks.
+    /// Whether it was accepted under an earlier leader, which may have launched its tasks.
     pub inherited: bool,
     /// Tasks known to be done.
     pub done: Bitmap,
     /// Tasks whose result is stored.
     pub persisted: Bitmap,
-    /// The write of its record as done was refused: another node or user closed the job.
+    /// Whether writing its record as done was refused, because another node or a user closed the
+    /// job.
     pub closed_elsewhere: bool,
-    /// The assignments of its tasks, by index.
+    /// The current assignments, by task index.
     pub placed: BTreeMap<u32, Assignment>,
-    /// Tasks that were requeued, to be placed before those never tried.
+    /// Tasks that were requeued. They are placed before those that were never tried.
     pub requeued: BTreeSet<u32>,
-    /// Tasks neither done nor assigned.
+    /// The number of tasks that are neither done nor assigned.
     waiting: u32,
-    /// Its equivalence class, which the scheduler sets.
+    /// The equivalence class, set by the scheduler.
     pub equivalence_class: ClassId,
-    /// The first task that was never tried.
+    /// The index of the first task that was never tried.
     next_untried: u32,
-    /// Nothing of it is placed before this time, in ms on the local steady clock.
+    /// No task is placed before this time, in ms on the local steady clock.
     pub backoff_until: Millis,
-    /// Machines on which it failed, and when last.
+    /// Machines on which tasks failed, with the time of the last failure.
     pub failed_on: BTreeMap<String, Millis>,
-    /// ms that a failed task had run at most.
+    /// The longest run time of a failed task, in ms.
     pub longest_failed_run_ms: Millis,
-    /// It has shown nothing but failures: one task at a time is tried.
+    /// Whether the job has only failed so far, so that one task at a time is tried.
     pub is_quarantined: bool,
-    /// Trials that failed since then.
+    /// The number of trials that have failed since it was quarantined.
     pub failed_trials: u32,
-    /// Since when it has found no capacity.
+    /// The time since which no capacity was found for it.
     pub unschedulable_since: Option<Millis>,
-    /// Run times of its done tasks, as far as this term has seen them from their start.
+    /// Run times of completed tasks that were observed from their start in this term.
     pub run_times: RunTimes,
-    /// Since when the tasks of a gang's last attempt are being ended; None if no task has left it.
+    /// The time since which the tasks of a gang's last attempt are being ended; `None` if no task
+    /// has left the attempt.
     pub attempt_ended_at: Option<Millis>,
 }
 
 impl Job {
-    /// A job of which `done` is known to be complete and stored.
+    /// Creates a job whose tasks in `done` are complete, with their results stored.
     pub fn new(
         spec: Arc<JobSpec>,
         submitted_at: Millis,
@@ -242,24 +250,24 @@
         }
     }
 
-    /// Tasks neither done nor assigned.
+    /// Returns the number of tasks that are neither done nor assigned.
     pub fn waiting(&self) -> u32 {
         self.waiting
     }
 
-    /// Whether nothing of it was ever placed in this term, and nothing is done.
+    /// Whether no task was ever placed in this term and none is done.
     pub fn never_started(&self) -> bool {
         self.waiting == self.spec.tasks && self.requeued.is_empty()
     }
 
-    /// Assigns a task.
+    /// Assigns a task to a machine and attempt.
     pub fn place(&mut self, index: u32, assignment: Assignment) {
         if self.placed.insert(index, assignment).is_none() && !self.done.get(index) {
             self.waiting -= 1;
         }
     }
 
-    /// A task is done, by this attempt; returns whether that was not known before.
+    /// Marks a task as done by this attempt. Returns whether it was not known to be done before.
     pub fn complete(&mut self, index: u32, attempt: u64) -> bool {
         let is_new = self.done.set(index);
         if is_new && !self.placed.contains_key(&index) {
@@ -271,7 +279,7 @@
         is_new
     }
 
-    /// Takes up to `count` waiting tasks, requeued ones first. Each must then be placed.
+    /// Takes up to `count` waiting tasks, requeued ones first. The caller must place each of them.
     pub fn take(&mut self, count: u32) -> Vec<u32> {
         let mut taken = Vec::with_capacity(count as usize);
         while (taken.len() as u32) < count {
@@ -290,7 +298,7 @@
         taken
     }
 
-    /// Takes this task; returns false if it does not wait. It must then be placed.
+    /// Takes this task if it is waiting, and returns whether it was. The caller must then place it.
     pub fn take_one(&mut self, index: u32) -> bool {
         if self.done.get(index) || self.placed.contains_key(&index) || index >= self.spec.tasks {
             return false;
@@ -299,7 +307,7 @@
         true
     }
 
-    /// A task is off its machine without a result.
+    /// Returns a task to the queue after its attempt ended without a result.
     pub fn requeue(&mut self, index: u32) {
         if self.placed.remove(&index).is_some() && !self.done.get(index) {
             self.waiting += 1;
@@ -309,15 +317,16 @@
         }
     }
 
-    /// Records the run time of a done task; returns whether it was slow beside those before it.
+    /// Records the run time of a completed task. Returns whether it was slow compared to earlier
+    /// ones.
     pub fn record_run_time(&mut self, ran_ms: Millis) -> bool {
-        let is_slow = self.run_times.are_exceeded_by(ran_ms);
+        let is_slow = self.run_times.is_slow(ran_ms);
         self.run_times.add(ran_ms);
         is_slow
     }
 
-    /// How many of its tasks may be placed now: of a gang all of them, once no task of its last
-    /// attempt is assigned; of a quarantined job one at a time.
+    /// Returns the number of tasks that may be placed now. A gang is placed whole, once no task of
+    /// its last attempt is assigned; a quarantined job runs one task at a time.
     pub fn schedulable_tasks(&self) -> u32 {
         let none_placed = self.placed.is_empty();
         match (self.spec.gang, self.is_quarantined) {
@@ -328,7 +337,7 @@
         }
     }
 
-    /// Whether every task is assigned in one and the same attempt, as a gang's must be.
+    /// Whether every task is assigned in the same attempt, as is required of a gang.
     pub fn has_complete_attempt(&self) -> bool {
         let mut attempts = self.placed.values().map(|assignment| assignment.attempt);
         let first = attempts.next();
--- a/crates/latchtrack-core/src/lib.rs
+++ b/crates/latchtrack-core/src/lib.rs
@@ -1,7 +1,8 @@
 //! The scheduling core of latchtrack.
 //!
-//! Pure and deterministic: no sockets, clocks, threads or random numbers. Time comes in as an
-//! argument, events go into the [`scheduler`], and effects come out, which the program carries out.
+//! The core is pure and deterministic: it uses no sockets, clocks, threads or random numbers. Time
+//! is passed as an argument, events are passed to the [`scheduler`], and the program carries out
+//! the effects that it returns.
 
 pub mod bitmap;
 pub mod constants;
@@ -14,5 +15,5 @@
 pub mod task_run;
 pub mod worker_messages;
 
-/// Milliseconds on the local steady clock, or on the wall clock where a name says so.
+/// Milliseconds on the local steady clock, or on the wall clock if a name says so.
 pub type Millis = u64;
--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -11,44 +11,44 @@
 pub use crate::task_run::{ExitCause, StopRequest, TaskPhase, TaskRun};
 pub use crate::worker_messages::{Command, Heartbeat, MessageNumber, TaskStatus};
 
-/// A type of machine that the cloud offers.
+/// A machine type offered by the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// Its name.
+    /// The name of the type.
     pub name: String,
-    /// CPUs of a machine.
+    /// The number of CPUs.
     pub cpus: f64,
-    /// GPUs of a machine.
+    /// The number of GPUs.
     pub gpus: f64,
-    /// Memory of a machine, in GB.
+    /// The memory in GB.
     pub memory_gb: f64,
-    /// Price of an on-demand machine.
+    /// The price of an on-demand machine.
     pub price: f64,
-    /// Price of a spot machine.
+    /// The price of a spot machine.
     pub spot_price: f64,
-    /// How long a machine takes to come up, in s, by what the cloud says.
+    /// The nominal boot time in s, as stated by the cloud.
     pub boot_s: f64,
-    /// Space for images, in GB; 0 where the cloud does not say.
+    /// The space for images in GB; 0 if the cloud does not state it.
     pub cache_gb: f64,
-    /// How fast an image is fetched, in GB a second; 0 where the cloud does not say.
+    /// The rate at which images are fetched, in GB per second; 0 if the cloud does not state it.
     pub fetch_gb_per_s: f64,
-    /// Zones that have it.
+    /// The zones in which the type is available.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// What an empty machine has.
+    /// Returns the resources of an empty machine.
     pub fn resources(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
 
-    /// How many tasks of this demand fit on an empty machine.
+    /// Returns how many tasks of this demand fit on an empty machine.
     pub fn fitting_tasks(&self, demand: &Resources) -> u32 {
         fitting_tasks(demand, self.cpus, self.gpus, self.memory_gb)
     }
 }
 
-/// How many tasks of a demand fit into these free amounts.
+/// Returns how many tasks of this demand fit into the given free resources.
 pub fn fitting_tasks(demand: &Resources, cpus: f64, gpus: f64, memory_gb: f64) -> u32 {
     let times = |need: f64, free: f64| {
         if need > 0.0 {
@@ -61,14 +61,14 @@
         as u32
 }
 
-/// An image on a machine.
+/// An image held by a machine.
 #[derive(Clone, Debug, PartialEq)]
 struct CachedImage {
     name: String,
     gb: f64,
 }
 
-/// The images that a machine holds, the last used first: it keeps those for which it has space.
+/// The images that a machine holds, most recently used first. Images beyond its space are evicted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ImageCache(Vec<CachedImage>);
 
@@ -78,12 +78,13 @@
         self.0.iter().any(|cached| cached.name == image)
     }
 
-    /// Whether using this image changes nothing.
+    /// Whether this image is the most recently used one, so that using it changes nothing.
     pub fn is_last_used(&self, image: &str) -> bool {
         self.0.first().is_some_and(|cached| cached.name == image)
     }
 
-    /// A task with this image of `gb` GB runs; `cache_gb` is the space for images, 0 if unknown.
+    /// Records that a task with an image of `gb` GB runs. `cache_gb` is the space for images; 0
+    /// means unknown and evicts nothing.
     pub fn record_use(&mut self, image: &str, gb: f64, cache_gb: f64) {
         self.0.retain(|cached| cached.name != image);
         self.0.insert(0, CachedImage { name: image.to_string(), gb });
@@ -96,7 +97,7 @@
         self.0.truncate(kept);
     }
 
-    /// The names of the images, the last used first.
+    /// Returns the names of the images, most recently used first.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.0.iter().map(|cached| cached.name.as_str())
     }
@@ -105,65 +106,66 @@
 /// A provisioned machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its name, by which the cloud knows it.
+    /// The name by which the cloud knows it.
     pub name: Arc<str>,
-    /// Its machine type.
+    /// The name of its machine type.
     pub machine_type: Arc<str>,
-    /// Its zone.
+    /// The zone that it is in.
     pub zone: Arc<str>,
     /// Whether the cloud may preempt it.
     pub spot: bool,
-    /// Where its worker takes direct calls, once known.
+    /// The address at which its worker accepts direct calls, once known.
     pub addr: Option<String>,
-    /// When it was provisioned, as far as this term knows.
+    /// The time at which it was provisioned, as far as known in this term.
     pub provisioned_at: Millis,
-    /// The cloud's list has it as up.
+    /// Whether the cloud's list shows it as running.
     pub listed_as_running: bool,
-    /// In the stored set; nothing is launched on it before.
+    /// Whether it is in the stored machine set. Nothing is launched on it before.
     pub persisted: bool,
-    /// In the stored set when this term began: until it is seen to hold this term's token, an
-    /// earlier leader's commands may still arrive, so tasks may be on it that this term does not
-    /// know.
+    /// Whether it was in the stored machine set when this term began. Until it is seen to hold this
+    /// term's token, commands of an earlier leader may still arrive, so it may run tasks that this
+    /// term does not know.
     pub inherited: bool,
-    /// The number of its newest message.
+    /// The number of the newest message received from it.
     pub latest_message: MessageNumber,
-    /// When it was last heard holding this term's token; `None`: not yet. What it says with an
-    /// older one proves nothing: that may be a late copy from before this term, even of a machine
-    /// long gone.
+    /// The time of the last heartbeat with this term's token, or `None` if there was none.
+    /// Heartbeats with an older token prove nothing: they may be delayed copies from before this
+    /// term, even from a machine that no longer exists.
     pub last_heartbeat_at: Option<Millis>,
-    /// Since when it should send heartbeats to this node: its first sign in this term, or the start
-    /// of the term.
+    /// The time since which heartbeats to this node are expected: the first sign of it in this
+    /// term, or the start of the term.
     pub heartbeat_expected_since: Option<Millis>,
-    /// Direct calls in a row that it did not answer since it was last heard.
+    /// Consecutive direct calls without a response since it was last heard from.
     pub unanswered_calls: u32,
-    /// When the cloud preempts it, by its own notice.
+    /// The time at which the cloud will preempt it, from its preemption notice.
     pub preempt_at: Option<Millis>,
-    /// The task runs on it, by task and attempt.
+    /// Its task runs, by task and attempt.
     pub runs: BTreeMap<(TaskId, u64), TaskRun>,
-    /// The open direct call to it.
+    /// The open direct call to it, if any.
     pub open_call: Option<CallId>,
-    /// No direct call before this time.
+    /// No direct call is made before this time.
     pub next_call_at: Millis,
-    /// Slow tasks in a row; too many, and it gets no more and is terminated once it is empty.
+    /// The number of consecutive slow tasks. At [`SLOW_MACHINE_TASKS`] it gets no more tasks, and
+    /// it is terminated once it is empty.
     pub consecutive_slow_tasks: u32,
-    /// Is to be terminated; no launches any more.
+    /// Whether it is to be terminated. Nothing is launched on it any more.
     pub to_terminate: bool,
-    /// The cloud was asked to terminate it.
+    /// Whether the cloud was asked to terminate it.
     pub termination_sent: bool,
-    /// Since when it has no live task run.
+    /// The time since which it has no live task run.
     pub idle_since: Option<Millis>,
-    /// Jobs that failed on it.
+    /// Jobs whose failures count against it.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Until when it is on probation and gets no tasks.
+    /// The end of its probation, until which it gets no tasks.
     pub probation_until: Millis,
-    /// A task was done on it, and none has failed since.
+    /// Whether a task was completed on it and none has failed since.
     pub proven: bool,
-    /// Images that it has fetched, as far as this term has seen.
+    /// Images that it is known to have fetched in this term.
     pub images: Arc<ImageCache>,
 }
 
 impl Machine {
-    /// A machine of which nothing is known yet but that it was provisioned.
+    /// Creates a newly provisioned machine of which nothing else is known.
     pub fn new(name: &str, machine_type: &str, zone: &str, spot: bool, now: Millis) -> Self {
         Machine {
             name: name.into(),
@@ -194,30 +196,32 @@
         }
     }
 
-    /// Whether its worker has been heard in this term.
+    /// Whether its worker has been heard from in this term.
     pub fn is_up(&self) -> bool {
         self.last_heartbeat_at.is_some()
     }
 
-    /// Whether tasks may be on it that this term does not know.
+    /// Whether it may run tasks that this term does not know.
     pub fn is_unreconciled(&self) -> bool {
         self.inherited && self.last_heartbeat_at.is_none()
     }
 
-    /// For how long it has been silent, in ms; `None` if no heartbeat is expected of it yet.
+    /// Returns the ms since its last heartbeat, or since one was first expected; `None` if none is
+    /// expected yet.
     pub fn heartbeat_age(&self, now: Millis) -> Option<Millis> {
         self.last_heartbeat_at
             .or(self.heartbeat_expected_since)
             .map(|since| now.saturating_sub(since))
     }
 
-    /// Whether it is up and has not been heard for at least `ms`.
+    /// Whether it is up and its last heartbeat is at least `ms` old.
     pub fn heartbeat_older_than(&self, now: Millis, ms: Millis) -> bool {
         self.last_heartbeat_at.is_some_and(|last_heartbeat_at| now >= last_heartbeat_at + ms)
     }
 
-    /// Whether it is silent, for at least `ms` if it was heard in this term, so that a list of the
-    /// cloud without it says that it is gone.
+    /// Whether it counts as lost if the cloud's list lacks it. A machine heard from in this term
+    /// must have been silent for at least `ms`, an unreconciled one must have left a call
+    /// unanswered.
     pub fn presumed_lost(&self, now: Millis, ms: Millis) -> bool {
         if self.is_unreconciled() {
             self.unanswered_calls > 0
@@ -226,12 +230,12 @@
         }
     }
 
-    /// Whether its tasks run much longer than their like.
+    /// Whether its tasks run much longer than other tasks of the same jobs.
     pub fn is_slow(&self) -> bool {
         self.consecutive_slow_tasks >= SLOW_MACHINE_TASKS
     }
 
-    /// Capacity taken by live runs; `None` when a run of unknown size is on it.
+    /// Returns the resources taken by live runs; `None` if it has a live run of unknown size.
     pub fn allocated(&self) -> Option<Resources> {
         let mut sum = Resources::default();
         for run in self.runs.values().filter(|run| run.is_live()) {
--- a/crates/latchtrack-core/src/record_shards.rs
+++ b/crates/latchtrack-core/src/record_shards.rs
@@ -1,61 +1,62 @@
-//! Small records that share a few stored values of bounded size, so that many changes cost few
+//! Small records that share a few stored values of bounded size, so that many changes need few
 //! writes.
 //!
-//! A write of a value whose outcome is unknown may be applied late, after a newer one. So each
-//! write carries the revision that its value must still have, and a value whose revision is in doubt
-//! is retired: its entries move to a new name and the old name is dropped, never to be used again. An
-//! entry is thus always in at least one value that no late write can take it out of.
+//! A write with an unknown outcome may be applied late, after a newer one. Each write therefore
+//! carries the revision that its value must still have, and a value whose revision is in doubt is
+//! retired: its entries move to a new name, and the old name is deleted and never reused. So every
+//! entry is always in at least one value from which no late write can remove it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::Millis;
 
-/// How soon a changed value is to be written.
+/// How soon a changed value is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// When the write interval since its last write is over: nobody waits for it.
+    /// When the write interval since its last write has passed: nothing waits for it.
     #[default]
     Deferred,
-    /// At once.
+    /// Immediately.
     Urgent,
 }
 
-/// One value to write.
+/// A write of one value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShardWrite<K> {
-    /// The value's name under its prefix.
+    /// The name of the value under its prefix.
     pub name: String,
-    /// The revision that it must have, 0 for none; `None`: drop it whatever it is.
+    /// The revision that the value must have, 0 if it must not exist. `None` deletes it at any
+    /// revision.
     pub expect: Option<u64>,
-    /// What is in it; without entries it is dropped.
+    /// The entries of the value; without entries it is deleted.
     pub entries: Vec<K>,
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardOutcome {
-    /// Written, with the revision that the value has now.
+    /// The value was written and now has this revision.
     Committed(u64),
-    /// Surely not written, and never will be.
+    /// The value was not written and never will be.
     NotExecuted,
-    /// May have been written, or may be later.
+    /// The value may have been written, or may still be.
     Unknown,
 }
 
-/// What happens to a stored value that the state service rejected by itself.
+/// How a stored value is handled that the state service rejected when it was written alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectedShard {
-    /// Its entries are stored in smaller values.
+    /// Its entries are split among smaller values.
     Split,
-    /// It has one entry alone, which is not stored at all, so that it blocks no other.
+    /// It has a single entry, which is no longer stored, so that it does not block others.
     Abandoned,
 }
 
 #[derive(Clone, Debug)]
 struct Shard<K> {
-    /// `None`: retired, to be dropped.
+    /// `None` if the shard is retired, to be deleted.
     revision: Option<u64>,
-    /// Entries that must be in another stored value before this one is dropped.
+    /// Entries that must be stored in another value before this one is deleted.
     moving: BTreeSet<K>,
     /// Entries with their sizes in bytes.
     entries: BTreeMap<K, usize>,
@@ -82,24 +83,24 @@
     }
 }
 
-/// The values under one prefix.
+/// The stored values under one prefix.
 #[derive(Clone, Debug)]
 pub struct RecordShards<K> {
     token: u64,
     last_number: u64,
-    /// Bytes of entries in one value at most.
+    /// Maximum bytes of entries in one value.
     max_bytes: usize,
-    /// ms between two writes of a value for which nobody waits.
+    /// Minimum ms between two writes of a value that are not urgent.
     write_interval_ms: Millis,
     shard_of: BTreeMap<K, String>,
     shards: BTreeMap<String, Shard<K>>,
-    /// Values to be written.
+    /// Values that have to be written.
     dirty: BTreeMap<String, Urgency>,
 }
 
 impl<K: Ord + Clone> RecordShards<K> {
-    /// No values yet. The fencing `token` makes the names of new values, which no other leader has;
-    /// each is filled with at most `max_bytes` of entries.
+    /// Creates an empty set of values. The names of new values contain the fencing `token`, so that
+    /// no other leader uses them. Each value is filled with at most `max_bytes` of entries.
     pub fn new(token: u64, max_bytes: usize, write_interval_ms: Millis) -> Self {
         RecordShards {
             token,
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Takes in a stored value, with the size of each entry in bytes. One without entries of use,
-    /// or with an entry that another value has too, is written anew.
+    /// Adds a stored value, with the size of each entry in bytes. If it has no entries, or one that
+    /// another value has too, it is rewritten.
     pub fn load(
         &mut self,
         name: &str,
@@ -137,12 +138,12 @@
         self.shards.insert(name.to_string(), shard);
     }
 
-    /// Takes in a stored value that is to go: its entries move to new values, and it is dropped
-    /// when they are stored there.
+    /// Adds a stored value that is to be replaced: its entries move to new values, and it is
+    /// deleted once they are stored there.
     pub fn load_to_replace(&mut self, name: &str, entries: impl IntoIterator<Item = (K, usize)>) {
         let mut shard = Shard::new(None);
         for (key, bytes) in entries {
-            // Another value has it already.
+            // Another value already has this entry.
             if self.shard_of.contains_key(&key) {
                 continue;
             }
@@ -154,7 +155,7 @@
         self.dirty.insert(name.to_string(), Urgency::Deferred);
     }
 
-    /// Puts an entry of this size in, or marks it as changed.
+    /// Adds an entry of this size, or marks it as changed.
     pub fn put(&mut self, key: K, bytes: usize, urgency: Urgency) {
         let name = match self.shard_of.get(&key) {
             Some(name) => name.clone(),
@@ -164,7 +165,8 @@
         *dirty = urgency.max(*dirty);
     }
 
-    /// Puts a new entry into the first value that has space, or a new one; returns its name.
+    /// Adds a new entry to the first value with enough space, or to a new one. Returns the value's
+    /// name.
     fn assign_shard(&mut self, key: K, bytes: usize) -> String {
         let has_space =
             |shard: &Shard<K>| shard.revision.is_some() && shard.bytes + bytes <= self.max_bytes;
@@ -182,7 +184,7 @@
         name
     }
 
-    /// Takes an entry out; its value is written anew when there is time.
+    /// Removes an entry. Rewriting its value is not urgent.
     pub fn remove(&mut self, key: &K) {
         let Some(name) = self.shard_of.remove(key) else { return };
         if let Some(shard) = self.shards.get_mut(&name) {
@@ -192,7 +194,8 @@
         self.forget_moving(std::slice::from_ref(key));
     }
 
-    /// These entries are stored elsewhere or not needed: what waited for them may be dropped.
+    /// Records that these entries are stored elsewhere or no longer needed, so that values which
+    /// waited for them may be deleted.
     fn forget_moving(&mut self, entries: &[K]) {
         for shard in self.shards.values_mut().filter(|shard| !shard.moving.is_empty()) {
             shard.moving.retain(|key| !entries.contains(key));
@@ -209,13 +212,13 @@
         })
     }
 
-    /// Whether a value is to be written now.
+    /// Whether a value is due to be written.
     pub fn has_due_write(&self, now: Millis) -> bool {
         self.dirty.iter().any(|(name, urgency)| self.is_due(now, name, *urgency))
     }
 
-    /// The next value to write, if there is one that is due: urgent ones first. How the write ended
-    /// must be told by [`Self::write_finished`] or [`Self::write_rejected`].
+    /// Returns the next value that is due to be written, urgent ones first. The caller must report
+    /// the outcome with [`Self::write_finished`] or [`Self::write_rejected`].
     pub fn next_write(&mut self, now: Millis) -> Option<ShardWrite<K>> {
         loop {
             let name = self
@@ -225,7 +228,7 @@
                 .min_by_key(|(_, urgency)| std::cmp::Reverse(**urgency))
                 .map(|(name, _)| name.clone())?;
             self.dirty.remove(&name);
-            // Written under a higher limit than today's.
+            // It was written under a higher size limit.
             let is_too_large =
                 |shard: &Shard<K>| shard.bytes > self.max_bytes && shard.entries.len() > 1;
             if self.shards.get(&name).is_some_and(is_too_large) {
@@ -244,7 +247,7 @@
         }
     }
 
-    /// Takes in how the write of a value ended.
+    /// Records the outcome of a write.
     pub fn write_finished(&mut self, write: &ShardWrite<K>, outcome: ShardOutcome) {
         let name = write.name.as_str();
         if let ShardOutcome::Committed(_) = outcome {
@@ -257,7 +260,7 @@
                 if !write.entries.is_empty() {
                     shard.revision = Some(revision);
                 } else if !shard.entries.is_empty() {
-                    // Dropped while something new was put in.
+                    // Entries were added while it was being deleted.
                     shard.revision = Some(0);
                 } else {
                     self.shards.remove(name);
@@ -272,8 +275,9 @@
         }
     }
 
-    /// The state service rejected a value for its size: its entries are stored in smaller ones from
-    /// now on. A single entry can't be stored, and is taken out.
+    /// Handles the rejection of a value by the state service for its size. Its entries are split
+    /// among smaller values, which lowers the size limit from now on. A single entry can't be
+    /// split, and is removed.
     pub fn write_rejected(&mut self, write: &ShardWrite<K>) -> RejectedShard {
         self.write_finished(write, ShardOutcome::NotExecuted);
         match write.entries.as_slice() {
@@ -291,7 +295,7 @@
         }
     }
 
-    /// Moves a value's entries to others; it is dropped when they are stored there.
+    /// Moves the entries of a value to others, and deletes it once they are stored there.
     fn retire(&mut self, name: &str) {
         let Some(shard) = self.shards.get_mut(name) else { return };
         shard.revision = None;
--- a/crates/latchtrack-core/src/task_run.rs
+++ b/crates/latchtrack-core/src/task_run.rs
@@ -8,85 +8,86 @@
 /// How a task run ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ExitCause {
-    /// The task is done.
+    /// The task completed.
     Done,
-    /// It was told to stop.
+    /// It was stopped on command.
     Stopped,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// Its machine has not enough free capacity for it.
+    /// The machine had too little free capacity for it.
     InsufficientResources,
-    /// Another attempt at the task is on its machine.
+    /// Another attempt at the task was on the machine.
     DuplicateTask,
-    /// Its machine can't find out what the task is.
+    /// The machine could not find out what the task is.
     UnknownTask,
-    /// Another task of its gang was gone.
+    /// Another task of its gang was lost.
     GangPeerLost,
-    /// Its gang was not complete in time.
+    /// The tasks of its gang were not all ready in time.
     GangIncomplete,
-    /// A cause that this version does not know: the run is over, without a result.
+    /// A cause that is unknown to this version. The run has ended without a result.
     Unrecognised,
 }
 
-/// What a machine says of a task run, or `Assigned` while it has said nothing.
+/// The phase that a machine reports for a task run, or `Assigned` before its first report.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TaskPhase {
-    /// Bound to its machine, which has not yet been seen to start it.
+    /// Assigned to a machine that has not been seen to start it.
     Assigned,
-    /// It fetches its image.
+    /// Fetching its image.
     Fetching,
-    /// Of a gang: it waits for the other tasks of its attempt.
+    /// A task of a gang, waiting for the other tasks of its attempt.
     Waiting,
-    /// It runs.
+    /// Executing the task.
     Running,
-    /// It was told to stop, and saves its progress.
+    /// Stopped, and saving its progress.
     Checkpointing,
-    /// A phase that this version does not know: the run is on the machine, and takes capacity.
+    /// A phase that is unknown to this version. The run is on the machine and takes capacity.
     Unrecognised,
-    /// It is over.
+    /// Over, for this cause.
     Ended(ExitCause),
 }
 
-/// That a task run is to stop.
+/// A request to stop a task run.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct StopRequest {
-    /// s in which it may save its progress.
+    /// s that the task is given to save its progress.
     pub grace_s: f64,
-    /// When it was last sent.
+    /// The time at which it was last sent; `None` if it was not sent yet.
     pub sent_at: Option<Millis>,
 }
 
 impl StopRequest {
-    /// To be sent, without time to save progress.
+    /// A request that is yet to be sent and leaves no time to save progress.
     pub const IMMEDIATE: StopRequest = StopRequest { grace_s: 0.0, sent_at: None };
 }
 
 /// One attempt at a task on a machine.
 #[derive(Clone, Debug)]
 pub struct TaskRun {
-    /// The task.
+    /// The task that is attempted.
     pub task: TaskId,
-    /// The number of the attempt.
+    /// The number of the attempt, unique among the attempts at the task.
     pub attempt: u64,
-    /// `None` for a job that is closed or unknown: such a run is stopped.
+    /// The job; `None` if it is closed or unknown, in which case the run is stopped.
     pub spec: Option<Arc<JobSpec>>,
-    /// Where it stands.
+    /// The last known phase.
     pub phase: TaskPhase,
-    /// Set if it is to stop.
+    /// The request to stop it, if there is one.
     pub stop: Option<StopRequest>,
-    /// How often its launch was sent to the machine.
+    /// The number of times its launch was sent to the machine.
     pub launch_sends: u32,
-    /// When its launch was first sent.
+    /// The time at which its launch was first sent.
     pub first_launch_at: Millis,
-    /// A direct call with its launch was never answered: it may still execute while the agent epoch
-    /// and this term's token stand, so the attempt must never be forgotten in this agent epoch.
+    /// Whether a direct call with its launch got no response. The launch may still execute under
+    /// the same agent epoch and this term's token, so the attempt must not be forgotten in this
+    /// agent epoch.
     pub launch_outcome_unknown: bool,
-    /// When it was first seen to run.
+    /// The time at which it was first seen to run.
     pub running_since: Option<Millis>,
 }
 
 impl TaskRun {
-    /// Its launch is sent to the machine.
+    /// Records that its launch is being sent to the machine.
     pub fn record_launch_sent(&mut self, now: Millis) {
         if self.launch_sends == 0 {
             self.first_launch_at = now;
@@ -94,7 +95,7 @@
         self.launch_sends = self.launch_sends.saturating_add(1);
     }
 
-    /// Whether it still takes capacity.
+    /// Whether it still takes capacity on its machine.
     pub fn is_live(&self) -> bool {
         !matches!(self.phase, TaskPhase::Ended(_))
     }
--- a/crates/latchtrack-core/src/worker_messages.rs
+++ b/crates/latchtrack-core/src/worker_messages.rs
@@ -1,89 +1,89 @@
-//! What workers and the leader tell each other: heartbeats and commands.
+//! Messages between workers and the leader: heartbeats and commands.
 
 use crate::job::TaskId;
 use crate::task_run::TaskPhase;
 
-/// What a heartbeat says of one task run.
+/// The status of one task run in a heartbeat.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct TaskStatus {
-    /// The task.
+    /// The task of the run.
     pub task: TaskId,
-    /// The attempt at it.
+    /// The number of the attempt.
     pub attempt: u64,
-    /// Where the run stands.
+    /// The phase of the run.
     pub phase: TaskPhase,
 }
 
-/// What a worker says of its machine.
+/// A report by a worker on its machine.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Heartbeat {
-    /// The machine's name.
+    /// The name of the machine.
     pub machine: String,
-    /// Where the worker takes direct calls.
+    /// The address at which the worker accepts direct calls.
     pub addr: String,
-    /// The machine's type.
+    /// The type of the machine.
     pub machine_type: String,
-    /// The machine's zone.
+    /// The zone of the machine.
     pub zone: String,
-    /// Whether the cloud may preempt it.
+    /// Whether the cloud may preempt the machine.
     pub spot: bool,
-    /// How often the worker's lease has expired.
+    /// The number of times that the worker's lease has expired.
     pub agent_epoch: u64,
     /// The number of this message in its agent epoch.
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     pub token: u64,
-    /// s until the cloud preempts it, if it has said so.
+    /// s until the cloud preempts the machine, if it has announced that.
     pub notice_s: Option<f64>,
-    /// The task runs on it.
+    /// The task runs on the machine.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// Where a message stands among all messages of its worker: later ones are greater.
+/// The position of a message among all messages of its worker. Later messages are greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageNumber {
-    /// How often the worker's lease has expired.
+    /// The number of times that the worker's lease has expired.
     pub agent_epoch: u64,
     /// The number of the message in its agent epoch.
     pub sequence: u64,
 }
 
 impl MessageNumber {
-    /// That of a heartbeat.
+    /// Returns the number of a heartbeat.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         MessageNumber { agent_epoch: heartbeat.agent_epoch, sequence: heartbeat.sequence }
     }
 
-    /// Before all messages of the next agent epoch, and after all of this one.
+    /// Returns the lowest number of the next agent epoch, which follows all messages of this one.
     pub fn next_epoch(self) -> Self {
         MessageNumber { agent_epoch: self.agent_epoch + 1, sequence: 0 }
     }
 }
 
-/// A command to a worker. Each is idempotent.
+/// A command to a worker. All commands are idempotent.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Command {
-    /// Start a task.
+    /// Starts a task.
     Launch {
-        /// The task.
+        /// The task to start.
         task: TaskId,
-        /// The attempt at it.
+        /// The number of the attempt.
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stops a task.
     Stop {
-        /// The task.
+        /// The task to stop.
         task: TaskId,
-        /// The attempt at it.
+        /// The number of the attempt.
         attempt: u64,
-        /// s in which it may save its progress.
+        /// s that the task is given to save its progress.
         grace_s: f64,
     },
-    /// Drop an attempt that has ended from the list of tasks.
+    /// Removes an ended attempt from the worker's list of tasks.
     Forget {
-        /// The task.
+        /// The task of the attempt.
         task: TaskId,
-        /// The attempt at it.
+        /// The number of the attempt.
         attempt: u64,
     },
 }
