--- a/crates/latchtrack-core/src/constants.rs
+++ b/crates/latchtrack-core/src/constants.rs
@@ -152,26 +152,26 @@
 /// Maximum time between two heartbeats of a healthy worker, as a multiple of the heartbeat
 /// interval. Set by the protocol.
 pub const HEARTBEAT_JITTER_FACTOR: f64 = 1.25;
-/// ms beyond that after which a machine is overdue and the other nodes are told, so that they relay
-/// its worker's messages.
+/// ms added to that maximum to get the silence after which a machine is overdue. The other nodes
+/// are then told, so that they relay its worker's messages.
 pub const OVERDUE_MARGIN_MS: Millis = 500;
-/// ms beyond that same gap after which a machine is probed. Allows for a heartbeat in flight or one
-/// lost packet.
+/// ms added to the same maximum to get the silence after which a machine is probed. Allows for a
+/// heartbeat in flight or one lost packet.
 pub const PROBE_MARGIN_MS: Millis = 2_000;
 /// ms after a failover at which an unreconciled machine counts as overdue. It was probed
 /// immediately.
 pub const UNRECONCILED_OVERDUE_MS: Millis = 1_000;
-/// Maximum bytes of names of overdue machines sent to other nodes, once a second: ten thousand
-/// names of usual length, half of a frame between nodes.
+/// Maximum bytes of the names of overdue machines that are sent to other nodes once a second: about
+/// ten thousand names, half of a frame between nodes.
 pub const MAX_OVERDUE_BYTES: usize = 128 * 1024;
 /// Overhead in bytes of a name in a frame.
 pub const OVERDUE_NAME_BYTES: usize = 3;
 /// ms for which a machine is probed before it is given up: two calls of 2.5 s. The default of
 /// `silence_s` adds this to the time until probing begins.
 pub const PROBING_TIMEOUT_MS: Millis = 6_000;
-/// ms for which a new leader waits for an unreconciled machine before giving it up, if two calls
-/// went unanswered as well. A live machine answers the first within a second, and all inherited
-/// jobs wait meanwhile.
+/// ms after which a new leader gives up an unreconciled machine that has also left two calls
+/// unanswered. A live machine answers the first within a second, and all inherited jobs wait
+/// meanwhile.
 pub const RECONCILE_TIMEOUT_MS: Millis = 3_500;
 /// Share of the machines in reachable zones that may be silent. If more are, the fault is taken to
 /// be this node's.
@@ -214,8 +214,8 @@
 /// ms before a machine is probed that has just sent a heartbeat with an older token. Once it has
 /// the current token, it sends another heartbeat within half a second on its own.
 pub const NEW_MACHINE_PROBE_DELAY_MS: Millis = 2_000;
-/// Number of ended attempts on a machine from which they are forgotten even if no other command is
-/// sent. Each change to a worker's list of tasks costs a heartbeat.
+/// Minimum number of ended attempts on a machine for which they are forgotten without another
+/// command to send along. Each change to a worker's list of tasks costs a heartbeat.
 pub const MIN_FORGET_BATCH: usize = 8;
 /// ms before a stop command is sent again for a task that has not ended.
 pub const STOP_RETRY_MS: Millis = 2_000;
@@ -234,8 +234,8 @@
 /// Number of different machines on which a job must fail for the job to be quarantined instead of
 /// the machines.
 pub const JOB_QUARANTINE_MACHINES: usize = 3;
-/// ms added to twice the longest run of a job's failed tasks to get the run time from which a task
-/// counts as healthy: the time between two heartbeats of a machine.
+/// A task counts as healthy once it has run for this many ms more than twice the longest failed run
+/// of its job: the time between two heartbeats of a machine.
 pub const HEALTHY_RUN_MARGIN_MS: Millis = 3_000;
 /// Maximum number of a job's tasks that are searched for a healthy one.
 pub const HEALTHY_RUN_SCAN_LIMIT: usize = 64;
@@ -267,10 +267,10 @@
 pub const MACHINE_SET_WRITE_INTERVAL_MS: Millis = 5_000;
 /// Overhead in bytes of an entry of a stored value, beside its name: quotes, commas and flags.
 pub const ENTRY_BYTES: usize = 24;
-/// Share of the size limit of a stored value that is filled.
+/// Share of the size limit up to which a stored value is filled.
 pub const VALUE_FILL_FACTOR: f64 = 0.9;
-/// Tasks per chunk of results as written by earlier versions, which is still read: one bit per
-/// task, 2 KiB, less than 3 KiB as text. The text alone exceeds a limit of 2 KiB.
+/// Tasks per chunk of results as written by earlier versions and still read: one bit per task, 2
+/// KiB, less than 3 KiB as text. The text alone exceeds a limit of 2 KiB.
 pub const LEGACY_CHUNK_TASKS: u32 = 16_384;
 /// Tasks per chunk of results: 0.7 KiB as text, which fits the smallest limit, 1 KiB.
 pub const CHUNK_TASKS: u32 = 4_096;
@@ -284,8 +284,8 @@
 pub const BALANCE_INTERVAL_MS: Millis = 1_000;
 /// ms between two log lines that summarize the balance of the cluster.
 pub const BALANCE_LOG_INTERVAL_MS: Millis = 60_000;
-/// Share of the CPUs that are up above which the demand of jobs without capacity suspends moves. A
-/// few jobs that wait for a boot are no overload.
+/// No moves begin while jobs without capacity demand more than this share of the CPUs that are up.
+/// A few jobs that wait for a boot are no overload.
 pub const OVERLOAD_SHARE: f64 = 0.1;
 /// ms after a failover during which no moves begin. Until then a leader knows neither how long
 /// tasks have run nor which machines are healthy.
--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -99,8 +99,8 @@
     pub priority: Priority,
     /// The number of tasks.
     pub tasks: u32,
-    /// Whether the job is a gang, whose tasks all run at the same time. The tasks of any other job
-    /// are independent of each other.
+    /// Whether the job is a gang, whose tasks run all at the same time or not at all. The tasks of
+    /// any other job are independent of each other.
     pub gang: bool,
     /// The resources that one task needs.
     pub demand: Resources,
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Whether `interval_ms` have passed since `last`, which is then set to `now`.
+/// Returns whether `interval_ms` have passed since `last`, and if so sets `last` to `now`.
 fn begin_interval(last: &mut Option<Millis>, now: Millis, interval_ms: Millis) -> bool {
     if last.is_some_and(|at| now < at + interval_ms) {
         return false;
--- a/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
@@ -15,7 +15,7 @@
 /// A summary of the balance of the cluster, for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BalanceSummary {
-    /// The spread of the pool whose spread is greatest.
+    /// The spread of the least balanced pool.
     pub spread: Spread,
     /// The number of machines above the bound of their pool.
     pub over_bound: usize,
