--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -10,9 +10,9 @@
 pub struct FreeCapacity {
     /// The name of the machine; `None` if it has only been requested.
     pub machine: Option<Arc<str>>,
-    /// The machine type.
+    /// The name of the machine type.
     pub machine_type: Arc<str>,
-    /// The zone.
+    /// The zone of the machine.
     pub zone: Arc<str>,
     /// Whether it is a spot machine, which the cloud may preempt.
     pub spot: bool,
--- a/crates/latchtrack-core/src/placement/offers.rs
+++ b/crates/latchtrack-core/src/placement/offers.rs
@@ -13,9 +13,9 @@
 /// A kind of machine that may be provisioned: its type, its zone, and whether it is spot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
-    /// The machine type.
+    /// The name of the machine type.
     pub machine_type: String,
-    /// The zone.
+    /// The zone in which it is provisioned.
     pub zone: String,
     /// Whether it is a spot machine, which the cloud may preempt.
     pub spot: bool,
