--- a/crates/latchtrack-core/src/scheduler/gangs.rs
+++ b/crates/latchtrack-core/src/scheduler/gangs.rs
@@ -140,7 +140,7 @@
     /// Ends attempts of which tasks are missing: those that an earlier leader did not bring to a
     /// start, once all that may be on machines is known; and what was left fetching of those that
     /// have ended.
-    pub(super) fn end_broken_gang_attempts(&mut self, now: Millis) {
+    pub(super) fn end_incomplete_gang_attempts(&mut self, now: Millis) {
         for BrokenAttempt { job, mut attempts, fetches } in self.broken_attempts(now) {
             attempts.dedup();
             for attempt in attempts {
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -155,11 +155,11 @@
     pub(super) fn balance_load(&mut self, now: Millis) {
         self.advance_moves(now);
         let policy = self.policy.balance;
-        if !policy.observes() && !policy.teams {
+        if !policy.observes_loads() && !policy.teams {
             return;
         }
         self.log_balance_summary(now);
-        if !policy.observes() || !self.load_balancing.begin_observation(now) {
+        if !policy.observes_loads() || !self.load_balancing.begin_observation(now) {
             return;
         }
         let input = self.plan_input(now);
@@ -173,7 +173,8 @@
     /// Whether moves may begin: the leader knows its machines, no zone is unreachable, and no jobs
     /// wait for much of the cluster.
     fn new_moves(&self, now: Millis) -> NewMoves {
-        let is_calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
+        let is_calm = now
+            >= self.term_started_at.saturating_add(self.policy.balance.moves_delay_ms)
             && self.failure_detector.has_listened_for(now, self.policy.probe_ms());
         let may_begin = is_calm
             && self.all_reconciled()
--- a/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
@@ -33,7 +33,7 @@
     /// The balance of the cluster; None while all of load balancing is switched off.
     pub fn balance_summary(&self) -> Option<BalanceSummary> {
         let policy = &self.policy.balance;
-        if !policy.observes() && !policy.teams {
+        if !policy.observes_loads() && !policy.teams {
             return None;
         }
         let balancer = &self.load_balancing.balancer;
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -238,7 +238,7 @@
         self.request_machine_list(now);
         self.detect_failures(now);
         self.stop_preempted_tasks(now);
-        self.end_broken_gang_attempts(now);
+        self.end_incomplete_gang_attempts(now);
         self.track_boots(now);
         self.terminate_idle_machines(now);
         self.detect_ignored_launches(now);
--- a/crates/latchtrack-core/src/scheduler/policy.rs
+++ b/crates/latchtrack-core/src/scheduler/policy.rs
@@ -68,7 +68,7 @@
     /// How often and how soon tasks move.
     pub limits: MoveLimits,
     /// ms after a failover in which nothing moves.
-    pub calm_ms: Millis,
+    pub moves_delay_ms: Millis,
 }
 
 impl Default for BalancePolicy {
@@ -78,14 +78,14 @@
             teams: false,
             moves: false,
             limits: MoveLimits::default(),
-            calm_ms: MOVES_DELAY_AFTER_FAILOVER_MS,
+            moves_delay_ms: MOVES_DELAY_AFTER_FAILOVER_MS,
         }
     }
 }
 
 impl BalancePolicy {
     /// Whether the loads of machines have to be observed.
-    pub(super) fn observes(&self) -> bool {
+    pub(super) fn observes_loads(&self) -> bool {
         self.placement || self.moves
     }
 }
@@ -152,7 +152,7 @@
     /// This many ms after it.
     Within(Millis),
     /// This many times its own deadline after it; a job without a deadline is not due.
-    Times(f64),
+    DeadlineMultiple(f64),
 }
 
 /// A team with its quota: a guarantee and a limit of each resource; 0 is none.
--- a/crates/latchtrack-core/src/scheduler/queue_order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue_order.rs
@@ -138,7 +138,9 @@
             .filter(|objective| objective.class == job.spec.class)
             .filter_map(|objective| match objective.due {
                 Due::Within(ms) => Some(ms),
-                Due::Times(factor) => deadline_ms.map(|ms| (ms as f64 * factor) as Millis),
+                Due::DeadlineMultiple(factor) => {
+                    deadline_ms.map(|ms| (ms as f64 * factor) as Millis)
+                }
             })
             .chain(deadline_ms)
             .collect()
--- a/crates/latchtrack-core/tests/load_balancing/fixtures.rs
+++ b/crates/latchtrack-core/tests/load_balancing/fixtures.rs
@@ -21,8 +21,12 @@
 };
 
 pub fn moves_enabled() -> Policy {
-    let balance =
-        BalancePolicy { moves: true, limits: LIMITS, calm_ms: 1_000, ..BalancePolicy::default() };
+    let balance = BalancePolicy {
+        moves: true,
+        limits: LIMITS,
+        moves_delay_ms: 1_000,
+        ..BalancePolicy::default()
+    };
     Policy { on_demand_idle_timeout_ms: 600_000, balance, ..policy() }
 }
 
--- a/crates/latchtrack-core/tests/load_balancing/selection.rs
+++ b/crates/latchtrack-core/tests/load_balancing/selection.rs
@@ -73,7 +73,7 @@
     site.submit(JobSpec { demand: large, zone: Some("a".into()), ..checkpointing_array(3, 1) });
     run_for(&mut site, 20_000);
     assert_eq!(site.stops, [], "overload");
-    let balance = BalancePolicy { calm_ms: 30_000, ..moves_enabled().balance };
+    let balance = BalancePolicy { moves_delay_ms: 30_000, ..moves_enabled().balance };
     let mut site = site_with_crowded_machine(Policy { balance, ..moves_enabled() });
     run_for(&mut site, 28_000);
     assert_eq!(site.stops, [], "after a failover");
--- a/crates/latchtrack-core/tests/simulation/world/leadership.rs
+++ b/crates/latchtrack-core/tests/simulation/world/leadership.rs
@@ -40,7 +40,7 @@
             moves_per_minute: MOVES_PER_MINUTE,
             worth_factor: 0.2,
         };
-        BalancePolicy { placement: true, teams: true, moves: true, limits, calm_ms: 1_000 }
+        BalancePolicy { placement: true, teams: true, moves: true, limits, moves_delay_ms: 1_000 }
     }
 
     /// The policy of a leader of this token.
--- a/crates/latchtrack/src/settings/platform.rs
+++ b/crates/latchtrack/src/settings/platform.rs
@@ -114,7 +114,7 @@
     pub(super) fn completion_objective(&self) -> Option<CompletionObjective> {
         let due = match (self.kind.as_str(), self.within_s, self.times) {
             ("finished", Some(s), _) if s > 0.0 => Due::Within((s * 1000.0) as u64),
-            ("deadline", _, Some(t)) if t > 0.0 => Due::Times(t),
+            ("deadline", _, Some(t)) if t > 0.0 => Due::DeadlineMultiple(t),
             _ => return None,
         };
         Some(CompletionObjective { class: self.class.clone(), due })
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -99,7 +99,7 @@
             teams: self.teams,
             moves: self.moves,
             limits,
-            calm_ms: ms(self.calm_s),
+            moves_delay_ms: ms(self.calm_s),
         }
     }
 }
