--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -239,10 +239,10 @@
         let share = (self.inventory.len() as f64 * MIN_MISSING_SHARE) as usize;
         let changes = self.boot_tracker.judge(counts, MIN_BOOT_SAMPLES.max(share));
         for MachinePool { machine_type, zone } in changes.began {
-            self.out.push(Effect::Log(LogEvent::BootsLate { machine_type, zone }));
+            self.effects.push(Effect::Log(LogEvent::BootsLate { machine_type, zone }));
         }
         for MachinePool { machine_type, zone } in changes.ended {
-            self.out.push(Effect::Log(LogEvent::BootsRecovered { machine_type, zone }));
+            self.effects.push(Effect::Log(LogEvent::BootsRecovered { machine_type, zone }));
         }
     }
 
@@ -296,7 +296,7 @@
             if let Some(machine) = self.inventory.get_mut(&name) {
                 machine.to_terminate = true;
             }
-            self.out.push(Effect::Log(LogEvent::MachineNeverJoined { machine: name }));
+            self.effects.push(Effect::Log(LogEvent::MachineNeverJoined { machine: name }));
         }
     }
 
@@ -307,12 +307,12 @@
 
     /// How many machines are not up though they should be.
     pub(super) fn late_boots(&self, now: Millis) -> usize {
-        let is_late = |machine: &&Machine| is_booting(machine) && self.is_late(now, machine);
+        let is_late = |machine: &&Machine| is_booting(machine) && self.is_boot_late(now, machine);
         self.inventory.iter().filter(is_late).count()
     }
 
     /// Whether a machine that is not up is too old to be counted on.
-    pub(super) fn is_late(&self, now: Millis, machine: &Machine) -> bool {
+    pub(super) fn is_boot_late(&self, now: Millis, machine: &Machine) -> bool {
         let limit_ms = self.boot_limit_ms(&machine.machine_type, BOOT_LATE_FACTOR);
         let typical_ms = self.boot_tracker.typical_boot_ms(machine);
         now.saturating_sub(machine.provisioned_at)
--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -133,7 +133,7 @@
         let uses = self.team_uses(now);
         let Some(allotments) = self.quota.allotments.as_mut() else { return };
         let writes = allotments.step(now, &uses);
-        self.out.extend(writes.into_iter().map(Effect::WriteLedger));
+        self.effects.extend(writes.into_iter().map(Effect::WriteLedger));
         self.log_quota_notices();
     }
 
@@ -147,7 +147,7 @@
         if !notices.is_empty() {
             self.cycle_timer.request();
         }
-        self.out.extend(notices.into_iter().map(|notice| Effect::Log(LogEvent::Quota(notice))));
+        self.effects.extend(notices.into_iter().map(|notice| Effect::Log(LogEvent::Quota(notice))));
     }
 
     /// What each team uses and waits for in this cell.
--- a/crates/latchtrack-core/src/scheduler/direct_calls.rs
+++ b/crates/latchtrack-core/src/scheduler/direct_calls.rs
@@ -77,7 +77,7 @@
         let kind = if commands.is_empty() { CallKind::Probe } else { CallKind::Commands };
         let call = self.dispatcher.open_call(kind);
         machine.open_call = Some(call);
-        self.out.push(Effect::CallWorker {
+        self.effects.push(Effect::CallWorker {
             machine: machine.name.to_string(),
             addr,
             agent_epoch: machine.latest_message.agent_epoch.max(1),
@@ -111,7 +111,7 @@
             CallOutcome::Rejected(heartbeat) => {
                 self.failure_detector.worker_reached_directly();
                 if heartbeat.token > self.token {
-                    self.out.push(Effect::Resign(ResignReason::HigherToken));
+                    self.effects.push(Effect::Resign(ResignReason::HigherToken));
                     return;
                 }
                 // Not executed: its launches are sent again with the next response.
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -69,7 +69,7 @@
         job.is_quarantined = true;
         job.unschedulable_since = None;
         let failed_machines = job.failed_on.len();
-        self.out.push(Effect::Log(LogEvent::JobQuarantined { job: id, failed_machines }));
+        self.effects.push(Effect::Log(LogEvent::JobQuarantined { job: id, failed_machines }));
         for name in job.failed_on.keys() {
             let Some(machine) = self.inventory.get_mut(name) else { continue };
             machine.failed_jobs.remove(&id);
@@ -88,7 +88,7 @@
         if !std::mem::take(&mut job.is_quarantined) {
             return;
         }
-        self.out.push(Effect::Log(LogEvent::JobRestored { job: id }));
+        self.effects.push(Effect::Log(LogEvent::JobRestored { job: id }));
         let names: Vec<String> = job.failed_on.keys().cloned().collect();
         for name in names {
             self.blame_machine(now, &name, id);
@@ -104,7 +104,8 @@
         machine.quarantined_until = now + MACHINE_PROBATION_MS;
         if machine.failed_jobs.len() >= MACHINE_QUARANTINE_JOBS && !machine.to_terminate {
             machine.to_terminate = true;
-            self.out.push(Effect::Log(LogEvent::MachineFailsJobs { machine: name.to_string() }));
+            let machine = name.to_string();
+            self.effects.push(Effect::Log(LogEvent::MachineFailsJobs { machine }));
         }
     }
 
--- a/crates/latchtrack-core/src/scheduler/failure_detector.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_detector.rs
@@ -221,10 +221,10 @@
         let zones = machines.len();
         let changes = self.failure_detector.judge_zones(now, machines);
         for zone in changes.lost {
-            self.out.push(Effect::Log(LogEvent::ZoneUnreachable { zone }));
+            self.effects.push(Effect::Log(LogEvent::ZoneUnreachable { zone }));
         }
         for zone in changes.recovered {
-            self.out.push(Effect::Log(LogEvent::ZoneReachable { zone }));
+            self.effects.push(Effect::Log(LogEvent::ZoneReachable { zone }));
         }
         // A machine heard in this term shows that this node was heard once. A new leader that hears
         // none must not resign: the next would do the same for ever, and none would reconcile them.
@@ -232,7 +232,7 @@
             && self.failure_detector.unreachable_zones.len() == zones
             && self.inventory.iter().any(Machine::is_up)
         {
-            self.out.push(Effect::Resign(ResignReason::NoZoneReachable));
+            self.effects.push(Effect::Resign(ResignReason::NoZoneReachable));
         }
     }
 
@@ -240,7 +240,7 @@
     /// heartbeat of each machine, and another node can call the workers.
     fn resign_if_isolated(&mut self, now: Millis) {
         if self.failure_detector.hears_relayed_only_for(now, self.policy.probe_ms()) {
-            self.out.push(Effect::Resign(ResignReason::HeartbeatsOnlyRelayed));
+            self.effects.push(Effect::Resign(ResignReason::HeartbeatsOnlyRelayed));
         }
     }
 
@@ -260,7 +260,7 @@
             if let Some(machine) = self.inventory.get_mut(&name) {
                 machine.to_terminate = true;
                 let event = LogEvent::MachineUnreachable { machine: name, silent_ms };
-                self.out.push(Effect::Log(event));
+                self.effects.push(Effect::Log(event));
             }
         }
     }
@@ -314,7 +314,7 @@
             let runs = std::mem::take(&mut machine.runs);
             let event =
                 LogEvent::WorkerLeaseExpired { machine: name.clone(), task_runs: runs.len() };
-            self.out.push(Effect::Log(event));
+            self.effects.push(Effect::Log(event));
             for run in runs.values() {
                 self.release_run(now, &name, run);
             }
@@ -335,7 +335,7 @@
             self.cycle_timer.request();
             let machine = machine.name.to_string();
             let event = LogEvent::UnreconciledMachineExpired { machine, term_ms };
-            self.out.push(Effect::Log(event));
+            self.effects.push(Effect::Log(event));
         }
     }
 
@@ -352,7 +352,7 @@
             if ignores_launches {
                 machine.to_terminate = true;
                 let machine = machine.name.to_string();
-                self.out.push(Effect::Log(LogEvent::LaunchesIgnored { machine }));
+                self.effects.push(Effect::Log(LogEvent::LaunchesIgnored { machine }));
             }
         }
     }
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -47,7 +47,7 @@
             return !is_excluded;
         }
         // One that boots in an unreachable zone, or is late, will not be of use soon.
-        !self.failure_detector.is_unreachable(&machine.zone) && !self.is_late(now, machine)
+        !self.failure_detector.is_unreachable(&machine.zone) && !self.is_boot_late(now, machine)
     }
 
     /// The free capacities of all machines, up or pending, and what those that are up have in all.
--- a/crates/latchtrack-core/src/scheduler/heartbeats.rs
+++ b/crates/latchtrack-core/src/scheduler/heartbeats.rs
@@ -26,7 +26,7 @@
     /// Takes in a heartbeat, and responds to it.
     pub(super) fn on_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         if heartbeat.token > self.token {
-            self.out.push(Effect::Resign(ResignReason::HigherToken));
+            self.effects.push(Effect::Resign(ResignReason::HigherToken));
             return;
         }
         if !self.inventory.was_terminated(&heartbeat.machine) {
@@ -37,7 +37,7 @@
                 }
                 self.backfill(now, &heartbeat.machine);
                 let commands = self.heartbeat_response(now, &heartbeat.machine);
-                self.out.push(Effect::Respond(commands));
+                self.effects.push(Effect::Respond(commands));
                 self.dispatch(now, Some(&heartbeat.machine));
                 return;
             }
@@ -45,7 +45,7 @@
         // Stale, or of a machine that has yet to see this term's token: it sees it with this
         // response, and sends another heartbeat at once. A late copy gets the same response, which
         // nobody reads.
-        self.out.push(Effect::Respond(Vec::new()));
+        self.effects.push(Effect::Respond(Vec::new()));
     }
 
     /// Registers a machine that the scheduler does not know: a provision request that was executed
@@ -58,7 +58,7 @@
         }
         let Heartbeat { machine, machine_type, zone, spot, .. } = heartbeat;
         self.inventory.insert(Machine::new(machine, machine_type, zone, *spot, now));
-        self.out.push(Effect::Log(LogEvent::MachineAdopted {
+        self.effects.push(Effect::Log(LogEvent::MachineAdopted {
             machine: machine.clone(),
             source: AdoptionSource::Heartbeat,
         }));
@@ -121,7 +121,7 @@
         if runs.is_empty() {
             return;
         }
-        self.out.push(Effect::Log(LogEvent::AgentEpochAdvanced {
+        self.effects.push(Effect::Log(LogEvent::AgentEpochAdvanced {
             machine: name.to_string(),
             task_runs: runs.len(),
         }));
@@ -182,7 +182,7 @@
                 }
             }
             TaskPhase::Unrecognised => {
-                self.out.push(Effect::Log(LogEvent::UnrecognisedPhase {
+                self.effects.push(Effect::Log(LogEvent::UnrecognisedPhase {
                     machine: name.to_string(),
                     task: status.task,
                 }));
--- a/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
@@ -55,26 +55,26 @@
             return;
         }
         let Some(summary) = self.balance_summary() else { return };
-        self.out.push(Effect::Log(LogEvent::Balance(Box::new(summary))));
+        self.effects.push(Effect::Log(LogEvent::Balance(Box::new(summary))));
     }
 
     /// Logs that a move begins.
     pub(super) fn log_move_begun(&mut self, begun: &Move) {
         let description = describe_move(begun);
-        self.out.push(Effect::Log(LogEvent::MoveStarted { description }));
+        self.effects.push(Effect::Log(LogEvent::MoveStarted { description }));
     }
 
     /// Logs that a move is over, with its last stage.
     pub(super) fn log_move_over(&mut self, unit: MoveUnit, stage: MoveStage) {
         let unit = describe_unit(unit);
-        self.out.push(Effect::Log(LogEvent::MoveEnded { unit, stage }));
+        self.effects.push(Effect::Log(LogEvent::MoveEnded { unit, stage }));
     }
 
     /// Logs a machine type whose machines have invalid amounts, once in a term.
     pub(super) fn log_invalid_type(&mut self, machine_type: String, used: &Resources) {
         if self.load_balancing.invalid_types.insert(machine_type.clone()) {
             let used = *used;
-            self.out.push(Effect::Log(LogEvent::InvalidLoad { machine_type, used }));
+            self.effects.push(Effect::Log(LogEvent::InvalidLoad { machine_type, used }));
         }
     }
 }
--- a/crates/latchtrack-core/src/scheduler/machine_list.rs
+++ b/crates/latchtrack-core/src/scheduler/machine_list.rs
@@ -20,7 +20,7 @@
             .any(|machine| !machine.to_terminate && machine.presumed_lost(now, probe_ms));
         let interval_ms = if any_silent { LIST_INTERVAL_WHILE_SILENT_MS } else { LIST_INTERVAL_MS };
         if self.provisioning.start_list_if_due(now, interval_ms) {
-            self.out.push(Effect::ListMachines);
+            self.effects.push(Effect::ListMachines);
         }
     }
 
@@ -43,7 +43,7 @@
         machine.listed_as_running |= listed.running;
         if listed.failed && !machine.to_terminate {
             machine.to_terminate = true;
-            self.out.push(Effect::Log(LogEvent::MachineFailed { machine: listed.name }));
+            self.effects.push(Effect::Log(LogEvent::MachineFailed { machine: listed.name }));
         }
     }
 
@@ -56,7 +56,7 @@
         machine.listed_as_running = listed.running;
         self.inventory.insert(machine);
         self.cycle_timer.request();
-        self.out.push(Effect::Log(LogEvent::MachineAdopted {
+        self.effects.push(Effect::Log(LogEvent::MachineAdopted {
             machine: listed.name,
             source: AdoptionSource::CloudList,
         }));
@@ -80,7 +80,7 @@
             if must_be_listed && is_silent && !names.contains(&*machine.name) {
                 machine.to_terminate = true;
                 let machine = machine.name.to_string();
-                self.out.push(Effect::Log(LogEvent::MachineUnlisted { machine }));
+                self.effects.push(Effect::Log(LogEvent::MachineUnlisted { machine }));
             }
         }
     }
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -106,7 +106,7 @@
     cycle_timer: CycleTimer,
     load_balancing: LoadBalancing,
     /// The effects of the event at hand.
-    out: Vec<Effect>,
+    effects: Vec<Effect>,
 }
 
 impl Scheduler {
@@ -150,7 +150,7 @@
             cycle_timer: CycleTimer::default(),
             load_balancing: LoadBalancing::new(policy.balance.limits),
             policy,
-            out: Vec::new(),
+            effects: Vec::new(),
         }
     }
 
@@ -226,9 +226,9 @@
             Event::Tick => self.on_tick(now),
         }
         if self.persistence.has_due_write(now) {
-            self.out.push(Effect::WritesReady);
+            self.effects.push(Effect::WritesReady);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
     /// The steps of a tick, in their order.
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -301,7 +301,7 @@
 
     fn on_shard_rejected(&mut self, write: &RecordWrite) {
         if let Some((shard, action)) = self.persistence.split_rejected_shard(write) {
-            self.out.push(Effect::Log(LogEvent::RecordShardRejected { shard, action }));
+            self.effects.push(Effect::Log(LogEvent::RecordShardRejected { shard, action }));
         }
     }
 
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -110,7 +110,7 @@
             ProvisionOutcome::Unknown => {
                 // The id must not be used for anything else, and may have provisioned machines:
                 // asked again under it, the cloud names them or provisions them now.
-                self.out.push(Effect::Provision {
+                self.effects.push(Effect::Provision {
                     request_id: request_id.to_string(),
                     offer: request.offer.clone(),
                     number: request.number,
@@ -171,7 +171,7 @@
         cycle.add_pending(&pending_capacity(&offer, &machine_type), number);
         let request = ProvisionRequest { offer: offer.clone(), number };
         let request_id = self.provisioning.open_request(request);
-        self.out.push(Effect::Provision { request_id, offer, number });
+        self.effects.push(Effect::Provision { request_id, offer, number });
         place_on_pending(spec, only, tasks, cycle)
     }
 
--- a/crates/latchtrack-core/src/scheduler/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/summary.rs
@@ -109,7 +109,7 @@
     }
 
     /// Machines whose heartbeats are overdue: their workers may be able to reach another node.
-    pub fn overdue(&self, now: Millis) -> Vec<String> {
+    pub fn overdue_machines(&self, now: Millis) -> Vec<String> {
         let mut bytes = 0;
         self.inventory
             .iter()
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -223,7 +223,7 @@
         }
         let age = now.saturating_sub(job.submitted_at);
         if age > STARVATION_MS && job.never_started() {
-            self.out.push(Effect::Log(LogEvent::StarvingJobStarted { job: id, age_ms: age }));
+            self.effects.push(Effect::Log(LogEvent::StarvingJobStarted { job: id, age_ms: age }));
         }
         let tasks = job.take(count);
         self.assign_tasks(id, spec, machine, &tasks);
--- a/crates/latchtrack-core/src/scheduler/task_runs.rs
+++ b/crates/latchtrack-core/src/scheduler/task_runs.rs
@@ -46,7 +46,7 @@
             // Neither the machine's fault nor the job's.
             ExitCause::Stopped | ExitCause::GangPeerLost => {}
             ExitCause::Unrecognised => {
-                self.out.push(Effect::Log(LogEvent::UnrecognisedExitCause {
+                self.effects.push(Effect::Log(LogEvent::UnrecognisedExitCause {
                     machine: machine.to_string(),
                     task: run.task,
                 }));
@@ -88,7 +88,7 @@
         } else if !machine.is_slow() {
             machine.slow_votes += 1;
             if machine.is_slow() {
-                self.out.push(Effect::Log(LogEvent::MachineSlow { machine: name.to_string() }));
+                self.effects.push(Effect::Log(LogEvent::MachineSlow { machine: name.to_string() }));
             }
         }
     }
--- a/crates/latchtrack-core/src/scheduler/termination.rs
+++ b/crates/latchtrack-core/src/scheduler/termination.rs
@@ -103,7 +103,7 @@
             }
         }
         if !terminated.is_empty() {
-            self.out.push(Effect::Terminate(terminated));
+            self.effects.push(Effect::Terminate(terminated));
         }
     }
 }
--- a/crates/latchtrack-core/tests/failure_detection.rs
+++ b/crates/latchtrack-core/tests/failure_detection.rs
@@ -78,7 +78,7 @@
 fn a_leader_names_all_machines_of_a_large_fleet_that_it_misses() {
     let machines = 6_000;
     let scheduler = busy_fleet(machines);
-    assert_eq!(scheduler.overdue(60_000).len(), machines as usize);
+    assert_eq!(scheduler.overdue_machines(60_000).len(), machines as usize);
     // Names of a length that no cloud has are bounded by their bytes, so that the frame goes
     // through.
     let long = |i: u64| StoredMachine {
@@ -91,7 +91,7 @@
     let machines = Some((0..machines).map(long).collect());
     let stored = vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }];
     let scheduler = Scheduler::new(policy(), TERM, types(), stored, Vec::new(), 1_000);
-    let overdue = scheduler.overdue(60_000);
+    let overdue = scheduler.overdue_machines(60_000);
     let bytes: usize = overdue.iter().map(String::len).sum();
     assert!(overdue.len() > 500 && bytes <= 128 * 1024, "{} names, {bytes} bytes", overdue.len());
 }
@@ -101,15 +101,15 @@
 #[test]
 fn overdue_machines_are_named_long_before_they_are_given_up() {
     let mut scheduler = busy_fleet(6);
-    assert_eq!(scheduler.overdue(4_000), Vec::<String>::new(), "between two heartbeats");
-    assert_eq!(scheduler.overdue(5_300).len(), 6);
+    assert_eq!(scheduler.overdue_machines(4_000), Vec::<String>::new(), "between two heartbeats");
+    assert_eq!(scheduler.overdue_machines(5_300).len(), 6);
     // One is relayed in time and stays; the others are given up only after the limit.
     for step in 1..80 {
         let now = 5_000 + step * 200;
         if step % 15 == 1 {
             let tasks = scheduler.machines()[&name(0)].runs.values().map(status_of).collect();
             scheduler.handle(now, Event::Heartbeat(heartbeat(0, 1 + step, 7, tasks)));
-            assert!(!scheduler.overdue(now).contains(&name(0)));
+            assert!(!scheduler.overdue_machines(now).contains(&name(0)));
         }
         let gone = terminated(&scheduler.handle(now, Event::Tick));
         assert!(!gone.contains(&name(0)) && (gone.is_empty() || now >= 13_000));
--- a/crates/latchtrack-core/tests/simulation/world/effects.rs
+++ b/crates/latchtrack-core/tests/simulation/world/effects.rs
@@ -89,7 +89,7 @@
         if is_tick {
             let runs = scheduler.machines().values().map(|machine| machine.runs.len()).sum();
             stats.most_runs = stats.most_runs.max(runs);
-            stats.most_overdue = stats.most_overdue.max(scheduler.overdue(now).len());
+            stats.most_overdue = stats.most_overdue.max(scheduler.overdue_machines(now).len());
             let open = self.jobs.values().filter(|job| job.is_open()).count();
             let known = scheduler.jobs().len();
             stats.most_jobs = stats.most_jobs.max(super::JobCounts { known, open });
--- a/crates/latchtrack/src/actors/scheduler_driver/mod.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/mod.rs
@@ -146,7 +146,7 @@
         };
         let jobs = counts.iter().map(on_wire).collect();
         self.cache.do_send(UpdateTaskCounts(counts));
-        let (token, overdue) = (scheduler.token(), scheduler.overdue(now));
+        let (token, overdue) = (scheduler.token(), scheduler.overdue_machines(now));
         self.peers.do_send(BroadcastFrame(Frame::Progress { token, jobs, overdue }));
         tracing::debug!(token, summary = ?scheduler.summary(now), "scheduler summary");
     }
