--- a/crates/latchtrack/src/actors/admission/cancel.rs
+++ b/crates/latchtrack/src/actors/admission/cancel.rs
@@ -41,7 +41,7 @@
                 return CancelOutcome::Cancelled;
             }
             // The record has changed, or this write may have been applied: read it again.
-            Ok(_) | Err(StoreError::Unknown) => {}
+            Ok(_) | Err(StoreError::OutcomeUnknown) => {}
             Err(_) => return CancelOutcome::Busy,
         }
     }
--- a/crates/latchtrack/src/actors/admission/mod.rs
+++ b/crates/latchtrack/src/actors/admission/mod.rs
@@ -173,7 +173,7 @@
                     let _ = answer.send(SubmitOutcome::Created);
                 }
             }
-            Ok(Reply::Failed(keys)) => {
+            Ok(Reply::Conflict(keys)) => {
                 for queued in batch.into_iter().rev() {
                     if keys.contains(&job_key(queued.id)) {
                         let _ = queued.answer.send(SubmitOutcome::Exists);
--- a/crates/latchtrack/src/actors/election/campaign.rs
+++ b/crates/latchtrack/src/actors/election/campaign.rs
@@ -64,7 +64,7 @@
             let valid_until = lease_valid_until(ttl_ms, sent_at);
             CampaignOutcome::Won(HeldTerm { token, lease, valid_until })
         }
-        Err(StoreError::Unknown) => CampaignOutcome::Unknown { lease },
+        Err(StoreError::OutcomeUnknown) => CampaignOutcome::Unknown { lease },
         Ok(_) | Err(_) => {
             // If this fails, the unused lease expires by itself.
             let _ = request(store, RequestClass::Progress, StoreRequest::End { lease }).await;
--- a/crates/latchtrack/src/actors/election/cell.rs
+++ b/crates/latchtrack/src/actors/election/cell.rs
@@ -34,7 +34,7 @@
 
 impl Cell {
     /// The cell of these settings, if they name one.
-    pub fn of(settings: &Settings) -> Option<Cell> {
+    pub fn from_settings(settings: &Settings) -> Option<Cell> {
         let quota = settings.tuning.quota.as_ref()?;
         let record = CellRecord {
             cloud: settings.platform.services.cloud.to_string(),
@@ -52,7 +52,7 @@
             store::request(store, RequestClass::Lease, get, ELECTION_REQUEST_WAIT_MS).await;
         let item = match answer {
             Ok(StoreAnswer { reply: Reply::Item(item), .. }) => item,
-            Ok(_) => return Err(StoreError::Unknown.into()),
+            Ok(_) => return Err(StoreError::OutcomeUnknown.into()),
             Err(StoreError::NotFound) => return Ok(0),
             Err(error) => return Err(error.into()),
         };
--- a/crates/latchtrack/src/actors/messages/scheduler.rs
+++ b/crates/latchtrack/src/actors/messages/scheduler.rs
@@ -75,7 +75,7 @@
         commands: Vec<Command>,
     },
     /// Another node leads: this one, if it is known.
-    LeaderElsewhere(Option<String>),
+    NotLeader(Option<String>),
     /// This node leads, but the worker did not reach it: the heartbeat is to be forwarded.
     ForwardTo(String),
     /// This node leads but may not act now.
--- a/crates/latchtrack/src/actors/messages/store.rs
+++ b/crates/latchtrack/src/actors/messages/store.rs
@@ -97,7 +97,7 @@
     /// The revision of a transaction that took effect.
     Applied(u64),
     /// Keys whose conditions did not hold.
-    Failed(Vec<String>),
+    Conflict(Vec<String>),
     /// A granted lease.
     Lease(u64),
     /// Done, with nothing to tell.
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -161,7 +161,7 @@
 fn write_outcome(result: Result<StoreAnswer, StoreError>) -> WriteOutcome {
     match result.map(|answer| answer.reply) {
         Ok(Reply::Applied(revision)) => WriteOutcome::Stored(revision),
-        Ok(Reply::Failed(_)) | Err(StoreError::NotExecuted(_) | StoreError::Refused(_)) => {
+        Ok(Reply::Conflict(_)) | Err(StoreError::NotExecuted(_) | StoreError::Refused(_)) => {
             WriteOutcome::NotStored
         }
         Ok(_) | Err(_) => WriteOutcome::Unknown,
--- a/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
@@ -45,7 +45,7 @@
             Some(leader) if self.was_redirected(machine, now) => {
                 HeartbeatResponse::ForwardTo(leader)
             }
-            leader => HeartbeatResponse::LeaderElsewhere(leader),
+            leader => HeartbeatResponse::NotLeader(leader),
         }
     }
 
--- a/crates/latchtrack/src/actors/scheduler_driver/writes.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/writes.rs
@@ -73,7 +73,7 @@
                 }
                 BatchOutcome::Committed(revision)
             }
-            Ok(Reply::Failed(keys)) => {
+            Ok(Reply::Conflict(keys)) => {
                 if keys.iter().any(|key| key == LEADER) {
                     if let Some(election) = &self.election {
                         election.key_lost.do_send(LeaderKeyLost { token });
@@ -81,7 +81,7 @@
                 }
                 conflict_outcome(&keys)
             }
-            Ok(_) | Err(StoreError::Unknown) => BatchOutcome::Unknown,
+            Ok(_) | Err(StoreError::OutcomeUnknown) => BatchOutcome::Unknown,
             Err(StoreError::Refused(reason)) => {
                 let keys = keys.join(", ");
                 tracing::error!(token, keys, reason, "record write refused by the state service");
--- a/crates/latchtrack/src/actors/store/client.rs
+++ b/crates/latchtrack/src/actors/store/client.rs
@@ -62,8 +62,10 @@
         // Reads keep to the lower limit from the start: nothing is lost by it.
         let cells = settings.cells() as f64;
         let requests_per_s = state.lower_rps() / cells;
-        let limits =
-            WriteLimits { now: state.write_rps / cells, lower: state.lower_write_rps() / cells };
+        let limits = WriteLimits {
+            current: state.write_rps / cells,
+            lower: state.lower_write_rps() / cells,
+        };
         let nodes = settings.nodes() as f64;
         let share = USABLE_LIMIT_FRACTION / (nodes + 1.0);
         let now = now_ms();
@@ -205,7 +207,7 @@
         let (answer, result) = oneshot::channel();
         queue.push_back(QueuedRequest { request, answer });
         self.send_ready(ctx);
-        Box::pin(async { result.await.unwrap_or(Err(StoreError::Unknown)) })
+        Box::pin(async { result.await.unwrap_or(Err(StoreError::OutcomeUnknown)) })
     }
 }
 
--- a/crates/latchtrack/src/actors/store/error.rs
+++ b/crates/latchtrack/src/actors/store/error.rs
@@ -36,7 +36,7 @@
     NotExecuted(NotExecutedReason),
     /// May have been executed, or may be later.
     #[error("outcome unknown")]
-    Unknown,
+    OutcomeUnknown,
     /// The lease or the key does not exist.
     #[error("not found")]
     NotFound,
@@ -56,7 +56,7 @@
     fn from(e: CallError) -> Self {
         match e {
             CallError::NotSent => StoreError::NotExecuted(NotExecutedReason::NoConnection),
-            CallError::Lost => StoreError::Unknown,
+            CallError::Lost => StoreError::OutcomeUnknown,
         }
     }
 }
--- a/crates/latchtrack/src/actors/store/http.rs
+++ b/crates/latchtrack/src/actors/store/http.rs
@@ -37,18 +37,18 @@
 
     /// A reply with the keys as this deployment names them.
     pub(super) fn localize(&self, reply: Reply) -> Reply {
-        self.namespace.inner_reply(reply)
+        self.namespace.with_local_keys(reply)
     }
 
     /// Sends a request; its reply has the keys as the service names them.
     pub(super) fn send(&self, request: &StoreRequest) -> PendingReply {
         let base = &self.base;
         let timeout = request.timeout();
-        let key = self.namespace.outer_of(request).unwrap_or_default();
+        let key = self.namespace.full_key_of(request).unwrap_or_default();
         match request.clone() {
             StoreRequest::List { from, .. } => {
                 let mut url = format!("{base}/store?prefix={key}&most={STORE_PAGE_ITEMS}");
-                if let Some(from) = from.map(|from| self.namespace.outer(&from)) {
+                if let Some(from) = from.map(|from| self.namespace.full_key(&from)) {
                     url.push_str("&from=");
                     url.push_str(&from);
                 }
@@ -61,7 +61,7 @@
                 let url = format!("{base}/watch?prefix={key}&from={from}&wait_ms=0");
                 self.get(url, timeout, Reply::Changes)
             }
-            StoreRequest::Txn(txn) => self.commit(self.namespace.outer_txn(txn), timeout),
+            StoreRequest::Txn(txn) => self.commit(self.namespace.with_full_keys(txn), timeout),
             StoreRequest::Grant { ttl_ms } => self.grant(ttl_ms, timeout),
             StoreRequest::Renew { lease } => self.renew(lease, timeout),
             StoreRequest::End { lease } => self.end(lease, timeout),
@@ -87,8 +87,8 @@
             let (status, body) = post(&client, &url, &txn, timeout).await?;
             if status == StatusCode::CONFLICT {
                 let answer: TxnAnswer =
-                    serde_json::from_slice(&body).map_err(|_| StoreError::Unknown)?;
-                return Ok(Reply::Failed(answer.failed.unwrap_or_default()));
+                    serde_json::from_slice(&body).map_err(|_| StoreError::OutcomeUnknown)?;
+                return Ok(Reply::Conflict(answer.failed.unwrap_or_default()));
             }
             parse(status, &body).map(|answer: TxnAnswer| Reply::Applied(answer.revision))
         })
@@ -140,7 +140,7 @@
             let text = String::from_utf8_lossy(&body[..body.len().min(REFUSAL_TEXT_BYTES)]);
             Err(StoreError::Refused(text.into_owned()))
         }
-        _ => Err(StoreError::Unknown),
+        _ => Err(StoreError::OutcomeUnknown),
     }
 }
 
@@ -148,6 +148,6 @@
     check_status(status, body)?;
     serde_json::from_slice(body).map_err(|error| {
         tracing::error!(%error, "answer of the state service can't be parsed");
-        StoreError::Unknown
+        StoreError::OutcomeUnknown
     })
 }
--- a/crates/latchtrack/src/actors/store/namespace.rs
+++ b/crates/latchtrack/src/actors/store/namespace.rs
@@ -18,7 +18,7 @@
     }
 
     /// A key as the state service has it.
-    pub fn outer(&self, key: &str) -> String {
+    pub fn full_key(&self, key: &str) -> String {
         if key.starts_with(SHARED) {
             key.to_string()
         } else {
@@ -27,7 +27,7 @@
     }
 
     /// A key of the state service as this deployment names it.
-    fn inner(&self, key: String) -> String {
+    fn local_key(&self, key: String) -> String {
         match key.strip_prefix(&self.prefix) {
             Some(own) if !key.starts_with(SHARED) => own.to_string(),
             _ => key,
@@ -35,47 +35,47 @@
     }
 
     /// A transaction as the state service takes it.
-    pub fn outer_txn(&self, mut txn: Txn) -> Txn {
+    pub fn with_full_keys(&self, mut txn: Txn) -> Txn {
         for condition in &mut txn.conditions {
-            condition.key = self.outer(&condition.key);
+            condition.key = self.full_key(&condition.key);
         }
         for change in &mut txn.changes {
             match change {
-                Change::Put { key, .. } | Change::Delete { key } => *key = self.outer(key),
+                Change::Put { key, .. } | Change::Delete { key } => *key = self.full_key(key),
             }
         }
         txn
     }
 
     /// The key or prefix that a request names, as the state service has it.
-    pub fn outer_of(&self, request: &StoreRequest) -> Option<String> {
+    pub fn full_key_of(&self, request: &StoreRequest) -> Option<String> {
         match request {
             StoreRequest::List { prefix, .. } | StoreRequest::Changes { prefix, .. } => {
-                Some(self.outer(prefix))
+                Some(self.full_key(prefix))
             }
-            StoreRequest::Get { key } => Some(self.outer(key)),
+            StoreRequest::Get { key } => Some(self.full_key(key)),
             _ => None,
         }
     }
 
     /// An answer with the keys as this deployment names them.
-    pub fn inner_reply(&self, mut reply: Reply) -> Reply {
+    pub fn with_local_keys(&self, mut reply: Reply) -> Reply {
         match &mut reply {
             Reply::Page(page) => {
                 for item in &mut page.items {
-                    item.key = self.inner(std::mem::take(&mut item.key));
+                    item.key = self.local_key(std::mem::take(&mut item.key));
                 }
             }
-            Reply::Item(item) => item.key = self.inner(std::mem::take(&mut item.key)),
-            Reply::Failed(keys) => {
+            Reply::Item(item) => item.key = self.local_key(std::mem::take(&mut item.key)),
+            Reply::Conflict(keys) => {
                 for key in keys {
-                    *key = self.inner(std::mem::take(key));
+                    *key = self.local_key(std::mem::take(key));
                 }
             }
             Reply::Changes(answer) => {
                 for event in &mut answer.events {
-                    event.put = event.put.take().map(|key| self.inner(key));
-                    event.delete = event.delete.take().map(|key| self.inner(key));
+                    event.put = event.put.take().map(|key| self.local_key(key));
+                    event.delete = event.delete.take().map(|key| self.local_key(key));
                 }
             }
             Reply::Applied(_) | Reply::Lease(_) | Reply::Done => {}
--- a/crates/latchtrack/src/actors/store/pacing.rs
+++ b/crates/latchtrack/src/actors/store/pacing.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WriteLimits {
     /// As it is now.
-    pub now: f64,
+    pub current: f64,
     /// Once the limits of the service are lowered.
     pub lower: f64,
 }
@@ -101,7 +101,7 @@
     pub fn new(limits: WriteLimits, part: f64, now: u64) -> Self {
         WriteShare {
             limits,
-            limit: limits.now,
+            limit: limits.current,
             part,
             multiplier: 1.0,
             has_waited: false,
--- a/crates/latchtrack/src/actors/store/reads.rs
+++ b/crates/latchtrack/src/actors/store/reads.rs
@@ -41,7 +41,7 @@
         let from = items.last().map(|item: &Item| item.key.clone());
         let list = StoreRequest::List { prefix, from };
         let answer = request(store, RequestClass::Read, list, LIST_PAGE_WAIT_MS).await?;
-        let Reply::Page(page) = answer.reply else { return Err(StoreError::Unknown) };
+        let Reply::Page(page) = answer.reply else { return Err(StoreError::OutcomeUnknown) };
         // Changes after the first page are seen again by a watch from its revision.
         let revision = *first.get_or_insert(page.revision);
         let has_more = page.truncated.unwrap_or(false) && !page.items.is_empty();
@@ -67,6 +67,6 @@
     let wait_ms = READ_TIMEOUT.as_millis() as u64;
     let changes = StoreRequest::Changes { prefix, from };
     let answer = request(store, RequestClass::Read, changes, wait_ms).await?;
-    let Reply::Changes(changes) = answer.reply else { return Err(StoreError::Unknown) };
+    let Reply::Changes(changes) = answer.reply else { return Err(StoreError::OutcomeUnknown) };
     Ok(Observation { snapshot: Snapshot::Changes(changes), sent_at: answer.sent_at })
 }
--- a/crates/latchtrack/src/http/workers.rs
+++ b/crates/latchtrack/src/http/workers.rs
@@ -58,7 +58,7 @@
             let commands = commands.iter().map(CommandDto::from).collect();
             HttpResponse::Ok().json(HeartbeatAnswer { token, commands })
         }
-        HeartbeatResponse::LeaderElsewhere(leader) => redirect(leader.as_deref()),
+        HeartbeatResponse::NotLeader(leader) => redirect(leader.as_deref()),
         // It was forwarded once already.
         HeartbeatResponse::ForwardTo(_) => redirect(None),
         HeartbeatResponse::NotReady => unavailable("not entitled to act now"),
--- a/crates/latchtrack/src/limit.rs
+++ b/crates/latchtrack/src/limit.rs
@@ -157,7 +157,7 @@
         Ok(StoreAnswer { reply: Reply::Item(item), .. }) => item,
         Err(StoreError::NotFound) => return Err(LimitError::Unknown(team.into())),
         Err(error) => return Err(error.into()),
-        Ok(_) => return Err(StoreError::Unknown.into()),
+        Ok(_) => return Err(StoreError::OutcomeUnknown.into()),
     };
     let ledger = TeamLedger::parse(item.value.get())
         .map_err(|error| LimitError::Unusable(team.into(), error))?;
@@ -186,8 +186,8 @@
     let answer = store::request(store, RequestClass::Admission, request, LEDGER_WRITE_WAIT_MS);
     match answer.await?.reply {
         Reply::Applied(_) => Ok(LedgerWriteResult::Written),
-        Reply::Failed(_) => Ok(LedgerWriteResult::Conflict),
-        _ => Err(StoreError::Unknown.into()),
+        Reply::Conflict(_) => Ok(LedgerWriteResult::Conflict),
+        _ => Err(StoreError::OutcomeUnknown.into()),
     }
 }
 
--- a/crates/latchtrack/src/node.rs
+++ b/crates/latchtrack/src/node.rs
@@ -39,7 +39,7 @@
 /// Refuses a cell's name that another cloud's controllers use. If the state service can't be
 /// asked, that is left to the check before each campaign.
 async fn check_cell(settings: &Settings) -> Result<(), StartError> {
-    let Some(cell) = Cell::of(settings) else { return Ok(()) };
+    let Some(cell) = Cell::from_settings(settings) else { return Ok(()) };
     let store = Store::new(settings).start();
     match cell.stored_revision(&store).await {
         Ok(_) | Err(CellError::Store(_)) => Ok(()),
@@ -73,7 +73,7 @@
     let scheduler =
         SchedulerDriver::new(store.clone(), cache.clone(), cloud.clone(), peers.clone(), settings)
             .start();
-    let cell = Cell::of(settings);
+    let cell = Cell::from_settings(settings);
     if let Some(cell) = &cell {
         let events = scheduler.clone().recipient();
         let quota = Quota::new(store.clone(), events, cell.name.clone(), settings).start();
--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -22,17 +22,17 @@
 #[test]
 fn own_keys_lie_under_the_prefix_and_shared_ones_do_not() {
     let east = Namespace::new("cells/east/".into());
-    assert_eq!(east.outer("live/leader"), "cells/east/live/leader");
-    assert_eq!(east.outer("quota/team/t"), "quota/team/t");
+    assert_eq!(east.full_key("live/leader"), "cells/east/live/leader");
+    assert_eq!(east.full_key("quota/team/t"), "quota/team/t");
     let alone = Namespace::new(String::new());
-    assert_eq!(alone.outer("live/leader"), "live/leader");
+    assert_eq!(alone.full_key("live/leader"), "live/leader");
     let get = StoreRequest::Get { key: "site/types".into() };
-    assert_eq!(east.outer_of(&get).unwrap(), "cells/east/site/types");
+    assert_eq!(east.full_key_of(&get).unwrap(), "cells/east/site/types");
     let txn = Txn {
         conditions: vec![Condition { key: "live/leader".into(), revision: 7 }],
         changes: vec![Change::Delete { key: "quota/team/t".into() }],
     };
-    let text = serde_json::to_string(&east.outer_txn(txn)).unwrap();
+    let text = serde_json::to_string(&east.with_full_keys(txn)).unwrap();
     assert_eq!(
         text,
         r#"{"if":[{"k":"cells/east/live/leader","stamp":7}],"apply":[{"drop":"quota/team/t"}]}"#
--- a/crates/latchtrack/tests/pacing.rs
+++ b/crates/latchtrack/tests/pacing.rs
@@ -23,7 +23,7 @@
             (WriteShare::new(limits, USABLE_LIMIT_FRACTION * parts / 6.0, 0), 0.0, 0.0)
         })
         .collect();
-    let mut service = limits.now;
+    let mut service = limits.current;
     let mut outcome = Outcome { made: [0; 5], refused: 0 };
     for step in 0..(from_s + 60) * 100 {
         let limit = limit_at(step / 100);
@@ -56,7 +56,7 @@
 /// refused.
 #[test]
 fn what_others_leave_is_used_and_the_limit_is_kept() {
-    let limits = WriteLimits { now: 15.0, lower: 15.0 };
+    let limits = WriteLimits { current: 15.0, lower: 15.0 };
     // The leader alone would have 4.5 a second by its share.
     let Outcome { made, refused } = share([9.0, 0.5, 0.5, 0.5, 0.5], limits, 0, |_| 15.0);
     assert!(made[0] >= 9 * 60 - 30 && refused == 0, "{made:?}, {refused} refused");
@@ -71,13 +71,13 @@
 #[test]
 fn a_lowered_limit_is_found_and_kept() {
     let limit_at = |s| if s < 30 { 35.0 } else { 14.0 };
-    let told = WriteLimits { now: 35.0, lower: 14.0 };
+    let told = WriteLimits { current: 35.0, lower: 14.0 };
     let Outcome { made, refused } = share([20.0; 5], told, 60, limit_at);
     let all: u32 = made.iter().sum();
     assert!(all >= 14 * 50 && refused < 120, "{made:?}, {refused} refused");
     assert!(made.iter().all(|n| *n >= 80), "{made:?}");
     // Who does not take the refusals for what they are has many times as many.
-    let untold = WriteLimits { now: 35.0, lower: 35.0 };
+    let untold = WriteLimits { current: 35.0, lower: 35.0 };
     let Outcome { refused: many, .. } = share([20.0; 5], untold, 60, limit_at);
     assert!(many > 3 * refused.max(1), "{many} against {refused}");
 }
@@ -85,7 +85,7 @@
 /// A limit that is not lowered is not taken for lower by chance.
 #[test]
 fn an_unchanged_limit_is_used_in_full() {
-    let limits = WriteLimits { now: 35.0, lower: 14.0 };
+    let limits = WriteLimits { current: 35.0, lower: 14.0 };
     let Outcome { made, .. } = share([20.0, 3.0, 3.0, 3.0, 3.0], limits, 0, |_| 35.0);
     let all: u32 = made.iter().sum();
     assert!(all >= 28 * 60, "{made:?}");
