--- a/crates/latchtrack-emulator/src/race/cell.rs
+++ b/crates/latchtrack-emulator/src/race/cell.rs
@@ -136,8 +136,8 @@
     let quota =
         QuotaTuning { cell: cell_name(index), cells: (0..options.cells).map(cell_name).collect() };
     site.tuning = Tuning {
-        idle_wait_s: 60.0,
-        ordinary_idle_wait_s: 60.0,
+        spot_idle_timeout_s: 60.0,
+        on_demand_idle_timeout_s: 60.0,
         leader_lease_s: Some(1.0),
         quota: Some(quota),
         ..Tuning::default()
--- a/crates/latchtrack-emulator/src/spread.rs
+++ b/crates/latchtrack-emulator/src/spread.rs
@@ -181,8 +181,8 @@
         let mut site = site();
         site.max_sockets = 4 * options.workers + 400;
         site.tuning = Tuning {
-            idle_wait_s: 3_600.0,
-            ordinary_idle_wait_s: 3_600.0,
+            spot_idle_timeout_s: 3_600.0,
+            on_demand_idle_timeout_s: 3_600.0,
             balance: options.balance.clone(),
             ..Tuning::default()
         };
@@ -356,7 +356,7 @@
 
     /// What the acting leader says of its balance.
     async fn balance_view(&self) -> Option<BalanceView> {
-        let status = latchtrack::status::ask(&self.settings).await;
+        let status = latchtrack::status::query(&self.settings).await;
         let clusters = status.nodes.into_values().flatten().filter_map(|node| node.cluster);
         clusters.filter(|cluster| cluster.acting).find_map(|cluster| cluster.balance)
     }
--- a/crates/latchtrack/src/actors/admission/mod.rs
+++ b/crates/latchtrack/src/actors/admission/mod.rs
@@ -25,7 +25,9 @@
 use super::messages::store::{Reply, RequestClass, StoreAnswer, StoreRequest};
 use super::store::{self, Store, StoreError};
 use crate::clock::{now_ms, wall_ms};
-use crate::constants::{ADMISSION_QUEUE, ADMISSION_WAIT_MS, MAILBOX, MAX_TXN_BYTES};
+use crate::constants::{
+    ADMISSION_QUEUE_CAPACITY, ADMISSION_WAIT_MS, MAILBOX_CAPACITY, MAX_TXN_BYTES,
+};
 use crate::settings::Settings;
 use crate::wire::records::{job_key, Record};
 use crate::wire::store::{Change, Condition, Txn};
@@ -82,7 +84,7 @@
             return Err(SubmitOutcome::Busy(BusyReason::MachineTypesUnknown));
         }
         check_feasible(&spec, &self.teams, &self.types).map_err(SubmitOutcome::Infeasible)?;
-        if self.queue.len() >= ADMISSION_QUEUE {
+        if self.queue.len() >= ADMISSION_QUEUE_CAPACITY {
             return Err(SubmitOutcome::Busy(BusyReason::QueueFull));
         }
         let id = spec.id;
@@ -197,7 +199,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
     }
 }
 
@@ -235,7 +237,7 @@
     type Result = ResponseActFuture<Self, CancelOutcome>;
 
     fn handle(&mut self, msg: CancelJob, _: &mut Self::Context) -> Self::Result {
-        if self.cancelling >= ADMISSION_QUEUE {
+        if self.cancelling >= ADMISSION_QUEUE_CAPACITY {
             return Box::pin(fut::ready(CancelOutcome::Busy));
         }
         self.cancelling += 1;
--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -20,11 +20,11 @@
 use super::store::{self, Store};
 use crate::clock::now_ms;
 use crate::constants::{
-    CLOUD_RETRY_MS, CLOUD_TIMEOUT, MACHINE_TYPES_INTERVAL_MS, MAILBOX, TERMINATE_BATCH,
+    CLOUD_RETRY_MS, CLOUD_TIMEOUT, MACHINE_TYPES_INTERVAL_MS, MAILBOX_CAPACITY, TERMINATE_BATCH,
     USABLE_LIMIT_FRACTION,
 };
 use crate::settings::Settings;
-use crate::wire::records::{parse_machine_types, TYPES};
+use crate::wire::records::{parse_machine_types, MACHINE_TYPES_KEY};
 
 /// The actor that speaks to the cloud.
 pub struct Cloud {
@@ -223,7 +223,7 @@
     fn read_stored_types(&mut self, ctx: &mut Context<Self>) {
         let store = self.store.clone();
         let request = async move {
-            let get = StoreRequest::Get { key: TYPES.into() };
+            let get = StoreRequest::Get { key: MACHINE_TYPES_KEY.into() };
             let wait_ms = CLOUD_TIMEOUT.as_millis() as u64;
             store::request(&store, RequestClass::Read, get, wait_ms).await
         };
@@ -237,7 +237,7 @@
                 }
                 Some(_) => {}
                 None => tracing::error!(
-                    key = TYPES,
+                    key = MACHINE_TYPES_KEY,
                     "stored machine types can't be parsed and are not used"
                 ),
             }
@@ -280,7 +280,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
     }
 }
 
--- a/crates/latchtrack/src/actors/cloud/requests.rs
+++ b/crates/latchtrack/src/actors/cloud/requests.rs
@@ -9,7 +9,7 @@
 use latchtrack_core::scheduler::{ListedMachine, ProvisionOutcome};
 
 use crate::constants::{CLOUD_TIMEOUT, LIST_PAGE_MACHINES, MAX_CLOUD_CALLS};
-use crate::net::{finish, http_client, CallError};
+use crate::net::{http_client, read_response, CallError};
 use crate::wire::cloud::{
     ErrorAnswer, ListAnswer, MachineNames, ProvisionRequest, TypesAnswer, NO_CAPACITY,
 };
@@ -39,7 +39,7 @@
         let url = format!("{}/machine_types", self.base);
         let request = self.client.get(url).timeout(CLOUD_TIMEOUT);
         async move {
-            let (status, body) = finish(request.send()).await.ok()?;
+            let (status, body) = read_response(request.send()).await.ok()?;
             if status != StatusCode::OK {
                 return None;
             }
@@ -66,7 +66,7 @@
                 spot: offer.spot,
                 number,
             };
-            provision_outcome(finish(request.send_json(&body)).await)
+            provision_outcome(read_response(request.send_json(&body)).await)
         }
     }
 
@@ -76,7 +76,7 @@
         let request = self.client.post(url).timeout(CLOUD_TIMEOUT);
         async move {
             let sent = request.send_json(&MachineNames { machines });
-            matches!(finish(sent).await, Ok((StatusCode::OK, _)))
+            matches!(read_response(sent).await, Ok((StatusCode::OK, _)))
         }
     }
 
@@ -90,7 +90,7 @@
         let url = format!("{}/rentals?most={LIST_PAGE_MACHINES}{from}", self.base);
         let request = self.client.get(url).timeout(CLOUD_TIMEOUT);
         async move {
-            let (status, body) = finish(request.send()).await.ok()?;
+            let (status, body) = read_response(request.send()).await.ok()?;
             if status != StatusCode::OK {
                 return None;
             }
@@ -106,7 +106,7 @@
     let (status, body) = match result {
         Ok(answer) => answer,
         Err(CallError::NotSent) => return ProvisionOutcome::NotExecuted,
-        Err(CallError::Lost) => return ProvisionOutcome::Unknown,
+        Err(CallError::OutcomeUnknown) => return ProvisionOutcome::Unknown,
     };
     match status {
         StatusCode::OK => match serde_json::from_slice::<MachineNames>(&body) {
--- a/crates/latchtrack/src/actors/election/campaign.rs
+++ b/crates/latchtrack/src/actors/election/campaign.rs
@@ -8,7 +8,7 @@
 use crate::actors::store::{self, Store, StoreError};
 use crate::constants::ELECTION_REQUEST_WAIT_MS;
 use crate::wire::quota::{campaign_changes, term_key};
-use crate::wire::records::{LeaderRecord, LEADER};
+use crate::wire::records::{LeaderRecord, LEADER_KEY};
 use crate::wire::store::{Change, Condition, Txn};
 
 /// Who campaigns.
@@ -90,8 +90,8 @@
     let Candidate { node, run, cell, .. } = candidate;
     let value = serde_json::value::to_raw_value(&LeaderRecord { node, run, lease })?;
     let mut txn = Txn {
-        conditions: vec![Condition { key: LEADER.into(), revision: 0 }],
-        changes: vec![Change::Put { key: LEADER.into(), value, lease: Some(lease) }],
+        conditions: vec![Condition { key: LEADER_KEY.into(), revision: 0 }],
+        changes: vec![Change::Put { key: LEADER_KEY.into(), value, lease: Some(lease) }],
     };
     txn.conditions.extend(cell_condition);
     if let Some(cell) = &cell {
--- a/crates/latchtrack/src/actors/election/cell.rs
+++ b/crates/latchtrack/src/actors/election/cell.rs
@@ -38,7 +38,7 @@
         let quota = settings.tuning.quota.as_ref()?;
         let record = CellRecord {
             cloud: settings.platform.services.cloud.to_string(),
-            leader_lease_ms: settings.leader_ttl_ms(),
+            leader_lease_ms: settings.leader_lease_ms(),
             worker_lease_ms: settings.policy().worker_lease_ms,
         };
         Some(Cell { name: quota.cell.clone(), record })
--- a/crates/latchtrack/src/actors/election/lease.rs
+++ b/crates/latchtrack/src/actors/election/lease.rs
@@ -1,6 +1,6 @@
 //! The lease of the leader key, and why a term ends.
 
-use crate::constants::{CLOCK_DRIFT_DIVISOR, LEASE_GUARD_MS};
+use crate::constants::{CLOCK_DRIFT_DIVISOR, LEASE_MARGIN_MS};
 
 /// A term of this node, with the lease that its leader key is under.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -15,7 +15,7 @@
 
 /// Until when a lease granted or renewed by a request sent at `sent_at` is surely valid.
 pub(super) fn lease_valid_until(ttl_ms: u64, sent_at: u64) -> u64 {
-    sent_at + ttl_ms - ttl_ms / CLOCK_DRIFT_DIVISOR - LEASE_GUARD_MS
+    sent_at + ttl_ms - ttl_ms / CLOCK_DRIFT_DIVISOR - LEASE_MARGIN_MS
 }
 
 /// Why a term ends, for the log.
--- a/crates/latchtrack/src/actors/job_cache/mod.rs
+++ b/crates/latchtrack/src/actors/job_cache/mod.rs
@@ -21,10 +21,11 @@
 use super::store::{Store, StoreError};
 use crate::clock::now_ms;
 use crate::constants::{
-    MAILBOX, REFRESH_INTERVAL_FOLLOWER_MS, REFRESH_INTERVAL_LEADER_MS, REFRESH_INTERVAL_WAITERS_MS,
-    REFRESH_MAX_AGE_MS, REFRESH_RETRY_MS, REFRESH_WAITERS, UNSERVED_AFTER_FAILURES,
+    MAILBOX_CAPACITY, MAX_REFRESH_WAITERS, REFRESH_INTERVAL_FOLLOWER_MS,
+    REFRESH_INTERVAL_LEADER_MS, REFRESH_INTERVAL_WAITERS_MS, REFRESH_MAX_AGE_MS, REFRESH_RETRY_MS,
+    UNSERVED_AFTER_FAILURES,
 };
-use crate::wire::records::LIVE;
+use crate::wire::records::LIVE_PREFIX;
 
 /// Hears whether the refresh that it waits for has succeeded in time.
 type Waiter = oneshot::Sender<bool>;
@@ -106,7 +107,7 @@
         self.current_waiters = std::mem::take(&mut self.next_waiters);
         let store = self.store.clone();
         let revision = self.revision;
-        let read = async move { observe(&store, LIVE, revision).await };
+        let read = async move { observe(&store, LIVE_PREFIX, revision).await };
         ctx.spawn(read.into_actor(self).map(move |result, act, ctx| {
             act.is_refreshing = false;
             let is_usable = act.finish_refresh(started, result);
@@ -171,7 +172,7 @@
 
     /// Waits for a refresh that starts after now; None if too many wait.
     fn wait_for_refresh(&mut self, ctx: &mut Context<Self>) -> Option<oneshot::Receiver<bool>> {
-        if self.next_waiters.len() >= REFRESH_WAITERS {
+        if self.next_waiters.len() >= MAX_REFRESH_WAITERS {
             return None;
         }
         let (sender, receiver) = oneshot::channel();
@@ -185,7 +186,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
     }
 }
 
--- a/crates/latchtrack/src/actors/job_cache/records.rs
+++ b/crates/latchtrack/src/actors/job_cache/records.rs
@@ -9,7 +9,7 @@
 use crate::actors::messages::scheduler::JobChange;
 use crate::actors::messages::OpenJob;
 use crate::actors::store::reads::Snapshot;
-use crate::wire::records::{LeaderRecord, Record, JOBS, LEADER};
+use crate::wire::records::{LeaderRecord, Record, JOBS_PREFIX, LEADER_KEY};
 use crate::wire::store::KeyChange;
 
 struct CachedJob {
@@ -84,7 +84,7 @@
             Snapshot::All { items, revision } => {
                 let mut is_led = false;
                 for item in items {
-                    is_led |= item.key == LEADER;
+                    is_led |= item.key == LEADER_KEY;
                     changes.extend(self.put(&item.key, item.value.get(), item.revision));
                 }
                 // Who led during the missed changes is unknown; without the key, no node leads
@@ -113,7 +113,7 @@
 
     /// A deleted leader key means that no node leads. Job records are never deleted.
     fn delete(&mut self, key: &str, revision: u64) {
-        if key == LEADER && revision > self.leader_revision {
+        if key == LEADER_KEY && revision > self.leader_revision {
             self.leader = None;
             self.leader_revision = revision;
             self.leaderless_since = Some(revision);
@@ -121,11 +121,11 @@
     }
 
     fn put(&mut self, key: &str, value: &str, revision: u64) -> Option<JobChange> {
-        if key == LEADER {
+        if key == LEADER_KEY {
             self.put_leader(value, revision);
             return None;
         }
-        let Some(id) = key.strip_prefix(JOBS).and_then(|id| id.parse().ok()) else {
+        let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(|id| id.parse().ok()) else {
             tracing::error!(key, "unknown key in the state service");
             return None;
         };
--- a/crates/latchtrack/src/actors/peers/connection.rs
+++ b/crates/latchtrack/src/actors/peers/connection.rs
@@ -13,7 +13,9 @@
 use crate::actors::job_cache::JobCache;
 use crate::actors::messages::job_cache::IsServed;
 use crate::actors::messages::peers::ForwardedRequestHandler;
-use crate::constants::{CONNECT_TIMEOUT, FORWARD_TIMEOUT, FRAME_BYTES, KEEP_ALIVE_S, PEER_QUEUE};
+use crate::constants::{
+    CONNECT_TIMEOUT, FORWARD_TIMEOUT, KEEP_ALIVE_S, MAX_FRAME_BYTES, PEER_QUEUE_CAPACITY,
+};
 use crate::wire::peers::{decode, encode, Answer, Frame, PeerRequest};
 
 /// By which connection a frame came.
@@ -46,7 +48,7 @@
 
 fn framed(stream: TcpStream) -> FrameStream {
     let _ = stream.set_nodelay(true);
-    let codec = LengthDelimitedCodec::builder().max_frame_length(FRAME_BYTES).new_codec();
+    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     Framed::new(stream, codec)
 }
 
@@ -124,7 +126,7 @@
     handler: ForwardedRequestHandler,
 ) {
     let mut stream = framed(stream);
-    let (answers, mut ready) = mpsc::channel(PEER_QUEUE);
+    let (answers, mut ready) = mpsc::channel(PEER_QUEUE_CAPACITY);
     let idle_timeout = Duration::from_secs(KEEP_ALIVE_S);
     loop {
         let bytes = tokio::select! {
--- a/crates/latchtrack/src/actors/peers/mod.rs
+++ b/crates/latchtrack/src/actors/peers/mod.rs
@@ -24,8 +24,8 @@
 use super::messages::scheduler::OverdueMachines;
 use crate::clock::now_ms;
 use crate::constants::{
-    CONNECT_TIMEOUT, FORWARD_TIMEOUT, MAILBOX, PEER_HEALTH_INTERVAL_MS, PEER_HEALTH_MAX_AGE_MS,
-    PEER_QUEUE,
+    CONNECT_TIMEOUT, FORWARD_TIMEOUT, MAILBOX_CAPACITY, PEER_HEALTH_INTERVAL_MS,
+    PEER_HEALTH_MAX_AGE_MS, PEER_QUEUE_CAPACITY,
 };
 use crate::settings::Settings;
 use crate::wire::peers::{Answer, Frame, JobCounts};
@@ -120,9 +120,9 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
         for (index, (node, addr)) in self.others.iter().enumerate() {
-            let (frames, queued) = mpsc::channel(PEER_QUEUE);
+            let (frames, queued) = mpsc::channel(PEER_QUEUE_CAPACITY);
             let node = node.clone();
             self.connections.push(PeerConnection { node, frames, heard_at: 0, is_served: false });
             let received = ctx.address().recipient();
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -13,10 +13,10 @@
 use super::store::{self, NotExecutedReason, Store, StoreError};
 use crate::clock::{now_ms, wall_ms};
 use crate::constants::{
-    LEDGER_WRITE_WAIT_MS, MAILBOX, QUOTA_FULL_READ_INTERVAL_MS, QUOTA_REFRESH_INTERVAL_MS,
+    LEDGER_WRITE_WAIT_MS, MAILBOX_CAPACITY, QUOTA_FULL_READ_INTERVAL_MS, QUOTA_REFRESH_INTERVAL_MS,
 };
 use crate::settings::Settings;
-use crate::wire::quota::{ledger_transaction, SharedKeys, SHARED};
+use crate::wire::quota::{ledger_transaction, SharedKeys, SHARED_PREFIX};
 use crate::wire::store::{KeyChange, Txn};
 
 /// The actor that reads and writes the ledgers while this node leads.
@@ -66,7 +66,7 @@
             self.revision = None;
         }
         let (store, revision) = (self.store.clone(), self.revision);
-        let read = async move { observe(&store, SHARED, revision).await };
+        let read = async move { observe(&store, SHARED_PREFIX, revision).await };
         ctx.spawn(read.into_actor(self).map(move |result, act, _| {
             act.is_refreshing = false;
             match result {
@@ -107,14 +107,14 @@
         self.revision = Some(revision);
         // The scheduler leaves out what is older than its term.
         if self.term == Some(token) {
-            let event = Event::QuotaObserved(self.keys.view(revision));
+            let event = Event::QuotaObserved(self.keys.snapshot(revision));
             self.scheduler.do_send(SchedulerEvent { token, event });
         }
     }
 
     /// Enters the time of day of a change of this cell's allotment, for operators.
     fn date_allotment(&self, write: &mut LedgerWrite) {
-        let view = self.keys.view(0);
+        let view = self.keys.snapshot(0);
         let known = view.teams.get(&write.team).and_then(|seen| seen.ledger.as_ref().ok());
         let before = known.map_or(MilliResources::NONE, |ledger| ledger.allotted_to(&self.cell));
         if let Some(account) = write.ledger.allotments.get_mut(&self.cell) {
@@ -172,7 +172,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
         let interval = Duration::from_millis(QUOTA_REFRESH_INTERVAL_MS);
         ctx.run_interval(interval, |act, ctx| act.refresh(ctx));
     }
--- a/crates/latchtrack/src/actors/scheduler_driver/effects.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/effects.rs
@@ -13,7 +13,7 @@
 use crate::actors::messages::quota::ChangeLedger;
 use crate::actors::messages::scheduler::SchedulerEvent;
 use crate::clock::now_ms;
-use crate::constants::NOT_DONE_DELAY_MS;
+use crate::constants::NOT_EXECUTED_DELAY_MS;
 
 impl SchedulerDriver {
     /// Hands an event to the scheduler and carries out what it wants; returns the commands for the
@@ -109,6 +109,9 @@
     /// Tells the scheduler a little later that something was not done.
     fn report_later(&self, event: Event, ctx: &mut Context<Self>) {
         let token = self.term.token();
-        ctx.notify_later(SchedulerEvent { token, event }, Duration::from_millis(NOT_DONE_DELAY_MS));
+        ctx.notify_later(
+            SchedulerEvent { token, event },
+            Duration::from_millis(NOT_EXECUTED_DELAY_MS),
+        );
     }
 }
--- a/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::actors::messages::scheduler::HeartbeatResponse;
-use crate::constants::{FORWARD_HEARTBEATS_MS, REDIRECTED_MACHINES_KEPT};
+use crate::constants::{FORWARD_HEARTBEATS_MS, MAX_REDIRECTED_MACHINES};
 
 /// Redirects workers to the leader, and has the heartbeats of those that can't reach it forwarded.
 pub(super) struct HeartbeatRouter {
@@ -52,7 +52,7 @@
     /// Whether a worker is back soon after it was redirected: it can't reach the leader. It is
     /// redirected again from time to time, to see whether it can by now.
     fn was_redirected(&mut self, machine: &str, now: u64) -> bool {
-        if self.redirected_at.len() >= REDIRECTED_MACHINES_KEPT {
+        if self.redirected_at.len() >= MAX_REDIRECTED_MACHINES {
             self.redirected_at.retain(|_, at| now < *at + FORWARD_HEARTBEATS_MS);
         }
         match self.redirected_at.get(machine) {
--- a/crates/latchtrack/src/actors/scheduler_driver/mod.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/mod.rs
@@ -35,7 +35,7 @@
 use super::peers::Peers;
 use super::store::Store;
 use crate::clock::{self, now_ms};
-use crate::constants::{MAILBOX, PROGRESS_JOBS, PROGRESS_MS, TICK_MS};
+use crate::constants::{MAILBOX_CAPACITY, MAX_PROGRESS_JOBS, PROGRESS_INTERVAL_MS, TICK_MS};
 use crate::net::http_client;
 use crate::settings::Settings;
 use crate::wire::peers::{Frame, JobCounts};
@@ -91,7 +91,7 @@
             txn_ops: settings.platform.params.state.txn_ops(),
             types: Vec::new(),
             stored_types: Vec::new(),
-            term: TermState::new(settings.leader_ttl_ms()),
+            term: TermState::new(settings.leader_lease_ms()),
             scheduler: None,
             state_read: StateRead::Idle,
             router: HeartbeatRouter::new(settings.platform.node_name.clone()),
@@ -109,7 +109,7 @@
     fn apply_job_change(&mut self, change: JobChange, ctx: &mut Context<Self>) {
         let event = match change {
             JobChange::Opened(OpenJob { spec, submitted_at_wall_ms, revision }) => {
-                let submitted_at = clock::steady_of(submitted_at_wall_ms);
+                let submitted_at = clock::steady_from_wall(submitted_at_wall_ms);
                 Event::JobOpened { spec, submitted_at, revision, done: None }
             }
             JobChange::Closed(id) => Event::JobClosed(id),
@@ -123,7 +123,7 @@
         }
         let now = now_ms();
         self.handle_event(Event::Tick, ctx);
-        if now >= self.last_progress + PROGRESS_MS {
+        if now >= self.last_progress + PROGRESS_INTERVAL_MS {
             self.last_progress = now;
             self.publish_progress(now);
         }
@@ -136,7 +136,7 @@
         let counts: Vec<TaskCounts> = scheduler
             .progress()
             .filter(|job| job.done + job.running > 0)
-            .take(PROGRESS_JOBS)
+            .take(MAX_PROGRESS_JOBS)
             .map(|job| TaskCounts { job: job.job, done: job.done, running: job.running })
             .collect();
         let on_wire = |count: &TaskCounts| JobCounts {
@@ -177,7 +177,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
         ctx.run_interval(Duration::from_millis(TICK_MS), |act, ctx| act.tick(ctx));
     }
 }
--- a/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
@@ -83,7 +83,7 @@
             for (chunk, bytes) in chunks.remove(&job.spec.id).unwrap_or_default() {
                 done.get_or_insert_with(|| Bitmap::new(job.spec.tasks)).merge_chunk(chunk, &bytes);
             }
-            let submitted_at = clock::steady_of(job.submitted_at_wall_ms);
+            let submitted_at = clock::steady_from_wall(job.submitted_at_wall_ms);
             let (spec, revision) = (job.spec, job.revision);
             self.handle_event(Event::JobOpened { spec, submitted_at, revision, done }, ctx);
         }
--- a/crates/latchtrack/src/actors/scheduler_driver/status.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/status.rs
@@ -6,7 +6,7 @@
 use super::SchedulerDriver;
 use crate::actors::messages::scheduler::{DescribeNode, NodeDescription};
 use crate::clock::now_ms;
-use crate::constants::STATUS_JOBS;
+use crate::constants::MAX_STATUS_JOBS;
 use crate::wire::status::{ClusterView, NodeView};
 
 impl SchedulerDriver {
@@ -20,12 +20,12 @@
             machines_up: summary.up,
             machines_booting: summary.booting - summary.unreconciled,
             machines_late: summary.late,
-            machines_unsettled: summary.unreconciled,
+            machines_unreconciled: summary.unreconciled,
             late_boots: scheduler.late_boot_pools(),
-            quiet_zones: scheduler.unreachable_zones(),
+            unreachable_zones: scheduler.unreachable_zones(),
             jobs_open: scheduler.jobs().len(),
             gangs_open: scheduler.open_gangs(),
-            suspect_jobs: quarantined.take(STATUS_JOBS).collect(),
+            quarantined_jobs: quarantined.take(MAX_STATUS_JOBS).collect(),
             tasks_waiting: summary.waiting,
             cpus: summary.cpus,
             cpus_running: summary.cpus_running,
--- a/crates/latchtrack/src/actors/scheduler_driver/worker_calls.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/worker_calls.rs
@@ -7,7 +7,7 @@
 
 use super::SchedulerDriver;
 use crate::constants::CALL_TIMEOUT;
-use crate::net::{finish, CallError};
+use crate::net::{read_response, CallError};
 use crate::wire::workers::{parse_heartbeat, CommandDto, DirectCall};
 
 impl SchedulerDriver {
@@ -27,7 +27,7 @@
         // Each worker is called seldom: an idle connection to each would take a socket.
         let request = self.client.post(format!("http://{addr}/do")).force_close();
         let sent = request.timeout(CALL_TIMEOUT).send_json(&body);
-        ctx.spawn(finish(sent).into_actor(self).map(move |result, act, ctx| {
+        ctx.spawn(read_response(sent).into_actor(self).map(move |result, act, ctx| {
             // An answer to a call of an earlier term tells this one nothing in its own terms.
             if act.term.token() != token {
                 return;
@@ -51,6 +51,6 @@
             _ => CallOutcome::NoAnswer,
         },
         Err(CallError::NotSent) => CallOutcome::NotSent,
-        Err(CallError::Lost) => CallOutcome::NoAnswer,
+        Err(CallError::OutcomeUnknown) => CallOutcome::NoAnswer,
     }
 }
--- a/crates/latchtrack/src/actors/scheduler_driver/writes.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/writes.rs
@@ -15,7 +15,9 @@
 use crate::actors::stored::{conflict_outcome, record_transaction};
 use crate::clock::now_ms;
 use crate::constants::{RECORD_WRITE_WAIT_MS, REFRESH_RETRY_MS};
-use crate::wire::records::{encode_machine_types, same_types, Record, LEADER, TYPES};
+use crate::wire::records::{
+    encode_machine_types, equal_except_prices, Record, LEADER_KEY, MACHINE_TYPES_KEY,
+};
 use crate::wire::store::{Change, Condition, Txn};
 
 impl SchedulerDriver {
@@ -74,7 +76,7 @@
                 BatchOutcome::Committed(revision)
             }
             Ok(Reply::Failed(keys)) => {
-                if keys.iter().any(|key| key == LEADER) {
+                if keys.iter().any(|key| key == LEADER_KEY) {
                     if let Some(election) = &self.election {
                         election.key_lost.do_send(LeaderKeyLost { token });
                     }
@@ -126,20 +128,25 @@
 
     /// Stores the machine types for nodes that start while the cloud can't be asked.
     pub(super) fn store_machine_types(&mut self, ctx: &mut Context<Self>) {
-        if self.scheduler.is_none() || same_types(&self.stored_types, &self.types) {
+        if self.scheduler.is_none() || equal_except_prices(&self.stored_types, &self.types) {
             return;
         }
         let types = self.types.clone();
         let Ok(value) = encode_machine_types(&types) else { return };
         let (bytes, max_bytes) = (value.get().len(), self.value_bytes);
         if bytes > max_bytes {
-            tracing::error!(key = TYPES, bytes, max_bytes, "machine types too large to be stored");
+            tracing::error!(
+                key = MACHINE_TYPES_KEY,
+                bytes,
+                max_bytes,
+                "machine types too large to be stored"
+            );
             self.stored_types = types;
             return;
         }
         let txn = Txn {
-            conditions: vec![Condition { key: LEADER.into(), revision: self.term.token() }],
-            changes: vec![Change::Put { key: TYPES.into(), value, lease: None }],
+            conditions: vec![Condition { key: LEADER_KEY.into(), revision: self.term.token() }],
+            changes: vec![Change::Put { key: MACHINE_TYPES_KEY.into(), value, lease: None }],
         };
         let store = self.store.clone();
         let request = async move {
--- a/crates/latchtrack/src/actors/store/client.rs
+++ b/crates/latchtrack/src/actors/store/client.rs
@@ -17,8 +17,8 @@
 use crate::actors::messages::NodeRole;
 use crate::clock::now_ms;
 use crate::constants::{
-    MAILBOX, MAX_STORE_CALLS, MAX_STORE_WAKEUP_MS, OVER_LIMIT_RETRY_MS, STORE_QUEUE,
-    USABLE_LIMIT_FRACTION,
+    MAILBOX_CAPACITY, MAX_STORE_CALLS, MAX_STORE_WAKEUP_MS, OVER_LIMIT_RETRY_MS,
+    STORE_QUEUE_CAPACITY, USABLE_LIMIT_FRACTION,
 };
 use crate::settings::Settings;
 
@@ -60,11 +60,11 @@
         let platform = &settings.platform;
         let state = &platform.params.state;
         // Reads keep to the lower limit from the start: nothing is lost by it.
-        let cells = settings.cells() as f64;
+        let cells = settings.cell_count() as f64;
         let requests_per_s = state.lower_rps() / cells;
         let limits =
             WriteLimits { now: state.write_rps / cells, lower: state.lower_write_rps() / cells };
-        let nodes = settings.nodes() as f64;
+        let nodes = settings.node_count() as f64;
         let share = USABLE_LIMIT_FRACTION / (nodes + 1.0);
         let now = now_ms();
         let write_share = WriteShare::new(limits, share, now);
@@ -190,7 +190,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.set_mailbox_capacity(MAILBOX);
+        ctx.set_mailbox_capacity(MAILBOX_CAPACITY);
     }
 }
 
@@ -199,7 +199,7 @@
 
     fn handle(&mut self, request: PacedRequest, ctx: &mut Self::Context) -> Self::Result {
         let queue = &mut self.queues[request.class as usize];
-        if queue.len() >= STORE_QUEUE {
+        if queue.len() >= STORE_QUEUE_CAPACITY {
             return Box::pin(async { Err(StoreError::NotExecuted(NotExecutedReason::QueueFull)) });
         }
         let (answer, result) = oneshot::channel();
--- a/crates/latchtrack/src/actors/store/error.rs
+++ b/crates/latchtrack/src/actors/store/error.rs
@@ -56,7 +56,7 @@
     fn from(e: CallError) -> Self {
         match e {
             CallError::NotSent => StoreError::NotExecuted(NotExecutedReason::NoConnection),
-            CallError::Lost => StoreError::Unknown,
+            CallError::OutcomeUnknown => StoreError::Unknown,
         }
     }
 }
--- a/crates/latchtrack/src/actors/store/http.rs
+++ b/crates/latchtrack/src/actors/store/http.rs
@@ -11,8 +11,8 @@
 use super::error::{NotExecutedReason, StoreError, OVER_LIMIT};
 use super::namespace::Namespace;
 use crate::actors::messages::store::{Reply, StoreRequest};
-use crate::constants::{MAX_STORE_CALLS, REFUSAL_TEXT_BYTES, STORE_PAGE_ITEMS};
-use crate::net::{finish, http_client};
+use crate::constants::{MAX_LOGGED_REFUSAL_BYTES, MAX_STORE_CALLS, STORE_PAGE_ITEMS};
+use crate::net::{http_client, read_response};
 use crate::wire::store::{LeaseAnswer, LeaseRequest, Txn, TxnAnswer};
 
 /// What the request that is being sent will have brought.
@@ -76,7 +76,7 @@
     ) -> PendingReply {
         let client = self.client.clone();
         Box::pin(async move {
-            let (status, body) = finish(client.get(&url).timeout(timeout).send()).await?;
+            let (status, body) = read_response(client.get(&url).timeout(timeout).send()).await?;
             parse(status, &body).map(reply)
         })
     }
@@ -113,7 +113,7 @@
     fn end(&self, lease: u64, timeout: Duration) -> PendingReply {
         let (client, url) = (self.client.clone(), format!("{}/grants/{lease}", self.base));
         Box::pin(async move {
-            let (status, body) = finish(client.delete(&url).timeout(timeout).send()).await?;
+            let (status, body) = read_response(client.delete(&url).timeout(timeout).send()).await?;
             check_status(status, &body).map(|()| Reply::Done)
         })
     }
@@ -125,7 +125,7 @@
     body: &T,
     timeout: Duration,
 ) -> Result<(StatusCode, Vec<u8>), StoreError> {
-    Ok(finish(client.post(url).timeout(timeout).send_json(body)).await?)
+    Ok(read_response(client.post(url).timeout(timeout).send_json(body)).await?)
 }
 
 /// What the status of an answer means.
@@ -137,7 +137,7 @@
         429 => Err(OVER_LIMIT),
         503 => Err(StoreError::NotExecuted(NotExecutedReason::OutOfService)),
         400..=499 => {
-            let text = String::from_utf8_lossy(&body[..body.len().min(REFUSAL_TEXT_BYTES)]);
+            let text = String::from_utf8_lossy(&body[..body.len().min(MAX_LOGGED_REFUSAL_BYTES)]);
             Err(StoreError::Refused(text.into_owned()))
         }
         _ => Err(StoreError::Unknown),
--- a/crates/latchtrack/src/actors/store/namespace.rs
+++ b/crates/latchtrack/src/actors/store/namespace.rs
@@ -2,7 +2,7 @@
 //! share as they are.
 
 use crate::actors::messages::store::{Reply, StoreRequest};
-use crate::wire::quota::SHARED;
+use crate::wire::quota::SHARED_PREFIX;
 use crate::wire::store::{Change, Txn};
 
 /// Maps the keys of a deployment to those of the state service and back.
@@ -19,7 +19,7 @@
 
     /// A key as the state service has it.
     pub fn outer(&self, key: &str) -> String {
-        if key.starts_with(SHARED) {
+        if key.starts_with(SHARED_PREFIX) {
             key.to_string()
         } else {
             format!("{}{key}", self.prefix)
@@ -29,7 +29,7 @@
     /// A key of the state service as this deployment names it.
     fn inner(&self, key: String) -> String {
         match key.strip_prefix(&self.prefix) {
-            Some(own) if !key.starts_with(SHARED) => own.to_string(),
+            Some(own) if !key.starts_with(SHARED_PREFIX) => own.to_string(),
             _ => key,
         }
     }
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -13,7 +13,7 @@
 use super::store::{self, Store};
 use crate::wire::records::{
     encode_machine_set, encode_results, job_key, machine_set_key, parse_machine_set, parse_results,
-    results_key, Record, JOBS, LEADER, MACHINE_SETS, RESULTS,
+    results_key, Record, JOBS_PREFIX, LEADER_KEY, MACHINE_SETS_PREFIX, RESULTS_PREFIX,
 };
 use crate::wire::store::{Change, Condition, Item, Txn};
 
@@ -52,7 +52,7 @@
 /// key; for a job that becomes done by the revision of its record, which a cancellation would have
 /// changed; for a record shard by its own, which a late write of this leader would have.
 pub fn record_transaction(token: u64, writes: &[RecordWrite]) -> Option<Txn> {
-    let mut conditions = vec![Condition { key: LEADER.into(), revision: token }];
+    let mut conditions = vec![Condition { key: LEADER_KEY.into(), revision: token }];
     let mut changes = Vec::new();
     for write in writes {
         let (key, expect, value) = match write {
@@ -87,15 +87,19 @@
     let under = |prefix: &str| -> Vec<String> {
         keys.iter().filter_map(|key| key.strip_prefix(prefix)).map(str::to_string).collect()
     };
-    let jobs = under(JOBS).iter().filter_map(|id| id.parse().ok()).collect();
-    BatchOutcome::Conflict { jobs, machine_sets: under(MACHINE_SETS), results: under(RESULTS) }
+    let jobs = under(JOBS_PREFIX).iter().filter_map(|id| id.parse().ok()).collect();
+    BatchOutcome::Conflict {
+        jobs,
+        machine_sets: under(MACHINE_SETS_PREFIX),
+        results: under(RESULTS_PREFIX),
+    }
 }
 
 /// Reads open jobs, results and machine set; None if the state service can't be asked. All of it
 /// is as new as this term, since an earlier leader's writes are fenced.
 pub async fn read_stored_state(store: &Addr<Store>, cache: &Addr<JobCache>) -> Option<StoredState> {
-    let (machine_sets, _) = store::read_all(store, MACHINE_SETS).await.ok()?;
-    let (results, _) = store::read_all(store, RESULTS).await.ok()?;
+    let (machine_sets, _) = store::read_all(store, MACHINE_SETS_PREFIX).await.ok()?;
+    let (results, _) = store::read_all(store, RESULTS_PREFIX).await.ok()?;
     let OpenJobsSnapshot { jobs, leaderless_since } = cache.send(ListOpenJobs).await.ok()?.ok()?;
     let machine_sets = machine_sets.iter().filter_map(stored_machine_set).collect();
     let open: HashSet<JobId> = jobs.iter().map(|job| job.spec.id).collect();
@@ -104,7 +108,7 @@
 }
 
 fn stored_machine_set(item: &Item) -> Option<StoredMachineSet> {
-    let name = item.key.strip_prefix(MACHINE_SETS)?;
+    let name = item.key.strip_prefix(MACHINE_SETS_PREFIX)?;
     let machines = parse_machine_set(name, item.value.get())
         .map_err(|error| {
             tracing::error!(key = item.key, %error, "stored machines can't be parsed");
@@ -114,7 +118,7 @@
 }
 
 fn stored_results(item: &Item, open: &HashSet<JobId>) -> Option<StoredResults> {
-    let name = item.key.strip_prefix(RESULTS)?;
+    let name = item.key.strip_prefix(RESULTS_PREFIX)?;
     let mut chunks = parse_results(name, item.value.get()).unwrap_or_else(|| {
         // Its tasks run again; their results were kept nowhere else.
         tracing::error!(key = item.key, "stored results can't be parsed");
--- a/crates/latchtrack/src/clock.rs
+++ b/crates/latchtrack/src/clock.rs
@@ -20,11 +20,11 @@
 }
 
 /// The time on the steady clock, in ms, that was this time of day; now at the latest.
-pub fn steady_of(wall: u64) -> u64 {
-    steady_at(now_ms(), wall_ms(), wall)
+pub fn steady_from_wall(wall: u64) -> u64 {
+    steady_from_wall_at(now_ms(), wall_ms(), wall)
 }
 
-/// As [`steady_of`], given both clocks as they stand now.
-pub fn steady_at(now: u64, wall_now: u64, wall: u64) -> u64 {
+/// As [`steady_from_wall`], given both clocks as they stand now.
+pub fn steady_from_wall_at(now: u64, wall_now: u64, wall: u64) -> u64 {
     now.saturating_sub(wall_now.saturating_sub(wall))
 }
--- a/crates/latchtrack/src/constants.rs
+++ b/crates/latchtrack/src/constants.rs
@@ -8,14 +8,14 @@
 /// ms that the leader's lease in the state service lasts. Long enough for a slow answer and two
 /// lost renewals, short enough that a crashed leader is followed within seconds: nothing is
 /// scheduled meanwhile.
-pub const LEADER_TTL_MS: u64 = 3_000;
+pub const LEADER_LEASE_MS: u64 = 3_000;
 /// ms of the shortest lease that works, for settings where the worker lease leaves little of the
 /// time within which a cancelled task must have ended.
-pub const MIN_LEADER_TTL_MS: u64 = 1_000;
+pub const MIN_LEADER_LEASE_MS: u64 = 1_000;
 /// Renewals in the length of a lease.
 pub const RENEWALS_PER_LEASE: u64 = 4;
 /// ms taken off the lease's local end, for the time that acting itself takes.
-pub const LEASE_GUARD_MS: u64 = 250;
+pub const LEASE_MARGIN_MS: u64 = 250;
 /// The lease's length divided by this is taken off its local end, for the drift of the clocks
 /// (0.05%).
 pub const CLOCK_DRIFT_DIVISOR: u64 = 1_000;
@@ -37,7 +37,7 @@
 
 /// Fraction of the time for a cancellation, after the worker lease, that the leader's lease may
 /// take.
-pub const USED_CANCEL_FRACTION: f64 = 0.9;
+pub const MAX_CANCEL_TIME_FRACTION: f64 = 0.9;
 /// By this factor a worker's lease may last longer by the local clock, for the drift of the
 /// clocks.
 pub const CLOCK_DRIFT_FACTOR: f64 = 1.001;
@@ -59,7 +59,7 @@
 /// stood still, and they have given up.
 pub const REFRESH_MAX_AGE_MS: u64 = 4_000;
 /// Queries that may wait for one refresh; more are refused.
-pub const REFRESH_WAITERS: usize = 2_000;
+pub const MAX_REFRESH_WAITERS: usize = 2_000;
 /// Refreshes that fail in a row before a node counts as not served by the state service.
 pub const UNSERVED_AFTER_FAILURES: u32 = 2;
 
@@ -84,7 +84,7 @@
 /// Calls open at once.
 pub const MAX_STORE_CALLS: usize = 12;
 /// Requests that may wait for their turn, for each class.
-pub const STORE_QUEUE: usize = 256;
+pub const STORE_QUEUE_CAPACITY: usize = 256;
 /// ms after which the queues are looked at again at the latest, whatever the budgets say.
 pub const MAX_STORE_WAKEUP_MS: u64 = 1_000;
 /// Fraction of the limits that is used: this node's clock and the service's may differ in what a
@@ -106,14 +106,14 @@
 /// Bytes of values in one transaction (the service takes 64 KiB).
 pub const MAX_TXN_BYTES: usize = 48 * 1024;
 /// Bytes of a refusal's text that are logged.
-pub const REFUSAL_TEXT_BYTES: usize = 200;
+pub const MAX_LOGGED_REFUSAL_BYTES: usize = 200;
 /// Bytes of the largest answer that is read: a page is 512 KiB, a watch has no bound.
 pub const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 // Admission.
 
 /// Submissions, and cancellations, that may wait at a node; more get 503 at once.
-pub const ADMISSION_QUEUE: usize = 400;
+pub const ADMISSION_QUEUE_CAPACITY: usize = 400;
 /// ms that a submission may wait at a node before it gets 503.
 pub const ADMISSION_WAIT_MS: u64 = 3_000;
 /// Attempts at a cancellation while others change the record.
@@ -124,7 +124,7 @@
 /// ms between two ticks of the scheduler.
 pub const TICK_MS: u64 = 200;
 /// ms after which the scheduler hears that something was not done for want of a valid lease.
-pub const NOT_DONE_DELAY_MS: u64 = 500;
+pub const NOT_EXECUTED_DELAY_MS: u64 = 500;
 /// Direct calls of workers open at once, whatever the sockets allow: each holds buffers.
 pub const MAX_DIRECT_CALLS: usize = 256;
 /// A direct call of a worker.
@@ -154,10 +154,10 @@
 // Between nodes.
 
 /// ms between two messages about the counts of tasks to the other nodes.
-pub const PROGRESS_MS: u64 = 1_000;
+pub const PROGRESS_INTERVAL_MS: u64 = 1_000;
 /// Jobs in one such message: the rest show as pending on followers. 19 bytes each at most, less
 /// than half of a frame; the other half is for the names of overdue machines.
-pub const PROGRESS_JOBS: usize = 6_000;
+pub const MAX_PROGRESS_JOBS: usize = 6_000;
 /// ms between two questions whether the state service serves another node.
 pub const PEER_HEALTH_INTERVAL_MS: u64 = 1_000;
 /// ms after which an answer to it counts no more.
@@ -169,24 +169,24 @@
 pub const FORWARD_HEARTBEATS_MS: u64 = 20_000;
 /// Workers remembered as redirected, before old ones are dropped: a fleet several times the
 /// largest in use after a change of leader, some 80 bytes each.
-pub const REDIRECTED_MACHINES_KEPT: usize = 16_384;
+pub const MAX_REDIRECTED_MACHINES: usize = 16_384;
 /// Bytes of the largest frame between nodes.
-pub const FRAME_BYTES: usize = 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 /// Frames waiting for a node, and requests of one that are answered side by side; more are
 /// refused. A zone that can't reach the leader has some hundred heartbeats a second forwarded.
-pub const PEER_QUEUE: usize = 256;
+pub const PEER_QUEUE_CAPACITY: usize = 256;
 
 // `latchtrack status`.
 
 /// Workers that are asked at a time.
 pub const MAX_STATUS_CALLS: usize = 64;
 /// Quarantined jobs that a leader names: a status stays well within a frame.
-pub const STATUS_JOBS: usize = 500;
+pub const MAX_STATUS_JOBS: usize = 500;
 
 // Connections of users and workers.
 
 /// Bytes of the largest request body (the protocol's bound).
-pub const BODY_BYTES: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// A request's body, from its first to its last byte; users give up after 5 s.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 /// A request's head, from its first to its last byte; users give up after 5 s.
@@ -204,7 +204,7 @@
 /// Bytes of a refused request that are read before it is answered.
 pub const REFUSAL_READ_BYTES: usize = 1_024;
 /// After a failed accept, which most likely found no free socket.
-pub const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// s that an idle connection is kept; users poll every 5 s.
 pub const KEEP_ALIVE_S: u64 = 60;
 /// s that a user is asked to wait when the node cannot answer.
@@ -214,26 +214,26 @@
 /// The longest that such a connection is used.
 pub const CLIENT_CONNECTION_LIFETIME: Duration = Duration::from_secs(3_600);
 /// Bytes of the longest name in a submission.
-pub const NAME_BYTES: usize = 200;
+pub const MAX_NAME_BYTES: usize = 200;
 /// The largest amount in a submission, in any unit: far beyond what any machine has.
 pub const MAX_AMOUNT: f64 = 1e9;
 /// Messages that an actor's mailbox holds.
-pub const MAILBOX: usize = 1_024;
+pub const MAILBOX_CAPACITY: usize = 1_024;
 
 // Cells that share teams.
 
 /// Prefix of the keys of a cell, with its name and a slash behind it.
 pub const CELLS_PREFIX: &str = "cells/";
 /// Bytes of the longest name of a cell: the service takes keys of 200 bytes.
-pub const CELL_NAME_BYTES: usize = 64;
+pub const MAX_CELL_NAME_BYTES: usize = 64;
 /// Bytes of the longest name of a team where cells share teams, for the same reason.
-pub const TEAM_NAME_BYTES: usize = 150;
+pub const MAX_TEAM_NAME_BYTES: usize = 150;
 /// Changes of a campaign where cells share teams: the leader key and the two records of the cell.
 pub const CAMPAIGN_CHANGES: usize = 3;
 /// Bytes of a ledger without allotments, with the longest numbers that are in use.
 pub const LEDGER_BYTES: usize = 260;
 /// Bytes of an allotment beside the cell's name, with the longest numbers that are in use.
-pub const ACCOUNT_BYTES: usize = 240;
+pub const ALLOTMENT_BYTES: usize = 240;
 /// ms between two refreshes of the ledgers by a leader: with a step of the allotment manager at
 /// each, what another cell holds idle is available within the bound of docs/quota.md.
 pub const QUOTA_REFRESH_INTERVAL_MS: u64 = 250;
--- a/crates/latchtrack/src/http/mod.rs
+++ b/crates/latchtrack/src/http/mod.rs
@@ -17,7 +17,7 @@
 use crate::actors::messages::scheduler::DescribeNode;
 use crate::actors::peers::Peers;
 use crate::actors::scheduler_driver::SchedulerDriver;
-use crate::constants::{BODY_BYTES, BODY_TIMEOUT, RETRY_AFTER_S};
+use crate::constants::{BODY_TIMEOUT, MAX_BODY_BYTES, RETRY_AFTER_S};
 use crate::wire::peers::{Answer, PeerRequest};
 use crate::wire::users::ErrorAnswer;
 
@@ -70,7 +70,7 @@
         let Ok(chunk) = chunk else {
             return Err(HttpResponse::BadRequest().force_close().finish());
         };
-        if body.len() + chunk.len() > BODY_BYTES {
+        if body.len() + chunk.len() > MAX_BODY_BYTES {
             return Err(HttpResponse::PayloadTooLarge()
                 .force_close()
                 .json(ErrorAnswer { error: "the body is over 64 KiB" }));
--- a/crates/latchtrack/src/http/server.rs
+++ b/crates/latchtrack/src/http/server.rs
@@ -14,7 +14,7 @@
 
 use super::{routes, AppState};
 use crate::constants::{
-    ACCEPT_RETRY, KEEP_ALIVE_S, MAX_OPEN_REFUSALS, REFUSAL_LINGER, REFUSAL_READ_BYTES,
+    ACCEPT_RETRY_DELAY, KEEP_ALIVE_S, MAX_OPEN_REFUSALS, REFUSAL_LINGER, REFUSAL_READ_BYTES,
     REFUSAL_TIMEOUT, REQUEST_HEAD_TIMEOUT, RETRY_AFTER_S,
 };
 
@@ -57,7 +57,7 @@
             }
             Err(error) => {
                 tracing::debug!(%error, "accept failed");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/latchtrack/src/http/users.rs
+++ b/crates/latchtrack/src/http/users.rs
@@ -12,7 +12,7 @@
 use crate::actors::messages::peers::{ForwardTarget, HasConnectedPeers};
 use crate::wire::peers::PeerRequest;
 use crate::wire::records::Record;
-use crate::wire::users::{parse_id, parse_job, BadSubmission, JobAnswer, JobState};
+use crate::wire::users::{parse_id, parse_job, JobAnswer, JobState, SubmissionError};
 
 /// `POST /api/jobs`: 201 for a new job, 200 with its state for one that is known.
 pub async fn submit(app: web::Data<AppState>, payload: web::Payload) -> HttpResponse {
@@ -29,7 +29,7 @@
 
 /// `POST /api/jobs/{id}/withdraw`: cancels a job, unless it is done.
 pub async fn cancel(app: web::Data<AppState>, id: web::Path<String>) -> HttpResponse {
-    answer(&app, PeerRequest::Withdraw(id.into_inner())).await
+    answer(&app, PeerRequest::Cancel(id.into_inner())).await
 }
 
 /// `GET /ready`: whether requests may be sent to this node.
@@ -69,7 +69,7 @@
     let response = match request {
         PeerRequest::Submit(bytes) => submit_locally(app, &bytes).await,
         PeerRequest::Query(id) => query_locally(app, &id).await,
-        PeerRequest::Withdraw(id) => cancel_locally(app, &id).await,
+        PeerRequest::Cancel(id) => cancel_locally(app, &id).await,
         PeerRequest::Heartbeat(_) | PeerRequest::Status => {
             Err(error_response(StatusCode::BAD_REQUEST, "not a user's request"))
         }
@@ -131,7 +131,7 @@
                 (StatusCode::UNPROCESSABLE_ENTITY, reason.to_string())
             }
             Ok(SubmitOutcome::TooLarge { bytes, max_bytes }) => {
-                let error = BadSubmission::TooLarge(bytes, max_bytes);
+                let error = SubmissionError::TooLarge(bytes, max_bytes);
                 (StatusCode::BAD_REQUEST, error.to_string())
             }
             Ok(SubmitOutcome::Busy(reason)) => return Err(unavailable(&reason.to_string())),
--- a/crates/latchtrack/src/limit.rs
+++ b/crates/latchtrack/src/limit.rs
@@ -13,12 +13,12 @@
 use crate::constants::{LEDGER_WRITE_WAIT_MS, LIMIT_CHANGE_ATTEMPTS};
 use crate::settings::Settings;
 use crate::wire::quota::team_key;
-use crate::wire::status::{AccountView, AmountsView};
+use crate::wire::status::{AllotmentView, AmountsView};
 use crate::wire::store::{Change, Condition, Txn};
 
 /// A new limit and guarantee. What is None stays as it is; a limit of 0 is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TeamTerms {
+pub struct LimitChange {
     /// CPUs of the limit.
     pub cpus_max: Option<f64>,
     /// GPUs of the limit.
@@ -31,7 +31,7 @@
 
 /// The ledger of a team, as it is shown.
 #[derive(Debug, Serialize)]
-pub struct SharedTeam {
+pub struct TeamLedgerView {
     /// Name of the team.
     pub team: String,
     /// What all cells together may use.
@@ -39,7 +39,7 @@
     /// What the team gets in any case.
     pub guarantee: AmountsView,
     /// The allotment of each cell.
-    pub cells: BTreeMap<String, AccountView>,
+    pub cells: BTreeMap<String, AllotmentView>,
 }
 
 /// Why a limit was not shown or changed.
@@ -53,13 +53,13 @@
     Store(#[from] StoreError),
     /// There is no ledger of this team.
     #[error("no cell has stored anything of team {0}")]
-    Unknown(String),
+    UnknownTeam(String),
     /// The ledger of this team can't be used.
     #[error("the value of team {0} {1}; it is left alone")]
     Unusable(String, LedgerError),
     /// The option of this name has a number that makes no sense.
     #[error("{0} is {1}, must be a number of 0 or more")]
-    Number(&'static str, f64),
+    InvalidNumber(&'static str, f64),
     /// The guarantee would not fit into the limit.
     #[error("the limit is below the guarantee")]
     BelowGuarantee,
@@ -71,9 +71,9 @@
     Json(#[from] serde_json::Error),
 }
 
-impl TeamTerms {
+impl LimitChange {
     fn is_empty(&self) -> bool {
-        *self == TeamTerms::default()
+        *self == LimitChange::default()
     }
 
     fn check(&self) -> Result<(), LimitError> {
@@ -85,7 +85,7 @@
         ];
         for (name, number) in numbers {
             if let Some(number) = number.filter(|number| !number.is_finite() || *number < 0.0) {
-                return Err(LimitError::Number(name, number));
+                return Err(LimitError::InvalidNumber(name, number));
             }
         }
         Ok(())
@@ -127,23 +127,23 @@
 
 /// Shows a team's ledger, after the change if there is one. A change is tried again while cells
 /// write the ledger, [`LIMIT_CHANGE_ATTEMPTS`] times at most.
-pub async fn limit(
+pub async fn run(
     settings: &Settings,
     team: &str,
-    terms: TeamTerms,
-) -> Result<SharedTeam, LimitError> {
+    change: LimitChange,
+) -> Result<TeamLedgerView, LimitError> {
     if settings.tuning.quota.is_none() {
         return Err(LimitError::NotShared);
     }
     let store = Store::new(settings).start();
     for _ in 0..LIMIT_CHANGE_ATTEMPTS {
         let (revision, mut ledger) = read_ledger(&store, team).await?;
-        terms.apply(&mut ledger)?;
-        if terms.is_empty() {
-            return Ok(shown(team, ledger));
+        change.apply(&mut ledger)?;
+        if change.is_empty() {
+            return Ok(ledger_view(team, ledger));
         }
         match write_ledger(&store, team, revision, &ledger).await? {
-            LedgerWriteResult::Written => return Ok(shown(team, ledger)),
+            LedgerWriteResult::Written => return Ok(ledger_view(team, ledger)),
             LedgerWriteResult::Conflict => {}
         }
     }
@@ -155,7 +155,7 @@
     let answer = store::request(store, RequestClass::Admission, get, LEDGER_WRITE_WAIT_MS).await;
     let item = match answer {
         Ok(StoreAnswer { reply: Reply::Item(item), .. }) => item,
-        Err(StoreError::NotFound) => return Err(LimitError::Unknown(team.into())),
+        Err(StoreError::NotFound) => return Err(LimitError::UnknownTeam(team.into())),
         Err(error) => return Err(error.into()),
         Ok(_) => return Err(StoreError::Unknown.into()),
     };
@@ -191,9 +191,9 @@
     }
 }
 
-fn shown(team: &str, ledger: TeamLedger) -> SharedTeam {
+fn ledger_view(team: &str, ledger: TeamLedger) -> TeamLedgerView {
     let view = |(cell, account): (String, Allotment)| (cell, account.into());
-    SharedTeam {
+    TeamLedgerView {
         team: team.into(),
         limit: ledger.limit.total().into(),
         guarantee: ledger.guarantee.into(),
--- a/crates/latchtrack/src/main.rs
+++ b/crates/latchtrack/src/main.rs
@@ -5,15 +5,15 @@
 
 use clap::Parser;
 use latchtrack::cli::{Cli, Command, Files, LimitArgs};
-use latchtrack::limit::{LimitError, TeamTerms};
+use latchtrack::limit::{LimitChange, LimitError};
 use latchtrack::node::{self, StartError};
-use latchtrack::settings::{BadSettings, Settings};
+use latchtrack::settings::{Settings, SettingsError};
 
 /// Why a command has failed. The texts are what the user sees.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
-    Settings(#[from] BadSettings),
+    Settings(#[from] SettingsError),
     #[error(transparent)]
     Start(#[from] StartError),
     #[error(transparent)]
@@ -42,7 +42,7 @@
     }
 }
 
-fn load(files: &Files) -> Result<Settings, BadSettings> {
+fn load(files: &Files) -> Result<Settings, SettingsError> {
     Settings::load(&files.config, files.operator.as_deref())
 }
 
@@ -55,7 +55,7 @@
 
 fn status(files: &Files) -> Result<(), CommandError> {
     let settings = load(files)?;
-    let status = actix::System::new().block_on(latchtrack::status::ask(&settings));
+    let status = actix::System::new().block_on(latchtrack::status::query(&settings));
     print!("{}", serde_yaml_ng::to_string(&status)?);
     if status.has_answer() {
         Ok(())
@@ -66,13 +66,13 @@
 
 fn limit(args: &LimitArgs) -> Result<(), CommandError> {
     let settings = load(&args.files)?;
-    let terms = TeamTerms {
+    let change = LimitChange {
         cpus_max: args.cpus_max,
         gpus_max: args.gpus_max,
         cpus: args.cpus,
         gpus: args.gpus,
     };
-    let limit = latchtrack::limit::limit(&settings, &args.team, terms);
+    let limit = latchtrack::limit::run(&settings, &args.team, change);
     let shown = actix::System::new().block_on(limit)?;
     print!("{}", serde_yaml_ng::to_string(&shown)?);
     Ok(())
--- a/crates/latchtrack/src/net.rs
+++ b/crates/latchtrack/src/net.rs
@@ -16,7 +16,7 @@
     /// Nothing was sent: an attempt to connect that was given up never completes later.
     NotSent,
     /// Sent, or perhaps sent: it may be carried out at any time.
-    Lost,
+    OutcomeUnknown,
 }
 
 /// A client with at most `max_connections` connections.
@@ -30,17 +30,18 @@
 }
 
 /// Waits for an answer and reads its body, up to [`MAX_RESPONSE_BYTES`].
-pub async fn finish<R, S>(sent: R) -> Result<(StatusCode, Vec<u8>), CallError>
+pub async fn read_response<R, S>(sent: R) -> Result<(StatusCode, Vec<u8>), CallError>
 where
     R: Future<Output = Result<awc::ClientResponse<S>, SendRequestError>>,
     S: futures_util::Stream<Item = Result<actix_web::web::Bytes, awc::error::PayloadError>> + Unpin,
 {
     let mut response = sent.await.map_err(|error| match error {
-        SendRequestError::Connect(ConnectError::Disconnected) => CallError::Lost,
+        SendRequestError::Connect(ConnectError::Disconnected) => CallError::OutcomeUnknown,
         SendRequestError::Connect(_) => CallError::NotSent,
-        _ => CallError::Lost,
+        _ => CallError::OutcomeUnknown,
     })?;
     let status = response.status();
-    let body = response.body().limit(MAX_RESPONSE_BYTES).await.map_err(|_| CallError::Lost)?;
+    let body =
+        response.body().limit(MAX_RESPONSE_BYTES).await.map_err(|_| CallError::OutcomeUnknown)?;
     Ok((status, body.to_vec()))
 }
--- a/crates/latchtrack/src/node.rs
+++ b/crates/latchtrack/src/node.rs
@@ -60,7 +60,7 @@
 pub async fn serve(settings: Settings, users: TcpListener, peers: TcpListener) {
     tracing::info!(node = settings.platform.node_name, "node serving");
     let app = start_actors(&settings, peers);
-    server::serve(users, app, settings.connections()).await;
+    server::serve(users, app, settings.max_connections()).await;
 }
 
 /// Starts the actors and connects them.
@@ -85,7 +85,7 @@
         cache.clone(),
         scheduler.clone().recipient(),
         settings.platform.node_name.clone(),
-        settings.leader_ttl_ms(),
+        settings.leader_lease_ms(),
         cell,
     )
     .start();
--- a/crates/latchtrack/src/settings/check.rs
+++ b/crates/latchtrack/src/settings/check.rs
@@ -7,7 +7,7 @@
 
 /// Why the settings can't be used; one line that names the field.
 #[derive(Debug, thiserror::Error)]
-pub enum BadSettings {
+pub enum SettingsError {
     /// A file can't be read: its path and why.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
@@ -19,16 +19,16 @@
     Yaml(String, serde_yaml_ng::Error),
     /// A setting has a value that can't work: its name and why.
     #[error("{0}: {1}")]
-    Range(&'static str, String),
+    Invalid(&'static str, String),
 }
 
 /// Refuses a setting.
-pub(super) fn refuse<T>(name: &'static str, why: impl Into<String>) -> Result<T, BadSettings> {
-    Err(BadSettings::Range(name, why.into()))
+pub(super) fn refuse<T>(name: &'static str, why: impl Into<String>) -> Result<T, SettingsError> {
+    Err(SettingsError::Invalid(name, why.into()))
 }
 
 /// Refuses a number that is below the least allowed or not finite.
-fn check_min(name: &'static str, value: f64, least: f64) -> Result<(), BadSettings> {
+fn check_min(name: &'static str, value: f64, least: f64) -> Result<(), SettingsError> {
     if value.is_finite() && value >= least {
         Ok(())
     } else {
@@ -37,7 +37,7 @@
 }
 
 /// Refuses a number that is outside of a range or not a number.
-fn check_range(name: &'static str, value: f64, from: f64, to: f64) -> Result<(), BadSettings> {
+fn check_range(name: &'static str, value: f64, from: f64, to: f64) -> Result<(), SettingsError> {
     if (from..=to).contains(&value) {
         Ok(())
     } else {
@@ -47,14 +47,14 @@
 
 impl Settings {
     /// Refuses settings that can't work, by the name of the first such field.
-    pub fn check(&self) -> Result<(), BadSettings> {
+    pub fn check(&self) -> Result<(), SettingsError> {
         self.check_platform()?;
         self.check_tuning()?;
         self.check_quota()?;
         self.check_leases()
     }
 
-    fn check_platform(&self) -> Result<(), BadSettings> {
+    fn check_platform(&self) -> Result<(), SettingsError> {
         let params = &self.platform.params;
         if self.platform.node_name.is_empty() {
             return refuse("node_name", "is empty");
@@ -66,7 +66,7 @@
             return refuse("params.teams", "amounts must be 0 or more");
         }
         for (name, value, least) in [
-            ("params.workers.report_s", params.workers.report_s, 0.1),
+            ("params.workers.report_s", params.workers.heartbeat_interval_s, 0.1),
             ("params.workers.lease_s", params.workers.lease_s, 1.0),
             ("params.workers.cancel_s", params.workers.cancel_s, 1.0),
         ] {
@@ -104,21 +104,26 @@
         Ok(())
     }
 
-    fn check_tuning(&self) -> Result<(), BadSettings> {
-        let report_s = self.platform.params.workers.report_s;
+    fn check_tuning(&self) -> Result<(), SettingsError> {
+        let report_s = self.platform.params.workers.heartbeat_interval_s;
         let tuning = &self.tuning;
         check_range("alpha", tuning.alpha, 0.0, 1.0)?;
         check_range("gamma", tuning.gamma, 0.0, 100.0)?;
         check_range("slice", f64::from(tuning.slice), 1.0, f64::from(core::MAX_TASKS))?;
-        check_range("idle_wait_s", tuning.idle_wait_s, 0.0, c::MAX_SETTING_S)?;
-        check_range("ordinary_idle_wait_s", tuning.ordinary_idle_wait_s, 0.0, c::MAX_SETTING_S)?;
-        check_range("pass_over_s", tuning.pass_over_s, 0.0, c::MAX_SETTING_S)?;
-        check_range("spot_after_s", tuning.spot_after_s, 0.0, 3_600.0)?;
-        check_range("ordinary_after_s", tuning.ordinary_after_s, 0.0, 3_600.0)?;
+        check_range("idle_wait_s", tuning.spot_idle_timeout_s, 0.0, c::MAX_SETTING_S)?;
+        check_range(
+            "ordinary_idle_wait_s",
+            tuning.on_demand_idle_timeout_s,
+            0.0,
+            c::MAX_SETTING_S,
+        )?;
+        check_range("pass_over_s", tuning.reserve_after_s, 0.0, c::MAX_SETTING_S)?;
+        check_range("spot_after_s", tuning.spot_provision_delay_s, 0.0, 3_600.0)?;
+        check_range("ordinary_after_s", tuning.on_demand_provision_delay_s, 0.0, 3_600.0)?;
         let asked_first =
             report_s * core::HEARTBEAT_JITTER_FACTOR + core::PROBE_MARGIN_MS as f64 / 1000.0;
-        check_range("silence_s", self.silence_s(), asked_first, 3_600.0)?;
-        check_range("settle_s", tuning.settle_s, 3.0, 3_600.0)?;
+        check_range("silence_s", self.heartbeat_timeout_s(), asked_first, 3_600.0)?;
+        check_range("settle_s", tuning.reconcile_timeout_s, 3.0, 3_600.0)?;
         let moves = f64::from(tuning.balance.moves_per_minute);
         check_range("balance.moves_per_minute", moves, 1.0, c::MAX_MOVES_PER_MINUTE)?;
         for (name, value) in [
@@ -126,7 +131,7 @@
             ("balance.min_run_s", tuning.balance.min_run_s),
             ("balance.task_cooldown_s", tuning.balance.task_cooldown_s),
             ("balance.machine_gap_s", tuning.balance.machine_gap_s),
-            ("balance.calm_s", tuning.balance.calm_s),
+            ("balance.calm_s", tuning.balance.delay_after_failover_s),
         ] {
             check_range(name, value, 0.0, c::MAX_SETTING_S)?;
         }
@@ -134,9 +139,9 @@
     }
 
     /// A cancelled task must have ended in time, whatever becomes of the leader.
-    fn check_leases(&self) -> Result<(), BadSettings> {
+    fn check_leases(&self) -> Result<(), SettingsError> {
         let lease_s = self.leader_lease_s();
-        check_range("leader_lease_s", lease_s, c::MIN_LEADER_TTL_MS as f64 / 1000.0, 600.0)?;
+        check_range("leader_lease_s", lease_s, c::MIN_LEADER_LEASE_MS as f64 / 1000.0, 600.0)?;
         let (end, cancel_s) =
             (lease_s + self.stopped_within_s(), self.platform.params.workers.cancel_s);
         if end >= cancel_s {
--- a/crates/latchtrack/src/settings/mod.rs
+++ b/crates/latchtrack/src/settings/mod.rs
@@ -13,10 +13,10 @@
 use latchtrack_core::scheduler::{Policy, StartObjective, Team};
 use serde::Serialize;
 
-pub use check::BadSettings;
+pub use check::SettingsError;
 pub use platform::{
-    CloudParams, Limits, NextStateParams, Objective, Params, Peer, Platform, Services, StateParams,
-    TeamParams, Workers,
+    CloudParams, NextStateParams, NodeLimits, Objective, Params, Peer, Platform, Services,
+    StateParams, TeamParams, WorkerParams,
 };
 pub use quota::QuotaTuning;
 pub use tuning::{parse_tuning, BalanceTuning, Tuning};
@@ -46,22 +46,22 @@
 
 impl Settings {
     /// Reads and checks both files.
-    pub fn load(config: &Path, operator: Option<&Path>) -> Result<Settings, BadSettings> {
+    pub fn load(config: &Path, operator: Option<&Path>) -> Result<Settings, SettingsError> {
         let read = |path: &Path| {
             std::fs::read_to_string(path)
-                .map_err(|e| BadSettings::Read(path.display().to_string(), e))
+                .map_err(|e| SettingsError::Read(path.display().to_string(), e))
         };
         let platform = serde_json::from_str(&read(config)?)
-            .map_err(|e| BadSettings::Json(config.display().to_string(), e))?;
+            .map_err(|e| SettingsError::Json(config.display().to_string(), e))?;
         let tuning = match operator {
             None => Tuning::default(),
             Some(path) => parse_tuning(&read(path)?)
-                .map_err(|e| BadSettings::Yaml(path.display().to_string(), e))?,
+                .map_err(|e| SettingsError::Yaml(path.display().to_string(), e))?,
         };
         let mut settings = Settings { platform, tuning };
         settings.check()?;
         // So that what is shown is what takes effect.
-        settings.tuning.silence_s = Some(settings.silence_s());
+        settings.tuning.heartbeat_timeout_s = Some(settings.heartbeat_timeout_s());
         settings.tuning.leader_lease_s = Some(settings.leader_lease_s());
         Ok(settings)
     }
@@ -73,14 +73,14 @@
         Policy {
             weights: ScoreWeights { alpha: t.alpha, beta: 1.0 - t.alpha, gamma: t.gamma },
             slice: t.slice,
-            spot_idle_timeout_ms: ms(t.idle_wait_s),
-            on_demand_idle_timeout_ms: ms(t.ordinary_idle_wait_s),
-            reserve_after_ms: ms(t.pass_over_s),
-            spot_provision_delay_ms: ms(t.spot_after_s),
-            on_demand_provision_delay_ms: ms(t.ordinary_after_s),
-            heartbeat_timeout_ms: ms(self.silence_s()),
-            heartbeat_interval_ms: ms(self.platform.params.workers.report_s),
-            reconcile_timeout_ms: ms(t.settle_s),
+            spot_idle_timeout_ms: ms(t.spot_idle_timeout_s),
+            on_demand_idle_timeout_ms: ms(t.on_demand_idle_timeout_s),
+            reserve_after_ms: ms(t.reserve_after_s),
+            spot_provision_delay_ms: ms(t.spot_provision_delay_s),
+            on_demand_provision_delay_ms: ms(t.on_demand_provision_delay_s),
+            heartbeat_timeout_ms: ms(self.heartbeat_timeout_s()),
+            heartbeat_interval_ms: ms(self.platform.params.workers.heartbeat_interval_s),
+            reconcile_timeout_ms: ms(t.reconcile_timeout_s),
             worker_lease_ms: ms(self.platform.params.workers.lease_s),
             list_lag_ms: ms(self.platform.params.cloud.list_lag_s),
             max_open_calls: self.max_open_calls(),
@@ -139,10 +139,10 @@
     }
 
     /// Heartbeat timeout in s: silence after which a machine is given up.
-    pub fn silence_s(&self) -> f64 {
-        let report_ms = (self.platform.params.workers.report_s * 1000.0) as u64;
+    pub fn heartbeat_timeout_s(&self) -> f64 {
+        let report_ms = (self.platform.params.workers.heartbeat_interval_s * 1000.0) as u64;
         let derived = || Policy::default_heartbeat_timeout_ms(report_ms) as f64 / 1000.0;
-        self.tuning.silence_s.unwrap_or_else(derived)
+        self.tuning.heartbeat_timeout_s.unwrap_or_else(derived)
     }
 
     /// Direct calls open at once: half of the sockets that users and workers leave.
@@ -156,10 +156,10 @@
     /// a cancellation, with some of it to spare.
     pub fn leader_lease_s(&self) -> f64 {
         let left = self.platform.params.workers.cancel_s - self.stopped_within_s();
-        let [usual, least] = [c::LEADER_TTL_MS, c::MIN_LEADER_TTL_MS].map(|ms| ms as f64 / 1e3);
+        let [usual, least] = [c::LEADER_LEASE_MS, c::MIN_LEADER_LEASE_MS].map(|ms| ms as f64 / 1e3);
         self.tuning
             .leader_lease_s
-            .unwrap_or_else(|| usual.min(left * c::USED_CANCEL_FRACTION).max(least))
+            .unwrap_or_else(|| usual.min(left * c::MAX_CANCEL_TIME_FRACTION).max(least))
     }
 
     /// s until a task has surely ended after the last heartbeat that a leader answered. A leader
@@ -170,14 +170,14 @@
     }
 
     /// Connections of users and workers that are served at once.
-    pub fn connections(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         (self.platform.params.limits.max_sockets as f64 * c::CLIENT_SOCKET_FRACTION) as usize
     }
 
     /// What follows from the settings.
     pub fn derived(&self) -> Derived {
         Derived {
-            connections: self.connections(),
+            connections: self.max_connections(),
             direct_calls: self.max_open_calls(),
             prompt_ms: self
                 .start_objectives()
@@ -188,12 +188,12 @@
     }
 
     /// ms that the leader's lease lasts.
-    pub fn leader_ttl_ms(&self) -> u64 {
+    pub fn leader_lease_ms(&self) -> u64 {
         (self.leader_lease_s() * 1000.0) as u64
     }
 
     /// Nodes of the service, this one included.
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.platform.peers.len() + 1
     }
 }
--- a/crates/latchtrack/src/settings/platform.rs
+++ b/crates/latchtrack/src/settings/platform.rs
@@ -58,14 +58,14 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Times of the workers.
-    pub workers: Workers,
+    pub workers: WorkerParams,
     /// Limits of the state service.
     pub state: StateParams,
     /// Limits of the cloud.
     pub cloud: CloudParams,
     /// What this node may use.
     #[serde(rename = "machine_limits")]
-    pub limits: Limits,
+    pub limits: NodeLimits,
 }
 
 /// A team. What is left out is 0; a limit of 0 is none.
@@ -123,9 +123,10 @@
 
 /// Times of the workers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Workers {
+pub struct WorkerParams {
     /// s between two heartbeats.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// s of the worker lease.
     pub lease_s: f64,
     /// s within which the tasks of a cancelled job must have ended.
@@ -210,7 +211,7 @@
 
 /// What this node may use.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Limits {
+pub struct NodeLimits {
     /// CPUs.
     pub cpu: f64,
     /// MB of memory.
--- a/crates/latchtrack/src/settings/quota.rs
+++ b/crates/latchtrack/src/settings/quota.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::check::{refuse, BadSettings};
+use super::check::{refuse, SettingsError};
 use super::Settings;
 use crate::constants as c;
 
@@ -27,7 +27,7 @@
 
 impl Settings {
     /// Cells that share the state service.
-    pub fn cells(&self) -> usize {
+    pub fn cell_count(&self) -> usize {
         self.tuning.quota.as_ref().map_or(1, |quota| quota.cells.len())
     }
 
@@ -40,12 +40,12 @@
     }
 
     /// Refuses cells that could not work together, by name.
-    pub(super) fn check_quota(&self) -> Result<(), BadSettings> {
+    pub(super) fn check_quota(&self) -> Result<(), SettingsError> {
         let Some(quota) = &self.tuning.quota else { return Ok(()) };
         for (field, name) in std::iter::once(("quota.cell", &quota.cell))
             .chain(quota.cells.iter().map(|name| ("quota.cells", name)))
         {
-            if !is_key_part(name, c::CELL_NAME_BYTES) {
+            if !is_key_part(name, c::MAX_CELL_NAME_BYTES) {
                 return refuse(
                     field,
                     format!("{name:?} must be 1 to 64 bytes without spaces and slashes"),
@@ -63,7 +63,7 @@
         if state.txn_ops() < c::CAMPAIGN_CHANGES {
             return refuse("params.state.txn_ops", "must be at least 3 where cells share teams");
         }
-        let accounts = quota.cells.iter().map(|name| name.len() + c::ACCOUNT_BYTES);
+        let accounts = quota.cells.iter().map(|name| name.len() + c::ALLOTMENT_BYTES);
         let bytes = c::LEDGER_BYTES + accounts.sum::<usize>();
         if bytes > state.value_bytes() {
             let most = state.value_bytes();
@@ -75,10 +75,10 @@
         self.check_shared_teams()
     }
 
-    fn check_shared_teams(&self) -> Result<(), BadSettings> {
+    fn check_shared_teams(&self) -> Result<(), SettingsError> {
         for team in &self.platform.params.teams {
             let name = &team.name;
-            if !is_key_part(name, c::TEAM_NAME_BYTES) {
+            if !is_key_part(name, c::MAX_TEAM_NAME_BYTES) {
                 return refuse("params.teams", format!("{name:?} can't be part of a key"));
             }
             let is_below = |limit: f64, guarantee: f64| limit > 0.0 && limit < guarantee;
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -18,19 +18,26 @@
     /// Tasks of a job that start together.
     pub slice: u32,
     /// s after which an idle spot machine is terminated.
-    pub idle_wait_s: f64,
+    #[serde(rename = "idle_wait_s")]
+    pub spot_idle_timeout_s: f64,
     /// s after which an idle on-demand machine, which is dearer, is terminated.
-    pub ordinary_idle_wait_s: f64,
+    #[serde(rename = "ordinary_idle_wait_s")]
+    pub on_demand_idle_timeout_s: f64,
     /// s for which a job may find no capacity before capacity is reserved for it.
-    pub pass_over_s: f64,
+    #[serde(rename = "pass_over_s")]
+    pub reserve_after_s: f64,
     /// s for which a job must find no capacity before a spot machine is provisioned for it.
-    pub spot_after_s: f64,
+    #[serde(rename = "spot_after_s")]
+    pub spot_provision_delay_s: f64,
     /// s for which a job must find no capacity before an on-demand machine is provisioned for it.
-    pub ordinary_after_s: f64,
+    #[serde(rename = "ordinary_after_s")]
+    pub on_demand_provision_delay_s: f64,
     /// Heartbeat timeout in s; derived from `report_s` if not set.
-    pub silence_s: Option<f64>,
+    #[serde(rename = "silence_s")]
+    pub heartbeat_timeout_s: Option<f64>,
     /// s that a new leader waits for an unreconciled machine.
-    pub settle_s: f64,
+    #[serde(rename = "settle_s")]
+    pub reconcile_timeout_s: f64,
     /// s that the leader's lease lasts; if not set 3, or what the worker lease leaves of
     /// `cancel_s`.
     pub leader_lease_s: Option<f64>,
@@ -61,7 +68,8 @@
     /// s between two moves from or to the same machine.
     pub machine_gap_s: f64,
     /// s after a failover in which nothing moves.
-    pub calm_s: f64,
+    #[serde(rename = "calm_s")]
+    pub delay_after_failover_s: f64,
 }
 
 impl Default for BalanceTuning {
@@ -76,7 +84,7 @@
             min_run_s: s(balance::MIN_RUN_MS),
             task_cooldown_s: s(balance::TASK_COOLDOWN_MS),
             machine_gap_s: s(balance::MACHINE_GAP_MS),
-            calm_s: s(core::MOVES_DELAY_AFTER_FAILOVER_MS),
+            delay_after_failover_s: s(core::MOVES_DELAY_AFTER_FAILOVER_MS),
         }
     }
 }
@@ -99,7 +107,7 @@
             teams: self.teams,
             moves: self.moves,
             limits,
-            calm_ms: ms(self.calm_s),
+            calm_ms: ms(self.delay_after_failover_s),
         }
     }
 }
@@ -111,13 +119,13 @@
             alpha: core::ALPHA,
             gamma: core::GAMMA,
             slice: core::SLICE,
-            idle_wait_s: s(core::SPOT_IDLE_TIMEOUT_MS),
-            ordinary_idle_wait_s: s(core::ON_DEMAND_IDLE_TIMEOUT_MS),
-            pass_over_s: s(core::RESERVE_AFTER_MS),
-            spot_after_s: s(core::SPOT_PROVISION_DELAY_MS),
-            ordinary_after_s: s(core::ON_DEMAND_PROVISION_DELAY_MS),
-            silence_s: None,
-            settle_s: s(core::RECONCILE_TIMEOUT_MS),
+            spot_idle_timeout_s: s(core::SPOT_IDLE_TIMEOUT_MS),
+            on_demand_idle_timeout_s: s(core::ON_DEMAND_IDLE_TIMEOUT_MS),
+            reserve_after_s: s(core::RESERVE_AFTER_MS),
+            spot_provision_delay_s: s(core::SPOT_PROVISION_DELAY_MS),
+            on_demand_provision_delay_s: s(core::ON_DEMAND_PROVISION_DELAY_MS),
+            heartbeat_timeout_s: None,
+            reconcile_timeout_s: s(core::RECONCILE_TIMEOUT_MS),
             leader_lease_s: None,
             balance: BalanceTuning::default(),
             quota: None,
--- a/crates/latchtrack/src/status.rs
+++ b/crates/latchtrack/src/status.rs
@@ -11,10 +11,12 @@
 use crate::actors::peers;
 use crate::actors::store::{self, Store, StoreError};
 use crate::constants::{CALL_TIMEOUT, MAX_STATUS_CALLS};
-use crate::net::{finish, http_client};
+use crate::net::{http_client, read_response};
 use crate::settings::Settings;
 use crate::wire::peers::PeerRequest;
-use crate::wire::records::{parse_machine_set, Record, JOBS, LEADER, LIVE, MACHINE_SETS};
+use crate::wire::records::{
+    parse_machine_set, Record, JOBS_PREFIX, LEADER_KEY, LIVE_PREFIX, MACHINE_SETS_PREFIX,
+};
 use crate::wire::status::NodeView;
 use crate::wire::store::Item;
 use crate::wire::workers::parse_heartbeat;
@@ -26,10 +28,10 @@
     pub nodes: BTreeMap<String, Option<NodeView>>,
     /// Only if no node answered as the leader.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub without_leader: Option<StoredStatus>,
+    pub without_leader: Option<LeaderlessStatus>,
     /// Why the state service gave no answer, if it was asked.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub trouble: Option<String>,
+    #[serde(rename = "trouble", skip_serializing_if = "Option::is_none")]
+    pub store_error: Option<String>,
 }
 
 impl Status {
@@ -41,7 +43,7 @@
 
 /// What the state service and the workers say.
 #[derive(Serialize, Debug, Default)]
-pub struct StoredStatus {
+pub struct LeaderlessStatus {
     /// The leader key's value, if there is one.
     pub leader: Option<String>,
     /// Jobs that are neither done nor cancelled.
@@ -55,20 +57,20 @@
 }
 
 /// Asks all nodes, and without a leader the state service and the workers.
-pub async fn ask(settings: &Settings) -> Status {
-    let nodes = ask_nodes(settings).await;
+pub async fn query(settings: &Settings) -> Status {
+    let nodes = query_nodes(settings).await;
     let is_led = nodes.values().flatten().any(|node| node.cluster.is_some());
-    let (mut without_leader, mut trouble) = (None, None);
+    let (mut without_leader, mut store_error) = (None, None);
     if !is_led {
-        match ask_store_and_workers(settings).await {
+        match query_store_and_workers(settings).await {
             Ok(status) => without_leader = Some(status),
-            Err(error) => trouble = Some(format!("the state service: {error}")),
+            Err(error) => store_error = Some(format!("the state service: {error}")),
         }
     }
-    Status { nodes, without_leader, trouble }
+    Status { nodes, without_leader, store_error }
 }
 
-async fn ask_nodes(settings: &Settings) -> BTreeMap<String, Option<NodeView>> {
+async fn query_nodes(settings: &Settings) -> BTreeMap<String, Option<NodeView>> {
     let platform = &settings.platform;
     let own = std::iter::once((platform.node_name.clone(), platform.peer_bind));
     let others = platform.peers.iter().map(|peer| (peer.node_name.clone(), peer.addr));
@@ -81,29 +83,29 @@
     nodes
 }
 
-async fn ask_store_and_workers(settings: &Settings) -> Result<StoredStatus, StoreError> {
+async fn query_store_and_workers(settings: &Settings) -> Result<LeaderlessStatus, StoreError> {
     let store = Store::new(settings).start();
-    let (live, _) = store::read_all(&store, LIVE).await?;
-    let (machine_sets, _) = store::read_all(&store, MACHINE_SETS).await?;
-    let mut status = StoredStatus::default();
+    let (live, _) = store::read_all(&store, LIVE_PREFIX).await?;
+    let (machine_sets, _) = store::read_all(&store, MACHINE_SETS_PREFIX).await?;
+    let mut status = LeaderlessStatus::default();
     count_records(&live, &mut status);
     let mut addrs = Vec::new();
     for item in machine_sets {
-        let name = item.key.strip_prefix(MACHINE_SETS).unwrap_or_default();
+        let name = item.key.strip_prefix(MACHINE_SETS_PREFIX).unwrap_or_default();
         let machines = parse_machine_set(name, item.value.get()).unwrap_or_default();
         addrs.extend(machines.into_iter().map(|machine| machine.addr));
     }
     status.machines = addrs.len();
-    ask_workers(addrs, &mut status).await;
+    query_workers(addrs, &mut status).await;
     Ok(status)
 }
 
 /// Enters the leader and the number of open jobs.
-fn count_records(live: &[Item], status: &mut StoredStatus) {
+fn count_records(live: &[Item], status: &mut LeaderlessStatus) {
     for item in live {
-        if item.key == LEADER {
+        if item.key == LEADER_KEY {
             status.leader = Some(item.value.get().to_string());
-        } else if let Some(id) = item.key.strip_prefix(JOBS).and_then(|id| id.parse().ok()) {
+        } else if let Some(id) = item.key.strip_prefix(JOBS_PREFIX).and_then(|id| id.parse().ok()) {
             let record = Record::parse(id, item.value.get());
             status.jobs_open += usize::from(matches!(record, Ok(Record::Open { .. })));
         }
@@ -111,11 +113,11 @@
 }
 
 /// Enters the running tasks of the workers at these addresses, and how many do not answer.
-async fn ask_workers(addrs: Vec<String>, status: &mut StoredStatus) {
+async fn query_workers(addrs: Vec<String>, status: &mut LeaderlessStatus) {
     let client = http_client(MAX_STATUS_CALLS);
     let calls = futures_util::stream::iter(addrs).map(|addr| {
         let request = client.get(format!("http://{addr}/status")).force_close();
-        finish(request.timeout(CALL_TIMEOUT).send())
+        read_response(request.timeout(CALL_TIMEOUT).send())
     });
     let mut answers = calls.buffer_unordered(MAX_STATUS_CALLS);
     while let Some(answer) = answers.next().await {
--- a/crates/latchtrack/src/wire/peers.rs
+++ b/crates/latchtrack/src/wire/peers.rs
@@ -59,7 +59,7 @@
     /// A query of a job: its id as the user sent it.
     Query(String),
     /// A cancellation of a job: its id as the user sent it.
-    Withdraw(String),
+    Cancel(String),
     /// A heartbeat of a worker that can't reach the leader itself: the body as it was sent.
     Heartbeat(Vec<u8>),
     /// An operator's request for what the node sees: see [`super::status::NodeView`].
@@ -85,7 +85,7 @@
 /// Decodes a frame; None for any other bytes. Nothing may be left over, and lengths are checked
 /// before memory is allocated.
 pub fn decode(bytes: &[u8]) -> Option<Frame> {
-    let config = bincode::config::standard().with_limit::<{ crate::constants::FRAME_BYTES }>();
+    let config = bincode::config::standard().with_limit::<{ crate::constants::MAX_FRAME_BYTES }>();
     match bincode::decode_from_slice(bytes, config) {
         Ok((frame, used)) if used == bytes.len() => Some(frame),
         _ => None,
--- a/crates/latchtrack/src/wire/quota.rs
+++ b/crates/latchtrack/src/wire/quota.rs
@@ -7,31 +7,31 @@
 };
 use serde_json::value::{to_raw_value, RawValue};
 
-use super::records::LEADER;
+use super::records::LEADER_KEY;
 use super::store::{Change, Condition, Txn};
 
 /// Prefix of all keys that cells share.
-pub const SHARED: &str = "quota/";
+pub const SHARED_PREFIX: &str = "quota/";
 /// Prefix of the teams' ledgers.
-const TEAMS: &str = "quota/team/";
+const TEAMS_PREFIX: &str = "quota/team/";
 /// Prefix of the keys that exist while a cell is led.
-const LIVE: &str = "quota/live/";
+const LIVE_PREFIX: &str = "quota/live/";
 /// Prefix of the records of the cells; the revision of one is the fencing token of the cell's last
 /// leader.
-const TERMS: &str = "quota/term/";
+const TERMS_PREFIX: &str = "quota/term/";
 
 /// The key of a cell's record.
 pub fn term_key(cell: &str) -> String {
-    format!("{TERMS}{cell}")
+    format!("{TERMS_PREFIX}{cell}")
 }
 
 fn live_key(cell: &str) -> String {
-    format!("{LIVE}{cell}")
+    format!("{LIVE_PREFIX}{cell}")
 }
 
 /// The key of a team's ledger.
 pub fn team_key(team: &str) -> String {
-    format!("{TEAMS}{team}")
+    format!("{TEAMS_PREFIX}{team}")
 }
 
 /// What a leader stores of its cell in the transaction that makes it one.
@@ -52,7 +52,7 @@
 pub fn ledger_transaction(token: u64, write: &LedgerWrite) -> serde_json::Result<Txn> {
     let key = team_key(&write.team);
     let mut conditions = vec![
-        Condition { key: LEADER.into(), revision: token },
+        Condition { key: LEADER_KEY.into(), revision: token },
         Condition { key: key.clone(), revision: write.expected_revision },
     ];
     for dead in &write.dead {
@@ -90,14 +90,14 @@
     }
 
     /// The ledgers and cells as they are known, up to this revision.
-    pub fn view(&self, revision: u64) -> LedgerSnapshot {
+    pub fn snapshot(&self, revision: u64) -> LedgerSnapshot {
         let mut view = LedgerSnapshot { revision, ..LedgerSnapshot::default() };
         for (key, (revision, value)) in &self.values {
-            if let Some(team) = key.strip_prefix(TEAMS) {
+            if let Some(team) = key.strip_prefix(TEAMS_PREFIX) {
                 let ledger = TeamLedger::parse(value.get());
                 let seen = StoredLedger { revision: *revision, ledger };
                 view.teams.insert(team.to_string(), seen);
-            } else if let Some(cell) = key.strip_prefix(TERMS) {
+            } else if let Some(cell) = key.strip_prefix(TERMS_PREFIX) {
                 let presence = CellStatus {
                     has_leader: self.values.contains_key(&live_key(cell)),
                     term_revision: *revision,
--- a/crates/latchtrack/src/wire/records/machine_set.rs
+++ b/crates/latchtrack/src/wire/records/machine_set.rs
@@ -28,7 +28,7 @@
 }
 
 /// Reads a value of the machine set, in the current form or the old one. `key` is the part of the
-/// key after [`super::MACHINE_SETS`].
+/// key after [`super::MACHINE_SETS_PREFIX`].
 pub fn parse_machine_set(key: &str, json: &str) -> serde_json::Result<Vec<StoredMachine>> {
     if json.trim_start().starts_with('{') {
         let old: OldMachine = serde_json::from_str(json)?;
--- a/crates/latchtrack/src/wire/records/machine_types.rs
+++ b/crates/latchtrack/src/wire/records/machine_types.rs
@@ -44,7 +44,7 @@
 
 /// Whether two lists of types differ in nothing but prices, which change often and are not worth a
 /// write.
-pub fn same_types(a: &[MachineType], b: &[MachineType]) -> bool {
+pub fn equal_except_prices(a: &[MachineType], b: &[MachineType]) -> bool {
     let priceless = |types: &[MachineType]| -> Vec<MachineType> {
         types.iter().map(|t| MachineType { price: 0.0, spot_price: 0.0, ..t.clone() }).collect()
     };
--- a/crates/latchtrack/src/wire/records/mod.rs
+++ b/crates/latchtrack/src/wire/records/mod.rs
@@ -14,35 +14,35 @@
 
 pub use self::job_record::{Record, RecordError};
 pub use self::machine_set::{encode_machine_set, parse_machine_set};
-pub use self::machine_types::{encode_machine_types, parse_machine_types, same_types};
-pub use self::results::{encode_results, parse_results, Chunks};
+pub use self::machine_types::{encode_machine_types, equal_except_prices, parse_machine_types};
+pub use self::results::{encode_results, parse_results, ResultChunks};
 
 /// The cache's prefix: the leader key and the job records.
-pub const LIVE: &str = "live/";
+pub const LIVE_PREFIX: &str = "live/";
 /// The leader key.
-pub const LEADER: &str = "live/leader";
+pub const LEADER_KEY: &str = "live/leader";
 /// Prefix of the job records.
-pub const JOBS: &str = "live/job/";
+pub const JOBS_PREFIX: &str = "live/job/";
 /// Prefix of the stored results of unfinished jobs.
-pub const RESULTS: &str = "results/";
+pub const RESULTS_PREFIX: &str = "results/";
 /// The key of the machine types, as last read from the cloud.
-pub const TYPES: &str = "site/types";
+pub const MACHINE_TYPES_KEY: &str = "site/types";
 /// Prefix of the machine set.
-pub const MACHINE_SETS: &str = "fleet/";
+pub const MACHINE_SETS_PREFIX: &str = "fleet/";
 
 /// The key of a job's record.
 pub fn job_key(id: JobId) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOBS_PREFIX}{id}")
 }
 
 /// The key of a record shard of results.
 pub fn results_key(name: &str) -> String {
-    format!("{RESULTS}{name}")
+    format!("{RESULTS_PREFIX}{name}")
 }
 
 /// The key of a record shard of the machine set.
 pub fn machine_set_key(name: &str) -> String {
-    format!("{MACHINE_SETS}{name}")
+    format!("{MACHINE_SETS_PREFIX}{name}")
 }
 
 /// Who leads.
--- a/crates/latchtrack/src/wire/records/results.rs
+++ b/crates/latchtrack/src/wire/records/results.rs
@@ -8,7 +8,7 @@
 use serde_json::value::RawValue;
 
 /// Bits of done tasks, by job and chunk.
-pub type Chunks = Vec<(JobId, u32, Vec<u8>)>;
+pub type ResultChunks = Vec<(JobId, u32, Vec<u8>)>;
 
 /// A record shard of results as it is stored.
 pub fn encode_results(chunks: &[(JobId, u32, Vec<u8>)]) -> serde_json::Result<Box<RawValue>> {
@@ -20,8 +20,8 @@
 }
 
 /// Reads a value of results; None if it can't be parsed. `key` is the part of the key after
-/// [`super::RESULTS`]. The old form is one text, of the job and the chunk in its key.
-pub fn parse_results(key: &str, json: &str) -> Option<Chunks> {
+/// [`super::RESULTS_PREFIX`]. The old form is one text, of the job and the chunk in its key.
+pub fn parse_results(key: &str, json: &str) -> Option<ResultChunks> {
     let one = |name: &str, text: &str| {
         let (job, chunk) = name.split_once('/')?;
         Some((job.parse().ok()?, chunk.parse().ok()?, STANDARD_NO_PAD.decode(text).ok()?))
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -33,11 +33,13 @@
     /// Of these, those that should be up.
     pub machines_late: usize,
     /// Unreconciled machines: of an earlier leader, not yet heard by this one.
-    pub machines_unsettled: usize,
+    #[serde(rename = "machines_unsettled")]
+    pub machines_unreconciled: usize,
     /// Types and zones of which most boots are late.
     pub late_boots: Vec<String>,
     /// Unreachable zones.
-    pub quiet_zones: Vec<String>,
+    #[serde(rename = "quiet_zones")]
+    pub unreachable_zones: Vec<String>,
     /// Jobs that are neither done nor cancelled.
     pub jobs_open: usize,
     /// Of these, gangs: a version before 0.2 would run them task by task, so none may be open when
@@ -47,7 +49,7 @@
     /// Quarantined jobs: those that have shown nothing but failures. The name on the wire is that
     /// of the first version.
     #[serde(rename = "jobs_in_doubt")]
-    pub suspect_jobs: Vec<String>,
+    pub quarantined_jobs: Vec<String>,
     /// Tasks that are not assigned to a machine.
     pub tasks_waiting: u64,
     /// CPUs of the machines that are up.
@@ -69,8 +71,8 @@
     /// Name of the team.
     pub team: String,
     /// Why nothing of it is launched, if so.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub trouble: Option<String>,
+    #[serde(rename = "trouble", default, skip_serializing_if = "Option::is_none")]
+    pub problem: Option<String>,
     /// Whether the stored limit or guarantee, which counts, is not that of this cell's file.
     pub differs_from_file: bool,
     /// What all cells together may use.
@@ -82,7 +84,7 @@
     /// What this cell may use just now.
     pub launch_limit_here: AmountsView,
     /// The allotment of each cell.
-    pub cells: BTreeMap<String, AccountView>,
+    pub cells: BTreeMap<String, AllotmentView>,
 }
 
 /// CPUs and GPUs; 0 in a limit is none.
@@ -102,7 +104,7 @@
 
 /// What a cell has of a team's limit, and requests.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct AccountView {
+pub struct AllotmentView {
     /// What it may use.
     pub allotted: AmountsView,
     /// Time of day of the last change, ms.
@@ -115,9 +117,9 @@
     pub ticket: Option<u64>,
 }
 
-impl From<Allotment> for AccountView {
+impl From<Allotment> for AllotmentView {
     fn from(account: Allotment) -> Self {
-        AccountView {
+        AllotmentView {
             allotted: account.amount.into(),
             since_ms: account.since_ms,
             wants: account.request.as_ref().map(|request| request.want.into()),
@@ -131,7 +133,7 @@
         let cells = summary.cells.into_iter();
         TeamQuotaView {
             team: summary.team,
-            trouble: summary.trouble,
+            problem: summary.trouble,
             differs_from_file: summary.differs,
             limit: summary.limit.total().into(),
             guarantee: summary.guarantee.into(),
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -5,11 +5,11 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::constants::{MAX_AMOUNT, NAME_BYTES};
+use crate::constants::{MAX_AMOUNT, MAX_NAME_BYTES};
 
 /// Why a submission is malformed; names the field. The texts are part of the answer to the user.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum BadSubmission {
+pub enum SubmissionError {
     /// The body can't be parsed.
     #[error("the body is not JSON")]
     NotJson,
@@ -27,13 +27,13 @@
     TooLarge(usize, usize),
 }
 
-use BadSubmission::{Invalid, Missing};
+use SubmissionError::{Invalid, Missing};
 
 /// Reads the body as an object, and its job's id: whether the job is known is decided before the
 /// other fields are read.
-pub fn parse_id(body: &[u8]) -> Result<(JobId, Map<String, Value>), BadSubmission> {
-    let value: Value = serde_json::from_slice(body).map_err(|_| BadSubmission::NotJson)?;
-    let Value::Object(map) = value else { return Err(BadSubmission::NotObject) };
+pub fn parse_id(body: &[u8]) -> Result<(JobId, Map<String, Value>), SubmissionError> {
+    let value: Value = serde_json::from_slice(body).map_err(|_| SubmissionError::NotJson)?;
+    let Value::Object(map) = value else { return Err(SubmissionError::NotObject) };
     let id = text(&map, "name_id")?
         .parse()
         .map_err(|_| Invalid("name_id", "must have the form req-000412"))?;
@@ -44,9 +44,9 @@
     map.get(name).filter(|v| !v.is_null())
 }
 
-fn text<'a>(map: &'a Map<String, Value>, name: &'static str) -> Result<&'a str, BadSubmission> {
+fn text<'a>(map: &'a Map<String, Value>, name: &'static str) -> Result<&'a str, SubmissionError> {
     let s = get(map, name).ok_or(Missing(name))?.as_str().ok_or(Invalid(name, "not a string"))?;
-    if s.is_empty() || s.len() > NAME_BYTES {
+    if s.is_empty() || s.len() > MAX_NAME_BYTES {
         return Err(Invalid(name, "empty or too long"));
     }
     Ok(s)
@@ -55,7 +55,7 @@
 fn optional_amount(
     map: &Map<String, Value>,
     name: &'static str,
-) -> Result<Option<f64>, BadSubmission> {
+) -> Result<Option<f64>, SubmissionError> {
     let Some(v) = get(map, name) else { return Ok(None) };
     let n = v.as_f64().ok_or(Invalid(name, "not a number"))?;
     if !n.is_finite() || !(0.0..=MAX_AMOUNT).contains(&n) {
@@ -64,17 +64,17 @@
     Ok(Some(n))
 }
 
-fn required_amount(map: &Map<String, Value>, name: &'static str) -> Result<f64, BadSubmission> {
+fn required_amount(map: &Map<String, Value>, name: &'static str) -> Result<f64, SubmissionError> {
     optional_amount(map, name)?.ok_or(Missing(name))
 }
 
-fn flag(map: &Map<String, Value>, name: &'static str) -> Result<bool, BadSubmission> {
+fn flag(map: &Map<String, Value>, name: &'static str) -> Result<bool, SubmissionError> {
     get(map, name).ok_or(Missing(name))?.as_bool().ok_or(Invalid(name, "not true or false"))
 }
 
 /// Reads the job of a submission. `builds`, `yard` and `due_s` may be null or left out; without
 /// any other field a submission is refused, since the job's needs would be guessed.
-pub fn parse_job(id: JobId, map: &Map<String, Value>) -> Result<JobSpec, BadSubmission> {
+pub fn parse_job(id: JobId, map: &Map<String, Value>) -> Result<JobSpec, SubmissionError> {
     let gang = match text(map, "shape")? {
         "batch" => false,
         "gang" => true,
--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -2,7 +2,7 @@
 
 use latchtrack::actors::messages::store::StoreRequest;
 use latchtrack::actors::store::namespace::Namespace;
-use latchtrack::limit::{limit, LimitError, TeamTerms};
+use latchtrack::limit::{self, LimitChange, LimitError};
 use latchtrack::node::{self, StartError};
 use latchtrack::settings::{QuotaTuning, Tuning};
 use latchtrack::wire::quota::{campaign_changes, ledger_transaction, SharedKeys};
@@ -77,12 +77,12 @@
     // Late copies of what was before.
     keys.put("quota/team/t".into(), 7, raw("null"));
     keys.delete("quota/live/east", 4);
-    let view = keys.view(8);
+    let view = keys.snapshot(8);
     assert!(view.cells["east"].has_leader && view.cells["east"].term_revision == 5);
     assert!(!view.cells["west"].has_leader && view.cells["west"].record.is_none());
     assert!(view.teams["t"].ledger.is_ok());
     keys.delete("quota/live/east", 9);
-    assert!(!keys.view(9).cells["east"].has_leader);
+    assert!(!keys.snapshot(9).cells["east"].has_leader);
 }
 
 fn cell_site(state: latchtrack_emulator::Shared<latchtrack_emulator::StateService>) -> Site {
@@ -117,10 +117,10 @@
 #[test]
 fn new_terms_change_what_they_name_and_refuse_what_makes_no_sense() {
     let mut ledger = TeamLedger::new(Limit::of(8.0, 2.0), MilliResources::covering(4.0, 0.0));
-    let raised = TeamTerms { cpus_max: Some(16.0), ..TeamTerms::default() };
+    let raised = LimitChange { cpus_max: Some(16.0), ..LimitChange::default() };
     raised.apply(&mut ledger).unwrap();
     assert_eq!(ledger.limit, Limit::of(16.0, 2.0));
-    let none = TeamTerms { gpus_max: Some(0.0), ..TeamTerms::default() };
+    let none = LimitChange { gpus_max: Some(0.0), ..LimitChange::default() };
     none.apply(&mut ledger).unwrap();
     assert_eq!(ledger.limit, Limit::of(16.0, 0.0));
     // What cells use of a resource without a limit stands in no account.
@@ -128,13 +128,13 @@
     ledger.allotments.insert("east".into(), Allotment::default());
     raised.apply(&mut ledger).unwrap();
     assert!(ledger.complete && ledger.allotments.len() == 1);
-    TeamTerms { gpus_max: Some(2.0), ..TeamTerms::default() }.apply(&mut ledger).unwrap();
+    LimitChange { gpus_max: Some(2.0), ..LimitChange::default() }.apply(&mut ledger).unwrap();
     assert!(!ledger.complete && ledger.allotments.is_empty());
-    let below = TeamTerms { cpus_max: Some(2.0), ..TeamTerms::default() };
+    let below = LimitChange { cpus_max: Some(2.0), ..LimitChange::default() };
     assert!(matches!(below.apply(&mut ledger), Err(LimitError::BelowGuarantee)));
     for number in [f64::NAN, -1.0, f64::INFINITY] {
-        let bad = TeamTerms { cpus: Some(number), ..TeamTerms::default() };
-        assert!(matches!(bad.apply(&mut ledger), Err(LimitError::Number("cpus", _))));
+        let bad = LimitChange { cpus: Some(number), ..LimitChange::default() };
+        assert!(matches!(bad.apply(&mut ledger), Err(LimitError::InvalidNumber("cpus", _))));
     }
 }
 
@@ -144,12 +144,12 @@
     let mut site = cell_site(Default::default());
     site.teams = json!([{"name": "small", "cpus_max": 2.0}]);
     let (_, settings) = site.trio_with_settings().await;
-    let unknown = limit(&settings, "nobody", TeamTerms::default()).await;
-    assert!(matches!(unknown, Err(LimitError::Unknown(_))));
-    let lowered = TeamTerms { cpus_max: Some(1.0), ..TeamTerms::default() };
+    let unknown = limit::run(&settings, "nobody", LimitChange::default()).await;
+    assert!(matches!(unknown, Err(LimitError::UnknownTeam(_))));
+    let lowered = LimitChange { cpus_max: Some(1.0), ..LimitChange::default() };
     for _ in 0..200 {
         // Until the cell has stored the value.
-        if let Ok(shown) = limit(&settings, "small", lowered).await {
+        if let Ok(shown) = limit::run(&settings, "small", lowered).await {
             assert_eq!(shown.limit.cpus, 1.0);
             let state = site.state.lock().unwrap();
             let (value, ..) = &state.keys["quota/team/small"];
@@ -172,7 +172,7 @@
     site.state.lock().unwrap().put("quota/team/small", stored, None);
     let (_, settings) = site.trio_with_settings().await;
     for _ in 0..200 {
-        let status = latchtrack::status::ask(&settings).await;
+        let status = latchtrack::status::query(&settings).await;
         let mut clusters = status.nodes.into_values().flatten().filter_map(|node| node.cluster);
         let quota = clusters.find_map(|cluster| cluster.quota).unwrap_or_default();
         if let Some(team) = quota.iter().find(|team| team.team == "small" && team.limit.cpus > 2.5)
--- a/crates/latchtrack/tests/integration/status.rs
+++ b/crates/latchtrack/tests/integration/status.rs
@@ -13,7 +13,7 @@
     let [users, peers] = [bound().await, bound().await];
     let settings = site.settings("one", 0, &users, &peers, &[]);
     let at = format!("http://{}", users.local_addr().unwrap());
-    let away = latchtrack::status::ask(&settings).await;
+    let away = latchtrack::status::query(&settings).await;
     assert!(away.nodes["one"].is_none());
     let stored = away.without_leader.unwrap();
     assert_eq!((stored.jobs_open, stored.machines, stored.leader), (0, 0, None));
@@ -24,7 +24,7 @@
     assert_eq!(post(&format!("{at}/api/jobs"), &job("req-000001")).await.0, 201);
     let mut seen = None;
     for _ in 0..200 {
-        let status = latchtrack::status::ask(&settings).await;
+        let status = latchtrack::status::query(&settings).await;
         seen = status.nodes["one"].clone().and_then(|n| n.cluster.map(|p| (n.served, p)));
         if seen.as_ref().is_some_and(|(_, p)| p.jobs_open == 1 && p.machines_booting > 0) {
             assert!(status.without_leader.is_none());
@@ -33,7 +33,7 @@
         actix_web::rt::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     let (served, cluster) = seen.unwrap();
-    assert!(served && cluster.acting && cluster.suspect_jobs.is_empty());
+    assert!(served && cluster.acting && cluster.quarantined_jobs.is_empty());
     assert_eq!((cluster.jobs_open, cluster.tasks_waiting), (1, 3));
     // A worker of the stored set answers for itself when no node does.
     let site2 = self::site();
@@ -67,12 +67,12 @@
     let [users, peers] = [bound().await, bound().await];
     let settings = site2.settings("one", 0, &users, &peers, &[]);
     drop((users, peers));
-    let stored = latchtrack::status::ask(&settings).await.without_leader.unwrap();
+    let stored = latchtrack::status::query(&settings).await.without_leader.unwrap();
     assert_eq!((stored.machines, stored.silent), (2, 1));
     assert_eq!(stored.running, [("req-000001".to_string(), 1)].into());
     // And when nobody answers at all, that is said.
     let mut lost = settings.clone();
     lost.platform.services.state = "127.0.0.1:9".parse().unwrap();
-    let nobody = latchtrack::status::ask(&lost).await;
-    assert!(!nobody.has_answer() && nobody.trouble.is_some());
+    let nobody = latchtrack::status::query(&lost).await;
+    assert!(!nobody.has_answer() && nobody.store_error.is_some());
 }
--- a/crates/latchtrack/tests/parsers.rs
+++ b/crates/latchtrack/tests/parsers.rs
@@ -150,7 +150,7 @@
         }
         // What passes the check must be usable as it is.
         let policy = settings.policy();
-        assert!(policy.worker_lease_ms >= 1_000 && settings.leader_ttl_ms() >= 1_000);
+        assert!(policy.worker_lease_ms >= 1_000 && settings.leader_lease_ms() >= 1_000);
         true
     });
 }
--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -12,7 +12,7 @@
 use latchtrack::wire::records::{
     encode_machine_set, encode_machine_types, encode_results, job_key, machine_set_key,
     parse_machine_set, parse_machine_types, parse_results, results_key, LeaderRecord, Record,
-    LEADER, TYPES,
+    LEADER_KEY, MACHINE_TYPES_KEY,
 };
 use latchtrack::wire::status::NodeView;
 use latchtrack_core::bitmap::Bitmap;
@@ -59,11 +59,11 @@
 
 #[test]
 fn keys_and_the_leader_record_are_as_published() {
-    assert_eq!(LEADER, "live/leader");
+    assert_eq!(LEADER_KEY, "live/leader");
     assert_eq!(job_key(JobId(412)), "live/job/req-000412");
     assert_eq!(results_key("41-1"), "results/41-1");
     assert_eq!(machine_set_key("41-1"), "fleet/41-1");
-    assert_eq!(TYPES, "site/types");
+    assert_eq!(MACHINE_TYPES_KEY, "site/types");
     let record = LeaderRecord { node: "n".into(), run: 7, lease: 9 };
     let text = r#"{"node":"n","run":7,"lease":9}"#;
     assert_eq!(serde_json::to_string(&record).unwrap(), text);
@@ -116,7 +116,7 @@
         (Frame::Health { store: true }, &[1, 1]),
         (ask(PeerRequest::Submit(b"{}".to_vec())), &[2, 251, 44, 1, 0, 2, 123, 125]),
         (ask(PeerRequest::Query("r".into())), &[2, 251, 44, 1, 1, 1, 114]),
-        (ask(PeerRequest::Withdraw("r".into())), &[2, 251, 44, 1, 2, 1, 114]),
+        (ask(PeerRequest::Cancel("r".into())), &[2, 251, 44, 1, 2, 1, 114]),
         (ask(PeerRequest::Heartbeat(b"{}".to_vec())), &[2, 251, 44, 1, 3, 2, 123, 125]),
         (ask(PeerRequest::Status), &[2, 251, 44, 1, 4]),
         (answer(300, 503, Some(1), b"x"), &[3, 251, 44, 1, 251, 247, 1, 1, 1, 1, 120]),
--- a/crates/latchtrack/tests/records.rs
+++ b/crates/latchtrack/tests/records.rs
@@ -7,8 +7,8 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use base64::Engine;
 use latchtrack::wire::records::{
-    encode_machine_set, encode_machine_types, encode_results, parse_machine_set,
-    parse_machine_types, parse_results, same_types, Record,
+    encode_machine_set, encode_machine_types, encode_results, equal_except_prices,
+    parse_machine_set, parse_machine_types, parse_results, Record,
 };
 use latchtrack_core::job::{JobId, JobSpec, Resources};
 use latchtrack_core::machine::MachineType;
@@ -71,8 +71,11 @@
     assert_eq!((old[0].name.as_str(), old[0].cpus, old[0].boot_s), ("g", 16.0, 50.0));
     assert_eq!((old[0].cache_gb, old[0].zones.as_slice()), (60.0, &["a".to_string()][..]));
     assert_eq!(parse_machine_types("[[1]]"), None);
-    assert!(same_types(&[MachineType { price: 9.0, ..t.clone() }], std::slice::from_ref(&t)));
-    assert!(!same_types(&[MachineType { cpus: 9.0, ..t.clone() }], &[t]));
+    assert!(equal_except_prices(
+        &[MachineType { price: 9.0, ..t.clone() }],
+        std::slice::from_ref(&t)
+    ));
+    assert!(!equal_except_prices(&[MachineType { cpus: 9.0, ..t.clone() }], &[t]));
 }
 
 /// A leader of this version takes over from one of the last: no machine may be missed.
--- a/crates/latchtrack/tests/settings.rs
+++ b/crates/latchtrack/tests/settings.rs
@@ -49,9 +49,10 @@
             p.peers = (1..nodes).map(peer).collect();
             p.params.zones = (0..nodes).map(|i| format!("z{i}")).collect();
             let w = &mut p.params.workers;
-            (w.report_s, w.lease_s, w.cancel_s) = (report_s, lease_s, lease_s * 1.001 + 1.7);
+            (w.heartbeat_interval_s, w.lease_s, w.cancel_s) =
+                (report_s, lease_s, lease_s * 1.001 + 1.7);
             s.check().unwrap();
-            assert!(s.silence_s() > report_s * 1.25, "{report_s}");
+            assert!(s.heartbeat_timeout_s() > report_s * 1.25, "{report_s}");
             let d = s.derived();
             // What we open ourselves: calls, state service, cloud, refusals, both ways to each
             // node, what listens.
@@ -83,7 +84,7 @@
     let mut s = sample();
     s.platform.params.workers.cancel_s = 33.0;
     s.check().unwrap();
-    assert!(s.leader_ttl_ms() < 2_300, "what is left of cancel_s");
+    assert!(s.leader_lease_ms() < 2_300, "what is left of cancel_s");
     s.tuning.leader_lease_s = Some(3.0);
     assert!(s.check().unwrap_err().to_string().starts_with("leader_lease_s"));
     let missing = SAMPLE.replace("\"zones\":[\"a\"],", "");
@@ -159,9 +160,9 @@
 #[test]
 fn a_cells_keys_lie_under_its_name_and_without_cells_nowhere_else() {
     let mut s = sample();
-    assert_eq!((s.key_prefix().as_str(), s.cells()), ("", 1));
+    assert_eq!((s.key_prefix().as_str(), s.cell_count()), ("", 1));
     s.tuning = parse_tuning("quota: {cell: east, cells: [west, east]}").unwrap();
-    assert_eq!((s.key_prefix().as_str(), s.cells()), ("cells/east/", 2));
+    assert_eq!((s.key_prefix().as_str(), s.cell_count()), ("cells/east/", 2));
 }
 
 #[test]
--- a/crates/latchtrack/tests/stored.rs
+++ b/crates/latchtrack/tests/stored.rs
@@ -1,7 +1,7 @@
 //! What the leader writes, and what it learns from a refusal.
 
 use latchtrack::actors::stored::{conflict_outcome, record_transaction};
-use latchtrack::wire::records::LEADER;
+use latchtrack::wire::records::LEADER_KEY;
 use latchtrack::wire::store::Change;
 use latchtrack_core::job::JobId;
 use latchtrack_core::record_shards::ShardWrite;
@@ -21,7 +21,7 @@
     let txn = record_transaction(41, &writes).unwrap();
     let fences: Vec<(&str, u64)> =
         txn.conditions.iter().map(|c| (c.key.as_str(), c.revision)).collect();
-    assert_eq!(fences, [(LEADER, 41), ("fleet/41-1", 7), ("live/job/req-000005", 9)]);
+    assert_eq!(fences, [(LEADER_KEY, 41), ("fleet/41-1", 7), ("live/job/req-000005", 9)]);
     assert_eq!(txn.changes.len(), 3);
     assert!(matches!(&txn.changes[0], Change::Delete { key } if key == "fleet/41-1"));
     let failed = ["fleet/41-1".to_string(), "live/job/req-000005".to_string()];
--- a/crates/latchtrack/tests/submissions.rs
+++ b/crates/latchtrack/tests/submissions.rs
@@ -1,7 +1,7 @@
 //! What a submission must say, field by field.
 
-use latchtrack::wire::users::BadSubmission::{Invalid, Missing};
-use latchtrack::wire::users::{parse_id, parse_job, BadSubmission};
+use latchtrack::wire::users::SubmissionError::{Invalid, Missing};
+use latchtrack::wire::users::{parse_id, parse_job, SubmissionError};
 use latchtrack_core::job::JobSpec;
 use serde_json::{json, Value};
 
@@ -12,7 +12,7 @@
         "expected_s":240.0,"snapshot_s":30.0,"stow_s":4.0,"due_s":900.0,"unheard":[1]})
 }
 
-fn parse(v: &Value) -> Result<JobSpec, BadSubmission> {
+fn parse(v: &Value) -> Result<JobSpec, SubmissionError> {
     let (id, map) = parse_id(v.to_string().as_bytes())?;
     parse_job(id, &map)
 }
@@ -65,6 +65,6 @@
             }
         }
     }
-    assert_eq!(parse_id(b"[1]").unwrap_err(), BadSubmission::NotObject);
-    assert_eq!(parse_id(b"{\"name_id\":NaN}").unwrap_err(), BadSubmission::NotJson);
+    assert_eq!(parse_id(b"[1]").unwrap_err(), SubmissionError::NotObject);
+    assert_eq!(parse_id(b"{\"name_id\":NaN}").unwrap_err(), SubmissionError::NotJson);
 }
