--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -158,11 +158,11 @@
     pub(super) fn balance_load(&mut self, now: Millis) {
         self.advance_moves(now);
         let policy = self.policy.balance;
-        if !policy.observes() && !policy.teams {
+        if !policy.observes_loads() && !policy.teams {
             return;
         }
         self.log_balance_summary(now);
-        if !policy.observes() || !self.load_balancing.begin_observation(now) {
+        if !policy.observes_loads() || !self.load_balancing.begin_observation(now) {
             return;
         }
         let input = self.plan_input(now);
@@ -177,9 +177,10 @@
     /// don't ask for much of the cluster. Until some time after a failover, or after a pause of
     /// this node, none are allowed.
     fn new_moves(&self, now: Millis) -> NewMoves {
-        let is_calm = now >= self.term_started_at.saturating_add(self.policy.balance.calm_ms)
+        let is_delay_over = now
+            >= self.term_started_at.saturating_add(self.policy.balance.moves_delay_ms)
             && self.failure_detector.has_listened_for(now, self.policy.probe_ms());
-        let may_begin = is_calm
+        let may_begin = is_delay_over
             && self.all_reconciled()
             && self.failure_detector.all_zones_reachable()
             && !self.is_overloaded(now);
--- a/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/summary.rs
@@ -34,7 +34,7 @@
     /// disabled.
     pub fn balance_summary(&self) -> Option<BalanceSummary> {
         let policy = &self.policy.balance;
-        if !policy.observes() && !policy.teams {
+        if !policy.observes_loads() && !policy.teams {
             return None;
         }
         let balancer = &self.load_balancing.balancer;
@@ -56,26 +56,26 @@
             return;
         }
         let Some(summary) = self.balance_summary() else { return };
-        self.out.push(Effect::Log(LogEvent::Balance(Box::new(summary))));
+        self.effects.push(Effect::Log(LogEvent::Balance(Box::new(summary))));
     }
 
     /// Logs that a move has begun.
     pub(super) fn log_move_started(&mut self, new_move: &Move) {
         let description = describe_move(new_move);
-        self.out.push(Effect::Log(LogEvent::MoveStarted { description }));
+        self.effects.push(Effect::Log(LogEvent::MoveStarted { description }));
     }
 
     /// Logs that a move has ended, with its final stage.
     pub(super) fn log_move_ended(&mut self, unit: MoveUnit, stage: MoveStage) {
         let unit = describe_unit(unit);
-        self.out.push(Effect::Log(LogEvent::MoveEnded { unit, stage }));
+        self.effects.push(Effect::Log(LogEvent::MoveEnded { unit, stage }));
     }
 
     /// Logs a machine type with invalid resource amounts, once per term.
     pub(super) fn log_invalid_type(&mut self, machine_type: String, used: &Resources) {
         if self.load_balancing.invalid_types.insert(machine_type.clone()) {
             let used = *used;
-            self.out.push(Effect::Log(LogEvent::InvalidLoad { machine_type, used }));
+            self.effects.push(Effect::Log(LogEvent::InvalidLoad { machine_type, used }));
         }
     }
 }
