--- a/crates/latchtrack/src/actors/admission/cancel.rs
+++ b/crates/latchtrack/src/actors/admission/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels a job.
+//! Cancellation of a job.
 
 use actix::Addr;
 use latchtrack_core::job::JobId;
@@ -12,8 +12,8 @@
 use crate::wire::records::{job_key, Record};
 use crate::wire::store::{Change, Condition, Txn};
 
-/// Makes the record of an open job cancelled, by a compare-and-swap on its revision that is tried
-/// again while others change the record.
+/// Marks the record of an open job as cancelled by a compare-and-swap on its revision. Retries up
+/// to [`CANCEL_ATTEMPTS`] times if the record changes concurrently.
 pub(super) async fn cancel_job(
     store: &Addr<Store>,
     cache: &Addr<JobCache>,
@@ -40,7 +40,7 @@
                 cache.do_send(ApplyRecord { id, record, revision });
                 return CancelOutcome::Cancelled;
             }
-            // The record has changed, or this write may have been applied: read it again.
+            // The record has changed, or this write may have been applied: re-read it.
             Ok(_) | Err(StoreError::OutcomeUnknown) => {}
             Err(_) => return CancelOutcome::Busy,
         }
--- a/crates/latchtrack/src/actors/admission/feasibility.rs
+++ b/crates/latchtrack/src/actors/admission/feasibility.rs
@@ -1,4 +1,4 @@
-//! Whether a job can ever run on this cluster.
+//! Checks whether a job can ever run on this cluster.
 
 use std::collections::HashSet;
 
@@ -9,10 +9,10 @@
 
 use crate::actors::messages::admission::InfeasibleJob;
 
-/// How far above a team's limit a demand may be by rounding, in CPUs or GPUs.
-const ROUNDING: f64 = 1e-6;
+/// Rounding error by which a demand may exceed a team's limit, in CPUs or GPUs.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Refuses a job that can never run, by the teams' limits and the machine types.
+/// Returns an error if the team limits or the machine types mean that the job can never run.
 pub(super) fn check_feasible(
     spec: &JobSpec,
     teams: &[Team],
@@ -27,8 +27,9 @@
     }
     // All tasks of a gang run at the same time.
     let tasks_at_once = if spec.gang { f64::from(spec.tasks) } else { 1.0 };
-    let is_over = |need: f64, limit: f64| limit > 0.0 && need * tasks_at_once > limit + ROUNDING;
-    if is_over(spec.demand.cpus, team.cpus_max) || is_over(spec.demand.gpus, team.gpus_max) {
+    let exceeds =
+        |need: f64, limit: f64| limit > 0.0 && need * tasks_at_once > limit + ROUNDING_TOLERANCE;
+    if exceeds(spec.demand.cpus, team.cpus_max) || exceeds(spec.demand.gpus, team.gpus_max) {
         let team = team.name.clone();
         return Err(if spec.gang {
             InfeasibleJob::GangAboveTeamLimit(team)
@@ -37,7 +38,7 @@
         });
     }
     let zones: HashSet<&str> = offers.iter().map(|offer| offer.zone.as_str()).collect();
-    // At most half of a spread gang may be in one zone, and all of it runs at the same time.
+    // A spread gang runs all at once with at most half of its tasks in one zone.
     if spec.gang && spec.spread && spec.tasks > 1 && (spec.one_zone || zones.len() < 2) {
         return Err(InfeasibleJob::SpreadGangInOneZone);
     }
--- a/crates/latchtrack/src/actors/admission/mod.rs
+++ b/crates/latchtrack/src/actors/admission/mod.rs
@@ -1,5 +1,6 @@
-//! Takes submissions and cancellations. Any node does so: a job is created if it is absent,
-//! several in one transaction; a cancellation is a compare-and-swap on the job's record.
+//! Handles job submissions and cancellations on every node, leader or not. Submissions are batched
+//! into transactions that require each job's key to be absent. A cancellation is a
+//! compare-and-swap on the job's record.
 
 mod cancel;
 mod feasibility;
@@ -30,12 +31,12 @@
 use crate::wire::records::{job_key, Record};
 use crate::wire::store::{Change, Condition, Txn};
 
-/// A submission that waits to be stored.
+/// A submission that has not been stored yet.
 struct QueuedSubmission {
     id: JobId,
     record: Record,
     value: Box<RawValue>,
-    /// In ms of the steady clock.
+    /// In ms of the monotonic clock.
     deadline: u64,
     answer: oneshot::Sender<SubmitOutcome>,
 }
@@ -46,18 +47,18 @@
     cache: Addr<JobCache>,
     teams: Vec<Team>,
     types: Vec<MachineType>,
-    /// Bytes of the largest value that the state service takes.
+    /// Size limit of a value in the state service, in bytes.
     value_bytes: usize,
-    /// Changes of the largest transaction that the state service takes.
+    /// Maximum number of changes in a transaction of the state service.
     txn_ops: usize,
     queue: VecDeque<QueuedSubmission>,
     is_writing: bool,
-    /// Cancellations under way.
+    /// Number of cancellations in progress.
     cancelling: usize,
 }
 
 impl Admission {
-    /// A service that is not ready until it knows the machine types.
+    /// Creates an actor that rejects submissions until it receives the machine types.
     pub fn new(store: Addr<Store>, cache: Addr<JobCache>, settings: &Settings) -> Self {
         let state = &settings.platform.params.state;
         Admission {
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Queues a submission; the outcome if it is known at once.
+    /// Queues a submission. Returns a receiver for its outcome, or an error if it is rejected
+    /// without being queued.
     fn enqueue(
         &mut self,
         spec: JobSpec,
@@ -95,7 +97,7 @@
             }
             Err(_) => return Err(SubmitOutcome::TooLarge { bytes: usize::MAX, max_bytes }),
         };
-        // The same id twice in one transaction would be one key put twice.
+        // A transaction must not put the same key twice.
         if self.queue.iter().any(|queued| queued.id == id) {
             return Err(SubmitOutcome::Busy(BusyReason::DuplicateInQueue));
         }
@@ -105,8 +107,8 @@
         Ok(outcome)
     }
 
-    /// Takes as many submissions from the queue as one transaction holds, and answers those that
-    /// have waited for too long.
+    /// Dequeues as many submissions as fit into one transaction, and rejects those whose deadline
+    /// has passed.
     fn take_batch(&mut self) -> Vec<QueuedSubmission> {
         let now = now_ms();
         let mut batch = Vec::new();
@@ -128,7 +130,7 @@
         batch
     }
 
-    /// Stores what waits, unless a write is under way.
+    /// Stores the next batch of queued submissions, unless a write is in progress.
     fn write_next_batch(&mut self, ctx: &mut Context<Self>) {
         if self.is_writing {
             return;
@@ -160,7 +162,8 @@
         }));
     }
 
-    /// Answers the submissions of a batch; those that did not stand in its way wait again.
+    /// Answers the submissions of a batch. After a conflict, those whose keys were absent are
+    /// queued again.
     fn finish_batch(
         &mut self,
         batch: Vec<QueuedSubmission>,
@@ -182,7 +185,7 @@
                     }
                 }
             }
-            // It may come into effect yet; then the repeated submission finds the job known.
+            // The write may still take effect; a retried submission then finds that the job exists.
             _ => {
                 for queued in batch {
                     let outcome = SubmitOutcome::Busy(BusyReason::StoreUnavailable);
--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -1,5 +1,5 @@
-//! The client of the cloud. It keeps to the cloud's call rate, and carries requests out only while
-//! the term that sent them lasts.
+//! The client of the cloud. It keeps within the cloud's rate limit, and sends a request only while
+//! the leader term that issued it is valid.
 
 mod budget;
 mod requests;
@@ -13,7 +13,7 @@
 use latchtrack_core::scheduler::{Event, ListedMachine, ProvisionOutcome, TerminateOutcome};
 
 use self::budget::CallBudget;
-use self::requests::{CloudApi, ListedPage};
+use self::requests::{CloudApi, Listing};
 use super::messages::cloud::{CloudRequest, ConnectCloud, MachineTypesUpdate};
 use super::messages::scheduler::{LeaderTerm, Leadership, SchedulerEvent};
 use super::messages::store::{Reply, RequestClass, StoreAnswer, StoreRequest};
@@ -26,7 +26,7 @@
 use crate::settings::Settings;
 use crate::wire::records::{parse_machine_types, TYPES};
 
-/// The actor that speaks to the cloud.
+/// The actor that sends all of this node's requests to the cloud.
 pub struct Cloud {
     store: Addr<Store>,
     api: CloudApi,
@@ -34,14 +34,14 @@
     queue: VecDeque<CloudRequest>,
     is_wakeup_set: bool,
     listeners: Option<ConnectCloud>,
-    /// Whether the machine types were read from the cloud itself.
+    /// Whether the machine types were read from the cloud, not only from the state service.
     has_types: bool,
-    /// The term and until when its lease is valid, as the scheduler driver knows it.
+    /// The leader term last received from the scheduler driver.
     term: Option<LeaderTerm>,
 }
 
 impl Cloud {
-    /// A client that asks nothing until it knows its listeners.
+    /// Creates a client that sends nothing until it receives [`ConnectCloud`].
     pub fn new(store: Addr<Store>, settings: &Settings) -> Self {
         let platform = &settings.platform;
         Cloud {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sends as many of the waiting requests as the budget allows.
+    /// Sends as many queued requests as the budget allows.
     fn send_ready(&mut self, ctx: &mut Context<Self>) {
         let now = now_ms();
         self.budget.refill(now);
@@ -76,9 +76,9 @@
         }
     }
 
-    /// A request that waited is carried out only while the term that sent it lasts: a node that
-    /// stood still would terminate machines that its successor uses. None if the request is
-    /// declined, and answered as far as the scheduler waits for it.
+    /// Returns the request if the term that issued it is still valid. Otherwise a node resuming
+    /// after a pause could terminate machines that its successor uses. A declined request is
+    /// reported to the scheduler if it waits for the outcome.
     fn check_term(
         &self,
         request: CloudRequest,
@@ -92,8 +92,9 @@
             | CloudRequest::ListMachines { token }
             | CloudRequest::ListNextPage { token, .. } => *token,
         };
-        let lasts = |term: LeaderTerm| term.token == token_of_request && now < term.valid_until;
-        if self.term.is_some_and(lasts) {
+        let is_current =
+            |term: LeaderTerm| term.token == token_of_request && now < term.valid_until;
+        if self.term.is_some_and(is_current) {
             return Some(request);
         }
         match request {
@@ -106,7 +107,7 @@
                 let event = Event::TerminateFinished { names, outcome: TerminateOutcome::Failed };
                 self.report(token, event, CLOUD_RETRY_MS, ctx);
             }
-            // The scheduler asks for a list again by itself.
+            // The scheduler requests the list again without being told.
             CloudRequest::ReadMachineTypes
             | CloudRequest::ListMachines { .. }
             | CloudRequest::ListNextPage { .. } => {}
@@ -114,7 +115,7 @@
         None
     }
 
-    /// Sends a request, whose outcome goes to the scheduler.
+    /// Sends a request and reports its outcome to the scheduler.
     fn send(&mut self, request: CloudRequest, ctx: &mut Context<Self>) {
         match request {
             CloudRequest::ReadMachineTypes => self.read_machine_types(ctx),
@@ -178,19 +179,19 @@
     fn list_page(&mut self, token: u64, listed: Vec<ListedMachine>, ctx: &mut Context<Self>) {
         let page = self.api.list_page(listed);
         ctx.spawn(page.into_actor(self).map(move |page, act, ctx| match page {
-            // Each page is a call that counts against the rate.
-            Some(ListedPage::MoreToCome(listed)) => {
+            // Each page counts as a call against the rate limit.
+            Some(Listing::Partial(listed)) => {
                 act.queue.push_front(CloudRequest::ListNextPage { token, listed });
                 act.send_ready(ctx);
             }
-            Some(ListedPage::Last(listed)) => {
+            Some(Listing::Complete(listed)) => {
                 act.report(token, Event::MachinesListed(listed), 0, ctx);
             }
             None => {}
         }));
     }
 
-    /// Reports an outcome to the scheduler after `wait_ms`; 0: at once.
+    /// Reports an outcome to the scheduler after `wait_ms`, or immediately if that is 0.
     fn report(&self, token: u64, event: Event, wait_ms: u64, ctx: &mut Context<Self>) {
         let Some(listeners) = &self.listeners else { return };
         if wait_ms == 0 {
@@ -205,7 +206,7 @@
 
     fn apply_machine_types(&mut self, types: Vec<MachineType>) {
         if !self.has_types {
-            tracing::info!(types = types.len(), source = "cloud", "machine types known");
+            tracing::info!(types = types.len(), source = "cloud", "machine types loaded");
         }
         self.has_types = true;
         self.publish_machine_types(types);
@@ -218,8 +219,8 @@
         }
     }
 
-    /// Reads the types that a leader has stored. Until the cloud can be asked, they will do:
-    /// without the types no node takes a job and none can lead.
+    /// Reads the machine types that a leader stored, for use until the cloud answers: without
+    /// machine types a node can neither accept jobs nor lead.
     fn read_stored_types(&mut self, ctx: &mut Context<Self>) {
         let store = self.store.clone();
         let request = async move {
@@ -232,19 +233,20 @@
             match parse_machine_types(item.value.get()) {
                 Some(types) if !act.has_types => {
                     let source = "state service";
-                    tracing::info!(types = types.len(), source, "machine types known");
+                    tracing::info!(types = types.len(), source, "machine types loaded");
                     act.publish_machine_types(types);
                 }
                 Some(_) => {}
                 None => tracing::error!(
                     key = TYPES,
-                    "stored machine types can't be parsed and are not used"
+                    "stored machine types can't be parsed and are ignored"
                 ),
             }
         }));
     }
 
-    /// Queues machines to terminate: with others that wait in one call, up to what one may name.
+    /// Queues machines to terminate. They join a queued request of the same term if it stays
+    /// within [`TERMINATE_BATCH`].
     fn queue_terminate(&mut self, token: u64, mut names: Vec<String>) {
         let waiting = self.queue.iter_mut().find_map(|request| match request {
             CloudRequest::Terminate { token: other, names: queued }
@@ -264,7 +266,7 @@
         }
     }
 
-    /// Queues a list in place of those that wait: one answers all that want one.
+    /// Queues a list request in place of those already queued: one list serves them all.
     fn queue_list(&mut self, token: u64) {
         self.queue.retain(|request| {
             !matches!(
--- a/crates/latchtrack/src/actors/cloud/requests.rs
+++ b/crates/latchtrack/src/actors/cloud/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the cloud as HTTP, and what their answers mean.
+//! HTTP requests to the cloud and the interpretation of its responses.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,27 +14,27 @@
     ErrorAnswer, ListAnswer, MachineNames, ProvisionRequest, TypesAnswer, NO_CAPACITY,
 };
 
-/// What has been listed so far.
-pub(super) enum ListedPage {
+/// The machines listed so far.
+pub(super) enum Listing {
     /// All machines.
-    Last(Vec<ListedMachine>),
-    /// Those up to a page after which others come.
-    MoreToCome(Vec<ListedMachine>),
+    Complete(Vec<ListedMachine>),
+    /// The machines of the pages read so far; more pages follow.
+    Partial(Vec<ListedMachine>),
 }
 
-/// Sends requests to the cloud at once; who asks is to keep to the call rate.
+/// Sends requests to the cloud immediately; the caller enforces the rate limit.
 pub(super) struct CloudApi {
     client: awc::Client,
     base: String,
 }
 
 impl CloudApi {
-    /// The cloud at this address.
+    /// Creates a client of the cloud at this address.
     pub(super) fn new(cloud: SocketAddr) -> Self {
         CloudApi { client: http_client(MAX_CLOUD_CALLS), base: format!("http://{cloud}") }
     }
 
-    /// The machine types and prices; None if the cloud did not tell them.
+    /// Reads the machine types and prices. Returns `None` on any failure.
     pub(super) fn machine_types(&self) -> impl Future<Output = Option<Vec<MachineType>>> {
         let url = format!("{}/machine_types", self.base);
         let request = self.client.get(url).timeout(CLOUD_TIMEOUT);
@@ -44,13 +44,15 @@
                 return None;
             }
             let answer: TypesAnswer = serde_json::from_slice(&body)
-                .map_err(|error| tracing::error!(%error, "machine types can't be parsed"))
+                .map_err(|error| {
+                    tracing::error!(%error, "machine types from the cloud can't be parsed");
+                })
                 .ok()?;
             Some(answer.types.into_iter().map(MachineType::from).collect())
         }
     }
 
-    /// Provisions machines.
+    /// Provisions `number` machines; the cloud treats a repeated `request_id` as the same request.
     pub(super) fn provision(
         &self,
         request_id: String,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Terminates machines; whether the cloud has accepted it.
+    /// Terminates machines. Returns whether the cloud accepted the request.
     pub(super) fn terminate(&self, machines: Vec<String>) -> impl Future<Output = bool> {
         let url = format!("{}/rentals/delete", self.base);
         let request = self.client.post(url).timeout(CLOUD_TIMEOUT);
@@ -80,11 +82,11 @@
         }
     }
 
-    /// Reads one more page of the list, after what is listed; None if the cloud did not tell it.
+    /// Reads the page of the list that follows `listed`. Returns `None` on any failure.
     pub(super) fn list_page(
         &self,
         mut listed: Vec<ListedMachine>,
-    ) -> impl Future<Output = Option<ListedPage>> {
+    ) -> impl Future<Output = Option<Listing>> {
         let last = listed.last().map(|machine| format!("&from={}", machine.name));
         let from = last.unwrap_or_default();
         let url = format!("{}/rentals?most={LIST_PAGE_MACHINES}{from}", self.base);
@@ -97,7 +99,7 @@
             let page: ListAnswer = serde_json::from_slice(&body).ok()?;
             let has_more = page.truncated.unwrap_or(false) && !page.machines.is_empty();
             listed.extend(page.machines.into_iter().map(ListedMachine::from));
-            Some(if has_more { ListedPage::MoreToCome(listed) } else { ListedPage::Last(listed) })
+            Some(if has_more { Listing::Partial(listed) } else { Listing::Complete(listed) })
         }
     }
 }
--- a/crates/latchtrack/src/actors/messages/admission.rs
+++ b/crates/latchtrack/src/actors/messages/admission.rs
@@ -1,69 +1,69 @@
-//! Messages to the admission service: submissions and cancellations.
+//! Messages to the admission actor: submissions and cancellations.
 
 use actix::prelude::*;
 use latchtrack_core::job::{JobId, JobSpec};
 
-/// Create a job.
+/// Creates a job.
 #[derive(Message)]
 #[rtype(result = "SubmitOutcome")]
 pub struct SubmitJob(pub JobSpec);
 
-/// What became of a submission.
+/// The outcome of a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SubmitOutcome {
     /// The job is stored.
     Created,
-    /// The id exists; the job cache has its state after a refresh.
+    /// A job with this id exists; a refreshed job cache has its state.
     Exists,
     /// The job can never run on this cluster.
     Infeasible(InfeasibleJob),
-    /// The record has `bytes`, and the state service takes `max_bytes`.
+    /// The record exceeds the size limit of the state service.
     TooLarge {
-        /// Bytes of the record.
+        /// Size of the record in bytes.
         bytes: usize,
-        /// Bytes of the largest value that the state service takes.
+        /// Size limit of a value in bytes.
         max_bytes: usize,
     },
-    /// Not accepted now; the user may try again.
+    /// Not accepted for now; the client may retry.
     Busy(BusyReason),
 }
 
-/// Why a job can never run. The texts are part of the answer to the user.
+/// Reason why a job can never run. The messages are part of the HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InfeasibleJob {
-    /// The settings name no such team.
+    /// The settings define no such team.
     #[error("unknown team {0}")]
     UnknownTeam(String),
     /// No machine type that the job allows is large enough.
     #[error("a task fits no allowed machine type")]
     NoMachineType,
-    /// One task is above the limit of the team.
+    /// A single task exceeds the limit of the team.
     #[error("a task needs more than the limit of team {0}")]
     TaskAboveTeamLimit(String),
-    /// All tasks of a gang run at the same time, and together are above the limit of the team.
+    /// The tasks of a gang run at the same time and together exceed the limit of the team.
     #[error("the gang needs more than the limit of team {0}")]
     GangAboveTeamLimit(String),
-    /// At most half of a spread gang may be in one zone, and only one zone is allowed.
+    /// A spread gang may have at most half of its tasks in one zone, but only one is allowed.
     #[error("the gang is to be apart and is bound to one zone")]
     SpreadGangInOneZone,
 }
 
-/// Why a submission is not accepted now. The texts are part of the answer to the user.
+/// Reason why a submission is not accepted for now. The messages are part of the HTTP response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BusyReason {
-    /// It waited for its turn at the state service for too long.
+    /// The deadline passed before the submission was sent to the state service.
     #[error("no turn in time")]
     TimedOutInQueue,
-    /// The state service failed or refused, or the outcome is unknown.
+    /// The write failed or was refused, or its outcome is unknown.
     #[error("the state service does not answer")]
     StoreUnavailable,
-    /// The machine types were not read yet, neither from the cloud nor from the state service.
+    /// The machine types were read neither from the cloud nor from the state service yet.
     #[error("the machine types are not known yet")]
     MachineTypesUnknown,
     /// The queue of submissions is full.
     #[error("too many submissions")]
     QueueFull,
-    /// A submission with the same id waits already.
+    /// A submission with the same id is queued already.
     #[error("the same id is being submitted")]
     DuplicateInQueue,
     /// The node is stopping.
@@ -71,25 +71,25 @@
     Stopped,
 }
 
-/// Cancel a job.
+/// Cancels a job.
 #[derive(Message)]
 #[rtype(result = "CancelOutcome")]
 pub struct CancelJob(pub JobId);
 
-/// What became of a cancellation.
+/// The outcome of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// It is cancelled now, or was before.
+    /// The job is cancelled, by this or an earlier request.
     Cancelled,
-    /// It was done before.
+    /// The job was done before it could be cancelled.
     Done,
-    /// There is no such job.
+    /// No job with this id exists.
     Unknown,
-    /// Not possible now; the user may try again.
+    /// Not possible for now; the client may retry.
     Busy,
 }
 
-/// Whether submissions can be judged: the machine types must be known.
+/// Asks whether submissions can be accepted, which requires the machine types.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct IsReady;
--- a/crates/latchtrack/src/actors/messages/cloud.rs
+++ b/crates/latchtrack/src/actors/messages/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages to and from the client of the cloud.
+//! Messages to and from the cloud client.
 
 use actix::prelude::*;
 use latchtrack_core::machine::MachineType;
@@ -7,41 +7,42 @@
 
 use super::scheduler::SchedulerEvent;
 
-/// Something to do at the cloud, in the term of a fencing token.
+/// A request to the cloud. All but [`CloudRequest::ReadMachineTypes`] are declined once the term of
+/// their fencing token has ended.
 #[derive(Message, Debug)]
 #[rtype(result = "()")]
 pub enum CloudRequest {
-    /// Provision machines.
+    /// Provisions machines.
     Provision {
         /// Fencing token of the term.
         token: u64,
-        /// Makes a repeated request the same request to the cloud.
+        /// Idempotency key: the cloud treats repeated requests with this id as one.
         request_id: String,
-        /// Machine type, zone, and whether spot.
+        /// Machine type, zone, and whether to use spot machines.
         offer: Offer,
-        /// How many machines.
+        /// Number of machines.
         number: u32,
     },
-    /// Terminate machines.
+    /// Terminates machines.
     Terminate {
         /// Fencing token of the term.
         token: u64,
         /// Names of the machines.
         names: Vec<String>,
     },
-    /// List all machines.
+    /// Lists all machines.
     ListMachines {
         /// Fencing token of the term.
         token: u64,
     },
-    /// Read the next page of a list.
+    /// Reads the next page of a list.
     ListNextPage {
         /// Fencing token of the term.
         token: u64,
-        /// What the pages before have brought.
+        /// The machines of the previous pages.
         listed: Vec<ListedMachine>,
     },
-    /// Read the machine types and prices, which every node needs.
+    /// Reads the machine types and prices, on every node.
     ReadMachineTypes,
 }
 
@@ -50,13 +51,13 @@
 #[rtype(result = "()")]
 pub struct MachineTypesUpdate(pub Vec<MachineType>);
 
-/// Tells the cloud client who is to hear of outcomes and of machine types.
+/// Sets the recipients of request outcomes and machine types.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ConnectCloud {
-    /// Admission, which judges submissions by the machine types.
+    /// The admission actor, which checks submissions against the machine types.
     pub admission_types: Recipient<MachineTypesUpdate>,
-    /// The scheduler driver, which starts no term without the machine types.
+    /// The scheduler driver, which can't start a term without the machine types.
     pub scheduler_types: Recipient<MachineTypesUpdate>,
     /// The scheduler driver, for outcomes of requests.
     pub scheduler_events: Recipient<SchedulerEvent>,
--- a/crates/latchtrack/src/actors/messages/election.rs
+++ b/crates/latchtrack/src/actors/messages/election.rs
@@ -1,4 +1,4 @@
-//! Messages to the election.
+//! Messages to the election actor.
 
 use actix::prelude::*;
 
@@ -7,26 +7,26 @@
 /// The leader key with its value and revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaderKey {
-    /// Who holds it.
+    /// The node that holds the key.
     pub record: LeaderRecord,
-    /// Revision of the key: the fencing token of its term.
+    /// Revision of the key, which is the fencing token of its term.
     pub revision: u64,
 }
 
-/// The leader key as the job cache has it after a refresh; None if no node leads.
+/// The leader key after a refresh of the job cache. `None` if no node leads.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct LeaderKeyObserved(pub Option<LeaderKey>);
 
-/// Stop leading, and leave the lead to other nodes for a while.
+/// Ends the term, and keeps this node from campaigning for a while.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Resign {
-    /// Why, for the log.
+    /// Reason for the log.
     pub reason: String,
 }
 
-/// A write of the term with this fencing token was refused because the leader key has changed.
+/// Reports that a write of a term was refused because the leader key has changed.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct LeaderKeyLost {
--- a/crates/latchtrack/src/actors/messages/mod.rs
+++ b/crates/latchtrack/src/actors/messages/mod.rs
@@ -1,7 +1,7 @@
-//! The messages of the actors, one module for each receiving service.
+//! The messages of the actors, with one module for each receiving actor.
 //!
-//! They stand apart from the actors so that two actors that speak to each other don't import each
-//! other: an actor gets each of its listeners as a [`actix::Recipient`] of one message.
+//! They are separate from the actors to avoid import cycles between actors that exchange messages:
+//! an actor is given each of its listeners as an [`actix::Recipient`] of one message type.
 
 pub mod admission;
 pub mod cloud;
@@ -16,22 +16,22 @@
 
 use latchtrack_core::job::JobSpec;
 
-/// What this node is in the current term.
+/// Role of this node in the current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeRole {
-    /// It holds the leader key.
+    /// This node holds the leader key.
     Leader,
-    /// Another node does, or none.
+    /// Another node holds the leader key, or none does.
     Follower,
 }
 
-/// An open job of the cache.
+/// An open job in the cache.
 #[derive(Clone, Debug)]
 pub struct OpenJob {
-    /// What was submitted.
+    /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// Time of day of the submission, ms.
+    /// Wall-clock time of the submission, in ms of Unix time.
     pub submitted_at_wall_ms: u64,
-    /// Revision of the record.
+    /// Revision of the job record.
     pub revision: u64,
 }
--- a/crates/latchtrack/src/actors/messages/peers.rs
+++ b/crates/latchtrack/src/actors/messages/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to the actor that speaks to the other nodes.
+//! Messages to the actor that communicates with the other nodes.
 
 use std::sync::Arc;
 
@@ -8,46 +8,46 @@
 use super::scheduler::OverdueMachines;
 use crate::wire::peers::{Answer, Frame, PeerRequest};
 
-/// Send a frame to every other node; one that is away does not get it.
+/// Sends a frame to every other node. Nodes that are not reachable miss it.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct BroadcastFrame(pub Frame);
 
-/// Which node is to answer a forwarded request.
+/// The node to which a request is forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardTarget {
-    /// The node of this name.
+    /// The node with this name.
     Node(String),
-    /// Any node that the state service serves.
+    /// Any node that can currently use the state service.
     AnyServed,
 }
 
-/// Have another node answer a request. None if no such node is connected or it does not answer in
-/// time.
+/// Forwards a request to another node. The result is `None` if no such node is connected or it does
+/// not answer in time.
 #[derive(Message)]
 #[rtype(result = "Option<Answer>")]
 pub struct ForwardRequest {
-    /// Who is to answer.
+    /// The node that should answer.
     pub target: ForwardTarget,
     /// The request.
     pub request: PeerRequest,
 }
 
-/// Whether another node has been heard lately.
+/// Asks whether any other node has reported its health recently.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct HasConnectedPeers;
 
-/// Answers a request that another node has forwarded.
+/// A function that answers requests forwarded by other nodes.
 pub type ForwardedRequestHandler =
     Arc<dyn Fn(PeerRequest) -> LocalBoxFuture<'static, Answer> + Send + Sync>;
 
-/// Start to accept the connections of other nodes.
+/// Starts accepting connections from other nodes.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ServePeers {
-    /// Answers what they forward.
+    /// Answers the forwarded requests.
     pub handler: ForwardedRequestHandler,
-    /// Hears which machines the leader misses.
+    /// Receives the machines whose heartbeats the leader is missing.
     pub scheduler: Recipient<OverdueMachines>,
 }
--- a/crates/latchtrack/src/actors/messages/quota.rs
+++ b/crates/latchtrack/src/actors/messages/quota.rs
@@ -1,19 +1,19 @@
-//! Messages to the actor that reads and writes the ledgers which cells share.
+//! Messages to the actor that reads and writes the quota ledgers shared by the cells.
 
 use actix::prelude::*;
 use latchtrack_quota::LedgerWrite;
 
-/// The fencing token of the term that this node leads in, if it does.
+/// Sets the fencing token of this node's term, or `None` if it does not lead.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct QuotaTerm(pub Option<u64>);
 
-/// Write a change of a ledger that the leader of this term wants.
+/// Writes a ledger on behalf of the leader of this term.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ChangeLedger {
     /// Fencing token of the term.
     pub token: u64,
-    /// The change.
+    /// The new ledger and the revision that it replaces.
     pub write: LedgerWrite,
 }
--- a/crates/latchtrack/src/actors/mod.rs
+++ b/crates/latchtrack/src/actors/mod.rs
@@ -1,4 +1,4 @@
-//! The actors: each owns its state and is spoken to by messages.
+//! The actors of a node. Each owns its state and communicates through messages.
 
 pub mod admission;
 pub mod cloud;
--- a/crates/latchtrack/src/actors/peers/connection.rs
+++ b/crates/latchtrack/src/actors/peers/connection.rs
@@ -1,4 +1,4 @@
-//! The connections between nodes: one task for each, which reads and writes frames.
+//! The connections between nodes. One task for each connection reads and writes frames.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,28 +16,28 @@
 use crate::constants::{CONNECT_TIMEOUT, FORWARD_TIMEOUT, FRAME_BYTES, KEEP_ALIVE_S, PEER_QUEUE};
 use crate::wire::peers::{decode, encode, Answer, Frame, PeerRequest};
 
-/// By which connection a frame came.
+/// The connection on which a frame was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FrameSource {
-    /// The connection of this index, which this node has opened.
+    /// A connection opened by this node, with its index.
     OwnConnection(usize),
-    /// One that another node has opened.
+    /// A connection opened by another node.
     Accepted,
 }
 
-/// A frame of another node.
+/// Reports a frame from another node.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct FrameReceived {
-    /// By which connection it came.
+    /// The connection on which it was received.
     pub(super) source: FrameSource,
-    /// What it says.
+    /// The decoded frame.
     pub(super) frame: Frame,
 }
 
 type FrameStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Whether a connection can be used on.
+/// Whether a connection can still be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
     Usable,
@@ -50,10 +50,10 @@
     Framed::new(stream, codec)
 }
 
-/// Sends a frame in bounded time.
+/// Sends a frame, for at most [`CONNECT_TIMEOUT`].
 async fn send_frame(stream: &mut FrameStream, frame: &Frame) -> ConnectionState {
     let Ok(bytes) = encode(frame) else {
-        tracing::error!("frame can't be encoded");
+        tracing::error!("peer frame can't be encoded");
         return ConnectionState::Usable;
     };
     let sent = tokio::time::timeout(CONNECT_TIMEOUT, stream.send(Bytes::from(bytes)));
@@ -63,7 +63,7 @@
     }
 }
 
-/// Connects to another node whenever there is something to send, and hears its answers.
+/// Connects to another node whenever there is a frame to send, and reports the received frames.
 pub(super) async fn maintain_connection(
     index: usize,
     addr: SocketAddr,
@@ -71,7 +71,7 @@
     received: Recipient<FrameReceived>,
 ) {
     loop {
-        // Nothing is kept for a node that is away: what waits is old by the time it is back.
+        // Frames are not kept for an unreachable node: they would be outdated on its return.
         let Some(first) = frames.recv().await else { return };
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
         let Some(mut stream) = connect.await.ok().and_then(Result::ok).map(framed) else {
@@ -99,7 +99,8 @@
     }
 }
 
-/// Asks one node one thing, from outside of the service; None if it does not answer in time.
+/// Sends a single request to a node over a new connection, for use by commands. Returns `None` if
+/// it does not answer within [`FORWARD_TIMEOUT`].
 pub async fn request_once(addr: SocketAddr, request: PeerRequest) -> Option<Answer> {
     let answer = async {
         let mut stream = framed(TcpStream::connect(addr).await.ok()?);
@@ -115,8 +116,9 @@
     tokio::time::timeout(FORWARD_TIMEOUT, answer).await.ok().flatten()
 }
 
-/// Serves a connection that another node has opened. Requests are answered side by side, as many
-/// as the queue of answers holds; more are dropped, and their sender answers for itself.
+/// Serves a connection opened by another node. Requests are handled concurrently, up to the
+/// capacity of the response queue. Further requests are dropped, and their sender answers its
+/// client itself after a timeout.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     received: Recipient<FrameReceived>,
@@ -147,7 +149,7 @@
                     });
                 }
             }
-            // Answered by this node's health, on the same connection.
+            // The reply with this node's health is sent on the same connection.
             Some(Frame::Health { .. }) => {
                 let store = cache.send(IsServed).await.unwrap_or(false);
                 let health = Frame::Health { store };
@@ -157,7 +159,7 @@
             }
             Some(frame) => received.do_send(FrameReceived { source: FrameSource::Accepted, frame }),
             None => {
-                tracing::debug!("frame of another node can't be decoded");
+                tracing::debug!("peer frame can't be decoded");
                 return;
             }
         }
--- a/crates/latchtrack/src/actors/peers/mod.rs
+++ b/crates/latchtrack/src/actors/peers/mod.rs
@@ -1,6 +1,6 @@
-//! What the nodes tell each other: the leader's counts for display, whether the state service
-//! serves them, and requests that a node forwards because the service does not serve it. A request
-//! is forwarded once only.
+//! Communication between the nodes: the leader's task counts for display, whether the state service
+//! serves each node, and requests forwarded to the leader or to a node that it serves. A request is
+//! forwarded only once.
 
 mod connection;
 
@@ -30,40 +30,40 @@
 use crate::settings::Settings;
 use crate::wire::peers::{Answer, Frame, JobCounts};
 
-/// This node's connection to another one.
+/// The connection that this node opens to another node.
 struct PeerConnection {
     node: String,
     frames: mpsc::Sender<Frame>,
-    /// When its health was last heard, in ms of the steady clock; 0: never.
+    /// When its health was last received, in ms of the monotonic clock; 0 if never.
     heard_at: u64,
-    /// Whether the state service served it then.
+    /// Whether the state service served the node at that time.
     is_served: bool,
 }
 
 impl PeerConnection {
-    fn was_heard_lately(&self, now: u64) -> bool {
+    fn has_recent_health(&self, now: u64) -> bool {
         now < self.heard_at + PEER_HEALTH_MAX_AGE_MS
     }
 }
 
-/// The actor that keeps the connections to the other nodes.
+/// The actor that manages the connections to the other nodes.
 pub struct Peers {
-    /// Until connections are accepted.
+    /// Present until the actor starts accepting connections.
     listener: Option<TcpListener>,
     others: Vec<(String, SocketAddr)>,
     connections: Vec<PeerConnection>,
     cache: Addr<JobCache>,
-    /// The newest fencing token heard: counts of an older term are not shown after those of it.
+    /// The highest fencing token received. Progress of older terms is ignored.
     newest_token: u64,
     scheduler: Option<Recipient<OverdueMachines>>,
-    /// Forwarded requests that wait for their answer, by id.
+    /// Forwarded requests without a response yet, by id.
     pending: HashMap<u64, oneshot::Sender<Answer>>,
     last_id: u64,
 }
 
 impl Peers {
-    /// An actor that connects to the other nodes, and accepts their connections at `listener` once
-    /// it gets [`ServePeers`].
+    /// Creates an actor that connects to the other nodes, and accepts their connections on
+    /// `listener` once it receives [`ServePeers`].
     pub fn new(settings: &Settings, listener: TcpListener, cache: Addr<JobCache>) -> Self {
         let peers = settings.platform.peers.iter();
         Peers {
@@ -78,20 +78,20 @@
         }
     }
 
-    /// Sends a frame to all other nodes; where the queue is full it is dropped.
+    /// Sends a frame to all other nodes, except those whose queue is full.
     fn broadcast(&self, frame: &Frame) {
         for connection in &self.connections {
             let _ = connection.frames.try_send(frame.clone());
         }
     }
 
-    /// The connection, of those heard lately, by which a request is forwarded: the one that was
-    /// heard last.
+    /// Returns the connection for forwarding a request to `target`: the one with the latest health
+    /// report, if that is recent.
     fn connection_to(&self, target: &ForwardTarget) -> Option<&PeerConnection> {
         let now = now_ms();
         self.connections
             .iter()
-            .filter(|connection| connection.was_heard_lately(now))
+            .filter(|connection| connection.has_recent_health(now))
             .filter(|connection| match target {
                 ForwardTarget::Node(node) => *node == connection.node,
                 ForwardTarget::AnyServed => connection.is_served,
@@ -99,7 +99,7 @@
             .max_by_key(|connection| connection.heard_at)
     }
 
-    /// Takes in the counts and the overdue machines of a leader.
+    /// Applies the task counts and the overdue machines that a leader has sent.
     fn apply_progress(&mut self, token: u64, jobs: Vec<JobCounts>, overdue: Vec<String>) {
         if token < self.newest_token {
             return;
@@ -128,7 +128,7 @@
             let received = ctx.address().recipient();
             actix_rt::spawn(maintain_connection(index, *addr, queued, received));
         }
-        // What it says of this node is not read; the answer tells the other node's health.
+        // The receiver ignores the value and replies with its own health.
         ctx.run_interval(Duration::from_millis(PEER_HEALTH_INTERVAL_MS), |act, _| {
             act.broadcast(&Frame::Health { store: true });
         });
@@ -167,7 +167,7 @@
     type Result = bool;
     fn handle(&mut self, _: HasConnectedPeers, _: &mut Self::Context) -> bool {
         let now = now_ms();
-        self.connections.iter().any(|peer| peer.heard_at > 0 && peer.was_heard_lately(now))
+        self.connections.iter().any(|peer| peer.heard_at > 0 && peer.has_recent_health(now))
     }
 }
 
--- a/crates/latchtrack/src/actors/scheduler_driver/effects.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/effects.rs
@@ -1,4 +1,4 @@
-//! Hands events to the scheduler and carries out its effects.
+//! Passes events to the scheduler and executes its effects.
 
 use std::time::Duration;
 
@@ -16,15 +16,15 @@
 use crate::constants::NOT_DONE_DELAY_MS;
 
 impl SchedulerDriver {
-    /// Hands an event to the scheduler and carries out what it wants; returns the commands for the
-    /// worker if the event was a heartbeat that is answered.
+    /// Passes an event to the scheduler and executes the resulting effects. Returns the commands
+    /// for the worker if the event was a heartbeat that the scheduler answers.
     pub(super) fn handle_event(
         &mut self,
         event: Event,
         ctx: &mut Context<Self>,
     ) -> Option<Vec<Command>> {
         let effects = self.scheduler.as_mut()?.handle(now_ms(), event);
-        // Events of all kinds come in while the lease is in doubt; nothing goes out then.
+        // Without a valid lease, events are still processed, but effects that need it are declined.
         let may_act = self.may_act();
         let mut response = None;
         for effect in effects {
@@ -37,7 +37,7 @@
         response
     }
 
-    /// Carries out an effect.
+    /// Executes an effect. Requires a valid lease.
     fn execute(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         let token = self.term.token();
         match effect {
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Answers an effect that may not be carried out for want of a valid lease.
+    /// Reports an effect as not executed because there is no valid lease. Effects that need none
+    /// are executed.
     fn decline(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         match effect {
             Effect::CallWorker { machine, call, .. } => {
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Carries out an effect that needs no valid lease: writes are fenced by the leader key, and
-    /// the rest changes nothing outside of this node.
+    /// Executes an effect that needs no valid lease: writes of records are fenced by the leader
+    /// key, and the others change nothing outside of this node.
     fn execute_without_lease(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         match effect {
             Effect::ListMachines => {
@@ -92,7 +93,7 @@
                 }
             }
             Effect::Log(event) => tracing::info!("{event}"),
-            // Answered before, by the callers.
+            // Handled by the callers.
             Effect::Respond(_)
             | Effect::CallWorker { .. }
             | Effect::Provision { .. }
@@ -106,7 +107,7 @@
         self.report_later(Event::LedgerWriteFinished { write, outcome }, ctx);
     }
 
-    /// Tells the scheduler a little later that something was not done.
+    /// Reports to the scheduler, after [`NOT_DONE_DELAY_MS`], that an effect was not executed.
     fn report_later(&self, event: Event, ctx: &mut Context<Self>) {
         let token = self.term.token();
         ctx.notify_later(SchedulerEvent { token, event }, Duration::from_millis(NOT_DONE_DELAY_MS));
--- a/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
@@ -15,11 +15,12 @@
 use crate::clock::{self, now_ms};
 use crate::constants::REFRESH_RETRY_MS;
 
-/// Results that are stored of each job: bits of done tasks by chunk.
+/// Stored results by job: chunks of the bitmap of done tasks, with their numbers.
 type ChunksByJob = HashMap<JobId, Vec<(u32, Vec<u8>)>>;
 
 impl SchedulerDriver {
-    /// Begins to read the stored state, if a term waits for it and the machine types are known.
+    /// Starts reading the stored state if the current term has no scheduler yet and the machine
+    /// types are known.
     pub(super) fn read_state(&mut self, ctx: &mut Context<Self>) {
         let is_reading = matches!(self.state_read, StateRead::InProgress { .. });
         if is_reading || self.types.is_empty() || self.scheduler.is_some() {
@@ -49,7 +50,8 @@
         }));
     }
 
-    /// Starts the scheduler of a term from the stored state and the changes since it was read.
+    /// Starts the scheduler of a term from the stored state and the changes received during the
+    /// read.
     fn start_scheduler(
         &mut self,
         token: u64,
@@ -64,10 +66,10 @@
             token,
             open_jobs = stored.jobs.len(),
             unreconciled_machines = machines,
-            "stored state read"
+            "stored state loaded"
         );
         let mut chunks = chunks_by_job(&stored.results);
-        // The last revision before this term from which on no node led.
+        // The revision since which no node led before this term, or the start of this term.
         let leaderless_since =
             stored.leaderless_since.filter(|revision| *revision < token).unwrap_or(token);
         self.scheduler = Some(Scheduler::new(
--- a/crates/latchtrack/src/actors/scheduler_driver/state_read.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/state_read.rs
@@ -1,14 +1,14 @@
-//! Whether the stored state of a term is being read.
+//! Progress of the read of the stored state at the start of a term.
 
 use crate::actors::messages::scheduler::JobChange;
 
-/// Whether the stored state is being read.
+/// Whether the stored state is being read, and the changes to apply after it.
 pub(super) enum StateRead {
-    /// It is not.
+    /// No read is in progress.
     Idle,
-    /// It is.
+    /// A read is in progress.
     InProgress {
-        /// Changes of the job cache that have come meanwhile.
+        /// Changes of the job cache received since the read began.
         changes: Vec<JobChange>,
     },
 }
--- a/crates/latchtrack/src/actors/scheduler_driver/status.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/status.rs
@@ -1,4 +1,4 @@
-//! What the driver's node sees, for an operator.
+//! This node's view of the cluster, for operators.
 
 use actix::prelude::*;
 use latchtrack_core::scheduler::Scheduler;
--- a/crates/latchtrack/src/actors/scheduler_driver/worker_calls.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Direct calls of workers.
+//! Direct calls to workers.
 
 use actix::prelude::*;
 use actix_web::http::StatusCode;
@@ -11,7 +11,7 @@
 use crate::wire::workers::{parse_heartbeat, CommandDto, DirectCall};
 
 impl SchedulerDriver {
-    /// Sends commands to a worker's own address, and tells the scheduler the outcome.
+    /// Sends commands to the address of a worker, and reports the outcome to the scheduler.
     pub(super) fn call_worker(
         &self,
         machine: String,
@@ -24,18 +24,18 @@
         let token = self.term.token();
         let commands = commands.iter().map(CommandDto::from).collect();
         let body = DirectCall { token, agent_epoch, commands };
-        // Each worker is called seldom: an idle connection to each would take a socket.
+        // Calls to one worker are rare, and an idle connection to each would occupy a socket.
         let request = self.client.post(format!("http://{addr}/do")).force_close();
         let sent = request.timeout(CALL_TIMEOUT).send_json(&body);
         ctx.spawn(finish(sent).into_actor(self).map(move |result, act, ctx| {
-            // An answer to a call of an earlier term tells this one nothing in its own terms.
+            // The call belongs to an earlier term and is unknown to the current scheduler.
             if act.term.token() != token {
                 return;
             }
             let outcome = if act.may_act() {
                 call_outcome(result)
             } else {
-                // The lease is in doubt just now: what was answered is taken for lost.
+                // Without a valid lease, the response is treated as lost.
                 CallOutcome::NoAnswer
             };
             act.handle_event(Event::CallFinished { machine, call, outcome }, ctx);
--- a/crates/latchtrack/src/actors/scheduler_driver/write_state.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/write_state.rs
@@ -1,29 +1,29 @@
-//! Whether a write of records is under way.
+//! Progress of the writes of scheduler records.
 
-/// One write at a time, each with everything that has changed before it.
+/// State of the record writes. One write is in flight at a time, with all changes before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteState {
-    /// Nothing is being written.
+    /// No write is in flight.
     Idle,
-    /// A write is under way.
+    /// A write is in flight.
     InFlight,
-    /// A write is under way, and the scheduler has more to write.
+    /// A write is in flight, and the scheduler has more to write.
     InFlightMoreWaiting,
-    /// A write has failed. The scheduler hears of it after a backoff, and then asks for the next.
+    /// A write has failed. The scheduler is notified after a delay, and then requests the next.
     Backoff,
 }
 
-/// What waits when a write is over.
+/// What to do after a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterWrite {
-    /// Nothing.
+    /// No write was requested in the meantime.
     NothingWaiting,
-    /// The scheduler asked for a write meanwhile.
+    /// The scheduler requested another write in the meantime.
     MoreWaiting,
 }
 
 impl WriteState {
-    /// Whether a write may begin; if not, it is remembered that one is wanted.
+    /// Returns whether a write may begin. If one is in flight, records that another is requested.
     pub(super) fn may_begin(&mut self) -> bool {
         if *self == WriteState::InFlight {
             *self = WriteState::InFlightMoreWaiting;
@@ -31,12 +31,12 @@
         *self == WriteState::Idle
     }
 
-    /// A write begins.
+    /// Marks a write as in flight.
     pub(super) fn begin(&mut self) {
         *self = WriteState::InFlight;
     }
 
-    /// A write, or the backoff after it, is over.
+    /// Ends a write or its backoff, and returns whether another write was requested.
     pub(super) fn finish(&mut self) -> AfterWrite {
         match std::mem::replace(self, WriteState::Idle) {
             WriteState::InFlightMoreWaiting => AfterWrite::MoreWaiting,
@@ -44,12 +44,12 @@
         }
     }
 
-    /// No other write begins until the backoff is over.
+    /// Prevents writes until [`WriteState::finish`] ends the backoff.
     pub(super) fn back_off(&mut self) {
         *self = WriteState::Backoff;
     }
 
-    /// What an earlier term wanted written is of no use any more.
+    /// Drops a request for another write, which belongs to an earlier term.
     pub(super) fn forget_waiting(&mut self) {
         if *self == WriteState::InFlightMoreWaiting {
             *self = WriteState::InFlight;
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -1,4 +1,4 @@
-//! What the leader reads from the state service and writes to it.
+//! Conversion of the leader's stored state between the state service and the scheduler.
 
 use std::collections::HashSet;
 
@@ -17,26 +17,26 @@
 };
 use crate::wire::store::{Change, Condition, Item, Txn};
 
-/// All that a new leader reads.
+/// The stored state that a new leader reads.
 pub struct StoredState {
     /// The open jobs.
     pub jobs: Vec<OpenJob>,
-    /// The revision with which the last leader's key went, if that was seen.
+    /// Revision at which the previous leader's key was deleted, if known.
     pub leaderless_since: Option<u64>,
-    /// The machines of earlier leaders.
+    /// The machine sets stored by earlier leaders.
     pub machine_sets: Vec<StoredMachineSet>,
-    /// Which tasks of the open jobs are done.
+    /// The done tasks of the open jobs.
     pub results: Vec<StoredResults>,
 }
 
-/// What a write makes of a record shard.
+/// The change that a write makes to a record shard.
 enum ShardValue {
     Put(Box<RawValue>),
     Delete,
 }
 
 impl ShardValue {
-    /// A shard without records is deleted.
+    /// Returns a deletion for a shard without records, `None` if the value can't be serialized.
     fn new(
         is_empty: bool,
         value: impl FnOnce() -> serde_json::Result<Box<RawValue>>,
@@ -48,9 +48,11 @@
     }
 }
 
-/// The transaction of a batch, None if a record can't be serialized. It is fenced by the leader
-/// key; for a job that becomes done by the revision of its record, which a cancellation would have
-/// changed; for a record shard by its own, which a late write of this leader would have.
+/// Builds the transaction of a batch. Returns `None` if a record can't be serialized.
+///
+/// The transaction requires that the leader key is unchanged. A done job also requires the revision
+/// of its record, which a cancellation changes, and a record shard its own revision, which a
+/// delayed write of this leader changes.
 pub fn record_transaction(token: u64, writes: &[RecordWrite]) -> Option<Txn> {
     let mut conditions = vec![Condition { key: LEADER.into(), revision: token }];
     let mut changes = Vec::new();
@@ -82,7 +84,7 @@
     Some(Txn { conditions, changes })
 }
 
-/// The outcome of a write of which the conditions on these keys did not hold.
+/// Returns the outcome of a write whose conditions on these keys did not hold.
 pub fn conflict_outcome(keys: &[String]) -> BatchOutcome {
     let under = |prefix: &str| -> Vec<String> {
         keys.iter().filter_map(|key| key.strip_prefix(prefix)).map(str::to_string).collect()
@@ -91,8 +93,8 @@
     BatchOutcome::Conflict { jobs, machine_sets: under(MACHINE_SETS), results: under(RESULTS) }
 }
 
-/// Reads open jobs, results and machine set; None if the state service can't be asked. All of it
-/// is as new as this term, since an earlier leader's writes are fenced.
+/// Reads the open jobs, results and machine sets. Returns `None` if any read fails. The state can't
+/// be changed by an earlier leader any more, whose writes are fenced.
 pub async fn read_stored_state(store: &Addr<Store>, cache: &Addr<JobCache>) -> Option<StoredState> {
     let (machine_sets, _) = store::read_all(store, MACHINE_SETS).await.ok()?;
     let (results, _) = store::read_all(store, RESULTS).await.ok()?;
@@ -107,7 +109,7 @@
     let name = item.key.strip_prefix(MACHINE_SETS)?;
     let machines = parse_machine_set(name, item.value.get())
         .map_err(|error| {
-            tracing::error!(key = item.key, %error, "stored machines can't be parsed");
+            tracing::error!(key = item.key, %error, "stored machine set can't be parsed");
         })
         .ok();
     Some(StoredMachineSet { name: name.to_string(), revision: item.revision, machines })
@@ -116,7 +118,7 @@
 fn stored_results(item: &Item, open: &HashSet<JobId>) -> Option<StoredResults> {
     let name = item.key.strip_prefix(RESULTS)?;
     let mut chunks = parse_results(name, item.value.get()).unwrap_or_else(|| {
-        // Its tasks run again; their results were kept nowhere else.
+        // The tasks will run again, since their results are stored nowhere else.
         tracing::error!(key = item.key, "stored results can't be parsed");
         Vec::new()
     });
