--- a/crates/latchtrack/src/actors/election/campaign.rs
+++ b/crates/latchtrack/src/actors/election/campaign.rs
@@ -1,4 +1,4 @@
-//! One campaign for the leader key.
+//! A single attempt to acquire the leader key.
 
 use actix::Addr;
 
@@ -11,16 +11,16 @@
 use crate::wire::records::{LeaderRecord, LEADER};
 use crate::wire::store::{Change, Condition, Txn};
 
-/// Who campaigns.
+/// The node that campaigns, and for what.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
-    /// This node.
+    /// Name of this node.
     pub(super) node: String,
-    /// Tells the runs of this node apart.
+    /// Random number that distinguishes the runs of this node.
     pub(super) run: u64,
-    /// ms that the lease lasts.
+    /// Duration of the lease in ms.
     pub(super) ttl_ms: u64,
-    /// The cell that is to be led, where several share teams.
+    /// The cell to lead, if several cells share teams.
     pub(super) cell: Option<Cell>,
 }
 
@@ -28,31 +28,36 @@
 pub(super) enum CampaignOutcome {
     /// This node leads.
     Won(HeldTerm),
-    /// The key exists, or the state service refused the transaction.
+    /// The key already exists, or the state service refused the transaction.
     Lost,
-    /// The key may still come under this lease.
+    /// The key may have been created under this lease, or may be created later.
     Unknown {
         /// The lease.
         lease: u64,
     },
-    /// Nothing was written.
+    /// The leader key was not written.
     Failed,
 }
 
-/// Takes a lease, then the leader key under it if there is none. A cell's records go with it.
+/// Acquires a lease, then creates the leader key under it if the key is absent. The records of the
+/// cell are written in the same transaction.
 pub(super) async fn run_campaign(store: &Addr<Store>, candidate: Candidate) -> CampaignOutcome {
     let cell_condition = match &candidate.cell {
         Some(cell) => match cell.stored_revision(store).await {
             Ok(revision) => Some(Condition { key: term_key(&cell.name), revision }),
             Err(error) => {
-                tracing::error!(cell = cell.name, %error, "not campaigning for the cell");
+                tracing::error!(
+                    cell = cell.name,
+                    %error,
+                    "not campaigning: the check of the cell's stored record failed"
+                );
                 return CampaignOutcome::Failed;
             }
         },
         None => None,
     };
     let ttl_ms = candidate.ttl_ms;
-    let granted = request(store, RequestClass::Lease, StoreRequest::Grant { ttl_ms }).await;
+    let granted = request(store, RequestClass::Lease, StoreRequest::GrantLease { ttl_ms }).await;
     let Ok(StoreAnswer { reply: Reply::Lease(lease), sent_at }) = granted else {
         return CampaignOutcome::Failed;
     };
@@ -66,8 +71,9 @@
         }
         Err(StoreError::OutcomeUnknown) => CampaignOutcome::Unknown { lease },
         Ok(_) | Err(_) => {
-            // If this fails, the unused lease expires by itself.
-            let _ = request(store, RequestClass::Progress, StoreRequest::End { lease }).await;
+            // If the revocation fails, the unused lease expires.
+            let _ =
+                request(store, RequestClass::Progress, StoreRequest::RevokeLease { lease }).await;
             CampaignOutcome::Lost
         }
     }
@@ -81,7 +87,7 @@
     store::request(store, class, request, ELECTION_REQUEST_WAIT_MS).await
 }
 
-/// The transaction that creates the leader key, if no node has it.
+/// Builds the transaction that creates the leader key if it is absent.
 fn campaign_txn(
     candidate: Candidate,
     cell_condition: Option<Condition>,
--- a/crates/latchtrack/src/actors/election/cell.rs
+++ b/crates/latchtrack/src/actors/election/cell.rs
@@ -1,4 +1,4 @@
-//! The cell that a node would lead, where several cells share teams.
+//! The cell that a node can lead, if several cells share teams.
 
 use actix::Addr;
 use latchtrack_quota::CellRecord;
@@ -9,31 +9,31 @@
 use crate::settings::Settings;
 use crate::wire::quota::term_key;
 
-/// A cell, and what its leaders store of it.
+/// A cell, with the record that its leaders store.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// Its name.
+    /// Name of the cell, unique among the cells that share teams.
     pub name: String,
-    /// What other cells may know of it.
+    /// The record that other cells read.
     pub record: CellRecord,
 }
 
-/// Why a node may not campaign for its cell.
+/// Reason why a node may not campaign for its cell.
 #[derive(Debug, thiserror::Error)]
 pub enum CellError {
-    /// The state service can't be asked.
-    #[error("the state service: {0}")]
+    /// The request to the state service failed.
+    #[error("state service error: {0}")]
     Store(#[from] StoreError),
-    /// The stored record can't be parsed.
-    #[error("its record is garbled, and is not overwritten")]
+    /// The stored record can't be parsed. It is never overwritten.
+    #[error("the stored record can't be parsed and is not overwritten")]
     Unparsable(#[source] serde_json::Error),
-    /// Another deployment has the same name.
-    #[error("the name is in use with the cloud at {0}")]
+    /// The cell name is used by a deployment with another cloud.
+    #[error("the cell name is already in use with the cloud at {0}")]
     OtherCloud(String),
 }
 
 impl Cell {
-    /// The cell of these settings, if they name one.
+    /// Returns the cell that the settings name, if any.
     pub fn from_settings(settings: &Settings) -> Option<Cell> {
         let quota = settings.tuning.quota.as_ref()?;
         let record = CellRecord {
@@ -44,8 +44,9 @@
         Some(Cell { name: quota.cell.clone(), record })
     }
 
-    /// The revision of the stored record, 0 if there is none. A record of another cloud is an
-    /// error: two deployments under one name would each take the other's leaders for its own.
+    /// Returns the revision of the stored record, or 0 if there is none. A record of another cloud
+    /// is an error: two deployments with one name would mistake each other's leaders for their
+    /// own.
     pub async fn stored_revision(&self, store: &Addr<Store>) -> Result<u64, CellError> {
         let get = StoreRequest::Get { key: term_key(&self.name) };
         let answer =
--- a/crates/latchtrack/src/actors/election/lease.rs
+++ b/crates/latchtrack/src/actors/election/lease.rs
@@ -1,36 +1,37 @@
-//! The lease of the leader key, and why a term ends.
+//! The lease of the leader key, and the reasons why a term ends.
 
 use crate::constants::{CLOCK_DRIFT_DIVISOR, LEASE_GUARD_MS};
 
-/// A term of this node, with the lease that its leader key is under.
+/// A term in which this node leads.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct HeldTerm {
-    /// Fencing token.
+    /// Fencing token: the revision of the leader key.
     pub(super) token: u64,
-    /// The lease.
+    /// The lease that the leader key is attached to.
     pub(super) lease: u64,
-    /// Until when the lease is surely valid, in ms of the steady clock.
+    /// Time until which the lease is certain to be valid, in ms of the monotonic clock.
     pub(super) valid_until: u64,
 }
 
-/// Until when a lease granted or renewed by a request sent at `sent_at` is surely valid.
+/// Returns the time until which a lease is certain to be valid that a request sent at `sent_at`
+/// granted or renewed. Clock drift and a guard interval are deducted.
 pub(super) fn lease_valid_until(ttl_ms: u64, sent_at: u64) -> u64 {
     sent_at + ttl_ms - ttl_ms / CLOCK_DRIFT_DIVISOR - LEASE_GUARD_MS
 }
 
-/// Why a term ends, for the log.
+/// Reason why a term ends, for the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub(super) enum TermEnd {
-    /// The state service knows the lease no more.
+pub(super) enum TermEndReason {
+    /// The state service no longer knows the lease.
     #[error("the lease has expired")]
     LeaseExpired,
-    /// The leader key is gone, or of another node.
-    #[error("the leader key is gone or another node's")]
+    /// The leader key was deleted or belongs to another node.
+    #[error("the leader key was deleted or taken by another node")]
     KeyTaken,
     /// A write was refused because the leader key has changed.
-    #[error("a write was refused by the leader key's revision")]
+    #[error("a write was refused because the leader key has changed")]
     WriteRefused,
-    /// The scheduler wants to stop leading.
+    /// The scheduler asked to stop leading, for this reason.
     #[error("resigned: {0}")]
     Resigned(String),
 }
--- a/crates/latchtrack/src/actors/election/mod.rs
+++ b/crates/latchtrack/src/actors/election/mod.rs
@@ -1,5 +1,5 @@
-//! Who leads: a key under a lease of the state service. The revision of the key is the fencing
-//! token of the term.
+//! Leader election through a leader key attached to a lease in the state service. The revision of
+//! the key is the fencing token of the term.
 
 mod campaign;
 mod cell;
@@ -13,7 +13,7 @@
 pub use self::cell::{Cell, CellError};
 
 use self::campaign::{run_campaign, CampaignOutcome, Candidate};
-use self::lease::{lease_valid_until, HeldTerm, TermEnd};
+use self::lease::{lease_valid_until, HeldTerm, TermEndReason};
 use super::job_cache::JobCache;
 use super::messages::election::{LeaderKey, LeaderKeyLost, LeaderKeyObserved, Resign};
 use super::messages::job_cache::SetCacheRole;
@@ -27,28 +27,29 @@
     RECENT_START_MS, RENEWALS_PER_LEASE, RENEWAL_WAIT_MS, RESIGNED_DELAY_MS,
 };
 
-/// The actor that campaigns for the leader key and renews the lease that it is under.
+/// The actor that campaigns for the leader key and renews its lease.
 pub struct Election {
     store: Addr<Store>,
     cache: Addr<JobCache>,
     scheduler: Recipient<Leadership>,
     candidate: Candidate,
-    /// The leader key as it was last seen; the outer None: the cache has not been filled.
+    /// The leader key as last observed. `None` until the job cache has loaded; `Some(None)` if the
+    /// key does not exist.
     observed_key: Option<Option<LeaderKey>>,
-    /// The lease of a campaign whose outcome is not known yet.
+    /// The lease of a campaign whose outcome is unknown.
     undecided_lease: Option<u64>,
     term: Option<HeldTerm>,
-    /// A campaign, a request, or a pause before the next is under way.
+    /// Whether a campaign, a request or a retry delay is in progress.
     is_busy: bool,
-    /// Not to campaign before this time, in ms of the steady clock.
+    /// No campaign starts before this time, in ms of the monotonic clock.
     not_before: u64,
-    /// In ms of the steady clock.
+    /// When the actor was created, in ms of the monotonic clock.
     started: u64,
 }
 
 impl Election {
-    /// An election of a node that does not lead. `cell` is the cell that it would lead, where
-    /// several share teams.
+    /// Creates the election of a node that does not lead. `cell` is the cell to lead, if several
+    /// cells share teams.
     pub fn new(
         store: Addr<Store>,
         cache: Addr<JobCache>,
@@ -57,7 +58,7 @@
         ttl_ms: u64,
         cell: Option<Cell>,
     ) -> Self {
-        // The upper bits are left out: numbers of JSON are exact to 53 bits.
+        // JSON numbers are exact only up to 53 bits.
         let run = rand::rng().random::<u64>() >> 12;
         Election {
             store,
@@ -73,13 +74,14 @@
         }
     }
 
-    /// Does what the leader key, as it was last seen, asks of a node that does not lead.
+    /// Reacts to the last observed leader key while this node does not lead: campaigns if no node
+    /// leads, and resolves a key that names this node.
     fn follow_leader_key(&mut self, ctx: &mut Context<Self>) {
         if self.is_busy || self.term.is_some() {
             return;
         }
         match self.observed_key.clone() {
-            // The cache has not been filled.
+            // The cache has not loaded yet.
             None => {}
             Some(None) => self.schedule_campaign(ctx),
             Some(Some(key)) if key.record.node == self.candidate.node => {
@@ -89,22 +91,24 @@
         }
     }
 
-    /// The key names this node, which does not know itself to lead.
+    /// Handles a key that names this node although it holds no term: from an earlier run or from a
+    /// campaign whose outcome is unknown.
     fn resolve_own_key(&mut self, key: &LeaderKey, ctx: &mut Context<Self>) {
         let lease = key.record.lease;
         if key.record.run != self.candidate.run {
-            // Of an earlier run of this node, which is dead, since this is a later one. No node
-            // need wait for its lease to expire.
-            tracing::info!(lease, "ending the lease of an earlier run of this node");
-            self.end_lease(lease, ctx);
+            // The earlier run has ended, since this one has started. Revoking its lease saves
+            // the nodes from waiting until it expires.
+            tracing::info!(lease, "revoking the lease of an earlier run of this node");
+            self.revoke_lease(lease, ctx);
         } else if self.undecided_lease == Some(lease) {
             self.claim_key(lease, key.revision, ctx);
         } else {
-            self.end_lease(lease, ctx);
+            self.revoke_lease(lease, ctx);
         }
     }
 
-    /// No node leads: campaigns after a random wait, or checks the key again once this node may.
+    /// Campaigns after a random delay. If this node may not campaign yet, checks the key again
+    /// once it may.
     fn schedule_campaign(&mut self, ctx: &mut Context<Self>) {
         if now_ms() < self.not_before {
             let wait_ms = self.not_before - now_ms();
@@ -119,7 +123,7 @@
         ctx.run_later(Duration::from_millis(wait_ms), |act, ctx| act.campaign(ctx));
     }
 
-    /// Looks at the leader key again after a pause.
+    /// Checks the leader key again after a delay.
     fn retry_after(&mut self, ms: u64, ctx: &mut Context<Self>) {
         self.is_busy = true;
         ctx.run_later(Duration::from_millis(ms), |act, ctx| {
@@ -128,19 +132,19 @@
         });
     }
 
-    /// Ends a lease and with it the leader key.
-    fn end_lease(&mut self, lease: u64, ctx: &mut Context<Self>) {
+    /// Revokes a lease, which deletes a leader key attached to it.
+    fn revoke_lease(&mut self, lease: u64, ctx: &mut Context<Self>) {
         self.is_busy = true;
         let store = self.store.clone();
         let request = async move {
-            let end = StoreRequest::End { lease };
-            store::request(&store, RequestClass::Lease, end, ELECTION_REQUEST_WAIT_MS).await
+            let revoke = StoreRequest::RevokeLease { lease };
+            store::request(&store, RequestClass::Lease, revoke, ELECTION_REQUEST_WAIT_MS).await
         };
         ctx.spawn(request.into_actor(self).map(move |result, act, ctx| {
             act.is_busy = false;
             match result {
                 Ok(_) | Err(StoreError::NotFound) => {}
-                Err(error) => tracing::debug!(lease, %error, "lease could not be ended"),
+                Err(error) => tracing::debug!(lease, %error, "lease could not be revoked"),
             }
             act.retry_after(ELECTION_RETRY_MS, ctx);
         }));
@@ -162,7 +166,7 @@
                     act.retry_after(ELECTION_RETRY_MS, ctx);
                 }
                 CampaignOutcome::Unknown { lease } => {
-                    // Never guessed: if the key comes, the cache shows it.
+                    // The outcome is not guessed: if the key was created, the cache will show it.
                     act.undecided_lease = Some(lease);
                     act.retry_after(ELECTION_RETRY_MS, ctx);
                 }
@@ -170,12 +174,13 @@
         }));
     }
 
-    /// The key of a campaign with unknown outcome has come: it counts once its lease is renewed.
+    /// Starts the term of a campaign whose outcome was unknown and whose key has appeared, once
+    /// its lease has been renewed.
     fn claim_key(&mut self, lease: u64, token: u64, ctx: &mut Context<Self>) {
         self.is_busy = true;
         let store = self.store.clone();
         let request = async move {
-            let renew = StoreRequest::Renew { lease };
+            let renew = StoreRequest::RenewLease { lease };
             store::request(&store, RequestClass::Lease, renew, ELECTION_REQUEST_WAIT_MS).await
         };
         ctx.spawn(request.into_actor(self).map(move |result, act, ctx| {
@@ -203,7 +208,7 @@
         self.renew_after(self.candidate.ttl_ms / RENEWALS_PER_LEASE, ctx);
     }
 
-    /// Tells the scheduler driver the term, and until when its lease is valid.
+    /// Sends the current term and the validity of its lease to the scheduler driver.
     fn publish_leadership(&self) {
         let term =
             self.term.map(|held| LeaderTerm { token: held.token, valid_until: held.valid_until });
@@ -218,7 +223,7 @@
         let Some(HeldTerm { token, lease, .. }) = self.term else { return };
         let store = self.store.clone();
         let request = async move {
-            let renew = StoreRequest::Renew { lease };
+            let renew = StoreRequest::RenewLease { lease };
             store::request(&store, RequestClass::Lease, renew, RENEWAL_WAIT_MS).await
         };
         ctx.spawn(request.into_actor(self).map(move |result, act, ctx| {
@@ -230,23 +235,24 @@
                     act.publish_leadership();
                     act.renew_after(act.candidate.ttl_ms / RENEWALS_PER_LEASE, ctx);
                 }
-                Err(StoreError::NotFound) => act.end_term(&TermEnd::LeaseExpired, ctx),
-                // Suspended at most: if a later renewal succeeds, the key was never gone.
+                Err(StoreError::NotFound) => act.end_term(&TermEndReason::LeaseExpired, ctx),
+                // The term is only suspended: if a later renewal succeeds, the key still exists.
                 Err(error) => {
-                    tracing::debug!(token, %error, "lease not renewed");
+                    tracing::debug!(token, %error, "lease renewal failed");
                     act.renew_after(ELECTION_RETRY_MS, ctx);
                 }
             }
         }));
     }
 
-    fn end_term(&mut self, reason: &TermEnd, ctx: &mut Context<Self>) {
+    fn end_term(&mut self, reason: &TermEndReason, ctx: &mut Context<Self>) {
         let Some(term) = self.term.take() else { return };
         tracing::info!(token = term.token, %reason, "leadership lost");
         self.publish_leadership();
         self.cache.do_send(SetCacheRole(NodeRole::Follower));
-        // The key goes with the lease; until the cache says so, this node does not campaign.
-        self.end_lease(term.lease, ctx);
+        // Revoking the lease deletes the key. This node does not campaign until the cache shows
+        // the deletion.
+        self.revoke_lease(term.lease, ctx);
     }
 }
 
@@ -266,7 +272,7 @@
                 .is_some_and(|key| key.revision == term.token);
             if is_newer || (was_ours && msg.0.is_none()) {
                 self.observed_key = Some(msg.0);
-                self.end_term(&TermEnd::KeyTaken, ctx);
+                self.end_term(&TermEndReason::KeyTaken, ctx);
                 return;
             }
         }
@@ -279,7 +285,7 @@
     type Result = ();
     fn handle(&mut self, msg: Resign, ctx: &mut Self::Context) {
         self.not_before = now_ms() + RESIGNED_DELAY_MS;
-        self.end_term(&TermEnd::Resigned(msg.reason), ctx);
+        self.end_term(&TermEndReason::Resigned(msg.reason), ctx);
     }
 }
 
@@ -287,7 +293,7 @@
     type Result = ();
     fn handle(&mut self, msg: LeaderKeyLost, ctx: &mut Self::Context) {
         if self.term.is_some_and(|term| term.token == msg.token) {
-            self.end_term(&TermEnd::WriteRefused, ctx);
+            self.end_term(&TermEndReason::WriteRefused, ctx);
         }
     }
 }
--- a/crates/latchtrack/src/actors/job_cache/mod.rs
+++ b/crates/latchtrack/src/actors/job_cache/mod.rs
@@ -1,5 +1,5 @@
-//! The local cache of the job records and of the leader key. Final states are answered from it;
-//! any other answer waits for a refresh from the state service, one for all that wait.
+//! The node's cache of the job records and the leader key. Queries for jobs in a final state are
+//! answered from the cache. All others wait for a refresh from the state service, which they share.
 
 mod records;
 
@@ -14,10 +14,10 @@
     ApplyRecord, ConnectJobCache, Freshness, IsLoaded, IsServed, JobView, ListOpenJobs, LookUpJob,
     OpenJobsSnapshot, SetCacheRole, StoreUnavailable, UpdateTaskCounts,
 };
-use super::messages::scheduler::{CacheAdvanced, JobChange};
+use super::messages::scheduler::{CacheUpdated, JobChange};
 use super::messages::store::SetStoreShare;
 use super::messages::NodeRole;
-use super::store::reads::{observe, Observation};
+use super::store::reads::{read_since, TimedRead};
 use super::store::{Store, StoreError};
 use crate::clock::now_ms;
 use crate::constants::{
@@ -26,32 +26,32 @@
 };
 use crate::wire::records::LIVE;
 
-/// Hears whether the refresh that it waits for has succeeded in time.
+/// Receives whether the awaited refresh succeeded in time.
 type Waiter = oneshot::Sender<bool>;
 
-/// The actor that keeps the cache current.
+/// The actor that owns the cache and refreshes it.
 pub struct JobCache {
     store: Addr<Store>,
     listeners: Option<ConnectJobCache>,
     records: JobRecords,
-    /// Up to which revision the records are known; None to read them all.
+    /// The revision up to which the records are known. `None`: the next refresh reads all records.
     revision: Option<u64>,
     role: NodeRole,
     is_refreshing: bool,
-    /// When the last refresh began, in ms of the steady clock; after one that failed, from when
-    /// the interval to the next counts.
+    /// Start of the interval to the next refresh, in ms of the monotonic clock: when the last
+    /// refresh began, or a retry delay after its failure.
     last_refresh: u64,
-    /// Refreshes that have failed in a row.
+    /// Number of consecutive failed refreshes.
     failures: u32,
     timer: Option<SpawnHandle>,
-    /// Wait for the next refresh.
+    /// Those waiting for the next refresh.
     next_waiters: Vec<Waiter>,
-    /// Wait for the refresh under way.
+    /// Those waiting for the refresh in progress.
     current_waiters: Vec<Waiter>,
 }
 
 impl JobCache {
-    /// An empty cache, filled once its listeners are known.
+    /// Creates an empty cache, which is first loaded when it receives [`ConnectJobCache`].
     pub fn new(store: Addr<Store>) -> Self {
         JobCache {
             store,
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Sets the time of the next refresh, by who waits for it.
+    /// Schedules the next refresh after an interval that depends on whether queries wait for it
+    /// and on the role of this node.
     fn schedule_refresh(&mut self, ctx: &mut Context<Self>) {
         if self.is_refreshing {
             return;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Reads what has changed, unless that is under way.
+    /// Starts a refresh, unless one is in progress.
     fn refresh(&mut self, ctx: &mut Context<Self>) {
         if self.is_refreshing {
             return;
@@ -106,7 +107,7 @@
         self.current_waiters = std::mem::take(&mut self.next_waiters);
         let store = self.store.clone();
         let revision = self.revision;
-        let read = async move { observe(&store, LIVE, revision).await };
+        let read = async move { read_since(&store, LIVE, revision).await };
         ctx.spawn(read.into_actor(self).map(move |result, act, ctx| {
             act.is_refreshing = false;
             let is_usable = act.finish_refresh(started, result);
@@ -117,16 +118,17 @@
         }));
     }
 
-    /// Takes in what a refresh has brought; returns whether it answers those that wait for it.
-    fn finish_refresh(&mut self, started: u64, result: Result<Observation, StoreError>) -> bool {
+    /// Applies the result of a refresh. Returns whether the queries that wait for it can be
+    /// answered.
+    fn finish_refresh(&mut self, started: u64, result: Result<TimedRead, StoreError>) -> bool {
         match result {
-            Ok(observation) => {
+            Ok(read) => {
                 if self.failures >= UNSERVED_AFTER_FAILURES {
-                    tracing::info!("state service serves this node again");
+                    tracing::info!("state service available again");
                 }
                 self.failures = 0;
-                self.apply(observation);
-                // True of its time; but if this node stood still, those who asked have long gone.
+                self.apply(read);
+                // After a pause of this node, the callers have given up and the result is outdated.
                 now_ms() < started + REFRESH_MAX_AGE_MS
             }
             Err(StoreError::TooOld) => {
@@ -134,26 +136,26 @@
                 false
             }
             Err(error) => {
-                tracing::debug!(%error, "refresh of the job cache failed");
-                // Not at once again: the service is down, or refuses this node.
+                tracing::debug!(%error, "job cache refresh failed");
+                // Wait before retrying: the service is down or refuses this node.
                 self.last_refresh = now_ms() + REFRESH_RETRY_MS;
                 self.failures += 1;
                 if self.failures == UNSERVED_AFTER_FAILURES {
-                    tracing::info!(%error, "state service does not serve this node");
+                    tracing::info!(%error, "state service unavailable");
                 }
                 false
             }
         }
     }
 
-    /// Takes in a read, and tells the listeners what has changed by it.
-    fn apply(&mut self, observation: Observation) {
+    /// Applies a read and notifies the listeners of the changes.
+    fn apply(&mut self, read: TimedRead) {
         let leader_before = self.records.leader().cloned();
         let was_loaded = self.revision.is_some();
-        let (changes, revision) = self.records.apply(observation.snapshot);
+        let (changes, revision) = self.records.apply(read.result);
         self.revision = Some(revision);
         let Some(listeners) = &self.listeners else { return };
-        self.notify_scheduler(listeners, observation.sent_at, changes);
+        self.notify_scheduler(listeners, read.sent_at, changes);
         if !was_loaded || leader_before.as_ref() != self.records.leader() {
             listeners.election.do_send(LeaderKeyObserved(self.records.leader_key()));
         }
@@ -166,10 +168,11 @@
         changes: Vec<JobChange>,
     ) {
         let leader = self.records.leader().map(|leader| leader.node.clone());
-        listeners.scheduler.do_send(CacheAdvanced { observed_at, changes, leader });
+        listeners.scheduler.do_send(CacheUpdated { observed_at, changes, leader });
     }
 
-    /// Waits for a refresh that starts after now; None if too many wait.
+    /// Registers a waiter for a refresh that has not started yet. Returns `None` if
+    /// [`REFRESH_WAITERS`] are registered already.
     fn wait_for_refresh(&mut self, ctx: &mut Context<Self>) -> Option<oneshot::Receiver<bool>> {
         if self.next_waiters.len() >= REFRESH_WAITERS {
             return None;
@@ -225,7 +228,7 @@
     fn handle(&mut self, msg: ApplyRecord, _: &mut Self::Context) {
         let change = self.records.apply_record(msg.id, msg.record, msg.revision);
         if let (Some(listeners), Some(change)) = (&self.listeners, change) {
-            // Told before the next refresh brings it: on the leader's node this saves a wait.
+            // On the leader, this saves the scheduler the wait for the next refresh.
             self.notify_scheduler(listeners, 0, vec![change]);
         }
     }
--- a/crates/latchtrack/src/actors/job_cache/records.rs
+++ b/crates/latchtrack/src/actors/job_cache/records.rs
@@ -1,4 +1,4 @@
-//! The cached records: jobs, their counts of tasks, and the leader key.
+//! The cached records: jobs, their task counts, and the leader key.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,7 +8,7 @@
 use crate::actors::messages::job_cache::{JobView, OpenJobsSnapshot, TaskCounts};
 use crate::actors::messages::scheduler::JobChange;
 use crate::actors::messages::OpenJob;
-use crate::actors::store::reads::Snapshot;
+use crate::actors::store::reads::ReadResult;
 use crate::wire::records::{LeaderRecord, Record, JOBS, LEADER};
 use crate::wire::store::KeyChange;
 
@@ -23,21 +23,22 @@
     running: u32,
 }
 
-/// Each record as the newest revision that was seen has it.
+/// The newest observed revision of each record.
 #[derive(Default)]
 pub(super) struct JobRecords {
     jobs: HashMap<JobId, CachedJob>,
-    /// Jobs of which the stored record can't be parsed.
+    /// Jobs whose stored record can't be parsed.
     unparsable: HashSet<JobId>,
     progress: HashMap<JobId, Progress>,
     leader: Option<LeaderRecord>,
-    /// Revision of the leader key, or with which it went.
+    /// Revision at which the leader key was last written or deleted.
     leader_revision: u64,
+    /// Revision since which no node leads, if known.
     leaderless_since: Option<u64>,
 }
 
 impl JobRecords {
-    /// A job, if it is known.
+    /// Returns a job with its task counts, or `None` if it is not cached.
     pub(super) fn view(&self, id: JobId) -> Option<JobView> {
         let job = self.jobs.get(&id)?;
         let Progress { done, running } = match &job.record {
@@ -47,23 +48,23 @@
         Some(JobView { record: job.record.clone(), revision: job.revision, done, running })
     }
 
-    /// Whether the stored record of a job can't be parsed.
+    /// Returns whether a job has a stored record that can't be parsed.
     pub(super) fn is_unparsable(&self, id: JobId) -> bool {
         self.unparsable.contains(&id)
     }
 
-    /// Who leads, if a node does.
+    /// Returns the record of the current leader, if any.
     pub(super) fn leader(&self) -> Option<&LeaderRecord> {
         self.leader.as_ref()
     }
 
-    /// The leader key, if there is one.
+    /// Returns the leader key with its revision, if the key exists.
     pub(super) fn leader_key(&self) -> Option<LeaderKey> {
         let record = self.leader.clone()?;
         Some(LeaderKey { record, revision: self.leader_revision })
     }
 
-    /// All open jobs, and since when no node leads, if that was seen.
+    /// Returns all open jobs, and the revision since which no node leads, if known.
     pub(super) fn open_jobs(&self) -> OpenJobsSnapshot {
         let open = self.jobs.values().filter_map(|job| match &job.record {
             Record::Open { spec, at_ms } => Some(OpenJob {
@@ -76,27 +77,27 @@
         OpenJobsSnapshot { jobs: open.collect(), leaderless_since: self.leaderless_since }
     }
 
-    /// Takes in a read of the state service; returns what has changed by it, and up to which
-    /// revision the records are known now.
-    pub(super) fn apply(&mut self, snapshot: Snapshot) -> (Vec<JobChange>, u64) {
+    /// Applies a read of the state service. Returns the changes of jobs, and the revision up to
+    /// which the records are now known.
+    pub(super) fn apply(&mut self, result: ReadResult) -> (Vec<JobChange>, u64) {
         let mut changes = Vec::new();
-        let revision = match snapshot {
-            Snapshot::All { items, revision } => {
-                let mut is_led = false;
+        let revision = match result {
+            ReadResult::All { items, revision } => {
+                let mut has_leader = false;
                 for item in items {
-                    is_led |= item.key == LEADER;
+                    has_leader |= item.key == LEADER;
                     changes.extend(self.put(&item.key, item.value.get(), item.revision));
                 }
-                // Who led during the missed changes is unknown; without the key, no node leads
-                // now.
-                self.leaderless_since = (!is_led).then_some(revision);
-                if !is_led && self.leader_revision < revision {
+                // Any leader during the missed changes is unknown, but without the key no node
+                // leads at this revision.
+                self.leaderless_since = (!has_leader).then_some(revision);
+                if !has_leader && self.leader_revision < revision {
                     self.leader = None;
                     self.leader_revision = revision;
                 }
                 revision
             }
-            Snapshot::Changes(answer) => {
+            ReadResult::Changes(answer) => {
                 for change in answer.events.into_iter().filter_map(|event| event.into_change()) {
                     match change {
                         KeyChange::Put(item) => {
@@ -111,7 +112,7 @@
         (changes, revision)
     }
 
-    /// A deleted leader key means that no node leads. Job records are never deleted.
+    /// Applies a deletion. Only the leader key is ever deleted; job records are not.
     fn delete(&mut self, key: &str, revision: u64) {
         if key == LEADER && revision > self.leader_revision {
             self.leader = None;
@@ -132,7 +133,7 @@
         match Record::parse(id, value) {
             Ok(record) => self.apply_record(id, record, revision),
             Err(error) => {
-                // Queries get an error, not `unknown`: the user has an answer that it is accepted.
+                // Queries for it must fail, not return `unknown`: the job was accepted.
                 if self.unparsable.insert(id) {
                     tracing::error!(job = %id, %error, "job record can't be parsed");
                 }
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Takes in a job record; returns the change, None if the record is not newer than the known.
+    /// Applies a job record. Returns `None` if the record is not newer than the cached one.
     pub(super) fn apply_record(
         &mut self,
         id: JobId,
@@ -177,7 +178,7 @@
         Some(change)
     }
 
-    /// Replaces the counts by those that the leader has published.
+    /// Replaces all task counts with those that the leader published.
     pub(super) fn set_task_counts(&mut self, counts: Vec<TaskCounts>) {
         self.progress.clear();
         for TaskCounts { job, done, running } in counts {
--- a/crates/latchtrack/src/actors/messages/job_cache.rs
+++ b/crates/latchtrack/src/actors/messages/job_cache.rs
@@ -4,116 +4,116 @@
 use latchtrack_core::job::JobId;
 
 use super::election::LeaderKeyObserved;
-use super::scheduler::CacheAdvanced;
+use super::scheduler::CacheUpdated;
 use super::{NodeRole, OpenJob};
 use crate::wire::records::Record;
 
-/// The state service could not be read in time.
+/// The refresh that a request waited for failed or was too late, or too many requests were waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the state service can't be asked")]
 pub struct StoreUnavailable;
 
-/// A job as the cache has it.
+/// A job in the cache.
 #[derive(Debug, Clone)]
 pub struct JobView {
-    /// Its record.
+    /// The cached record.
     pub record: Record,
     /// Revision of the record.
     pub revision: u64,
-    /// Tasks that are done, as the leader last published.
+    /// Number of done tasks, as last published by the leader.
     pub done: u32,
-    /// Tasks that run, as the leader last published.
+    /// Number of running tasks, as last published by the leader.
     pub running: u32,
 }
 
 impl JobView {
-    /// Whether the job is done or cancelled, which it then remains.
+    /// Returns whether the job is done or cancelled, which never changes again.
     pub fn is_final(&self) -> bool {
         !matches!(self.record, Record::Open { .. })
     }
 }
 
-/// How new the answer to a lookup must be.
+/// Required freshness of the response to a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// As the cache stands.
+    /// The current content of the cache.
     Cached,
-    /// After a refresh that starts after the request, unless the state is final.
+    /// The result of a refresh that starts after the request, unless the state is final.
     Current,
 }
 
-/// Look a job up; None if there is no such job.
+/// Looks up a job. The result is `None` if no such job exists.
 #[derive(Message)]
 #[rtype(result = "Result<Option<JobView>, StoreUnavailable>")]
 pub struct LookUpJob {
     /// The job.
     pub id: JobId,
-    /// How new the answer must be.
+    /// Whether to wait for a refresh.
     pub freshness: Freshness,
 }
 
-/// Take in a record that this node has written, before a refresh brings it.
+/// Adds a record that this node has written, ahead of the next refresh.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ApplyRecord {
     /// The job.
     pub id: JobId,
-    /// Its record as written.
+    /// The record as written.
     pub record: Record,
     /// Revision of the write.
     pub revision: u64,
 }
 
-/// How many tasks of a job are done and run.
+/// Numbers of done and running tasks of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskCounts {
     /// The job.
     pub job: JobId,
-    /// Tasks that are done.
+    /// Number of done tasks.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
 }
 
-/// The counts that the leader has published; they replace those of before.
+/// Replaces all task counts with those that the leader published.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct UpdateTaskCounts(pub Vec<TaskCounts>);
 
-/// What a new term starts from.
+/// The jobs from which a new term starts.
 pub struct OpenJobsSnapshot {
     /// All open jobs.
     pub jobs: Vec<OpenJob>,
-    /// The revision at which the last leader's key was deleted, if known: no node led after it.
+    /// Revision at which the previous leader's key was deleted, if known; no node led since.
     pub leaderless_since: Option<u64>,
 }
 
-/// All open jobs, after a refresh.
+/// Lists all open jobs after a refresh.
 #[derive(Message)]
 #[rtype(result = "Result<OpenJobsSnapshot, StoreUnavailable>")]
 pub struct ListOpenJobs;
 
-/// Whether the cache has been filled once.
+/// Asks whether the cache has loaded all records at least once.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct IsLoaded;
 
-/// Whether the state service serves this node, as far as the last refreshes tell.
+/// Asks whether the state service serves this node, judging by the latest refreshes.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct IsServed;
 
-/// Tells the cache who is to hear of changes.
+/// Sets the recipients of changes, and starts the first refresh.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ConnectJobCache {
     /// The election, for changes of the leader key.
     pub election: Recipient<LeaderKeyObserved>,
     /// The scheduler driver, for changes of jobs.
-    pub scheduler: Recipient<CacheAdvanced>,
+    pub scheduler: Recipient<CacheUpdated>,
 }
 
-/// Whether this node leads: a leader refreshes its cache more often.
+/// Sets the role of this node. A leader refreshes its cache more often.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct SetCacheRole(pub NodeRole);
--- a/crates/latchtrack/src/actors/messages/scheduler.rs
+++ b/crates/latchtrack/src/actors/messages/scheduler.rs
@@ -1,4 +1,4 @@
-//! Messages to the scheduler driver, which runs the scheduling core while this node leads.
+//! Messages to the scheduler driver, which runs the scheduler while this node leads.
 
 use actix::prelude::*;
 use latchtrack_core::job::JobId;
@@ -10,16 +10,16 @@
 use super::OpenJob;
 use crate::wire::status::NodeView;
 
-/// A term of this node as the leader.
+/// A term in which this node leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderTerm {
-    /// The revision of the leader key, which fences every write and every command.
+    /// Fencing token of every write and command: the revision of the leader key.
     pub token: u64,
-    /// Until when the lease is surely valid, in ms of the steady clock.
+    /// Time until which the lease is certain to be valid, in ms of the monotonic clock.
     pub valid_until: u64,
 }
 
-/// Whether this node leads, and in which term.
+/// Sets the term in which this node leads, or `None` if it does not lead.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Leadership(pub Option<LeaderTerm>);
@@ -27,30 +27,30 @@
 /// A change of a job record in the cache.
 #[derive(Debug, Clone)]
 pub enum JobChange {
-    /// The job is open.
+    /// The job is new to the cache, or its record has changed and is open.
     Opened(OpenJob),
-    /// The job is done or cancelled.
+    /// The job is done or was cancelled.
     Closed(JobId),
 }
 
-/// The job cache has taken in a refresh or a record of this node's own.
+/// Reports that the job cache has applied a refresh or a record that this node wrote.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct CacheAdvanced {
-    /// When the read was sent, in ms of the steady clock; 0 for a record of this node's own.
+pub struct CacheUpdated {
+    /// When the read was sent, in ms of the monotonic clock; 0 for a record that this node wrote.
     pub observed_at: u64,
-    /// What has changed.
+    /// The changes of jobs.
     pub changes: Vec<JobChange>,
-    /// Name of the node that leads, if one does.
+    /// Name of the leader, if any.
     pub leader: Option<String>,
 }
 
-/// The way that a heartbeat took.
+/// How a heartbeat reached this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatRoute {
-    /// From the worker to this node.
+    /// Sent by the worker itself.
     Direct,
-    /// By way of another node, which forwarded it.
+    /// Forwarded by another node.
     Forwarded,
 }
 
@@ -58,73 +58,74 @@
 #[derive(Message)]
 #[rtype(result = "HeartbeatResponse")]
 pub struct HeartbeatReceived {
-    /// What the worker says.
+    /// The heartbeat as parsed from the request.
     pub heartbeat: Heartbeat,
-    /// How it came here.
+    /// How it reached this node.
     pub route: HeartbeatRoute,
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Debug, MessageResponse)]
 pub enum HeartbeatResponse {
-    /// What the worker is to do.
+    /// Commands for the worker to execute.
     Commands {
         /// Fencing token of the term.
         token: u64,
-        /// The commands, in order.
+        /// The commands in the order of execution.
         commands: Vec<Command>,
     },
-    /// Another node leads: this one, if it is known.
+    /// This node does not lead. Contains the name of the leader, if known.
     NotLeader(Option<String>),
-    /// This node leads, but the worker did not reach it: the heartbeat is to be forwarded.
+    /// This node does not lead, and the worker can't reach the leader. The heartbeat must be
+    /// forwarded to the leader of this name.
     ForwardTo(String),
-    /// This node leads but may not act now.
+    /// This node leads but may not issue commands at the moment.
     NotReady,
 }
 
-/// Machines of which the leader waits for a heartbeat; theirs are forwarded to it.
+/// Sets the machines whose heartbeats are overdue at the leader, so that this node forwards them.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct OverdueMachines(pub Vec<String>);
 
-/// An event for the scheduler, in the term of this fencing token.
+/// Passes an event to the scheduler of a term. Ignored once that term has ended.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct SchedulerEvent {
-    /// Fencing token of the term that it belongs to.
+    /// Fencing token of the term that the event belongs to.
     pub token: u64,
     /// The event.
     pub event: Event,
 }
 
-/// What this node sees, for an operator.
+/// Asks for this node's view of the cluster, for an operator.
 #[derive(Message)]
 #[rtype(result = "NodeDescription")]
 pub struct DescribeNode {
-    /// Whether the state service serves this node.
+    /// Whether the state service serves this node, which the view includes.
     pub is_served: bool,
 }
 
-/// The answer to [`DescribeNode`].
+/// The response to [`DescribeNode`].
 #[derive(MessageResponse)]
 pub struct NodeDescription(pub NodeView);
 
-/// Tells the scheduler driver where the election is.
+/// Sets the recipients of messages to the election.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ConnectElection {
-    /// For the scheduler's wish to stop leading.
+    /// Receives requests of the scheduler to stop leading.
     pub resign: Recipient<Resign>,
-    /// For refused writes.
+    /// Receives reports of writes refused because the leader key has changed.
     pub key_lost: Recipient<LeaderKeyLost>,
 }
 
-/// Tells the scheduler driver where the ledgers are read and written, if cells share teams.
+/// Sets the recipients of messages to the quota actor, if cells share teams.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ConnectQuota {
-    /// For changes of the term.
+    /// Receives the start and the end of each term.
     pub term: Recipient<QuotaTerm>,
-    /// For changes of ledgers.
+    /// Receives the ledgers to write.
     pub changes: Recipient<ChangeLedger>,
 }
--- a/crates/latchtrack/src/actors/messages/store.rs
+++ b/crates/latchtrack/src/actors/messages/store.rs
@@ -1,4 +1,4 @@
-//! Messages to the client of the state service.
+//! Messages to the state service client.
 
 use std::time::Duration;
 
@@ -9,67 +9,67 @@
 use crate::constants::{READ_TIMEOUT, RENEW_TIMEOUT, WRITE_TIMEOUT};
 use crate::wire::store::{Item, Page, Txn, WatchAnswer};
 
-/// Which requests go first: the classes in this order.
+/// Priority class of a request, from highest to lowest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
-    /// Leases and campaigns.
+    /// Lease requests and campaigns.
     Lease = 0,
     /// Submissions and cancellations.
     Admission = 1,
-    /// Reads.
+    /// Reads of any kind.
     Read = 2,
-    /// What the leader writes of its progress.
+    /// Writes of the leader's records and of quota ledgers.
     Progress = 3,
 }
 
 impl RequestClass {
-    /// How many classes there are.
+    /// Number of classes.
     pub const COUNT: usize = 4;
 }
 
-/// What the state service can be asked.
+/// A request to the state service.
 #[derive(Clone, Debug)]
 pub enum StoreRequest {
-    /// A page of the items under a prefix.
+    /// Lists a page of the items under a prefix.
     List {
         /// Prefix of the keys.
         prefix: &'static str,
-        /// Last key of the page before.
+        /// Last key of the previous page; `None` for the first page.
         from: Option<String>,
     },
-    /// A compare-and-swap.
+    /// Applies all changes of a transaction if its conditions hold.
     Txn(Txn),
-    /// Grant a lease of this length.
-    Grant {
-        /// ms until it expires.
+    /// Grants a lease.
+    GrantLease {
+        /// Duration of the lease in ms.
         ttl_ms: u64,
     },
-    /// Renew a lease.
-    Renew {
+    /// Renews a lease for its original duration.
+    RenewLease {
         /// The lease.
         lease: u64,
     },
-    /// End a lease, and with it the keys under it.
-    End {
+    /// Revokes a lease, which deletes the keys attached to it.
+    RevokeLease {
         /// The lease.
         lease: u64,
     },
-    /// The changes under a prefix after a revision.
+    /// Reads the changes under a prefix after a revision.
     Changes {
         /// Prefix of the keys.
         prefix: &'static str,
-        /// The last revision that is known.
+        /// Last known revision.
         from: u64,
     },
-    /// One item.
+    /// Reads one item.
     Get {
-        /// Its key.
+        /// Key of the item.
         key: String,
     },
 }
 
 impl StoreRequest {
-    /// Writes that the request counts as against the write limit.
+    /// Returns the number of writes that count against the write limit.
     pub fn write_count(&self) -> f64 {
         match self {
             StoreRequest::Txn(txn) => txn.changes.len() as f64,
@@ -77,59 +77,59 @@
         }
     }
 
-    /// Time after which an answer is given up.
+    /// Returns how long to wait for the response once the request is sent.
     pub fn timeout(&self) -> Duration {
         match self {
-            StoreRequest::Renew { .. } | StoreRequest::Grant { .. } | StoreRequest::End { .. } => {
-                RENEW_TIMEOUT
-            }
+            StoreRequest::RenewLease { .. }
+            | StoreRequest::GrantLease { .. }
+            | StoreRequest::RevokeLease { .. } => RENEW_TIMEOUT,
             StoreRequest::Txn(_) => WRITE_TIMEOUT,
             _ => READ_TIMEOUT,
         }
     }
 }
 
-/// What the state service answers.
+/// The content of a successful response, or of a refused transaction.
 #[derive(Debug)]
 pub enum Reply {
     /// A page of items.
     Page(Page),
-    /// The revision of a transaction that took effect.
+    /// Revision of an applied transaction.
     Applied(u64),
-    /// Keys whose conditions did not hold.
+    /// Keys whose conditions did not hold, so that a transaction was not applied.
     Conflict(Vec<String>),
-    /// A granted lease.
+    /// Id of a granted lease.
     Lease(u64),
-    /// Done, with nothing to tell.
+    /// The request succeeded and returns no data.
     Done,
-    /// Changes after a revision.
+    /// The changes after a revision.
     Changes(WatchAnswer),
     /// One item.
     Item(Item),
 }
 
-/// A request that waits for its turn.
+/// Queues a request until the rate limits allow it to be sent.
 #[derive(Message, Debug)]
 #[rtype(result = "Result<StoreAnswer, StoreError>")]
 pub struct PacedRequest {
-    /// Its class.
+    /// Priority class.
     pub class: RequestClass,
-    /// What is asked.
+    /// The request to send.
     pub request: StoreRequest,
-    /// When it is of no use any more, in ms of the steady clock.
+    /// Time after which the request is not sent any more, in ms of the monotonic clock.
     pub deadline: u64,
 }
 
-/// An answer of the state service.
+/// A response of the state service.
 #[derive(Debug)]
 pub struct StoreAnswer {
-    /// What it says.
+    /// The content of the response.
     pub reply: Reply,
-    /// When its request was sent, in ms of the steady clock.
+    /// When the request was sent, in ms of the monotonic clock.
     pub sent_at: u64,
 }
 
-/// Whether this node leads, which decides its share of the limits.
+/// Sets the role of this node, which determines its share of the limits.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct SetStoreShare(pub NodeRole);
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -1,4 +1,4 @@
-//! Reads the ledgers that cells share for the leader of this one, and writes the changes it wants.
+//! Reads and writes the quota ledgers shared by the cells, on behalf of this cell's leader.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::messages::quota::{ChangeLedger, QuotaTerm};
 use super::messages::scheduler::SchedulerEvent;
 use super::messages::store::{Reply, RequestClass, StoreAnswer, StoreRequest};
-use super::store::reads::{observe, Snapshot};
+use super::store::reads::{read_since, ReadResult};
 use super::store::{self, NotExecutedReason, Store, StoreError};
 use crate::clock::{now_ms, wall_ms};
 use crate::constants::{
@@ -23,22 +23,22 @@
 pub struct Quota {
     store: Addr<Store>,
     scheduler: Recipient<SchedulerEvent>,
-    /// The name of this cell.
+    /// Name of this cell.
     cell: String,
-    /// Bytes of the largest value that the state service takes.
+    /// Size limit of a value in the state service, in bytes.
     value_bytes: usize,
     /// Fencing token of the term, if this node leads.
     term: Option<u64>,
     keys: SharedKeys,
-    /// Up to which revision the keys are known; None to read them all.
+    /// The revision up to which the keys are known. `None`: the next refresh reads all keys.
     revision: Option<u64>,
-    /// When all keys were last read, in ms of the steady clock.
+    /// When all keys were last read, in ms of the monotonic clock.
     full_read_at: u64,
     is_refreshing: bool,
 }
 
 impl Quota {
-    /// An actor that waits for a term.
+    /// Creates an actor that is idle until this node leads.
     pub fn new(
         store: Addr<Store>,
         scheduler: Recipient<SchedulerEvent>,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reads what has changed, if this node leads and no read is under way.
+    /// Starts a refresh, if this node leads and no refresh is in progress.
     fn refresh(&mut self, ctx: &mut Context<Self>) {
         let Some(token) = self.term.filter(|_| !self.is_refreshing) else { return };
         self.is_refreshing = true;
@@ -66,13 +66,13 @@
             self.revision = None;
         }
         let (store, revision) = (self.store.clone(), self.revision);
-        let read = async move { observe(&store, SHARED, revision).await };
+        let read = async move { read_since(&store, SHARED, revision).await };
         ctx.spawn(read.into_actor(self).map(move |result, act, _| {
             act.is_refreshing = false;
             match result {
-                Ok(observation) => act.apply(token, observation.snapshot),
+                Ok(read) => act.apply(token, read.result),
                 Err(error) => {
-                    tracing::debug!(token, %error, "refresh of the ledgers failed");
+                    tracing::debug!(token, %error, "quota ledger refresh failed");
                     if error == StoreError::TooOld {
                         act.revision = None;
                     }
@@ -81,10 +81,10 @@
         }));
     }
 
-    /// Takes in a read that began in the term of this token, and shows it to the scheduler.
-    fn apply(&mut self, token: u64, snapshot: Snapshot) {
-        let revision = match snapshot {
-            Snapshot::All { items, revision } => {
+    /// Applies a read that began in the term of `token`, and passes the ledgers to the scheduler.
+    fn apply(&mut self, token: u64, result: ReadResult) {
+        let revision = match result {
+            ReadResult::All { items, revision } => {
                 self.keys.clear();
                 for item in items {
                     self.keys.put(item.key, item.revision, item.value);
@@ -92,7 +92,7 @@
                 self.full_read_at = now_ms();
                 revision
             }
-            Snapshot::Changes(answer) => {
+            ReadResult::Changes(answer) => {
                 for change in answer.events.into_iter().filter_map(|event| event.into_change()) {
                     match change {
                         KeyChange::Put(item) => {
@@ -105,15 +105,15 @@
             }
         };
         self.revision = Some(revision);
-        // The scheduler leaves out what is older than its term.
+        // The scheduler itself ignores ledgers that are older than its term.
         if self.term == Some(token) {
             let event = Event::QuotaObserved(self.keys.view(revision));
             self.scheduler.do_send(SchedulerEvent { token, event });
         }
     }
 
-    /// Enters the time of day of a change of this cell's allotment, for operators.
-    fn date_allotment(&self, write: &mut LedgerWrite) {
+    /// Records the wall-clock time if the write changes this cell's allotment, for operators.
+    fn update_allotment_time(&self, write: &mut LedgerWrite) {
         let view = self.keys.view(0);
         let known = view.teams.get(&write.team).and_then(|seen| seen.ledger.as_ref().ok());
         let before = known.map_or(MilliResources::NONE, |ledger| ledger.allotted_to(&self.cell));
@@ -124,24 +124,25 @@
         }
     }
 
-    /// The transaction of a change, None if it can't be serialized or its value is too large.
+    /// Builds the transaction of a write. Returns `None` if the ledger can't be serialized or is
+    /// too large.
     fn ledger_txn(&self, token: u64, write: &LedgerWrite) -> Option<Txn> {
         let txn = ledger_transaction(token, write).ok()?;
         let max_bytes = self.value_bytes;
         if txn.changes.iter().all(|change| change.bytes() <= max_bytes) {
             return Some(txn);
         }
-        tracing::error!(team = write.team, max_bytes, "ledger too large to be stored");
+        tracing::error!(team = write.team, max_bytes, "quota ledger too large to be stored");
         None
     }
 
     fn write_ledger(&mut self, token: u64, mut write: LedgerWrite, ctx: &mut Context<Self>) {
-        self.date_allotment(&mut write);
+        self.update_allotment_time(&mut write);
         let txn = self.ledger_txn(token, &write);
         let store = self.store.clone();
         let request = async move {
             let Some(txn) = txn else {
-                return Err(StoreError::NotExecuted(NotExecutedReason::NoValue));
+                return Err(StoreError::NotExecuted(NotExecutedReason::UnstorableLedger));
             };
             let request = StoreRequest::Txn(txn);
             store::request(&store, RequestClass::Progress, request, LEDGER_WRITE_WAIT_MS).await
@@ -149,7 +150,7 @@
         ctx.spawn(request.into_actor(self).map(move |result, act, ctx| {
             let outcome = write_outcome(result);
             if outcome == WriteOutcome::NotStored {
-                // Most likely another cell has changed something.
+                // Most likely another cell has changed the ledger.
                 act.refresh(ctx);
             }
             let event = Event::LedgerWriteFinished { write, outcome };
--- a/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
@@ -1,31 +1,32 @@
-//! Where a node that does not lead sends the heartbeats it gets.
+//! Routing of the heartbeats that reach a node that does not lead.
 
 use std::collections::HashMap;
 
 use crate::actors::messages::scheduler::HeartbeatResponse;
 use crate::constants::{FORWARD_HEARTBEATS_MS, REDIRECTED_MACHINES_KEPT};
 
-/// Redirects workers to the leader, and has the heartbeats of those that can't reach it forwarded.
+/// Redirects workers to the leader, and forwards the heartbeats of those that can't reach it.
 pub(super) struct HeartbeatRouter {
-    /// This node.
+    /// Name of this node.
     node: String,
     leader: Option<String>,
-    /// When workers were last redirected to the leader, in ms of the steady clock.
+    /// When each machine was last redirected to the leader, in ms of the monotonic clock.
     redirected_at: HashMap<String, u64>,
 }
 
 impl HeartbeatRouter {
-    /// A router that knows no leader.
+    /// Creates a router without a known leader.
     pub(super) fn new(node: String) -> Self {
         HeartbeatRouter { node, leader: None, redirected_at: HashMap::new() }
     }
 
-    /// Who leads, if that is known.
+    /// Returns the name of the leader, if known.
     pub(super) fn leader(&self) -> Option<&String> {
         self.leader.as_ref()
     }
 
-    /// Who leads now; workers that could not reach another leader may reach this one.
+    /// Sets the leader. A new leader may be reachable for workers that could not reach the old
+    /// one, so the recorded redirects are dropped.
     pub(super) fn set_leader(&mut self, leader: Option<String>) {
         if self.leader != leader {
             self.leader = leader;
@@ -33,14 +34,14 @@
         }
     }
 
-    /// The leader waits for heartbeats of these machines. They count as redirected in vain, so
-    /// that their next heartbeat is forwarded at once.
-    pub(super) fn machines_overdue(&mut self, machines: Vec<String>, now: u64) {
+    /// Marks machines whose heartbeats are overdue at the leader as redirected without success, so
+    /// that their next heartbeat is forwarded.
+    pub(super) fn mark_overdue(&mut self, machines: Vec<String>, now: u64) {
         self.redirected_at.extend(machines.into_iter().map(|machine| (machine, now)));
     }
 
-    /// The answer to a heartbeat while this node does not lead.
-    pub(super) fn redirect(&mut self, machine: &str, now: u64) -> HeartbeatResponse {
+    /// Returns the response to a heartbeat while this node does not lead.
+    pub(super) fn route(&mut self, machine: &str, now: u64) -> HeartbeatResponse {
         match self.leader.clone().filter(|leader| *leader != self.node) {
             Some(leader) if self.was_redirected(machine, now) => {
                 HeartbeatResponse::ForwardTo(leader)
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Whether a worker is back soon after it was redirected: it can't reach the leader. It is
-    /// redirected again from time to time, to see whether it can by now.
+    /// Returns whether a worker was redirected within [`FORWARD_HEARTBEATS_MS`], which means that
+    /// it can't reach the leader. Otherwise records a new redirect, which tests whether it can.
     fn was_redirected(&mut self, machine: &str, now: u64) -> bool {
         if self.redirected_at.len() >= REDIRECTED_MACHINES_KEPT {
             self.redirected_at.retain(|_, at| now < *at + FORWARD_HEARTBEATS_MS);
--- a/crates/latchtrack/src/actors/scheduler_driver/mod.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/mod.rs
@@ -1,5 +1,5 @@
-//! The scheduler driver: runs the scheduling core while this node leads. Events go in, and the
-//! effects that come out are carried out by workers, cloud and state service.
+//! The scheduler driver, which runs the scheduler while this node leads. It passes events to the
+//! scheduler and executes the resulting effects on workers, cloud and state service.
 
 mod effects;
 mod heartbeat_routing;
@@ -28,7 +28,7 @@
 use super::messages::peers::BroadcastFrame;
 use super::messages::quota::QuotaTerm;
 use super::messages::scheduler::{
-    CacheAdvanced, ConnectElection, ConnectQuota, HeartbeatReceived, HeartbeatResponse,
+    CacheUpdated, ConnectElection, ConnectQuota, HeartbeatReceived, HeartbeatResponse,
     HeartbeatRoute, JobChange, Leadership, OverdueMachines, SchedulerEvent,
 };
 use super::messages::OpenJob;
@@ -40,37 +40,37 @@
 use crate::settings::Settings;
 use crate::wire::peers::{Frame, JobCounts};
 
-/// The actor that drives the scheduler.
+/// The actor that owns the scheduler.
 pub struct SchedulerDriver {
     store: Addr<Store>,
     cache: Addr<JobCache>,
     cloud: Addr<Cloud>,
     peers: Addr<Peers>,
     election: Option<ConnectElection>,
-    /// Only where cells share teams.
+    /// Present only if cells share teams.
     quota: Option<ConnectQuota>,
-    /// For direct calls of workers.
+    /// HTTP client for direct calls to workers.
     client: awc::Client,
     policy: Policy,
-    /// Bytes of the largest value that the state service takes.
+    /// Size limit of a value in the state service, in bytes.
     value_bytes: usize,
-    /// Changes of the largest transaction that the state service takes.
+    /// Maximum number of changes in a transaction of the state service.
     txn_ops: usize,
     types: Vec<MachineType>,
-    /// The types as this node knows them to be stored.
+    /// The machine types that this node last stored.
     stored_types: Vec<MachineType>,
     term: TermState,
-    /// From the time when the stored state of the term has been read.
+    /// Present once the stored state has been read in the current term.
     scheduler: Option<Scheduler>,
     state_read: StateRead,
     router: HeartbeatRouter,
     write_state: WriteState,
-    /// When the counts of tasks were last published, in ms of the steady clock.
+    /// When the task counts were last published, in ms of the monotonic clock.
     last_progress: u64,
 }
 
 impl SchedulerDriver {
-    /// A driver of a node that does not lead yet.
+    /// Creates the driver of a node that does not lead.
     pub fn new(
         store: Addr<Store>,
         cache: Addr<JobCache>,
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Whether commands may be given now.
+    /// Returns whether the scheduler runs and this node may issue commands.
     fn may_act(&self) -> bool {
         self.scheduler.is_some() && self.term.is_valid(now_ms())
     }
 
-    /// Tells the scheduler of a change in the job cache.
+    /// Passes a change in the job cache to the scheduler.
     fn apply_job_change(&mut self, change: JobChange, ctx: &mut Context<Self>) {
         let event = match change {
             JobChange::Opened(OpenJob { spec, submitted_at_wall_ms, revision }) => {
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Tells the job cache and the other nodes how many tasks are done and run, for display, and
-    /// the other nodes of which machines no heartbeat has come.
+    /// Sends the numbers of done and running tasks to the job cache and the other nodes, for
+    /// display. The other nodes also get the machines whose heartbeats are overdue.
     fn publish_progress(&self, now: u64) {
         let Some(scheduler) = &self.scheduler else { return };
         let counts: Vec<TaskCounts> = scheduler
@@ -139,19 +139,19 @@
             .take(PROGRESS_JOBS)
             .map(|job| TaskCounts { job: job.job, done: job.done, running: job.running })
             .collect();
-        let on_wire = |count: &TaskCounts| JobCounts {
+        let to_wire = |count: &TaskCounts| JobCounts {
             job: count.job.0,
             done: count.done,
             running: count.running,
         };
-        let jobs = counts.iter().map(on_wire).collect();
+        let jobs = counts.iter().map(to_wire).collect();
         self.cache.do_send(UpdateTaskCounts(counts));
         let (token, overdue) = (scheduler.token(), scheduler.overdue(now));
         self.peers.do_send(BroadcastFrame(Frame::Progress { token, jobs, overdue }));
         tracing::debug!(token, summary = ?scheduler.summary(now), "scheduler summary");
     }
 
-    /// Takes in a heartbeat as the leader.
+    /// Handles a heartbeat while this node leads.
     fn handle_heartbeat(
         &mut self,
         msg: HeartbeatReceived,
@@ -201,7 +201,7 @@
     fn handle(&mut self, msg: Leadership, ctx: &mut Self::Context) {
         let token = msg.0.map(|term| term.token);
         if self.term.current().map(|term| term.token) != token {
-            // Another term: everything is read again.
+            // The term has changed: the stored state must be read again.
             self.scheduler = None;
             self.write_state.forget_waiting();
         }
@@ -224,9 +224,9 @@
     }
 }
 
-impl Handler<CacheAdvanced> for SchedulerDriver {
+impl Handler<CacheUpdated> for SchedulerDriver {
     type Result = ();
-    fn handle(&mut self, msg: CacheAdvanced, ctx: &mut Self::Context) {
+    fn handle(&mut self, msg: CacheUpdated, ctx: &mut Self::Context) {
         self.term.cache_observed(msg.observed_at);
         self.router.set_leader(msg.leader);
         if let StateRead::InProgress { changes } = &mut self.state_read {
@@ -247,7 +247,7 @@
     type Result = HeartbeatResponse;
     fn handle(&mut self, msg: HeartbeatReceived, ctx: &mut Self::Context) -> HeartbeatResponse {
         if self.term.current().is_none() {
-            return self.router.redirect(&msg.heartbeat.machine, now_ms());
+            return self.router.route(&msg.heartbeat.machine, now_ms());
         }
         self.handle_heartbeat(msg, ctx)
     }
@@ -256,7 +256,7 @@
 impl Handler<OverdueMachines> for SchedulerDriver {
     type Result = ();
     fn handle(&mut self, msg: OverdueMachines, _: &mut Self::Context) {
-        self.router.machines_overdue(msg.0, now_ms());
+        self.router.mark_overdue(msg.0, now_ms());
     }
 }
 
--- a/crates/latchtrack/src/actors/scheduler_driver/writes.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/writes.rs
@@ -1,4 +1,4 @@
-//! Writes the scheduler's records, and the machine types, to the state service.
+//! Writes the scheduler's records and the machine types to the state service.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use crate::wire::store::{Change, Condition, Txn};
 
 impl SchedulerDriver {
-    /// Writes everything that has changed, unless a write is under way.
+    /// Writes the pending changes of the scheduler, unless a write is in flight.
     pub(super) fn write_records(&mut self, ctx: &mut Context<Self>) {
         if !self.write_state.may_begin() {
             return;
@@ -40,7 +40,7 @@
         let store = self.store.clone();
         let request = async move {
             let Some(txn) = txn else {
-                return Err(StoreError::NotExecuted(NotExecutedReason::NoRecord));
+                return Err(StoreError::NotExecuted(NotExecutedReason::UnserializableRecord));
             };
             let request = StoreRequest::Txn(txn);
             store::request(&store, RequestClass::Progress, request, RECORD_WRITE_WAIT_MS).await
@@ -54,8 +54,8 @@
         }));
     }
 
-    /// What the answer to a write means. The job cache or the election hears of it if it concerns
-    /// them.
+    /// Converts the response to a write. Notifies the job cache of jobs that are done, and the
+    /// election if the leader key has changed.
     fn batch_outcome(
         &self,
         token: u64,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Tells the scheduler how a write ended; one that failed, after a backoff.
+    /// Reports the outcome of a write to the scheduler; after a delay if the write failed.
     fn finish_write(
         &mut self,
         token: u64,
@@ -112,7 +112,7 @@
             ctx.run_later(Duration::from_millis(REFRESH_RETRY_MS), move |act, ctx| {
                 act.write_state.finish();
                 if act.term.token() == token {
-                    // The scheduler asks for the next write if there is one.
+                    // The scheduler then requests the next write if there is one.
                     act.handle_event(Event::WritesFinished { writes, outcome }, ctx);
                 }
             });
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Stores the machine types for nodes that start while the cloud can't be asked.
+    /// Stores the machine types for nodes that start while the cloud is not available.
     pub(super) fn store_machine_types(&mut self, ctx: &mut Context<Self>) {
         if self.scheduler.is_none() || same_types(&self.stored_types, &self.types) {
             return;
@@ -147,7 +147,7 @@
             store::request(&store, RequestClass::Progress, request, RECORD_WRITE_WAIT_MS).await
         };
         ctx.spawn(request.into_actor(self).map(move |result, act, _| {
-            // If it failed, it is tried again when the cloud is next asked.
+            // A failed write is retried after the next read of the machine types.
             if matches!(result.map(|answer| answer.reply), Ok(Reply::Applied(_))) {
                 act.stored_types = types;
             }
--- a/crates/latchtrack/src/actors/store/client.rs
+++ b/crates/latchtrack/src/actors/store/client.rs
@@ -1,6 +1,6 @@
-//! The one client of the state service. It paces itself: each node keeps to its share of the
-//! request and write limits ([`super::pacing`]). Leases go before submissions, those before reads
-//! and the leader's progress.
+//! The node's only client of the state service. It keeps within this node's share of the request
+//! and write limits ([`super::pacing`]) and sends queued requests in the order of their
+//! [`RequestClass`].
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -22,44 +22,44 @@
 };
 use crate::settings::Settings;
 
-/// A request in a queue, and where its answer goes.
+/// A queued request, and the channel for its response.
 struct QueuedRequest {
     request: PacedRequest,
     answer: oneshot::Sender<Result<StoreAnswer, StoreError>>,
 }
 
-/// What may be sent next.
+/// The request to send next.
 enum NextRequest {
-    /// The first request of this class, with this number of writes.
+    /// The first request of this class, which counts as this number of writes.
     Ready { class: usize, writes: f64 },
-    /// Only writes wait, and the budget allows the first after this many ms.
+    /// Only writes are queued, and the budget allows the first of them after this many ms.
     WaitForWrites(u64),
-    /// Nothing waits.
+    /// All queues are empty.
     Nothing,
 }
 
 /// The actor that sends the requests of this node to the state service.
 pub struct Store {
     http: HttpClient,
-    /// Requests a second that the service takes from all nodes of this cell.
+    /// Rate limit of the service for all nodes of this cell, in requests per second.
     requests_per_s: f64,
-    /// Nodes of this cell.
+    /// Number of nodes of this cell.
     nodes: f64,
     requests: TokenBucket,
     writes: TokenBucket,
     write_share: WriteShare,
-    /// By class, the first going first.
+    /// Queues by class, in order of priority.
     queues: [VecDeque<QueuedRequest>; RequestClass::COUNT],
-    open: usize,
+    open_calls: usize,
     is_wakeup_set: bool,
 }
 
 impl Store {
-    /// A client with the share of a follower.
+    /// Creates a client with the share of a follower.
     pub fn new(settings: &Settings) -> Self {
         let platform = &settings.platform;
         let state = &platform.params.state;
-        // Reads keep to the lower limit from the start: nothing is lost by it.
+        // Requests are limited by the lower rate from the start, which suffices for them.
         let cells = settings.cells() as f64;
         let requests_per_s = state.lower_rps() / cells;
         let limits = WriteLimits {
@@ -75,21 +75,21 @@
             requests_per_s,
             nodes,
             requests: TokenBucket::new(requests_per_s * share, requests_per_s * share, now),
-            writes: TokenBucket::new(write_share.usual_rate(), write_share.burst(), now),
+            writes: TokenBucket::new(write_share.base_rate(), write_share.burst(), now),
             write_share,
             queues: Default::default(),
-            open: 0,
+            open_calls: 0,
             is_wakeup_set: false,
         }
     }
 
-    /// Sends as many of the waiting requests as their order and the budgets allow.
+    /// Sends as many queued requests as their priorities and the budgets allow.
     fn send_ready(&mut self, ctx: &mut Context<Self>) {
         let now = now_ms();
         self.requests.refill(now);
         self.writes.refill(now);
         self.writes.set_rate(self.write_share.rate(now), self.write_share.burst());
-        while self.open < MAX_STORE_CALLS {
+        while self.open_calls < MAX_STORE_CALLS {
             self.drop_expired(now_ms());
             let (class, writes) = match self.next_request() {
                 NextRequest::Ready { class, writes } => (class, writes),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Answers requests at the heads of the queues of which the deadline has passed.
+    /// Fails the requests at the heads of the queues whose deadline has passed.
     fn drop_expired(&mut self, now: u64) {
         for queue in &mut self.queues {
             while queue.front().is_some_and(|queued| queued.request.deadline <= now) {
@@ -119,8 +119,8 @@
         }
     }
 
-    /// The first class that has something; a write that must wait for its budget lets reads pass,
-    /// never other writes.
+    /// Selects the first request of the highest class that can be sent. A write that exceeds the
+    /// write budget is overtaken by reads, but not by other writes.
     fn next_request(&mut self) -> NextRequest {
         let mut wait_ms = None;
         for (class, queue) in self.queues.iter().enumerate() {
@@ -141,7 +141,7 @@
         wait_ms.map_or(NextRequest::Nothing, NextRequest::WaitForWrites)
     }
 
-    /// Sets the time of the next pass over the queues, unless one is set already.
+    /// Schedules the next attempt to send, unless one is scheduled already.
     fn set_wakeup(&mut self, ms: u64, ctx: &mut Context<Self>) {
         if self.is_wakeup_set {
             return;
@@ -154,16 +154,16 @@
         });
     }
 
-    /// Sends a request, and answers it when its outcome is known.
+    /// Sends a request, and completes it once its outcome is known.
     fn send(&mut self, queued: QueuedRequest, ctx: &mut Context<Self>) {
-        self.open += 1;
+        self.open_calls += 1;
         let sent_at = now_ms();
         let call = self.http.send(&queued.request.request);
         ctx.spawn(call.into_actor(self).map(move |result, act, ctx| {
-            act.open -= 1;
+            act.open_calls -= 1;
             let result = result.map(|reply| act.http.localize(reply));
-            // Other nodes have bursts too: it was surely not executed, and is sent again if there
-            // is time.
+            // Bursts of other nodes can exceed the limit. The request was not executed, so it is
+            // sent again if its deadline permits.
             let is_over_limit = matches!(&result, Err(e) if *e == OVER_LIMIT);
             if is_over_limit && now_ms() + OVER_LIMIT_RETRY_MS < queued.request.deadline {
                 act.retry_over_limit(queued, ctx);
@@ -174,7 +174,7 @@
         }));
     }
 
-    /// Queues a request again, as the first of its class, after a pause.
+    /// Queues a request again, at the head of its class, after [`OVER_LIMIT_RETRY_MS`].
     fn retry_over_limit(&mut self, queued: QueuedRequest, ctx: &mut Context<Self>) {
         if queued.request.request.write_count() > 0.0 {
             self.write_share.record_refusal();
@@ -215,7 +215,7 @@
     type Result = ();
 
     fn handle(&mut self, msg: SetStoreShare, _: &mut Self::Context) {
-        // The leader has two shares of n + 1, each other node one.
+        // Of n + 1 shares for n nodes, the leader has two and each follower one.
         let shares = match msg.0 {
             NodeRole::Leader => 2.0,
             NodeRole::Follower => 1.0,
@@ -223,12 +223,12 @@
         let share = USABLE_LIMIT_FRACTION / (self.nodes + 1.0) * shares;
         self.requests.set_rate(self.requests_per_s * share, self.requests_per_s * share);
         self.write_share.set_part(share, now_ms());
-        self.writes.set_rate(self.write_share.usual_rate(), self.write_share.burst());
+        self.writes.set_rate(self.write_share.base_rate(), self.write_share.burst());
     }
 }
 
-/// Sends a request that is of no use after `wait_ms`. A full mailbox or a stopped actor counts as
-/// not executed.
+/// Queues a request that must be sent within `wait_ms`, and waits for its outcome. A full mailbox
+/// or a stopped actor counts as not executed.
 pub async fn request(
     store: &Addr<Store>,
     class: RequestClass,
--- a/crates/latchtrack/src/actors/store/error.rs
+++ b/crates/latchtrack/src/actors/store/error.rs
@@ -1,55 +1,55 @@
-//! How a request to the state service can fail.
+//! Errors of requests to the state service.
 
 use crate::net::CallError;
 
-/// Why a request was surely not executed.
+/// Reason why a request was certainly not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NotExecutedReason {
-    /// The service counted it as one too many.
-    #[error("over the limit")]
+    /// The service rejected it because a rate limit was exceeded.
+    #[error("rate limit exceeded")]
     OverLimit,
-    /// Its deadline passed while it waited at this node.
-    #[error("no turn in time")]
+    /// The deadline passed while the request was queued at this node.
+    #[error("timed out in the queue")]
     TimedOutInQueue,
-    /// Too many requests wait at this node.
+    /// Too many requests are queued at this node.
     #[error("queue full")]
     QueueFull,
-    /// No connection.
-    #[error("can't connect")]
+    /// No connection to the service could be established.
+    #[error("connection failed")]
     NoConnection,
-    /// The service said that it is not available.
-    #[error("out of service")]
-    OutOfService,
-    /// A record that was to be written can't be serialized.
-    #[error("no record")]
-    NoRecord,
-    /// A ledger that was to be written can't be serialized or is too large.
-    #[error("no value")]
-    NoValue,
+    /// The service responded that it is unavailable.
+    #[error("service unavailable")]
+    ServiceUnavailable,
+    /// A record to write can't be serialized.
+    #[error("a record can't be serialized")]
+    UnserializableRecord,
+    /// A ledger to write can't be serialized or is too large.
+    #[error("the ledger can't be serialized or is too large")]
+    UnstorableLedger,
 }
 
-/// How a request failed.
+/// The failure of a request.
 #[derive(Debug, Clone, thiserror::Error, PartialEq, Eq)]
 pub enum StoreError {
-    /// Surely not executed: refused, over a limit, or never sent.
+    /// Certainly not executed: never sent, over a limit, or the service was unavailable.
     #[error("not executed: {0}")]
     NotExecuted(NotExecutedReason),
-    /// May have been executed, or may be later.
+    /// The request may have been executed, or may be executed later.
     #[error("outcome unknown")]
     OutcomeUnknown,
     /// The lease or the key does not exist.
-    #[error("not found")]
+    #[error("lease or key not found")]
     NotFound,
-    /// The watch asked for changes that are no longer kept.
-    #[error("too old")]
+    /// The service no longer has the changes since the requested revision.
+    #[error("requested revision too old")]
     TooOld,
-    /// A request that the service does not take: a fault of this program, or a lease that has
-    /// ended.
+    /// The service rejected the request as invalid: because of a bug in this program, or because
+    /// its lease has ended.
     #[error("refused: {0}")]
     Refused(String),
 }
 
-/// The service counted the request as one too many.
+/// The error of a request that exceeds a rate limit.
 pub const OVER_LIMIT: StoreError = StoreError::NotExecuted(NotExecutedReason::OverLimit);
 
 impl From<CallError> for StoreError {
--- a/crates/latchtrack/src/actors/store/http.rs
+++ b/crates/latchtrack/src/actors/store/http.rs
@@ -1,4 +1,4 @@
-//! Requests of the state service as HTTP, and what their answers mean.
+//! HTTP requests to the state service and the interpretation of its responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::net::{finish, http_client};
 use crate::wire::store::{LeaseAnswer, LeaseRequest, Txn, TxnAnswer};
 
-/// What the request that is being sent will have brought.
+/// Future of the outcome of a request.
 type PendingReply = LocalBoxFuture<'static, Result<Reply, StoreError>>;
 
-/// Sends requests at once; who asks is to keep to the limits.
+/// Sends requests immediately; the caller enforces the rate limits.
 pub(super) struct HttpClient {
     client: awc::Client,
     base: String,
@@ -26,7 +26,7 @@
 }
 
 impl HttpClient {
-    /// A client of the service at this address, with own keys under this prefix.
+    /// Creates a client of the service at this address, with the prefix of the deployment's keys.
     pub(super) fn new(service: SocketAddr, key_prefix: String) -> Self {
         HttpClient {
             client: http_client(MAX_STORE_CALLS),
@@ -35,12 +35,12 @@
         }
     }
 
-    /// A reply with the keys as this deployment names them.
+    /// Converts the keys of a reply to the names that this deployment uses.
     pub(super) fn localize(&self, reply: Reply) -> Reply {
         self.namespace.with_local_keys(reply)
     }
 
-    /// Sends a request; its reply has the keys as the service names them.
+    /// Sends a request. Its reply contains full keys; see [`HttpClient::localize`].
     pub(super) fn send(&self, request: &StoreRequest) -> PendingReply {
         let base = &self.base;
         let timeout = request.timeout();
@@ -62,9 +62,9 @@
                 self.get(url, timeout, Reply::Changes)
             }
             StoreRequest::Txn(txn) => self.commit(self.namespace.with_full_keys(txn), timeout),
-            StoreRequest::Grant { ttl_ms } => self.grant(ttl_ms, timeout),
-            StoreRequest::Renew { lease } => self.renew(lease, timeout),
-            StoreRequest::End { lease } => self.end(lease, timeout),
+            StoreRequest::GrantLease { ttl_ms } => self.grant(ttl_ms, timeout),
+            StoreRequest::RenewLease { lease } => self.renew(lease, timeout),
+            StoreRequest::RevokeLease { lease } => self.revoke(lease, timeout),
         }
     }
 
@@ -110,7 +110,7 @@
         })
     }
 
-    fn end(&self, lease: u64, timeout: Duration) -> PendingReply {
+    fn revoke(&self, lease: u64, timeout: Duration) -> PendingReply {
         let (client, url) = (self.client.clone(), format!("{}/grants/{lease}", self.base));
         Box::pin(async move {
             let (status, body) = finish(client.delete(&url).timeout(timeout).send()).await?;
@@ -128,14 +128,14 @@
     Ok(finish(client.post(url).timeout(timeout).send_json(body)).await?)
 }
 
-/// What the status of an answer means.
+/// Converts the status of a response.
 fn check_status(status: StatusCode, body: &[u8]) -> Result<(), StoreError> {
     match status.as_u16() {
         200..=299 => Ok(()),
         404 => Err(StoreError::NotFound),
         410 => Err(StoreError::TooOld),
         429 => Err(OVER_LIMIT),
-        503 => Err(StoreError::NotExecuted(NotExecutedReason::OutOfService)),
+        503 => Err(StoreError::NotExecuted(NotExecutedReason::ServiceUnavailable)),
         400..=499 => {
             let text = String::from_utf8_lossy(&body[..body.len().min(REFUSAL_TEXT_BYTES)]);
             Err(StoreError::Refused(text.into_owned()))
@@ -147,7 +147,7 @@
 fn parse<T: DeserializeOwned>(status: StatusCode, body: &[u8]) -> Result<T, StoreError> {
     check_status(status, body)?;
     serde_json::from_slice(body).map_err(|error| {
-        tracing::error!(%error, "answer of the state service can't be parsed");
+        tracing::error!(%error, "state service response can't be parsed");
         StoreError::OutcomeUnknown
     })
 }
--- a/crates/latchtrack/src/actors/store/mod.rs
+++ b/crates/latchtrack/src/actors/store/mod.rs
@@ -1,5 +1,6 @@
-//! The client of the state service: [`client`] paces the requests of this node by [`pacing`],
-//! `http` sends them, and [`reads`] joins pages and follows changes.
+//! The client of the state service. [`client`] queues the requests of this node and sends them at
+//! the rates of [`pacing`], `http` performs the calls, and [`reads`] reads all items under a prefix
+//! and the changes since.
 
 pub mod client;
 pub mod error;
--- a/crates/latchtrack/src/actors/store/namespace.rs
+++ b/crates/latchtrack/src/actors/store/namespace.rs
@@ -1,23 +1,23 @@
-//! The keys of this deployment in the state service: its own under a prefix, those that cells
-//! share as they are.
+//! Key names of a deployment in the state service. Its own keys have a prefix; keys shared by cells
+//! are the same for all.
 
 use crate::actors::messages::store::{Reply, StoreRequest};
 use crate::wire::quota::SHARED;
 use crate::wire::store::{Change, Txn};
 
-/// Maps the keys of a deployment to those of the state service and back.
+/// Converts between the local keys of a deployment and the full keys of the state service.
 #[derive(Clone, Debug)]
 pub struct Namespace {
     prefix: String,
 }
 
 impl Namespace {
-    /// Own keys lie under this prefix, which may be empty.
+    /// Creates a namespace with this prefix, which may be empty.
     pub fn new(prefix: String) -> Namespace {
         Namespace { prefix }
     }
 
-    /// A key as the state service has it.
+    /// Returns the full key in the state service.
     pub fn full_key(&self, key: &str) -> String {
         if key.starts_with(SHARED) {
             key.to_string()
@@ -26,7 +26,7 @@
         }
     }
 
-    /// A key of the state service as this deployment names it.
+    /// Returns the local key of a full key.
     fn local_key(&self, key: String) -> String {
         match key.strip_prefix(&self.prefix) {
             Some(own) if !key.starts_with(SHARED) => own.to_string(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A transaction as the state service takes it.
+    /// Converts the keys of a transaction to full keys.
     pub fn with_full_keys(&self, mut txn: Txn) -> Txn {
         for condition in &mut txn.conditions {
             condition.key = self.full_key(&condition.key);
@@ -47,7 +47,7 @@
         txn
     }
 
-    /// The key or prefix that a request names, as the state service has it.
+    /// Returns the full key or prefix that a read names; `None` for other requests.
     pub fn full_key_of(&self, request: &StoreRequest) -> Option<String> {
         match request {
             StoreRequest::List { prefix, .. } | StoreRequest::Changes { prefix, .. } => {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// An answer with the keys as this deployment names them.
+    /// Converts the keys of a reply to local keys.
     pub fn with_local_keys(&self, mut reply: Reply) -> Reply {
         match &mut reply {
             Reply::Page(page) => {
--- a/crates/latchtrack/src/actors/store/reads.rs
+++ b/crates/latchtrack/src/actors/store/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of everything under a prefix, and of what has changed there.
+//! Reads of all items under a prefix, and of the changes since.
 
 use actix::Addr;
 
@@ -9,28 +9,28 @@
 use crate::constants::{LIST_PAGE_WAIT_MS, READ_TIMEOUT};
 use crate::wire::store::{Item, WatchAnswer};
 
-/// What a read under a prefix has brought.
-pub enum Snapshot {
-    /// All items, at this revision at least.
+/// The result of a read under a prefix.
+pub enum ReadResult {
+    /// All items, each at `revision` or newer.
     All {
-        /// The items.
+        /// The items of all pages.
         items: Vec<Item>,
-        /// Changes after this revision may be missing.
+        /// Revision of the first page. Later changes may be missing.
         revision: u64,
     },
-    /// The changes since the revision that was known.
+    /// The changes since the known revision.
     Changes(WatchAnswer),
 }
 
-/// A read, and when it was sent in ms of the steady clock: everything older is in it.
-pub struct Observation {
-    /// What it has brought.
-    pub snapshot: Snapshot,
-    /// When it was sent.
+/// A read with the time when it was sent. It includes all changes before that time.
+pub struct TimedRead {
+    /// The items or changes read.
+    pub result: ReadResult,
+    /// When the read was sent, in ms of the monotonic clock.
     pub sent_at: u64,
 }
 
-/// Reads every item under a prefix, with a revision from which changes can be followed.
+/// Reads all items under a prefix, and returns the revision from which to read the changes.
 pub async fn read_all(
     store: &Addr<Store>,
     prefix: &'static str,
@@ -42,7 +42,7 @@
         let list = StoreRequest::List { prefix, from };
         let answer = request(store, RequestClass::Read, list, LIST_PAGE_WAIT_MS).await?;
         let Reply::Page(page) = answer.reply else { return Err(StoreError::OutcomeUnknown) };
-        // Changes after the first page are seen again by a watch from its revision.
+        // Reading the changes since the first page covers any change during the listing.
         let revision = *first.get_or_insert(page.revision);
         let has_more = page.truncated.unwrap_or(false) && !page.items.is_empty();
         items.extend(page.items);
@@ -52,21 +52,21 @@
     }
 }
 
-/// Reads the changes since a revision, or everything if none is known. [`StoreError::TooOld`] says
-/// that the changes are not kept any more, and everything must be read.
-pub async fn observe(
+/// Reads the changes since a known revision, or all items if `None`. [`StoreError::TooOld`] means
+/// that the service no longer has these changes, and all items must be read.
+pub async fn read_since(
     store: &Addr<Store>,
     prefix: &'static str,
     known_revision: Option<u64>,
-) -> Result<Observation, StoreError> {
+) -> Result<TimedRead, StoreError> {
     let Some(from) = known_revision else {
         let sent_at = now_ms();
         let (items, revision) = read_all(store, prefix).await?;
-        return Ok(Observation { snapshot: Snapshot::All { items, revision }, sent_at });
+        return Ok(TimedRead { result: ReadResult::All { items, revision }, sent_at });
     };
     let wait_ms = READ_TIMEOUT.as_millis() as u64;
     let changes = StoreRequest::Changes { prefix, from };
     let answer = request(store, RequestClass::Read, changes, wait_ms).await?;
     let Reply::Changes(changes) = answer.reply else { return Err(StoreError::OutcomeUnknown) };
-    Ok(Observation { snapshot: Snapshot::Changes(changes), sent_at: answer.sent_at })
+    Ok(TimedRead { result: ReadResult::Changes(changes), sent_at: answer.sent_at })
 }
