--- a/crates/latchtrack/src/actors/admission/mod.rs
+++ b/crates/latchtrack/src/actors/admission/mod.rs
@@ -36,7 +36,7 @@
     id: JobId,
     record: Record,
     value: Box<RawValue>,
-    /// In ms of the monotonic clock.
+    /// When the submission is rejected if still queued, in ms of the monotonic clock.
     deadline: u64,
     answer: oneshot::Sender<SubmitOutcome>,
 }
--- a/crates/latchtrack/src/actors/job_cache/mod.rs
+++ b/crates/latchtrack/src/actors/job_cache/mod.rs
@@ -38,15 +38,15 @@
     revision: Option<u64>,
     role: NodeRole,
     is_refreshing: bool,
-    /// Start of the interval to the next refresh, in ms of the monotonic clock: when the last
-    /// refresh began, or a retry delay after its failure.
+    /// Time from which the refresh interval counts, in ms of the monotonic clock: the start of the
+    /// last refresh or, after a failure, the end of the retry delay.
     last_refresh: u64,
     /// Number of consecutive failed refreshes.
     failures: u32,
     timer: Option<SpawnHandle>,
-    /// Those waiting for the next refresh.
+    /// Channels of the requests that wait for the next refresh.
     next_waiters: Vec<Waiter>,
-    /// Those waiting for the refresh in progress.
+    /// Channels of the requests that wait for the refresh in progress.
     current_waiters: Vec<Waiter>,
 }
 
--- a/crates/latchtrack/src/actors/messages/job_cache.rs
+++ b/crates/latchtrack/src/actors/messages/job_cache.rs
@@ -8,7 +8,7 @@
 use super::{NodeRole, OpenJob};
 use crate::wire::records::Record;
 
-/// The refresh that a request waited for failed or was too late, or too many requests were waiting.
+/// The cache could not be refreshed in time, or too many requests were waiting for a refresh.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the state service can't be asked")]
 pub struct StoreUnavailable;
--- a/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/recovery.rs
@@ -69,7 +69,7 @@
             "stored state loaded"
         );
         let mut chunks = chunks_by_job(&stored.results);
-        // The revision since which no node led before this term, or the start of this term.
+        // Without a known leaderless revision before this term, the term's own token is used.
         let leaderless_since =
             stored.leaderless_since.filter(|revision| *revision < token).unwrap_or(token);
         self.scheduler = Some(Scheduler::new(
