--- a/crates/latchtrack/src/actors/election/lease.rs
+++ b/crates/latchtrack/src/actors/election/lease.rs
@@ -1,6 +1,6 @@
 //! The lease of the leader key, and the reasons why a term ends.
 
-use crate::constants::{CLOCK_DRIFT_DIVISOR, LEASE_GUARD_MS};
+use crate::constants::{CLOCK_DRIFT_DIVISOR, LEASE_MARGIN_MS};
 
 /// A term in which this node leads.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -16,7 +16,7 @@
 /// Returns the time until which a lease is certain to be valid that a request sent at `sent_at`
 /// granted or renewed. Clock drift and a guard interval are deducted.
 pub(super) fn lease_valid_until(ttl_ms: u64, sent_at: u64) -> u64 {
-    sent_at + ttl_ms - ttl_ms / CLOCK_DRIFT_DIVISOR - LEASE_GUARD_MS
+    sent_at + ttl_ms - ttl_ms / CLOCK_DRIFT_DIVISOR - LEASE_MARGIN_MS
 }
 
 /// Reason why a term ends, for the log.
--- a/crates/latchtrack/src/actors/job_cache/records.rs
+++ b/crates/latchtrack/src/actors/job_cache/records.rs
@@ -9,7 +9,7 @@
 use crate::actors::messages::scheduler::JobChange;
 use crate::actors::messages::OpenJob;
 use crate::actors::store::reads::ReadResult;
-use crate::wire::records::{LeaderRecord, Record, JOBS, LEADER};
+use crate::wire::records::{LeaderRecord, Record, JOBS_PREFIX, LEADER_KEY};
 use crate::wire::store::KeyChange;
 
 struct CachedJob {
@@ -85,7 +85,7 @@
             ReadResult::All { items, revision } => {
                 let mut has_leader = false;
                 for item in items {
-                    has_leader |= item.key == LEADER;
+                    has_leader |= item.key == LEADER_KEY;
                     changes.extend(self.put(&item.key, item.value.get(), item.revision));
                 }
                 // Any leader during the missed changes is unknown, but without the key no node
@@ -114,7 +114,7 @@
 
     /// Applies a deletion. Only the leader key is ever deleted; job records are not.
     fn delete(&mut self, key: &str, revision: u64) {
-        if key == LEADER && revision > self.leader_revision {
+        if key == LEADER_KEY && revision > self.leader_revision {
             self.leader = None;
             self.leader_revision = revision;
             self.leaderless_since = Some(revision);
@@ -122,11 +122,11 @@
     }
 
     fn put(&mut self, key: &str, value: &str, revision: u64) -> Option<JobChange> {
-        if key == LEADER {
+        if key == LEADER_KEY {
             self.put_leader(value, revision);
             return None;
         }
-        let Some(id) = key.strip_prefix(JOBS).and_then(|id| id.parse().ok()) else {
+        let Some(id) = key.strip_prefix(JOBS_PREFIX).and_then(|id| id.parse().ok()) else {
             tracing::error!(key, "unknown key in the state service");
             return None;
         };
--- a/crates/latchtrack/src/actors/scheduler_driver/effects.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/effects.rs
@@ -13,7 +13,7 @@
 use crate::actors::messages::quota::ChangeLedger;
 use crate::actors::messages::scheduler::SchedulerEvent;
 use crate::clock::now_ms;
-use crate::constants::NOT_DONE_DELAY_MS;
+use crate::constants::NOT_EXECUTED_DELAY_MS;
 
 impl SchedulerDriver {
     /// Passes an event to the scheduler and executes the resulting effects. Returns the commands
@@ -107,9 +107,12 @@
         self.report_later(Event::LedgerWriteFinished { write, outcome }, ctx);
     }
 
-    /// Reports to the scheduler, after [`NOT_DONE_DELAY_MS`], that an effect was not executed.
+    /// Reports to the scheduler, after [`NOT_EXECUTED_DELAY_MS`], that an effect was not executed.
     fn report_later(&self, event: Event, ctx: &mut Context<Self>) {
         let token = self.term.token();
-        ctx.notify_later(SchedulerEvent { token, event }, Duration::from_millis(NOT_DONE_DELAY_MS));
+        ctx.notify_later(
+            SchedulerEvent { token, event },
+            Duration::from_millis(NOT_EXECUTED_DELAY_MS),
+        );
     }
 }
--- a/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::actors::messages::scheduler::HeartbeatResponse;
-use crate::constants::{FORWARD_HEARTBEATS_MS, REDIRECTED_MACHINES_KEPT};
+use crate::constants::{FORWARD_HEARTBEATS_MS, MAX_REDIRECTED_MACHINES};
 
 /// Redirects workers to the leader, and forwards the heartbeats of those that can't reach it.
 pub(super) struct HeartbeatRouter {
@@ -53,7 +53,7 @@
     /// Returns whether a worker was redirected within [`FORWARD_HEARTBEATS_MS`], which means that
     /// it can't reach the leader. Otherwise records a new redirect, which tests whether it can.
     fn was_redirected(&mut self, machine: &str, now: u64) -> bool {
-        if self.redirected_at.len() >= REDIRECTED_MACHINES_KEPT {
+        if self.redirected_at.len() >= MAX_REDIRECTED_MACHINES {
             self.redirected_at.retain(|_, at| now < *at + FORWARD_HEARTBEATS_MS);
         }
         match self.redirected_at.get(machine) {
--- a/crates/latchtrack/src/actors/store/namespace.rs
+++ b/crates/latchtrack/src/actors/store/namespace.rs
@@ -2,7 +2,7 @@
 //! are the same for all.
 
 use crate::actors::messages::store::{Reply, StoreRequest};
-use crate::wire::quota::SHARED;
+use crate::wire::quota::SHARED_PREFIX;
 use crate::wire::store::{Change, Txn};
 
 /// Converts between the local keys of a deployment and the full keys of the state service.
@@ -19,7 +19,7 @@
 
     /// Returns the full key in the state service.
     pub fn full_key(&self, key: &str) -> String {
-        if key.starts_with(SHARED) {
+        if key.starts_with(SHARED_PREFIX) {
             key.to_string()
         } else {
             format!("{}{key}", self.prefix)
@@ -29,7 +29,7 @@
     /// Returns the local key of a full key.
     fn local_key(&self, key: String) -> String {
         match key.strip_prefix(&self.prefix) {
-            Some(own) if !key.starts_with(SHARED) => own.to_string(),
+            Some(own) if !key.starts_with(SHARED_PREFIX) => own.to_string(),
             _ => key,
         }
     }
