--- a/crates/latchtrack/src/actors/cloud/budget.rs
+++ b/crates/latchtrack/src/actors/cloud/budget.rs
@@ -9,7 +9,7 @@
 pub(super) struct CallBudget {
     rate_per_s: f64,
     calls: f64,
-    /// When tokens were last added, in ms of the monotonic clock.
+    /// When tokens were last added, in ms of the steady clock.
     refilled_at: u64,
 }
 
--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -76,9 +76,9 @@
         }
     }
 
-    /// Returns the request if the term that issued it is still valid. Otherwise a node resuming
-    /// after a pause could terminate machines that its successor uses. A declined request is
-    /// reported to the scheduler if it waits for the outcome.
+    /// Returns the request if the term that issued it is still valid. Otherwise declines it, and
+    /// reports that to a scheduler waiting for the outcome. Without this check, a node that
+    /// resumes after a pause could terminate machines that its successor uses.
     fn check_term(
         &self,
         request: CloudRequest,
--- a/crates/latchtrack/src/actors/election/lease.rs
+++ b/crates/latchtrack/src/actors/election/lease.rs
@@ -9,12 +9,12 @@
     pub(super) token: u64,
     /// The lease that the leader key is attached to.
     pub(super) lease: u64,
-    /// Time until which the lease is certain to be valid, in ms of the monotonic clock.
+    /// Time until which the lease is certain to be valid, in ms of the steady clock.
     pub(super) valid_until: u64,
 }
 
-/// Returns the time until which a lease is certain to be valid that a request sent at `sent_at`
-/// granted or renewed. Clock drift and a guard interval are deducted.
+/// Returns the time until which a lease granted or renewed by a request sent at `sent_at` is
+/// certain to be valid. Clock drift and a margin are deducted.
 pub(super) fn lease_valid_until(ttl_ms: u64, sent_at: u64) -> u64 {
     sent_at + ttl_ms - ttl_ms / CLOCK_DRIFT_DIVISOR - LEASE_MARGIN_MS
 }
--- a/crates/latchtrack/src/actors/election/mod.rs
+++ b/crates/latchtrack/src/actors/election/mod.rs
@@ -41,9 +41,9 @@
     term: Option<HeldTerm>,
     /// Whether a campaign, a request or a retry delay is in progress.
     is_busy: bool,
-    /// No campaign starts before this time, in ms of the monotonic clock.
+    /// No campaign starts before this time, in ms of the steady clock.
     not_before: u64,
-    /// When the actor was created, in ms of the monotonic clock.
+    /// When the actor was created, in ms of the steady clock.
     started: u64,
 }
 
--- a/crates/latchtrack/src/actors/job_cache/mod.rs
+++ b/crates/latchtrack/src/actors/job_cache/mod.rs
@@ -39,7 +39,7 @@
     revision: Option<u64>,
     role: NodeRole,
     is_refreshing: bool,
-    /// Time from which the refresh interval counts, in ms of the monotonic clock: the start of the
+    /// Time from which the refresh interval counts, in ms of the steady clock: the start of the
     /// last refresh or, after a failure, the end of the retry delay.
     last_refresh: u64,
     /// Number of consecutive failed refreshes.
--- a/crates/latchtrack/src/actors/job_cache/records.rs
+++ b/crates/latchtrack/src/actors/job_cache/records.rs
@@ -88,8 +88,7 @@
                     has_leader |= item.key == LEADER_KEY;
                     changes.extend(self.put(&item.key, item.value.get(), item.revision));
                 }
-                // Any leader during the missed changes is unknown, but without the key no node
-                // leads at this revision.
+                // The missed changes may include a leader; without the key, none leads now.
                 self.leaderless_since = (!has_leader).then_some(revision);
                 if !has_leader && self.leader_revision < revision {
                     self.leader = None;
--- a/crates/latchtrack/src/actors/messages/scheduler.rs
+++ b/crates/latchtrack/src/actors/messages/scheduler.rs
@@ -15,7 +15,7 @@
 pub struct LeaderTerm {
     /// Fencing token of every write and command: the revision of the leader key.
     pub token: u64,
-    /// Time until which the lease is certain to be valid, in ms of the monotonic clock.
+    /// Time until which the lease is certain to be valid, in ms of the steady clock.
     pub valid_until: u64,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct CacheUpdated {
-    /// When the read was sent, in ms of the monotonic clock; 0 for a record that this node wrote.
+    /// When the read was sent, in ms of the steady clock; 0 for a record that this node wrote.
     pub observed_at: u64,
     /// The changes of jobs.
     pub changes: Vec<JobChange>,
--- a/crates/latchtrack/src/actors/messages/store.rs
+++ b/crates/latchtrack/src/actors/messages/store.rs
@@ -18,7 +18,7 @@
     Admission = 1,
     /// Reads of any kind.
     Read = 2,
-    /// Writes of the leader's records and of quota ledgers.
+    /// Writes that can wait, as of the leader's records and of quota ledgers.
     Progress = 3,
 }
 
@@ -116,7 +116,7 @@
     pub class: RequestClass,
     /// The request to send.
     pub request: StoreRequest,
-    /// Time after which the request is not sent any more, in ms of the monotonic clock.
+    /// Time after which the request is not sent any more, in ms of the steady clock.
     pub deadline: u64,
 }
 
@@ -125,7 +125,7 @@
 pub struct StoreAnswer {
     /// The content of the response.
     pub reply: Reply,
-    /// When the request was sent, in ms of the monotonic clock.
+    /// When the request was sent, in ms of the steady clock.
     pub sent_at: u64,
 }
 
--- a/crates/latchtrack/src/actors/peers/connection.rs
+++ b/crates/latchtrack/src/actors/peers/connection.rs
@@ -119,8 +119,7 @@
 }
 
 /// Serves a connection opened by another node. Requests are handled concurrently, up to the
-/// capacity of the response queue. Further requests are dropped, and their sender answers its
-/// client itself after a timeout.
+/// capacity of the response queue; more are dropped, and time out at their sender.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     received: Recipient<FrameReceived>,
--- a/crates/latchtrack/src/actors/peers/mod.rs
+++ b/crates/latchtrack/src/actors/peers/mod.rs
@@ -34,7 +34,7 @@
 struct PeerConnection {
     node: String,
     frames: mpsc::Sender<Frame>,
-    /// When its health was last received, in ms of the monotonic clock; 0 if never.
+    /// When its health was last received, in ms of the steady clock; 0 if never.
     heard_at: u64,
     /// Whether the state service served the node at that time.
     is_served: bool,
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -32,7 +32,7 @@
     keys: SharedKeys,
     /// The revision up to which the keys are known. `None`: the next refresh reads all keys.
     revision: Option<u64>,
-    /// When all keys were last read, in ms of the monotonic clock.
+    /// When all keys were last read, in ms of the steady clock.
     full_read_at: u64,
     is_refreshing: bool,
 }
@@ -114,8 +114,8 @@
 
     /// Records the wall-clock time if the write changes this cell's allotment, for operators.
     fn update_allotment_time(&self, write: &mut LedgerWrite) {
-        let view = self.keys.snapshot(0);
-        let known = view.teams.get(&write.team).and_then(|seen| seen.ledger.as_ref().ok());
+        let snapshot = self.keys.snapshot(0);
+        let known = snapshot.teams.get(&write.team).and_then(|seen| seen.ledger.as_ref().ok());
         let before = known.map_or(MilliResources::NONE, |ledger| ledger.allotted_to(&self.cell));
         if let Some(account) = write.ledger.allotments.get_mut(&self.cell) {
             if account.since_ms == 0 || account.amount != before {
--- a/crates/latchtrack/src/actors/scheduler_driver/effects.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/effects.rs
@@ -58,8 +58,7 @@
         }
     }
 
-    /// Reports an effect as not executed because there is no valid lease. Effects that need none
-    /// are executed.
+    /// Reports an effect that needs a valid lease as not executed; executes the others.
     fn decline(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         match effect {
             Effect::CallWorker { machine, call, .. } => {
--- a/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/heartbeat_routing.rs
@@ -10,7 +10,7 @@
     /// Name of this node.
     node: String,
     leader: Option<String>,
-    /// When each machine was last redirected to the leader, in ms of the monotonic clock.
+    /// When each machine was last redirected to the leader, in ms of the steady clock.
     redirected_at: HashMap<String, u64>,
 }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Returns whether a worker was redirected within [`FORWARD_HEARTBEATS_MS`], which means that
-    /// it can't reach the leader. Otherwise records a new redirect, which tests whether it can.
+    /// Returns whether a worker was redirected within the last [`FORWARD_HEARTBEATS_MS`]: it is
+    /// back because it can't reach the leader. If not, records that it is redirected now.
     fn was_redirected(&mut self, machine: &str, now: u64) -> bool {
         if self.redirected_at.len() >= MAX_REDIRECTED_MACHINES {
             self.redirected_at.retain(|_, at| now < *at + FORWARD_HEARTBEATS_MS);
--- a/crates/latchtrack/src/actors/scheduler_driver/mod.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/mod.rs
@@ -65,7 +65,7 @@
     state_read: StateRead,
     router: HeartbeatRouter,
     write_state: WriteState,
-    /// When the task counts were last published, in ms of the monotonic clock.
+    /// When the task counts were last published, in ms of the steady clock.
     last_progress: u64,
 }
 
--- a/crates/latchtrack/src/actors/scheduler_driver/term.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/term.rs
@@ -7,7 +7,7 @@
     /// Duration of the leader's lease in ms.
     lease_ms: u64,
     current: Option<LeaderTerm>,
-    /// Time up to which the job cache is certain to be current, in ms of the monotonic clock.
+    /// Time up to which the job cache is certain to be current, in ms of the steady clock.
     cache_current_at: u64,
 }
 
--- a/crates/latchtrack/src/actors/store/http.rs
+++ b/crates/latchtrack/src/actors/store/http.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Converts the keys of a reply to the names that this deployment uses.
+    /// Converts the full keys of a reply to local keys.
     pub(super) fn localize(&self, reply: Reply) -> Reply {
         self.namespace.with_local_keys(reply)
     }
--- a/crates/latchtrack/src/actors/store/pacing.rs
+++ b/crates/latchtrack/src/actors/store/pacing.rs
@@ -14,7 +14,7 @@
     rate_per_s: f64,
     capacity: f64,
     tokens: f64,
-    /// When tokens were last added, in ms of the monotonic clock.
+    /// When tokens were last added, in ms of the steady clock.
     refilled_at: u64,
 }
 
@@ -68,10 +68,10 @@
     pub lower: f64,
 }
 
-/// The write rate of a node. Its base rate is its part of the limit. The rate grows while writes
-/// have to wait, to use what other nodes leave, shrinks again otherwise, and returns to the base
-/// rate once the service refuses a write. Exceeding the limit is harmless: the service refuses only
-/// the excess, and lease requests don't count as writes.
+/// The write rate of a node. Its base rate is its part of the limit. While writes have to wait, the
+/// rate grows, to use what other nodes leave; otherwise it shrinks. A refused write resets it to
+/// the base rate. Exceeding the limit is harmless: the service refuses only the excess, and lease
+/// requests don't count as writes.
 ///
 /// The service may lower its limit without notice. Consecutive refusals at the base rate can't be
 /// explained by bursts, so the lower limit applies from then on. It applies for good, since nothing
@@ -91,9 +91,9 @@
     was_refused: bool,
     /// Consecutive adjustments with a refusal although the node wrote at its base rate.
     unexplained_refusals: u32,
-    /// When the rate was last adjusted, in ms of the monotonic clock.
+    /// When the rate was last adjusted, in ms of the steady clock.
     adjusted_at: u64,
-    /// The rate does not grow before this time, in ms of the monotonic clock.
+    /// The rate does not grow before this time, in ms of the steady clock.
     hold_until: u64,
 }
 
--- a/crates/latchtrack/src/actors/store/reads.rs
+++ b/crates/latchtrack/src/actors/store/reads.rs
@@ -26,7 +26,7 @@
 pub struct TimedRead {
     /// The items or changes read.
     pub result: ReadResult,
-    /// When the read was sent, in ms of the monotonic clock.
+    /// When the read was sent, in ms of the steady clock.
     pub sent_at: u64,
 }
 
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -50,9 +50,8 @@
 
 /// Builds the transaction of a batch. Returns `None` if a record can't be serialized.
 ///
-/// The transaction requires that the leader key is unchanged. A done job also requires the revision
-/// of its record, which a cancellation changes, and a record shard its own revision, which a
-/// delayed write of this leader changes.
+/// Its conditions are the revisions of the leader key, of the records of done jobs, which a
+/// cancellation changes, and of record shards, which a delayed write of this leader changes.
 pub fn record_transaction(token: u64, writes: &[RecordWrite]) -> Option<Txn> {
     let mut conditions = vec![Condition { key: LEADER_KEY.into(), revision: token }];
     let mut changes = Vec::new();
@@ -97,8 +96,8 @@
     }
 }
 
-/// Reads the open jobs, results and machine sets. Returns `None` if any read fails. The state can't
-/// be changed by an earlier leader any more, whose writes are fenced.
+/// Reads the open jobs, results and machine sets. Returns `None` if any read fails. Earlier leaders
+/// can't change this state any more, since their writes are fenced.
 pub async fn read_stored_state(store: &Addr<Store>, cache: &Addr<JobCache>) -> Option<StoredState> {
     let (machine_sets, _) = store::read_all(store, MACHINE_SETS_PREFIX).await.ok()?;
     let (results, _) = store::read_all(store, RESULTS_PREFIX).await.ok()?;
