--- a/crates/latchtrack/src/constants.rs
+++ b/crates/latchtrack/src/constants.rs
@@ -1,246 +1,259 @@
-//! Every constant of the program around the scheduling core, with its unit and its reason. Most
-//! are defaults of the operators' settings.
+//! Constants of everything outside the scheduling core, each with its unit and rationale. Most of
+//! them are defaults of the operators' settings.
 
 use std::time::Duration;
 
-// Leadership.
+// Leader election.
 
-/// ms that the leader's lease in the state service lasts. Long enough for a slow answer and two
-/// lost renewals, short enough that a crashed leader is followed within seconds: nothing is
-/// scheduled meanwhile.
+/// Duration of the leader's lease in the state service, in ms. It outlasts a slow response plus two
+/// lost renewals, yet a crashed leader is replaced within seconds; until then nothing is scheduled.
 pub const LEADER_LEASE_MS: u64 = 3_000;
-/// ms of the shortest lease that works, for settings where the worker lease leaves little of the
+/// Shortest workable leader lease, in ms. It applies when the worker lease leaves little of the
 /// time within which a cancelled task must have ended.
 pub const MIN_LEADER_LEASE_MS: u64 = 1_000;
-/// Renewals in the length of a lease.
+/// Number of renewals attempted per lease duration.
 pub const RENEWALS_PER_LEASE: u64 = 4;
-/// ms taken off the lease's local end, for the time that acting itself takes.
+/// Safety margin subtracted from the local expiry of a lease, in ms, because an action started just
+/// before the expiry takes time to complete.
 pub const LEASE_MARGIN_MS: u64 = 250;
-/// The lease's length divided by this is taken off its local end, for the drift of the clocks
-/// (0.05%).
+/// The lease duration divided by this is subtracted from the local expiry of a lease, to allow for
+/// a drift of 0.05% of both the local clock and the service's.
 pub const CLOCK_DRIFT_DIVISOR: u64 = 1_000;
-/// ms after a failed renewal or campaign before the next attempt.
+/// Delay before the next attempt after a failed renewal or campaign, in ms.
 pub const ELECTION_RETRY_MS: u64 = 300;
-/// ms after which a request of a campaign is of no use.
+/// Time after which a request of a campaign is abandoned, in ms.
 pub const ELECTION_REQUEST_WAIT_MS: u64 = 2_000;
-/// ms after which a renewal is of no use: two fit into a lease.
+/// Time after which a renewal is abandoned, in ms: two attempts fit into a lease.
 pub const RENEWAL_WAIT_MS: u64 = 1_500;
-/// ms of random wait before a campaign, so that nodes do not all write at once.
+/// Upper bound of the random delay before a campaign, in ms, so that nodes don't write all at once.
 pub const CAMPAIGN_JITTER_MS: u64 = 120;
-/// ms for which a node counts as recently started. In a restart of all nodes one by one, those
-/// that have been up for longer are the next to stop, so recently started ones campaign first.
+/// Uptime below which a node counts as recently started, in ms. In a rolling restart, the nodes
+/// that have been up longer are the next to stop, so recently started nodes campaign first.
 pub const RECENT_START_MS: u64 = 90_000;
-/// ms by which a node that has been up for longer campaigns later.
+/// Additional campaign delay of a node that did not start recently, in ms.
 pub const LONG_RUNNING_DELAY_MS: u64 = 300;
-/// ms for which a node that has resigned does not campaign.
+/// Time during which a node does not campaign after it resigned, in ms.
 pub const RESIGNED_DELAY_MS: u64 = 20_000;
 
-/// Fraction of the time for a cancellation, after the worker lease, that the leader's lease may
-/// take.
+/// Largest fraction that the leader's lease may take of the cancellation time left after the worker
+/// lease.
 pub const MAX_CANCEL_TIME_FRACTION: f64 = 0.9;
-/// By this factor a worker's lease may last longer by the local clock, for the drift of the
-/// clocks.
+/// A worker's lease may last longer by this factor on the local clock because of clock drift.
 pub const CLOCK_DRIFT_FACTOR: f64 = 1.001;
-/// s that a worker may take to kill its tasks when its lease ends.
+/// Time that a worker may take to kill its tasks when its lease expires, in s.
 pub const TASK_KILL_S: f64 = 0.5;
 
 // The job cache.
 
-/// ms between two refreshes while leading: a submission waits this long at most before it is
-/// placed.
+/// Interval between cache refreshes on the leader, in ms. It bounds how long a submission waits
+/// before the scheduler sees it.
 pub const REFRESH_INTERVAL_LEADER_MS: u64 = 100;
-/// ms between two refreshes while following: the leader key is in the cache too.
+/// Interval between cache refreshes on a follower, in ms. The refresh also observes the leader key.
 pub const REFRESH_INTERVAL_FOLLOWER_MS: u64 = 250;
-/// ms between two refreshes that queries wait for.
+/// Interval between cache refreshes while queries wait for one, in ms.
 pub const REFRESH_INTERVAL_WAITERS_MS: u64 = 40;
-/// ms after a failed refresh, or a failed read or write of the leader, before the next.
+/// Delay before the next attempt after a failed refresh, or a failed read or write by the leader,
+/// in ms.
 pub const REFRESH_RETRY_MS: u64 = 250;
-/// ms after its start from which a refresh is no answer to those that waited for it: the node
-/// stood still, and they have given up.
+/// Age at which the result of a refresh no longer answers the queries that waited for it, in ms:
+/// the node was stalled and the clients have timed out.
 pub const REFRESH_MAX_AGE_MS: u64 = 4_000;
-/// Queries that may wait for one refresh; more are refused.
+/// Number of queries that may wait for one refresh; any further ones are refused.
 pub const MAX_REFRESH_WAITERS: usize = 2_000;
-/// Refreshes that fail in a row before a node counts as not served by the state service.
+/// Number of consecutive failed refreshes after which a node counts as not served by the state
+/// service.
 pub const UNSERVED_AFTER_FAILURES: u32 = 2;
 
-// Calls of the state service.
+// Calls to the state service.
 
-/// A read: users wait 2 s for a query.
+/// Timeout of a read. Users wait 2 s for a query.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// A write: users wait 5 s for a submission.
+/// Timeout of a write. Users wait 5 s for a submission.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A renewal; two fit into a lease.
+/// Timeout of a lease renewal: two attempts fit into a lease.
 pub const RENEW_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Connecting to anything: region and zones are milliseconds apart.
+/// Timeout of any connection attempt. The latency within and between zones is a few milliseconds.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// ms that a page of a list may wait for its turn and its answer: a list is read when a term
-/// starts, and other reads go on meanwhile.
+/// Time that the read of a list page may take, queueing included, in ms. Lists are read when a term
+/// starts, concurrently with other reads.
 pub const LIST_PAGE_WAIT_MS: u64 = 5_000;
-/// Items of one page of a list (the service's own bound).
+/// Number of items in a page of a list (the service's own limit).
 pub const STORE_PAGE_ITEMS: usize = 1_000;
-/// ms that a write of the leader's records may wait for its turn: it goes after all other
-/// requests, and one given up is written again.
+/// Time that a write of the leader's records may be queued, in ms. Such writes have the lowest
+/// priority, and one that expires is issued again.
 pub const RECORD_WRITE_WAIT_MS: u64 = 10_000;
-/// Calls open at once.
+/// Maximum number of concurrent calls to the state service.
 pub const MAX_STORE_CALLS: usize = 12;
-/// Requests that may wait for their turn, for each class.
+/// Maximum number of queued requests per request class.
 pub const STORE_QUEUE_CAPACITY: usize = 256;
-/// ms after which the queues are looked at again at the latest, whatever the budgets say.
+/// Longest time between two checks of the request queues, in ms, whatever wait the token buckets
+/// report.
 pub const MAX_STORE_WAKEUP_MS: u64 = 1_000;
-/// Fraction of the limits that is used: this node's clock and the service's may differ in what a
-/// second is.
+/// Fraction of the service's rate limits that is used, because this node's clock and the service's
+/// may disagree about the length of a second.
 pub const USABLE_LIMIT_FRACTION: f64 = 0.9;
-/// ms between two adjustments of what a node may write beyond its own part.
+/// Interval between two adjustments of the write rate that a node takes beyond its share, in ms.
 pub const WRITE_SHARE_INTERVAL_MS: u64 = 1_000;
-/// By what factor that grows at an adjustment: twice as much within three seconds.
+/// Growth factor of that rate per adjustment: it doubles within three seconds.
 pub const WRITE_SHARE_GROWTH: f64 = 1.3;
-/// ms after a refusal in which it does not grow: all nodes need what they have.
+/// Time after a refusal during which that rate does not grow, in ms: all nodes need their share.
 pub const WRITE_SHARE_HOLD_MS: u64 = 8_000;
-/// Adjustments in a row that find a refusal though the node kept to its part, until the limit
-/// counts as lowered: a single one may be another node's burst.
+/// Number of consecutive adjustments that find a refusal although the node kept to its share, until
+/// the limit counts as lowered. A single one may be caused by a burst of another node.
 pub const UNEXPLAINED_REFUSALS: u32 = 2;
-/// Fraction of a second's writes of all nodes that one may make at once after a pause.
+/// Largest burst of one node after a pause, as a fraction of the writes of all nodes in a second.
 pub const BURST_FRACTION: f64 = 0.5;
-/// ms after which a request that was over a limit is sent again.
+/// Delay before a request that exceeded a rate limit is sent again, in ms.
 pub const OVER_LIMIT_RETRY_MS: u64 = 100;
-/// Bytes of values in one transaction (the service takes 64 KiB).
+/// Maximum size of the values in one transaction, in bytes (the service accepts 64 KiB).
 pub const MAX_TXN_BYTES: usize = 48 * 1024;
-/// Bytes of a refusal's text that are logged.
+/// Number of bytes of the body of a refusal that are logged.
 pub const MAX_LOGGED_REFUSAL_BYTES: usize = 200;
-/// Bytes of the largest answer that is read: a page is 512 KiB, a watch has no bound.
+/// Maximum size of a response body that is read, in bytes. A list page has up to 512 KiB; the
+/// response to a watch is unbounded.
 pub const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 // Admission.
 
-/// Submissions, and cancellations, that may wait at a node; more get 503 at once.
+/// Number of submissions, and likewise of cancellations, that may wait on a node. Any further ones
+/// are answered with 503 immediately.
 pub const ADMISSION_QUEUE_CAPACITY: usize = 400;
-/// ms that a submission may wait at a node before it gets 503.
+/// Time that a submission may wait on a node before it is answered with 503, in ms.
 pub const ADMISSION_WAIT_MS: u64 = 3_000;
-/// Attempts at a cancellation while others change the record.
+/// Number of attempts to write a cancellation that conflicts with concurrent changes of the record.
 pub const CANCEL_ATTEMPTS: usize = 5;
 
 // The scheduler driver, workers and the cloud.
 
-/// ms between two ticks of the scheduler.
+/// Interval between two ticks of the scheduler, in ms.
 pub const TICK_MS: u64 = 200;
-/// ms after which the scheduler hears that something was not done for want of a valid lease.
+/// Delay before the scheduler is told that an action was not executed for lack of a valid lease, in
+/// ms.
 pub const NOT_EXECUTED_DELAY_MS: u64 = 500;
-/// Direct calls of workers open at once, whatever the sockets allow: each holds buffers.
+/// Maximum number of concurrent direct calls to workers, whatever the socket limit allows, because
+/// each one holds buffers.
 pub const MAX_DIRECT_CALLS: usize = 256;
-/// A direct call of a worker.
+/// Timeout of a direct call to a worker.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A call of the cloud, which answers in about 0.1 s; a lost packet is sent again within 1 s.
+/// Timeout of a call to the cloud, which responds in about 0.1 s; a lost packet is retransmitted
+/// within 1 s.
 pub const CLOUD_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Calls of the cloud open at once: bounds the sockets for calls that are not answered.
+/// Maximum number of concurrent calls to the cloud. It bounds the sockets held by unanswered calls.
 pub const MAX_CLOUD_CALLS: usize = 8;
-/// s of its rate that a node may call the cloud at once after a pause: it allows two, and the
-/// other nodes may want part of that.
+/// Largest burst of cloud calls after a pause, in seconds of the node's rate. The cloud allows two
+/// seconds' worth, and other nodes may need part of it.
 pub const CLOUD_BURST_S: f64 = 1.5;
-/// ms between two reads of the machine types and prices.
+/// Interval between two reads of the machine types and prices, in ms.
 pub const MACHINE_TYPES_INTERVAL_MS: u64 = 60_000;
-/// ms after a failed call of the cloud.
+/// Delay after a failed call to the cloud, in ms.
 pub const CLOUD_RETRY_MS: u64 = 1_000;
-/// Machines that one call terminates (the cloud's own bound).
+/// Maximum number of machines terminated by one call (the cloud's own limit).
 pub const TERMINATE_BATCH: usize = 100;
-/// Machines in one page of the list (the cloud's own bound).
+/// Number of machines in one page of the machine list (the cloud's own limit).
 pub const LIST_PAGE_MACHINES: usize = 500;
-/// Moves of running tasks that an operator may allow in a minute: ten a second, which is what a
-/// leader with a fraction of a core can follow beside its heartbeats.
+/// Highest rate of task moves that operators may set, per minute. Ten per second is what a leader
+/// with a fraction of a core can handle in addition to its heartbeats.
 pub const MAX_MOVES_PER_MINUTE: f64 = 600.0;
 
-/// s of the longest time that an operator or the platform may set: a day.
+/// Longest duration accepted in the settings of operators or the platform, in s: one day.
 pub const MAX_SETTING_S: f64 = 86_400.0;
 
-// Between nodes.
+// Communication between nodes.
 
-/// ms between two messages about the counts of tasks to the other nodes.
+/// Interval at which the leader sends task counts to the other nodes, in ms.
 pub const PROGRESS_INTERVAL_MS: u64 = 1_000;
-/// Jobs in one such message: the rest show as pending on followers. 19 bytes each at most, less
-/// than half of a frame; the other half is for the names of overdue machines.
+/// Maximum number of jobs in one such message; followers show the others as pending. At up to 19
+/// bytes per job they fill less than half of a frame; the other half is for the names of overdue
+/// machines.
 pub const MAX_PROGRESS_JOBS: usize = 6_000;
-/// ms between two questions whether the state service serves another node.
+/// Interval at which another node is asked whether the state service serves it, in ms.
 pub const PEER_HEALTH_INTERVAL_MS: u64 = 1_000;
-/// ms after which an answer to it counts no more.
+/// Age at which the answer to that question expires, in ms.
 pub const PEER_HEALTH_MAX_AGE_MS: u64 = 3_500;
-/// A request forwarded to another node: users wait 2 s for a query.
+/// Timeout of a request forwarded to another node. Users wait 2 s for a query.
 pub const FORWARD_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// ms for which the heartbeats of a worker that was redirected to the leader, and is back, are
-/// forwarded; then it is redirected again.
+/// Time for which heartbeats are forwarded for a worker that came back after it was redirected to
+/// the leader, in ms. After that it is redirected again.
 pub const FORWARD_HEARTBEATS_MS: u64 = 20_000;
-/// Workers remembered as redirected, before old ones are dropped: a fleet several times the
-/// largest in use after a change of leader, some 80 bytes each.
+/// Number of redirected workers remembered before old entries are dropped. This covers a fleet
+/// several times the largest in use after a change of leader, at about 80 bytes per entry.
 pub const MAX_REDIRECTED_MACHINES: usize = 16_384;
-/// Bytes of the largest frame between nodes.
+/// Maximum size of a frame between nodes, in bytes.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// Frames waiting for a node, and requests of one that are answered side by side; more are
-/// refused. A zone that can't reach the leader has some hundred heartbeats a second forwarded.
+/// Maximum number of frames queued for a node, and of its requests handled concurrently; any
+/// further ones are refused. A zone that can't reach the leader forwards some hundred heartbeats a
+/// second.
 pub const PEER_QUEUE_CAPACITY: usize = 256;
 
 // `latchtrack status`.
 
-/// Workers that are asked at a time.
+/// Maximum number of workers queried concurrently.
 pub const MAX_STATUS_CALLS: usize = 64;
-/// Quarantined jobs that a leader names: a status stays well within a frame.
+/// Maximum number of quarantined jobs that a leader lists, which keeps a status well below the size
+/// of a frame.
 pub const MAX_STATUS_JOBS: usize = 500;
 
-// Connections of users and workers.
+// Connections from users and workers.
 
-/// Bytes of the largest request body (the protocol's bound).
+/// Maximum size of a request body, in bytes (the protocol's limit).
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A request's body, from its first to its last byte; users give up after 5 s.
+/// Timeout for receiving a whole request body. Users time out after 5 s.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// A request's head, from its first to its last byte; users give up after 5 s.
+/// Timeout for receiving a whole request head. Users time out after 5 s.
 pub const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Fraction of the node's sockets that users and workers may fill. Of the rest, half is for direct
-/// calls of workers, some thirty for the state service, the cloud and the other nodes, and those
-/// being refused.
+/// Fraction of the node's sockets available to users and workers. Half of the rest is for direct
+/// calls to workers; the other half covers refusals and some thirty sockets for the state service,
+/// the cloud and the other nodes.
 pub const CLIENT_SOCKET_FRACTION: f64 = 0.85;
-/// Connections beyond that which are refused at a time; more wait for one of these to be closed.
+/// Maximum number of excess connections that are being refused at a time. Further ones stay in the
+/// accept queue until one of these is closed.
 pub const MAX_OPEN_REFUSALS: usize = 32;
-/// One such connection, until its refusal is sent.
+/// Timeout for sending the refusal on such a connection.
 pub const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Reading on after that, so that closing does not take the answer back.
+/// Time for which a refused connection is still read after the refusal was sent. Closing it with
+/// unread data would reset it and could discard the response.
 pub const REFUSAL_LINGER: Duration = Duration::from_millis(100);
-/// Bytes of a refused request that are read before it is answered.
+/// Number of bytes of a refused request that are read before it is answered.
 pub const REFUSAL_READ_BYTES: usize = 1_024;
-/// After a failed accept, which most likely found no free socket.
+/// Delay after a failed accept, most likely caused by a lack of free sockets.
 pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// s that an idle connection is kept; users poll every 5 s.
+/// Time for which an idle connection is kept open, in s. Users poll every 5 s.
 pub const KEEP_ALIVE_S: u64 = 60;
-/// s that a user is asked to wait when the node cannot answer.
+/// Value of `Retry-After` when the node can't serve a request, in s.
 pub const RETRY_AFTER_S: u64 = 1;
-/// An idle connection of this node to a service or worker.
+/// Time for which this node keeps an idle connection to a service or worker.
 pub const CLIENT_KEEP_ALIVE: Duration = Duration::from_secs(30);
-/// The longest that such a connection is used.
+/// Maximum lifetime of such a connection.
 pub const CLIENT_CONNECTION_LIFETIME: Duration = Duration::from_secs(3_600);
-/// Bytes of the longest name in a submission.
+/// Maximum length of a name in a submission, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
-/// The largest amount in a submission, in any unit: far beyond what any machine has.
+/// Largest amount accepted in a submission, in any unit: far more than any machine has.
 pub const MAX_AMOUNT: f64 = 1e9;
-/// Messages that an actor's mailbox holds.
+/// Capacity of an actor's mailbox, in messages.
 pub const MAILBOX_CAPACITY: usize = 1_024;
 
 // Cells that share teams.
 
-/// Prefix of the keys of a cell, with its name and a slash behind it.
+/// Prefix of the keys of a cell; the cell's name and a slash follow.
 pub const CELLS_PREFIX: &str = "cells/";
-/// Bytes of the longest name of a cell: the service takes keys of 200 bytes.
+/// Maximum length of a cell name, in bytes: the service accepts keys of 200 bytes.
 pub const MAX_CELL_NAME_BYTES: usize = 64;
-/// Bytes of the longest name of a team where cells share teams, for the same reason.
+/// Maximum length of the name of a team that cells share, in bytes, for the same reason.
 pub const MAX_TEAM_NAME_BYTES: usize = 150;
-/// Changes of a campaign where cells share teams: the leader key and the two records of the cell.
+/// Number of changes in a campaign where cells share teams: the leader key and the cell's two keys.
 pub const CAMPAIGN_CHANGES: usize = 3;
-/// Bytes of a ledger without allotments, with the longest numbers that are in use.
+/// Size of a ledger without allotments, in bytes, with the longest numbers in use.
 pub const LEDGER_BYTES: usize = 260;
-/// Bytes of an allotment beside the cell's name, with the longest numbers that are in use.
+/// Size of an allotment without the cell's name, in bytes, with the longest numbers in use.
 pub const ALLOTMENT_BYTES: usize = 240;
-/// ms between two refreshes of the ledgers by a leader: with a step of the allotment manager at
-/// each, what another cell holds idle is available within the bound of docs/quota.md.
+/// Interval at which a leader refreshes the ledgers, in ms. The allotment manager runs once per
+/// refresh, so capacity that another cell leaves idle becomes available within the bound of
+/// docs/quota.md.
 pub const QUOTA_REFRESH_INTERVAL_MS: u64 = 250;
-/// ms after which all ledgers are read again, in case a watch has skipped something.
+/// Interval at which all ledgers are read in full, in ms, in case a watch missed a change.
 pub const QUOTA_FULL_READ_INTERVAL_MS: u64 = 30_000;
-/// ms that a change of a ledger may wait for its turn.
+/// Time that a ledger write may be queued, in ms.
 pub const LEDGER_WRITE_WAIT_MS: u64 = 5_000;
-/// Attempts of an operator's change of a limit while cells change the ledger: they write one a few
-/// times a second at most.
+/// Number of attempts to apply an operator's limit change while cells write the ledger, which they
+/// do a few times a second at most.
 pub const LIMIT_CHANGE_ATTEMPTS: usize = 20;
--- a/crates/latchtrack/src/lib.rs
+++ b/crates/latchtrack/src/lib.rs
@@ -1,7 +1,7 @@
 //! latchtrack: a cluster scheduler for cloud machines that come and go.
 //!
-//! The scheduling itself is in `latchtrack-core`; here are the actors, sockets, files and timers
-//! round it.
+//! The scheduling logic is in `latchtrack-core`; this crate contains the actors, sockets, files and
+//! timers around it.
 
 pub mod actors;
 pub mod cli;
--- a/crates/latchtrack/src/net.rs
+++ b/crates/latchtrack/src/net.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of this program: how calls are made, and how they can fail.
+//! HTTP client for calls to the state service, the cloud and workers.
 
 use std::future::Future;
 
@@ -10,16 +10,17 @@
     CLIENT_CONNECTION_LIFETIME, CLIENT_KEEP_ALIVE, CONNECT_TIMEOUT, MAX_RESPONSE_BYTES,
 };
 
-/// How a call failed.
+/// Error of a call, which tells whether the request may have been executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// Nothing was sent: an attempt to connect that was given up never completes later.
+    /// No connection was established, so nothing was sent. An abandoned connection attempt never
+    /// completes later.
     NotSent,
-    /// Sent, or perhaps sent: it may be carried out at any time.
+    /// The request was, or may have been, sent, so it may be executed at any time.
     OutcomeUnknown,
 }
 
-/// A client with at most `max_connections` connections.
+/// Creates a client that opens at most `max_connections` connections and follows no redirects.
 pub fn http_client(max_connections: usize) -> Client {
     let connector = Connector::new()
         .timeout(CONNECT_TIMEOUT)
@@ -29,7 +30,7 @@
     Client::builder().connector(connector).disable_redirects().finish()
 }
 
-/// Waits for an answer and reads its body, up to [`MAX_RESPONSE_BYTES`].
+/// Waits for the response and reads its body, up to [`MAX_RESPONSE_BYTES`].
 pub async fn read_response<R, S>(sent: R) -> Result<(StatusCode, Vec<u8>), CallError>
 where
     R: Future<Output = Result<awc::ClientResponse<S>, SendRequestError>>,
