--- a/crates/latchtrack/src/settings/check.rs
+++ b/crates/latchtrack/src/settings/check.rs
@@ -1,52 +1,52 @@
-//! Refuses settings that can't work, by the name of the field.
+//! Validation of the settings. Errors name the offending key.
 
 use latchtrack_core::constants as core;
 
 use super::Settings;
 use crate::constants as c;
 
-/// Why the settings can't be used; one line that names the field.
+/// Error in the settings; a single line that names the file or the key.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A file can't be read: its path and why.
+    /// A file can't be read: path and cause.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// The platform's file can't be parsed: its path and why.
+    /// The platform's file can't be parsed: path and cause.
     #[error("{0}: {1}")]
     Json(String, serde_json::Error),
-    /// The operators' file can't be parsed: its path and why.
+    /// The operators' file can't be parsed: path and cause.
     #[error("{0}: {1}")]
     Yaml(String, serde_yaml_ng::Error),
-    /// A setting has a value that can't work: its name and why.
+    /// A setting has an invalid value: its key and the reason.
     #[error("{0}: {1}")]
     Invalid(&'static str, String),
 }
 
-/// Refuses a setting.
-pub(super) fn refuse<T>(name: &'static str, why: impl Into<String>) -> Result<T, SettingsError> {
-    Err(SettingsError::Invalid(name, why.into()))
+/// Rejects the setting `name` for this reason.
+pub(super) fn reject<T>(name: &'static str, reason: impl Into<String>) -> Result<T, SettingsError> {
+    Err(SettingsError::Invalid(name, reason.into()))
 }
 
-/// Refuses a number that is below the least allowed or not finite.
-fn check_min(name: &'static str, value: f64, least: f64) -> Result<(), SettingsError> {
-    if value.is_finite() && value >= least {
+/// Rejects a number that is below the minimum or not finite.
+fn check_min(name: &'static str, value: f64, min: f64) -> Result<(), SettingsError> {
+    if value.is_finite() && value >= min {
         Ok(())
     } else {
-        refuse(name, format!("is {value}, must be at least {least}"))
+        reject(name, format!("is {value}, must be at least {min}"))
     }
 }
 
-/// Refuses a number that is outside of a range or not a number.
+/// Rejects a number outside the inclusive range, and NaN.
 fn check_range(name: &'static str, value: f64, from: f64, to: f64) -> Result<(), SettingsError> {
     if (from..=to).contains(&value) {
         Ok(())
     } else {
-        refuse(name, format!("is {value}, must be from {from} to {to}"))
+        reject(name, format!("is {value}, must be from {from} to {to}"))
     }
 }
 
 impl Settings {
-    /// Refuses settings that can't work, by the name of the first such field.
+    /// Validates the settings and reports the first invalid one.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_platform()?;
         self.check_tuning()?;
@@ -57,22 +57,22 @@
     fn check_platform(&self) -> Result<(), SettingsError> {
         let params = &self.platform.params;
         if self.platform.node_name.is_empty() {
-            return refuse("node_name", "is empty");
+            return reject("node_name", "must not be empty");
         }
         if params.teams.iter().any(|team| {
             let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
             amounts.iter().any(|amount| !amount.is_finite() || *amount < 0.0)
         }) {
-            return refuse("params.teams", "amounts must be 0 or more");
+            return reject("params.teams", "amounts must be finite and not negative");
         }
-        for (name, value, least) in [
+        for (name, value, min) in [
             ("params.workers.report_s", params.workers.heartbeat_interval_s, 0.1),
             ("params.workers.lease_s", params.workers.lease_s, 1.0),
             ("params.workers.cancel_s", params.workers.cancel_s, 1.0),
         ] {
-            check_min(name, value, least)?;
+            check_min(name, value, min)?;
             if value > c::MAX_SETTING_S {
-                return refuse(name, format!("is {value}, must be at most a day"));
+                return reject(name, format!("is {value}, must be at most one day"));
             }
         }
         check_min("params.state.rps", params.state.rps, 1.0)?;
@@ -94,7 +94,7 @@
         ] {
             check_min(name, value.unwrap_or(1.0), 0.1)?;
             if value.is_some_and(|s| s > c::MAX_SETTING_S) {
-                return refuse(name, "must be at most a day");
+                return reject(name, "must be at most one day");
             }
         }
         check_min("params.cloud.rps", params.cloud.rps, 0.1)?;
@@ -105,7 +105,7 @@
     }
 
     fn check_tuning(&self) -> Result<(), SettingsError> {
-        let report_s = self.platform.params.workers.heartbeat_interval_s;
+        let heartbeat_s = self.platform.params.workers.heartbeat_interval_s;
         let tuning = &self.tuning;
         check_range("alpha", tuning.alpha, 0.0, 1.0)?;
         check_range("gamma", tuning.gamma, 0.0, 100.0)?;
@@ -120,9 +120,10 @@
         check_range("pass_over_s", tuning.reserve_after_s, 0.0, c::MAX_SETTING_S)?;
         check_range("spot_after_s", tuning.spot_provision_delay_s, 0.0, 3_600.0)?;
         check_range("ordinary_after_s", tuning.on_demand_provision_delay_s, 0.0, 3_600.0)?;
-        let asked_first =
-            report_s * core::HEARTBEAT_JITTER_FACTOR + core::PROBE_MARGIN_MS as f64 / 1000.0;
-        check_range("silence_s", self.heartbeat_timeout_s(), asked_first, 3_600.0)?;
+        // A machine must be probed before it counts as lost.
+        let probed_s =
+            heartbeat_s * core::HEARTBEAT_JITTER_FACTOR + core::PROBE_MARGIN_MS as f64 / 1000.0;
+        check_range("silence_s", self.heartbeat_timeout_s(), probed_s, 3_600.0)?;
         check_range("settle_s", tuning.reconcile_timeout_s, 3.0, 3_600.0)?;
         let moves = f64::from(tuning.balance.moves_per_minute);
         check_range("balance.moves_per_minute", moves, 1.0, c::MAX_MOVES_PER_MINUTE)?;
@@ -138,22 +139,23 @@
         Ok(())
     }
 
-    /// A cancelled task must have ended in time, whatever becomes of the leader.
+    /// Rejects leases under which a cancelled task could outlive `cancel_s` after the loss of the
+    /// leader.
     fn check_leases(&self) -> Result<(), SettingsError> {
         let lease_s = self.leader_lease_s();
         check_range("leader_lease_s", lease_s, c::MIN_LEADER_LEASE_MS as f64 / 1000.0, 600.0)?;
-        let (end, cancel_s) =
-            (lease_s + self.stopped_within_s(), self.platform.params.workers.cancel_s);
-        if end >= cancel_s {
+        let (end_s, cancel_s) =
+            (lease_s + self.max_task_end_s(), self.platform.params.workers.cancel_s);
+        if end_s >= cancel_s {
             let name = match self.tuning.leader_lease_s {
                 Some(_) => "leader_lease_s",
                 None => "params.workers.cancel_s",
             };
-            let why = format!(
-                "with a leader's lease of {lease_s:.1} s and the workers' lease_s a cancelled task \
-                 may end after {end:.1} s, params.workers.cancel_s allows {cancel_s} s"
+            let reason = format!(
+                "with a leader lease of {lease_s:.1} s and the workers' lease_s, a cancelled task \
+                 may run for up to {end_s:.1} s, but params.workers.cancel_s is {cancel_s} s"
             );
-            return refuse(name, why);
+            return reject(name, reason);
         }
         Ok(())
     }
--- a/crates/latchtrack/src/settings/mod.rs
+++ b/crates/latchtrack/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings: what the platform hands over (JSON) and what operators may tune (YAML).
+//! Settings: the platform's file (JSON) and the operators' file (YAML).
 
 mod check;
 mod platform;
@@ -23,29 +23,28 @@
 
 use crate::constants as c;
 
-/// Both files, checked.
+/// The contents of both settings files.
 #[derive(Clone, Debug, Serialize)]
 pub struct Settings {
-    /// What the platform hands over.
+    /// Settings provided by the platform.
     pub platform: Platform,
-    /// What operators tune.
+    /// Settings chosen by the operators.
     pub tuning: Tuning,
 }
 
-/// What follows from both files, for `check` to show.
+/// Values derived from the settings, shown by `latchtrack check`.
 #[derive(Debug, Serialize)]
 pub struct Derived {
-    /// Connections of users and workers that are served at once; more get 503.
+    /// Maximum number of connections from users and workers; any further ones get 503.
     pub connections: usize,
-    /// Direct calls of workers open at once.
+    /// Maximum number of concurrent direct calls to workers.
     pub direct_calls: usize,
-    /// Start objectives: ms within which the tasks of a class are to start, where that is less
-    /// than the fetch of an image takes.
+    /// Start objectives by class, in ms; only those too short to leave time for an image fetch.
     pub prompt_ms: BTreeMap<String, u64>,
 }
 
 impl Settings {
-    /// Reads and checks both files.
+    /// Reads and validates both files.
     pub fn load(config: &Path, operator: Option<&Path>) -> Result<Settings, SettingsError> {
         let read = |path: &Path| {
             std::fs::read_to_string(path)
@@ -60,13 +59,13 @@
         };
         let mut settings = Settings { platform, tuning };
         settings.check()?;
-        // So that what is shown is what takes effect.
+        // Fill in the derived values, so that `check` shows the effective settings.
         settings.tuning.heartbeat_timeout_s = Some(settings.heartbeat_timeout_s());
         settings.tuning.leader_lease_s = Some(settings.leader_lease_s());
         Ok(settings)
     }
 
-    /// What the scheduler needs of them.
+    /// Converts the settings to the scheduler's policy.
     pub fn policy(&self) -> Policy {
         let t = &self.tuning;
         let ms = |s: f64| (s * 1000.0) as u64;
@@ -118,9 +117,8 @@
         }
     }
 
-    /// Start objectives, in ms by class: of classes whose tasks are to start so soon that a fetch
-    /// of their image would miss it, each by its tightest objective. Objectives of minutes concern
-    /// the wait for machines, and are left out.
+    /// The tightest start objective of each class, if it is too short to leave time for an image
+    /// fetch. Objectives of minutes concern the wait for machines and are left out.
     fn start_objectives(&self) -> Vec<StartObjective> {
         let mut tightest: BTreeMap<&str, u64> = BTreeMap::new();
         for objective in &self.platform.params.objectives {
@@ -128,8 +126,8 @@
             let Some(ms) = start_ms.filter(|ms| *ms <= core::MAX_START_OBJECTIVE_MS) else {
                 continue;
             };
-            let least = tightest.entry(&objective.class).or_insert(ms);
-            *least = ms.min(*least);
+            let min_ms = tightest.entry(&objective.class).or_insert(ms);
+            *min_ms = ms.min(*min_ms);
         }
         let objective = |(class, within_ms): (&str, u64)| StartObjective {
             class: class.to_string(),
@@ -138,43 +136,43 @@
         tightest.into_iter().map(objective).collect()
     }
 
-    /// Heartbeat timeout in s: silence after which a machine is given up.
+    /// Time without a heartbeat after which a machine counts as lost, in s.
     pub fn heartbeat_timeout_s(&self) -> f64 {
-        let report_ms = (self.platform.params.workers.heartbeat_interval_s * 1000.0) as u64;
-        let derived = || Policy::default_heartbeat_timeout_ms(report_ms) as f64 / 1000.0;
+        let interval_ms = (self.platform.params.workers.heartbeat_interval_s * 1000.0) as u64;
+        let derived = || Policy::default_heartbeat_timeout_ms(interval_ms) as f64 / 1000.0;
         self.tuning.heartbeat_timeout_s.unwrap_or_else(derived)
     }
 
-    /// Direct calls open at once: half of the sockets that users and workers leave.
+    /// Maximum number of concurrent direct calls: half of the sockets not reserved for clients.
     fn max_open_calls(&self) -> usize {
         let free =
             self.platform.params.limits.max_sockets as f64 * (1.0 - c::CLIENT_SOCKET_FRACTION);
         ((free / 2.0) as usize).clamp(1, c::MAX_DIRECT_CALLS)
     }
 
-    /// s that the leader's lease lasts: as usual, or what the worker lease leaves of the time for
-    /// a cancellation, with some of it to spare.
+    /// Duration of the leader's lease, in s. Unless it is set, this is the default, limited to a
+    /// fraction of the cancellation time that the worker lease leaves.
     pub fn leader_lease_s(&self) -> f64 {
-        let left = self.platform.params.workers.cancel_s - self.stopped_within_s();
-        let [usual, least] = [c::LEADER_LEASE_MS, c::MIN_LEADER_LEASE_MS].map(|ms| ms as f64 / 1e3);
+        let left = self.platform.params.workers.cancel_s - self.max_task_end_s();
+        let [usual, min] = [c::LEADER_LEASE_MS, c::MIN_LEADER_LEASE_MS].map(|ms| ms as f64 / 1e3);
         self.tuning
             .leader_lease_s
-            .unwrap_or_else(|| usual.min(left * c::MAX_CANCEL_TIME_FRACTION).max(least))
+            .unwrap_or_else(|| usual.min(left * c::MAX_CANCEL_TIME_FRACTION).max(min))
     }
 
-    /// s until a task has surely ended after the last heartbeat that a leader answered. A leader
-    /// that can't see cancellations answers heartbeats for its lease at most, and the tasks then
-    /// run for the worker lease at most.
-    fn stopped_within_s(&self) -> f64 {
+    /// Time in s within which a task ends after the last heartbeat of its worker that a leader
+    /// answered. A leader that can't see cancellations answers heartbeats until its lease expires,
+    /// and the tasks then run until the worker lease expires.
+    fn max_task_end_s(&self) -> f64 {
         self.platform.params.workers.lease_s * c::CLOCK_DRIFT_FACTOR + c::TASK_KILL_S
     }
 
-    /// Connections of users and workers that are served at once.
+    /// Maximum number of connections from users and workers.
     pub fn max_connections(&self) -> usize {
         (self.platform.params.limits.max_sockets as f64 * c::CLIENT_SOCKET_FRACTION) as usize
     }
 
-    /// What follows from the settings.
+    /// The values derived from the settings.
     pub fn derived(&self) -> Derived {
         Derived {
             connections: self.max_connections(),
@@ -187,12 +185,12 @@
         }
     }
 
-    /// ms that the leader's lease lasts.
+    /// Duration of the leader's lease, in ms.
     pub fn leader_lease_ms(&self) -> u64 {
         (self.leader_lease_s() * 1000.0) as u64
     }
 
-    /// Nodes of the service, this one included.
+    /// Number of nodes of the service, including this one.
     pub fn node_count(&self) -> usize {
         self.platform.peers.len() + 1
     }
--- a/crates/latchtrack/src/settings/platform.rs
+++ b/crates/latchtrack/src/settings/platform.rs
@@ -1,12 +1,12 @@
-//! What the platform hands over: the JSON file. Fields without a name of their own in the file
-//! have their Rust name there.
+//! The platform's settings, a JSON file. Where a key of the file differs from the field name, the
+//! field has a serde rename.
 
 use std::net::SocketAddr;
 
 use latchtrack_core::scheduler::{CompletionObjective, Due};
 use serde::{Deserialize, Serialize};
 
-/// The platform's file. Unknown fields are ignored.
+/// The platform's settings file. Unknown keys are ignored.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Platform {
     /// Name of this node.
@@ -14,36 +14,36 @@
     /// Zone of this node.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where users and workers connect.
+    /// Address on which connections from users and workers are accepted.
     pub bind: SocketAddr,
-    /// Where other nodes connect.
+    /// Address on which connections from other nodes are accepted.
     pub peer_bind: SocketAddr,
     /// The other nodes.
     #[serde(rename = "others")]
     pub peers: Vec<Peer>,
-    /// The services that this one needs.
+    /// External services that the node depends on.
     #[serde(rename = "external")]
     pub services: Services,
     /// Parameters of the deployment.
     pub params: Params,
 }
 
-/// Another node.
+/// Another node of the service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the node.
     pub node_name: String,
-    /// Where it accepts connections of nodes.
+    /// Address on which it accepts connections from other nodes.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
 
-/// Addresses of the services.
+/// Addresses of the external services.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Services {
-    /// The cloud.
+    /// API of the cloud that provisions machines.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Key-value store that holds all persistent state.
     pub state: SocketAddr,
 }
 
@@ -52,65 +52,67 @@
 pub struct Params {
     /// Zones in which machines may be provisioned.
     pub zones: Vec<String>,
-    /// The teams that may submit jobs.
+    /// Teams that may submit jobs.
     pub teams: Vec<TeamParams>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times of the workers.
+    /// Intervals and timeouts of the workers.
     pub workers: WorkerParams,
     /// Limits of the state service.
     pub state: StateParams,
     /// Limits of the cloud.
     pub cloud: CloudParams,
-    /// What this node may use.
+    /// Resources that this node may use.
     #[serde(rename = "machine_limits")]
     pub limits: NodeLimits,
 }
 
-/// A team. What is left out is 0; a limit of 0 is none.
+/// A team's guarantee and limit. Missing amounts are 0, and a limit of 0 means no limit.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct TeamParams {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// CPUs of its guarantee.
+    /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// CPUs of its limit.
+    /// Limit on the CPUs in use.
     #[serde(default)]
     pub cpus_max: f64,
-    /// GPUs of its guarantee.
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// GPUs of its limit.
+    /// Limit on the GPUs in use.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// A service-level objective; those of unknown kinds are ignored.
+/// A service-level objective. Objectives of unknown kinds are ignored.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Objective {
     /// `wait`, `finished` or `deadline`.
     pub kind: String,
-    /// The workload class that it is for.
+    /// Workload class that the objective applies to.
     #[serde(default)]
     pub class: String,
-    /// s within which tasks are to start (`wait`) or jobs to be done (`finished`).
+    /// Time in s within which tasks must start (`wait`) or jobs must complete (`finished`).
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Multiple of its estimated time within which a job is to be done (`deadline`).
+    /// Multiple of its estimated duration within which a job must complete (`deadline`).
     #[serde(default)]
     pub times: Option<f64>,
 }
 
 impl Objective {
-    /// Within how many ms the tasks of its class are to start, if it is of this kind.
+    /// Time in ms within which tasks of the class must start; `None` unless the kind is `wait` and
+    /// the time is positive.
     pub(super) fn start_within_ms(&self) -> Option<u64> {
         let s = self.within_s.filter(|s| self.kind == "wait" && *s > 0.0)?;
         Some((s * 1000.0) as u64)
     }
 
-    /// By when the jobs of its class are to be done, if it is of such a kind.
+    /// Time limit for the jobs of the class; `None` unless the kind is `finished` or `deadline` and
+    /// its value is positive.
     pub(super) fn completion_objective(&self) -> Option<CompletionObjective> {
         let due = match (self.kind.as_str(), self.within_s, self.times) {
             ("finished", Some(s), _) if s > 0.0 => Due::Within((s * 1000.0) as u64),
@@ -121,78 +123,79 @@
     }
 }
 
-/// Times of the workers.
+/// Intervals and timeouts of the workers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WorkerParams {
-    /// s between two heartbeats.
+    /// Interval between two heartbeats, in s.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// s of the worker lease.
+    /// Duration of the worker lease, in s.
     pub lease_s: f64,
-    /// s within which the tasks of a cancelled job must have ended.
+    /// Time within which the tasks of a cancelled job must have ended, in s.
     pub cancel_s: f64,
-    /// s a task of a gang waits for the other tasks of its attempt.
+    /// Time that a task of a gang waits for the other tasks of its attempt, in s.
     #[serde(default)]
     pub gang_wait_s: Option<f64>,
-    /// s within which the tasks of a gang notice that one is gone, or must all get a stop.
+    /// Time in s within which the tasks of a gang notice the loss of one of them. A stop must reach
+    /// all of them within this time.
     #[serde(default)]
     pub gang_peer_s: Option<f64>,
 }
 
-/// The limits of the state service.
+/// Limits of the state service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StateParams {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Changes per second.
     pub write_rps: f64,
-    /// KiB of a value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes of a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// The limits that it will have from some moment on, without notice.
+    /// Limits that will take effect at some later time, without further notice.
     #[serde(default)]
     pub next: Option<NextStateParams>,
 }
 
-/// Limits of the state service that are to come; what is left out stays as it is.
+/// Future limits of the state service; a missing one stays at its current value.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct NextStateParams {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: Option<f64>,
-    /// Changes a second.
+    /// Changes per second.
     pub write_rps: Option<f64>,
-    /// KiB of a value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: Option<f64>,
-    /// Changes of a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl StateParams {
-    /// Bytes of a value that the service takes now and later.
+    /// Maximum size of a value under both the current and the future limits, in bytes.
     pub fn value_bytes(&self) -> usize {
         let next = self.next.as_ref().and_then(|next| next.value_kb);
         (lower(self.value_kb, next) * 1024.0) as usize
     }
 
-    /// Changes of a transaction that the service takes now and later.
+    /// Maximum number of changes in a transaction under both the current and the future limits.
     pub fn txn_ops(&self) -> usize {
         lower(self.txn_ops, self.next.as_ref().and_then(|next| next.txn_ops))
     }
 
-    /// Changes a second that the service takes once its limits are lowered.
+    /// Changes per second that are allowed under both the current and the future limits.
     pub fn lower_write_rps(&self) -> f64 {
         lower(self.write_rps, self.next.as_ref().and_then(|next| next.write_rps))
     }
 
-    /// Requests a second that the service takes once its limits are lowered.
+    /// Requests per second that are allowed under both the current and the future limits.
     pub fn lower_rps(&self) -> f64 {
         lower(self.rps, self.next.as_ref().and_then(|next| next.rps))
     }
 }
 
-/// The smaller of a limit as it is now and as it will be.
+/// The lower of the current and the future value of a limit.
 fn lower<T: PartialOrd>(now: T, next: Option<T>) -> T {
     match next {
         Some(next) if next < now => next,
@@ -203,19 +206,19 @@
 /// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct CloudParams {
-    /// Calls a second.
+    /// Calls per second.
     pub rps: f64,
-    /// s by which its list of machines may be behind.
+    /// Time by which the machine list may lag behind the actual state, in s.
     pub list_lag_s: f64,
 }
 
-/// What this node may use.
+/// Resources that this node may use.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct NodeLimits {
-    /// CPUs.
+    /// CPU cores; may be a fraction.
     pub cpu: f64,
-    /// MB of memory.
+    /// Memory, in MB.
     pub mem_mb: f64,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
 }
--- a/crates/latchtrack/src/settings/quota.rs
+++ b/crates/latchtrack/src/settings/quota.rs
@@ -1,24 +1,26 @@
-//! Which cell this deployment is, where several share the teams' limits.
+//! Settings of a deployment that is one of several cells sharing the teams' limits.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-use super::check::{refuse, SettingsError};
+use super::check::{reject, SettingsError};
 use super::Settings;
 use crate::constants as c;
 
-/// The cell of this deployment and all cells that share its teams.
+/// This deployment's cell and all cells that share its teams.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaTuning {
-    /// The name of this cell. Its keys in the state service lie under it.
+    /// Name of this cell, which is part of the prefix of its keys in the state service.
     pub cell: String,
-    /// All cells, this one included; they divide the rates of the state service among them.
+    /// Names of all cells, including this one. They share the rate limits of the state service
+    /// equally.
     pub cells: Vec<String>,
 }
 
-/// Whether a name can be part of a key of the state service.
+/// Whether a name can be part of a key in the state service: not empty, at most `max_bytes` long
+/// and free of slashes, whitespace and control characters.
 fn is_key_part(name: &str, max_bytes: usize) -> bool {
     !name.is_empty()
         && name.len() <= max_bytes
@@ -26,12 +28,12 @@
 }
 
 impl Settings {
-    /// Cells that share the state service.
+    /// Number of cells that share the state service, 1 if none are configured.
     pub fn cell_count(&self) -> usize {
         self.tuning.quota.as_ref().map_or(1, |quota| quota.cells.len())
     }
 
-    /// The prefix of this deployment's own keys in the state service.
+    /// Prefix of this deployment's own keys in the state service; empty without cells.
     pub fn key_prefix(&self) -> String {
         match &self.tuning.quota {
             Some(quota) => format!("{}{}/", c::CELLS_PREFIX, quota.cell),
@@ -39,53 +41,60 @@
         }
     }
 
-    /// Refuses cells that could not work together, by name.
+    /// Rejects cells that could not work together.
     pub(super) fn check_quota(&self) -> Result<(), SettingsError> {
         let Some(quota) = &self.tuning.quota else { return Ok(()) };
         for (field, name) in std::iter::once(("quota.cell", &quota.cell))
             .chain(quota.cells.iter().map(|name| ("quota.cells", name)))
         {
             if !is_key_part(name, c::MAX_CELL_NAME_BYTES) {
-                return refuse(
+                return reject(
                     field,
-                    format!("{name:?} must be 1 to 64 bytes without spaces and slashes"),
+                    format!(
+                        "{name:?} must have 1 to 64 bytes and no slashes, whitespace or control \
+                         characters"
+                    ),
                 );
             }
         }
         let names: BTreeSet<&String> = quota.cells.iter().collect();
         if names.len() != quota.cells.len() {
-            return refuse("quota.cells", "names a cell twice");
+            return reject("quota.cells", "lists a cell twice");
         }
         if !names.contains(&quota.cell) {
-            return refuse("quota.cells", format!("lacks this cell, {}", quota.cell));
+            return reject("quota.cells", format!("lacks this cell, {}", quota.cell));
         }
         let state = &self.platform.params.state;
         if state.txn_ops() < c::CAMPAIGN_CHANGES {
-            return refuse("params.state.txn_ops", "must be at least 3 where cells share teams");
+            return reject("params.state.txn_ops", "must be at least 3 where cells share teams");
         }
-        let accounts = quota.cells.iter().map(|name| name.len() + c::ALLOTMENT_BYTES);
-        let bytes = c::LEDGER_BYTES + accounts.sum::<usize>();
+        let allotments = quota.cells.iter().map(|name| name.len() + c::ALLOTMENT_BYTES);
+        let bytes = c::LEDGER_BYTES + allotments.sum::<usize>();
         if bytes > state.value_bytes() {
-            let most = state.value_bytes();
-            return refuse(
+            let max_bytes = state.value_bytes();
+            return reject(
                 "quota.cells",
-                format!("a team's value may take {bytes} bytes, {most} at most"),
+                format!("a team's ledger may take {bytes} bytes, at most {max_bytes} are allowed"),
             );
         }
         self.check_shared_teams()
     }
 
+    /// Rejects teams whose name can't be part of a key, or whose limit is below their guarantee.
     fn check_shared_teams(&self) -> Result<(), SettingsError> {
         for team in &self.platform.params.teams {
             let name = &team.name;
             if !is_key_part(name, c::MAX_TEAM_NAME_BYTES) {
-                return refuse("params.teams", format!("{name:?} can't be part of a key"));
+                return reject(
+                    "params.teams",
+                    format!("the team name {name:?} can't be part of a key"),
+                );
             }
             let is_below = |limit: f64, guarantee: f64| limit > 0.0 && limit < guarantee;
             if is_below(team.cpus_max, team.cpus) || is_below(team.gpus_max, team.gpus) {
-                return refuse(
+                return reject(
                     "params.teams",
-                    format!("the limit of {name} is below its guarantee"),
+                    format!("the limit of team {name} is below its guarantee"),
                 );
             }
         }
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -1,4 +1,4 @@
-//! What operators may tune.
+//! The operators' settings, a YAML file.
 
 use latchtrack_balance::{balancer, constants as balance};
 use latchtrack_core::constants as core;
@@ -7,67 +7,68 @@
 
 use super::quota::QuotaTuning;
 
-/// The operators' file: every key optional, unknown keys refused.
+/// The operators' settings file. Every key is optional; unknown keys are rejected.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
-    /// Weight of free cores in a machine's score; the weight of memory is what is left of 1.
+    /// Weight of free CPUs in a machine's score, from 0 to 1; the weight of memory is 1 - `alpha`.
     pub alpha: f64,
-    /// Weight of free GPUs.
+    /// Weight of free GPUs in a machine's score.
     pub gamma: f64,
-    /// Tasks of a job that start together.
+    /// Number of tasks of a job that are started together.
     pub slice: u32,
-    /// s after which an idle spot machine is terminated.
+    /// Time after which an idle spot machine is terminated, in s.
     #[serde(rename = "idle_wait_s")]
     pub spot_idle_timeout_s: f64,
-    /// s after which an idle on-demand machine, which is dearer, is terminated.
+    /// Time after which an idle on-demand machine, which costs more, is terminated, in s.
     #[serde(rename = "ordinary_idle_wait_s")]
     pub on_demand_idle_timeout_s: f64,
-    /// s for which a job may find no capacity before capacity is reserved for it.
+    /// Time in s that a job waits for capacity before capacity is reserved for it.
     #[serde(rename = "pass_over_s")]
     pub reserve_after_s: f64,
-    /// s for which a job must find no capacity before a spot machine is provisioned for it.
+    /// Time in s that a job waits for capacity before a spot machine is provisioned for it.
     #[serde(rename = "spot_after_s")]
     pub spot_provision_delay_s: f64,
-    /// s for which a job must find no capacity before an on-demand machine is provisioned for it.
+    /// Time in s that a job waits for capacity before an on-demand machine is provisioned for it.
     #[serde(rename = "ordinary_after_s")]
     pub on_demand_provision_delay_s: f64,
-    /// Heartbeat timeout in s; derived from `report_s` if not set.
+    /// Time without a heartbeat after which a machine counts as lost, in s. Derived from the
+    /// heartbeat interval if not set.
     #[serde(rename = "silence_s")]
     pub heartbeat_timeout_s: Option<f64>,
-    /// s that a new leader waits for an unreconciled machine.
+    /// Time that a new leader waits for the first heartbeat of an unreconciled machine, in s.
     #[serde(rename = "settle_s")]
     pub reconcile_timeout_s: f64,
-    /// s that the leader's lease lasts; if not set 3, or what the worker lease leaves of
-    /// `cancel_s`.
+    /// Duration of the leader's lease, in s. The default is 3, or less if the worker lease leaves
+    /// less of `cancel_s`.
     pub leader_lease_s: Option<f64>,
-    /// Load balancing.
+    /// Load balancing, which is off by default.
     pub balance: BalanceTuning,
-    /// The cells that share the teams' limits; without it this deployment shares them with none.
+    /// Cells that share the teams' limits; `None` if this deployment is the only cell.
     pub quota: Option<QuotaTuning>,
 }
 
-/// What of load balancing is switched on: see docs/balance.md.
+/// Load balancing features and limits; see docs/balance.md.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BalanceTuning {
-    /// Weighs the fetch of an image against a loaded machine when a task is placed.
+    /// Whether task placement weighs the cost of an image fetch against the load of a machine.
     pub placement: bool,
-    /// Puts jobs of a team that uses more than its share behind those of others.
+    /// Whether jobs of a team that exceeds its share are queued behind those of other teams.
     pub teams: bool,
-    /// Moves running tasks that save checkpoints off loaded machines.
+    /// Whether running tasks that save checkpoints are moved off overloaded machines.
     pub moves: bool,
-    /// Moves that may begin in a minute.
+    /// Maximum number of moves started per minute.
     pub moves_per_minute: u32,
-    /// s a machine must be over the bound before a task of it moves.
+    /// Time for which a machine must exceed the load bound before a task is moved off it, in s.
     pub over_bound_s: f64,
-    /// s a task must have run before it may be moved.
+    /// Time that a task must have run before it may be moved, in s.
     pub min_run_s: f64,
-    /// s between two moves of the same task.
+    /// Minimum time between two moves of the same task, in s.
     pub task_cooldown_s: f64,
-    /// s between two moves from or to the same machine.
+    /// Minimum time between two moves from or to the same machine, in s.
     pub machine_gap_s: f64,
-    /// s after a failover in which nothing moves.
+    /// Time after a failover during which no moves are started, in s.
     #[serde(rename = "calm_s")]
     pub delay_after_failover_s: f64,
 }
@@ -90,7 +91,7 @@
 }
 
 impl BalanceTuning {
-    /// What the scheduler needs of them.
+    /// Converts the settings to the scheduler's balance policy.
     pub(super) fn policy(&self) -> BalancePolicy {
         let ms = |s: f64| (s * 1000.0) as u64;
         let limits = balancer::MoveLimits {
@@ -133,7 +134,7 @@
     }
 }
 
-/// Reads the operators' YAML; an empty file changes nothing.
+/// Parses the operators' settings file. An empty file yields the defaults.
 pub fn parse_tuning(text: &str) -> Result<Tuning, serde_yaml_ng::Error> {
     let tuning: Option<Tuning> = serde_yaml_ng::from_str(text)?;
     Ok(tuning.unwrap_or_default())
