--- a/crates/latchtrack/src/http/mod.rs
+++ b/crates/latchtrack/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface: users and workers speak to the same port.
+//! The HTTP interface; users and workers connect to the same port.
 
 pub mod server;
 pub mod users;
@@ -21,31 +21,31 @@
 use crate::wire::peers::{Answer, PeerRequest};
 use crate::wire::users::ErrorAnswer;
 
-/// Whether there are other nodes of the service.
+/// Whether the service has several nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
     /// This is the only node.
     SingleNode,
-    /// There are others.
-    ManyNodes,
+    /// There are other nodes.
+    MultiNode,
 }
 
-/// The actors that the handlers speak to.
+/// State shared by the request handlers.
 #[derive(Clone)]
 pub struct AppState {
-    /// Answers queries.
+    /// Looks up jobs.
     pub cache: Addr<JobCache>,
-    /// Takes submissions and cancellations.
+    /// Handles submissions and cancellations.
     pub admission: Addr<Admission>,
-    /// Takes heartbeats.
+    /// Handles heartbeats.
     pub scheduler: Addr<SchedulerDriver>,
-    /// Forwards requests.
+    /// Forwards requests to other nodes.
     pub peers: Addr<Peers>,
-    /// Whether there are other nodes.
+    /// Whether the service has several nodes.
     pub deployment: Deployment,
 }
 
-/// The routes.
+/// Registers the routes of users and workers.
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/api/jobs", web::post().to(users::submit))
@@ -55,8 +55,8 @@
         .route("/v1/report", web::post().to(workers::heartbeat));
 }
 
-/// Reads a body of bounded size in bounded time: one that does not come would hold its
-/// connection's place for ever. An oversized one is answered with 413 and its connection closed.
+/// Reads a request body with limits on its size and time, since a body that never arrives would
+/// occupy a connection forever. Exceeding a limit yields 413 or 408 and closes the connection.
 async fn read_body(payload: web::Payload) -> Result<Vec<u8>, HttpResponse> {
     match tokio::time::timeout(BODY_TIMEOUT, collect_body(payload)).await {
         Ok(body) => body,
@@ -80,19 +80,19 @@
     Ok(body)
 }
 
-/// An error with its reason.
+/// Creates an error response with the reason in its JSON body.
 fn error_response(status: StatusCode, reason: &str) -> HttpResponse {
     HttpResponse::build(status).json(ErrorAnswer { error: reason })
 }
 
-/// 503: not possible now; says when to try again.
+/// Creates a response with status 503 and `Retry-After`.
 fn unavailable(reason: &str) -> HttpResponse {
     HttpResponse::ServiceUnavailable()
         .insert_header((RETRY_AFTER, RETRY_AFTER_S.to_string()))
         .json(ErrorAnswer { error: reason })
 }
 
-/// Has another node answer; None if none does.
+/// Forwards a request to another node and returns its answer; `None` if no node answers.
 async fn forward(
     app: &AppState,
     target: ForwardTarget,
@@ -106,7 +106,7 @@
     Some(response.content_type("application/json").body(answer.body))
 }
 
-/// What this node sees, for an operator.
+/// Responds with this node's view of itself and of the cluster, for operators.
 async fn describe_node(app: &AppState) -> HttpResponse {
     let is_served = users::is_served(app).await;
     match app.scheduler.send(DescribeNode { is_served }).await {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Answers what another node has forwarded; never forwards it again.
+/// Answers a request forwarded by another node, without forwarding it again.
 pub async fn answer_forwarded(app: &AppState, request: PeerRequest) -> Answer {
     let response = match request {
         PeerRequest::Heartbeat(bytes) => workers::answer_forwarded(app, &bytes).await,
--- a/crates/latchtrack/src/http/server.rs
+++ b/crates/latchtrack/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serves connections on the one thread, up to a bound.
+//! HTTP server on a single thread, with a limit on the number of connections.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,9 +18,9 @@
     REFUSAL_TIMEOUT, REQUEST_HEAD_TIMEOUT, RETRY_AFTER_S,
 };
 
-/// Accepts until the process ends. Beyond `max_connections` a connection is refused at once and
-/// closed: if it were left to wait until another one is closed, users and workers would learn
-/// nothing.
+/// Accepts connections until the process ends. Connections beyond `max_connections` are answered
+/// with 503 and closed, because clients left waiting for a free slot could not tell that the node
+/// is overloaded.
 pub async fn serve(listener: TcpListener, app: AppState, max_connections: usize) {
     let app = App::new().app_data(web::Data::new(app)).configure(routes);
     let factory = HttpService::build()
@@ -29,17 +29,17 @@
         .h1(map_config(app.into_factory(), |()| AppConfig::default()))
         .tcp();
     let Ok(service) = factory.new_service(()).await else {
-        tracing::error!("HTTP service can't be created");
+        tracing::error!("failed to create the HTTP service");
         return;
     };
     let service = Rc::new(service);
-    let free = Arc::new(Semaphore::new(max_connections));
+    let free_slots = Arc::new(Semaphore::new(max_connections));
     let refusing = Arc::new(Semaphore::new(MAX_OPEN_REFUSALS));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                let Ok(permit) = free.clone().try_acquire_owned() else {
+                let Ok(permit) = free_slots.clone().try_acquire_owned() else {
                     let Ok(permit) = refusing.clone().acquire_owned().await else { return };
                     actix_rt::spawn(async move {
                         refuse(stream).await;
@@ -50,21 +50,21 @@
                 let service = service.clone();
                 actix_rt::spawn(async move {
                     if let Err(error) = service.call(stream).await {
-                        tracing::debug!(?error, "connection ended");
+                        tracing::debug!(?error, "connection closed with an error");
                     }
                     drop(permit);
                 });
             }
             Err(error) => {
-                tracing::debug!(%error, "accept failed");
+                tracing::debug!(%error, "failed to accept a connection");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Answers any request with 503 and closes the connection. It reads first, so that the answer is
-/// not lost with what was not read.
+/// Answers any request with 503 and closes the connection. It reads before and after, because
+/// closing a connection with unread data resets it, which can discard the response.
 async fn refuse(mut stream: TcpStream) {
     let answer = format!(
         "HTTP/1.1 503 Service Unavailable\r\nRetry-After: {RETRY_AFTER_S}\r\nContent-Length: 0\r\n\
--- a/crates/latchtrack/src/http/users.rs
+++ b/crates/latchtrack/src/http/users.rs
@@ -1,4 +1,4 @@
-//! Requests of users: submit, query, cancel; and readiness.
+//! Handlers for user requests (submit, query, cancel) and the readiness check.
 
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpResponse};
@@ -14,7 +14,8 @@
 use crate::wire::records::Record;
 use crate::wire::users::{parse_id, parse_job, JobAnswer, JobState, SubmissionError};
 
-/// `POST /api/jobs`: 201 for a new job, 200 with its state for one that is known.
+/// `POST /api/jobs`: submits a job. Responds with 201 if it is new, and with 200 and its state if
+/// its id is known.
 pub async fn submit(app: web::Data<AppState>, payload: web::Payload) -> HttpResponse {
     match read_body(payload).await {
         Ok(bytes) => answer(&app, PeerRequest::Submit(bytes)).await,
@@ -22,22 +23,22 @@
     }
 }
 
-/// `GET /api/jobs/{id}`: the state of a job and how many of its tasks are done and run.
+/// `GET /api/jobs/{id}`: returns the state of a job and how many of its tasks are done and running.
 pub async fn query(app: web::Data<AppState>, id: web::Path<String>) -> HttpResponse {
     answer(&app, PeerRequest::Query(id.into_inner())).await
 }
 
-/// `POST /api/jobs/{id}/withdraw`: cancels a job, unless it is done.
+/// `POST /api/jobs/{id}/withdraw`: cancels a job unless it is done, and returns its state.
 pub async fn cancel(app: web::Data<AppState>, id: web::Path<String>) -> HttpResponse {
     answer(&app, PeerRequest::Cancel(id.into_inner())).await
 }
 
-/// `GET /ready`: whether requests may be sent to this node.
+/// `GET /ready`: responds with 200 if this node can handle requests, otherwise with 503.
 pub async fn ready(app: web::Data<AppState>) -> HttpResponse {
     let is_loaded = app.cache.send(IsLoaded).await.unwrap_or(false);
     let is_admitting = app.admission.send(IsReady).await.unwrap_or(false);
-    // A node that is not served by the state service and has no other node to forward requests to
-    // is left to its peers to replace. If none is served, they hear each other and stay.
+    // A node that can neither reach the state service nor forward requests to a peer reports that
+    // it is not ready. If no node can reach it, all stay ready while they are connected.
     let is_useful = is_served(&app).await
         || app.peers.send(HasConnectedPeers).await.unwrap_or(false)
         || app.deployment == Deployment::SingleNode;
@@ -53,18 +54,18 @@
     app.cache.send(IsServed).await.unwrap_or(false)
 }
 
-/// Answers here, or has another node answer if the state service does not serve this one.
+/// Answers a request, or forwards it if the state service does not serve this node.
 async fn answer(app: &AppState, request: PeerRequest) -> HttpResponse {
     if !is_served(app).await {
         if let Some(answer) = forward(app, ForwardTarget::AnyServed, request.clone()).await {
             return answer;
         }
-        // No node is served, or none is there: what can be said here is said at once.
+        // No served node answered, so this node responds as far as it can.
     }
     answer_locally(app, request).await
 }
 
-/// Answers a user's request by this node alone.
+/// Answers a user's request without forwarding it.
 pub async fn answer_locally(app: &AppState, request: PeerRequest) -> HttpResponse {
     let response = match request {
         PeerRequest::Submit(bytes) => submit_locally(app, &bytes).await,
@@ -74,7 +75,7 @@
             Err(error_response(StatusCode::BAD_REQUEST, "not a user's request"))
         }
     };
-    response.unwrap_or_else(|refusal| refusal)
+    response.unwrap_or_else(|error| error)
 }
 
 fn job_state(view: &JobView) -> JobState {
@@ -86,7 +87,7 @@
     }
 }
 
-/// Looks a job up; Err is the answer when the state service can't be asked.
+/// Looks up a job. If the lookup fails, the error is the response to send.
 async fn look_up(
     app: &AppState,
     id: JobId,
@@ -109,7 +110,7 @@
 async fn submit_locally(app: &AppState, bytes: &[u8]) -> Result<HttpResponse, HttpResponse> {
     let (id, fields) = parse_id(bytes)
         .map_err(|error| error_response(StatusCode::BAD_REQUEST, &error.to_string()))?;
-    // A known id is answered with its state, whatever else the body says.
+    // A known id is answered with the job's state, whatever the other fields contain.
     if look_up(app, id, Freshness::Cached).await?.is_some() {
         if let Some(view) = look_up(app, id, Freshness::Current).await? {
             return Ok(known_job(id, &view));
@@ -138,7 +139,8 @@
             Err(_) => return Err(unavailable("too many requests")),
         },
     };
-    // Refused only if no node has accepted it before.
+    // The cached lookup may have missed a job that another node accepted, so look again before
+    // rejecting the submission.
     match look_up(app, id, Freshness::Current).await? {
         Some(view) => Ok(known_job(id, &view)),
         None => Err(error_response(status, &reason)),
--- a/crates/latchtrack/src/http/workers.rs
+++ b/crates/latchtrack/src/http/workers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers.
+//! Handlers for worker heartbeats.
 
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpResponse};
@@ -9,8 +9,8 @@
 use crate::wire::peers::PeerRequest;
 use crate::wire::workers::{parse_heartbeat, CommandDto, HeartbeatAnswer, Redirect};
 
-/// `POST /v1/report`: a worker's heartbeat. The leader answers with commands; another node with
-/// 421 and the leader's name, or has the heartbeat forwarded for a worker that can't reach the
+/// `POST /v1/report`: handles a worker's heartbeat. The leader responds with commands. Another node
+/// responds with 421 and the leader's name, or forwards the heartbeat if the worker can't reach the
 /// leader.
 pub async fn heartbeat(app: web::Data<AppState>, payload: web::Payload) -> HttpResponse {
     let bytes = match read_body(payload).await {
@@ -19,9 +19,9 @@
     };
     let response = match handle_heartbeat(&app, &bytes, HeartbeatRoute::Direct).await {
         Ok(response) => response,
-        Err(refusal) => return refusal,
+        Err(response) => return response,
     };
-    // An answer with the leader's token counts from any node.
+    // Workers accept commands with the leader's token from any node.
     if let HeartbeatResponse::ForwardTo(leader) = response {
         let target = ForwardTarget::Node(leader);
         let answer = forward(&app, target, PeerRequest::Heartbeat(bytes)).await;
@@ -30,22 +30,23 @@
     http_response(response)
 }
 
-/// Answers a heartbeat that another node has forwarded.
+/// Answers a heartbeat forwarded by another node.
 pub async fn answer_forwarded(app: &AppState, bytes: &[u8]) -> HttpResponse {
     match handle_heartbeat(app, bytes, HeartbeatRoute::Forwarded).await {
         Ok(response) => http_response(response),
-        Err(refusal) => refusal,
+        Err(response) => response,
     }
 }
 
-/// What the scheduler driver says to a heartbeat, or the refusal of one that can't be parsed.
+/// Passes a heartbeat to the scheduler driver. If it can't be parsed, the error is the response to
+/// send.
 async fn handle_heartbeat(
     app: &AppState,
     bytes: &[u8],
     route: HeartbeatRoute,
 ) -> Result<HeartbeatResponse, HttpResponse> {
     let heartbeat = parse_heartbeat(bytes).map_err(|error| {
-        tracing::debug!(%error, "heartbeat refused");
+        tracing::debug!(%error, "rejected a malformed heartbeat");
         error_response(StatusCode::BAD_REQUEST, &error.to_string())
     })?;
     let response = app.scheduler.send(HeartbeatReceived { heartbeat, route }).await;
@@ -59,13 +60,13 @@
             HttpResponse::Ok().json(HeartbeatAnswer { token, commands })
         }
         HeartbeatResponse::LeaderElsewhere(leader) => redirect(leader.as_deref()),
-        // It was forwarded once already.
+        // The heartbeat was already forwarded once.
         HeartbeatResponse::ForwardTo(_) => redirect(None),
         HeartbeatResponse::NotReady => unavailable("not entitled to act now"),
     }
 }
 
-/// 421: another node leads.
+/// Creates a response with status 421 and the leader's name, if it is known.
 fn redirect(leader: Option<&str>) -> HttpResponse {
     HttpResponse::build(StatusCode::MISDIRECTED_REQUEST).json(Redirect { leader })
 }
--- a/crates/latchtrack/src/node.rs
+++ b/crates/latchtrack/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: starts the actors and connects them.
+//! Startup of a node: binds its sockets, and starts and connects its actors.
 
 use std::sync::Arc;
 
@@ -20,24 +20,24 @@
 use crate::http::{answer_forwarded, server, AppState, Deployment};
 use crate::settings::Settings;
 
-/// Why a node can't be started.
+/// Error while starting a node.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// A socket can't be bound.
     #[error("{0}")]
     Socket(#[from] std::io::Error),
-    /// The node may not lead the cell that its settings name.
+    /// The node can't lead the cell configured in its settings.
     #[error("quota.cell: {cell}: {source}")]
     Cell {
         /// Name of the cell.
         cell: String,
-        /// Why not.
+        /// Cause.
         source: CellError,
     },
 }
 
-/// Refuses a cell's name that another cloud's controllers use. If the state service can't be
-/// asked, that is left to the check before each campaign.
+/// Rejects a cell name that is in use by controllers of another cloud. If the state service is
+/// unavailable, this is left to the same check before each campaign.
 async fn check_cell(settings: &Settings) -> Result<(), StartError> {
     let Some(cell) = Cell::of(settings) else { return Ok(()) };
     let store = Store::new(settings).start();
@@ -56,7 +56,7 @@
     Ok(())
 }
 
-/// Runs a node on sockets that are bound already, until the process ends.
+/// Runs a node on sockets that are already bound, until the process ends.
 pub async fn serve(settings: Settings, users: TcpListener, peers: TcpListener) {
     tracing::info!(node = settings.platform.node_name, "node serving");
     let app = start_actors(&settings, peers);
@@ -105,7 +105,7 @@
     let deployment = if settings.platform.peers.is_empty() {
         Deployment::SingleNode
     } else {
-        Deployment::ManyNodes
+        Deployment::MultiNode
     };
     let app = AppState { cache, admission, scheduler, peers, deployment };
     app.peers.do_send(ServePeers {
