--- a/crates/latchtrack/src/wire/cloud.rs
+++ b/crates/latchtrack/src/wire/cloud.rs
@@ -1,22 +1,22 @@
-//! Messages between nodes and the cloud.
+//! Messages between nodes and the cloud API.
 
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::ListedMachine;
 use serde::{Deserialize, Serialize};
 
-/// The error of an answer with status 503 that says that there are no such machines now; with any
-/// other one nothing was executed.
+/// Error text of a 503 response that means that no such machines are available at the moment. With
+/// any other text, the request was not executed.
 pub const NO_CAPACITY: &str = "no capacity";
 
-/// The machine types and prices.
+/// Response with the machine types and prices.
 #[derive(Deserialize)]
 pub struct TypesAnswer {
-    /// All types.
+    /// All machine types.
     #[serde(rename = "builds")]
     pub types: Vec<TypeDto>,
 }
 
-/// A machine type. Amounts of memory and disk are in GB, prices in money an hour.
+/// A machine type. Memory and disk are in GB, prices per hour.
 #[derive(Deserialize)]
 pub struct TypeDto {
     #[serde(rename = "sku")]
@@ -56,56 +56,56 @@
     }
 }
 
-/// Asks for machines.
+/// Request for new machines.
 #[derive(Serialize)]
 pub struct ProvisionRequest<'a> {
-    /// Id of the request: a repeated one gets the same machines.
+    /// Id of the request; repeating a request with the same id returns the same machines.
     #[serde(rename = "hire")]
     pub request: &'a str,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: &'a str,
-    /// Zone.
+    /// Zone to provision them in.
     #[serde(rename = "yard")]
     pub zone: &'a str,
     /// Whether the cloud may preempt them.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub number: u32,
 }
 
-/// Names of machines: those provisioned, or those to terminate.
+/// Names of machines that were provisioned or are to be terminated.
 #[derive(Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Machine names.
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
-/// An answer that refuses.
+/// Body of an error response.
 #[derive(Deserialize, Default)]
 pub struct ErrorAnswer {
-    /// Why.
+    /// Error text; empty if missing.
     #[serde(default)]
     pub error: String,
 }
 
-/// A page of the list of machines.
+/// A page of the machine list.
 #[derive(Deserialize)]
 pub struct ListAnswer {
-    /// The machines, in order of their names.
+    /// Machines in order of their names.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedDto>,
-    /// Whether others follow.
+    /// Whether more pages follow; missing means no.
     #[serde(default)]
     pub truncated: Option<bool>,
 }
 
-/// A machine of the list.
+/// An entry of the machine list.
 #[derive(Deserialize)]
 pub struct ListedDto {
-    /// Its name.
+    /// Name of the machine.
     #[serde(rename = "name_id")]
     pub name: String,
     #[serde(rename = "build")]
--- a/crates/latchtrack/src/wire/mod.rs
+++ b/crates/latchtrack/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The messages of the protocol, and the values in the state service. The protocol's own words are
-//! mapped to the terms of `docs/glossary.md` here, by serde rename, and nowhere else.
+//! Messages of the protocol and values in the state service. Protocol field names are mapped to the
+//! terms of `docs/glossary.md` only in this module, by serde renames.
 
 pub mod cloud;
 pub mod peers;
--- a/crates/latchtrack/src/wire/peers.rs
+++ b/crates/latchtrack/src/wire/peers.rs
@@ -1,32 +1,32 @@
-//! Frames between the nodes, in bincode.
+//! Frames exchanged between nodes, encoded with bincode.
 //!
-//! A published format (`tests/published_formats.rs`): nodes of two versions speak to each other
-//! during an upgrade. Variants and fields are identified by their order alone, which never
-//! changes, and a node that can't decode a frame drops the connection, so a new variant may go
-//! only to a peer known to read it.
+//! This is a published format (`tests/published_formats.rs`), because nodes of two versions
+//! communicate during an upgrade. Variants and fields are identified only by their order, which
+//! must not change. A node that can't decode a frame drops the connection, so a new variant may be
+//! sent only to a peer that is known to support it.
 
 use bincode::{Decode, Encode};
 
-/// What one node says to another.
+/// A message from one node to another.
 #[derive(Encode, Decode, Debug, PartialEq, Clone)]
 pub enum Frame {
-    /// What the leader tells all nodes.
+    /// Progress report of the leader to all nodes.
     Progress {
-        /// Fencing token of its term.
+        /// Fencing token of the leader's term.
         token: u64,
-        /// For display, the counts of each job.
+        /// Task counts by job, for display only.
         jobs: Vec<JobCounts>,
-        /// Machines of which it waits for a heartbeat.
+        /// Machines whose heartbeat is overdue.
         overdue: Vec<String>,
     },
-    /// The health of the sender.
+    /// Health of the sender.
     Health {
-        /// Whether the state service serves it.
+        /// Whether the state service serves the sender.
         store: bool,
     },
     /// A forwarded request.
     Request {
-        /// Tells the requests on a connection apart.
+        /// Identifies the request on its connection.
         id: u64,
         /// The request.
         request: PeerRequest,
@@ -40,50 +40,50 @@
     },
 }
 
-/// How many tasks of a job are done and run.
+/// Number of done and running tasks of a job.
 #[derive(Encode, Decode, Debug, PartialEq, Eq, Clone, Copy)]
 pub struct JobCounts {
-    /// Number of the job's id.
+    /// Numeric part of the job id.
     pub job: u64,
-    /// Tasks that are done.
+    /// Number of done tasks.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
 }
 
-/// A request of a user, a worker or an operator that one node forwards to another.
+/// A request of a user, worker or operator that one node forwards to another.
 #[derive(Encode, Decode, Debug, PartialEq, Clone)]
 pub enum PeerRequest {
-    /// A submission: the body as the user sent it.
+    /// Submission; contains the request body as received.
     Submit(Vec<u8>),
-    /// A query of a job: its id as the user sent it.
+    /// Query of a job; contains the id as received.
     Query(String),
-    /// A cancellation of a job: its id as the user sent it.
+    /// Cancellation of a job; contains the id as received.
     Cancel(String),
-    /// A heartbeat of a worker that can't reach the leader itself: the body as it was sent.
+    /// Heartbeat of a worker that can't reach the leader; contains the request body as received.
     Heartbeat(Vec<u8>),
-    /// An operator's request for what the node sees: see [`super::status::NodeView`].
+    /// Status request of an operator, answered with a [`super::status::NodeView`].
     Status,
 }
 
 /// The HTTP answer to a forwarded request.
 #[derive(Encode, Decode, Debug, PartialEq, Clone)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// s to wait before the next attempt.
+    /// Value of the `Retry-After` header, in s.
     pub retry_after: Option<u64>,
-    /// Body, JSON.
+    /// Response body (JSON).
     pub body: Vec<u8>,
 }
 
-/// Encodes a frame.
+/// Encodes a frame with bincode's standard configuration.
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, bincode::error::EncodeError> {
     bincode::encode_to_vec(frame, bincode::config::standard())
 }
 
-/// Decodes a frame; None for any other bytes. Nothing may be left over, and lengths are checked
-/// before memory is allocated.
+/// Decodes a frame; `None` if the bytes are not exactly one valid frame. Lengths are checked before
+/// memory is allocated.
 pub fn decode(bytes: &[u8]) -> Option<Frame> {
     let config = bincode::config::standard().with_limit::<{ crate::constants::MAX_FRAME_BYTES }>();
     match bincode::decode_from_slice(bytes, config) {
--- a/crates/latchtrack/src/wire/quota.rs
+++ b/crates/latchtrack/src/wire/quota.rs
@@ -1,4 +1,4 @@
-//! The keys that cells share in the state service, and the values under them. A published format.
+//! Keys and values that cells share in the state service. This is a published format.
 
 use std::collections::BTreeMap;
 
@@ -10,17 +10,17 @@
 use super::records::LEADER_KEY;
 use super::store::{Change, Condition, Txn};
 
-/// Prefix of all keys that cells share.
+/// Prefix of all shared keys.
 pub const SHARED_PREFIX: &str = "quota/";
 /// Prefix of the teams' ledgers.
 const TEAMS_PREFIX: &str = "quota/team/";
-/// Prefix of the keys that exist while a cell is led.
+/// Prefix of the keys that exist while a cell has a leader.
 const LIVE_PREFIX: &str = "quota/live/";
-/// Prefix of the records of the cells; the revision of one is the fencing token of the cell's last
+/// Prefix of the cell records. The revision of a record is the fencing token of the cell's last
 /// leader.
 const TERMS_PREFIX: &str = "quota/term/";
 
-/// The key of a cell's record.
+/// Key of a cell's record.
 pub fn term_key(cell: &str) -> String {
     format!("{TERMS_PREFIX}{cell}")
 }
@@ -29,12 +29,13 @@
     format!("{LIVE_PREFIX}{cell}")
 }
 
-/// The key of a team's ledger.
+/// Key of a team's ledger.
 pub fn team_key(team: &str) -> String {
     format!("{TEAMS_PREFIX}{team}")
 }
 
-/// What a leader stores of its cell in the transaction that makes it one.
+/// Changes that a campaign makes to the keys of its cell, in the transaction that writes the leader
+/// key.
 pub fn campaign_changes(
     cell: &str,
     record: &CellRecord,
@@ -47,8 +48,8 @@
     ])
 }
 
-/// The transaction of a change of a ledger: fenced by the writer's leader key, by the revision of
-/// the ledger that it replaces, and by the keys of the cells that it takes to be dead.
+/// The transaction that writes a ledger. It is conditional on the writer's leader key, on the
+/// revision of the ledger that it replaces, and on the keys of the cells assumed to be dead.
 pub fn ledger_transaction(token: u64, write: &LedgerWrite) -> serde_json::Result<Txn> {
     let key = team_key(&write.team);
     let mut conditions = vec![
@@ -63,49 +64,49 @@
     Ok(Txn { conditions, changes: vec![Change::Put { key, value, lease: None }] })
 }
 
-/// All that cells share, by key, with the newest revision that was seen.
+/// Local copy of the shared keys, with the latest known revision of each.
 #[derive(Default)]
 pub struct SharedKeys {
     values: BTreeMap<String, (u64, Box<RawValue>)>,
 }
 
 impl SharedKeys {
-    /// Forgets everything.
+    /// Removes all keys.
     pub fn clear(&mut self) {
         self.values.clear();
     }
 
-    /// Takes in a value, unless a newer one is known.
+    /// Stores a value unless a newer one is known.
     pub fn put(&mut self, key: String, revision: u64, value: Box<RawValue>) {
         if self.values.get(&key).is_none_or(|(known, _)| *known <= revision) {
             self.values.insert(key, (revision, value));
         }
     }
 
-    /// A key has gone at this revision.
+    /// Removes a key that was deleted at this revision, unless its known value is newer.
     pub fn delete(&mut self, key: &str, revision: u64) {
         if self.values.get(key).is_some_and(|(known, _)| *known < revision) {
             self.values.remove(key);
         }
     }
 
-    /// The ledgers and cells as they are known, up to this revision.
+    /// A snapshot of the known ledgers and cells, labelled with this revision.
     pub fn snapshot(&self, revision: u64) -> LedgerSnapshot {
-        let mut view = LedgerSnapshot { revision, ..LedgerSnapshot::default() };
+        let mut snapshot = LedgerSnapshot { revision, ..LedgerSnapshot::default() };
         for (key, (revision, value)) in &self.values {
             if let Some(team) = key.strip_prefix(TEAMS_PREFIX) {
                 let ledger = TeamLedger::parse(value.get());
-                let seen = StoredLedger { revision: *revision, ledger };
-                view.teams.insert(team.to_string(), seen);
+                let stored = StoredLedger { revision: *revision, ledger };
+                snapshot.teams.insert(team.to_string(), stored);
             } else if let Some(cell) = key.strip_prefix(TERMS_PREFIX) {
-                let presence = CellStatus {
+                let status = CellStatus {
                     has_leader: self.values.contains_key(&live_key(cell)),
                     term_revision: *revision,
                     record: serde_json::from_str(value.get()).ok(),
                 };
-                view.cells.insert(cell.to_string(), presence);
+                snapshot.cells.insert(cell.to_string(), status);
             }
         }
-        view
+        snapshot
     }
 }
--- a/crates/latchtrack/src/wire/records/job_record.rs
+++ b/crates/latchtrack/src/wire/records/job_record.rs
@@ -52,7 +52,7 @@
     save_s: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     deadline_s: Option<f64>,
-    /// Unknown to versions before gangs, which would run it task by task.
+    /// Versions without gang support ignore this and would run the tasks independently.
     #[serde(default, skip_serializing_if = "is_false")]
     gang: bool,
 }
@@ -65,38 +65,38 @@
     !*x
 }
 
-/// A job's record: open until it is done or cancelled, which it then remains.
+/// The record of a job. It is open until the job is done or cancelled; both of these are final.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// It is neither done nor cancelled.
+    /// The job is neither done nor cancelled.
     Open {
-        /// What was submitted.
+        /// The job as submitted.
         spec: Arc<JobSpec>,
-        /// Time of day of the submission, ms.
+        /// Unix time of the submission, in ms.
         at_ms: u64,
     },
-    /// All of its tasks are done.
+    /// All tasks are done.
     Done {
-        /// How many tasks it has.
+        /// Number of tasks of the job.
         tasks: u32,
     },
-    /// It was cancelled before it was done.
+    /// The job was cancelled before it was done.
     Cancelled {
-        /// How many tasks it has.
+        /// Number of tasks of the job.
         tasks: u32,
     },
 }
 
-/// Why a stored record can't be used.
+/// Error in a stored record.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// Not JSON, or a field is missing or of another kind.
+    /// The value is not valid JSON, or a field is missing or of the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A number is not finite, negative, or there are no tasks or too many.
-    #[error("a number out of range")]
+    /// A number is negative or not finite, or the number of tasks is 0 or too large.
+    #[error("number out of range")]
     NumberOutOfRange,
-    /// The number of the priority is none that this version knows.
+    /// The stored number stands for no priority that this version knows.
     #[error("unknown priority")]
     UnknownPriority,
 }
@@ -175,7 +175,7 @@
 }
 
 impl Record {
-    /// The record as it is stored.
+    /// Serializes the record for storage.
     pub fn to_json(&self) -> serde_json::Result<Box<RawValue>> {
         let dto = match self {
             Record::Open { spec, at_ms } => {
@@ -187,7 +187,7 @@
         serde_json::value::to_raw_value(&dto)
     }
 
-    /// Reads the stored record of a job.
+    /// Parses the stored record of a job.
     pub fn parse(id: JobId, json: &str) -> Result<Record, RecordError> {
         let dto: RecordDto = serde_json::from_str(json)?;
         Ok(match dto {
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -1,4 +1,4 @@
-//! What a node tells an operator who asks for its status.
+//! Response to a status request of an operator.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 /// A node's view of itself and, if it leads, of the cluster.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct NodeView {
-    /// Whether the state service serves it.
+    /// Whether the state service serves this node.
     pub served: bool,
-    /// Name of the node that leads, as far as it knows.
+    /// Name of the leader, as far as this node knows.
     pub leader: Option<String>,
-    /// Only of a node that leads. The name on the wire is that of the first version, which nodes
-    /// exchange during an upgrade.
+    /// The cluster, present only on the leader. The serialized name is that of the first version,
+    /// because nodes of different versions exchange it during an upgrade.
     #[serde(rename = "picture", skip_serializing_if = "Option::is_none")]
     pub cluster: Option<ClusterView>,
 }
@@ -24,70 +24,70 @@
 pub struct ClusterView {
     /// Fencing token of the term.
     pub token: u64,
-    /// Whether it may act now: its lease is valid and its job cache current.
+    /// Whether the leader may act now: its lease is valid and its job cache is up to date.
     pub acting: bool,
-    /// Machines of which heartbeats come.
+    /// Number of machines that send heartbeats.
     pub machines_up: usize,
-    /// Machines that are provisioned and not up yet.
+    /// Number of provisioned machines that are not up yet.
     pub machines_booting: usize,
-    /// Of these, those that should be up.
+    /// Number of booting machines that should be up by now.
     pub machines_late: usize,
-    /// Unreconciled machines: of an earlier leader, not yet heard by this one.
+    /// Number of unreconciled machines, which this leader has taken over but not yet heard from.
     #[serde(rename = "machines_unsettled")]
     pub machines_unreconciled: usize,
-    /// Types and zones of which most boots are late.
+    /// Machine types and zones where most boots are late.
     pub late_boots: Vec<String>,
-    /// Unreachable zones.
+    /// Zones that are considered unreachable.
     #[serde(rename = "quiet_zones")]
     pub unreachable_zones: Vec<String>,
-    /// Jobs that are neither done nor cancelled.
+    /// Number of jobs that are neither done nor cancelled.
     pub jobs_open: usize,
-    /// Of these, gangs: a version before 0.2 would run them task by task, so none may be open when
-    /// nodes go back to one. Absent in what such a version answers.
+    /// Number of open gangs. Versions before 0.2 run their tasks independently, so this must be 0
+    /// before a downgrade to one of them. They don't report this field.
     #[serde(default)]
     pub gangs_open: usize,
-    /// Quarantined jobs: those that have shown nothing but failures. The name on the wire is that
-    /// of the first version.
+    /// Quarantined jobs: jobs that have had nothing but failures. The serialized name is that of
+    /// the first version.
     #[serde(rename = "jobs_in_doubt")]
     pub quarantined_jobs: Vec<String>,
-    /// Tasks that are not assigned to a machine.
+    /// Number of tasks that are not assigned to a machine.
     pub tasks_waiting: u64,
     /// CPUs of the machines that are up.
     pub cpus: f64,
-    /// CPUs of the tasks that run on them.
+    /// CPUs of the tasks that are running on them.
     pub cpus_running: f64,
-    /// The balance of the cluster; absent while nothing of it is switched on, and in what versions
-    /// before 0.3 answer.
+    /// Load balance of the cluster; absent if load balancing is off, and in versions before 0.3.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub balance: Option<BalanceView>,
-    /// The teams that cells share; absent where this deployment has them alone.
+    /// Teams that cells share; absent if this deployment is the only cell.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<Vec<TeamQuotaView>>,
 }
 
-/// A team that cells share; amounts in CPUs and GPUs.
+/// Quota of a team that cells share.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct TeamQuotaView {
     /// Name of the team.
     pub team: String,
-    /// Why nothing of it is launched, if so.
+    /// Why no task of the team is launched; absent if launches are allowed.
     #[serde(rename = "trouble", default, skip_serializing_if = "Option::is_none")]
     pub problem: Option<String>,
-    /// Whether the stored limit or guarantee, which counts, is not that of this cell's file.
+    /// Whether the stored limit or guarantee, which takes precedence, differs from this cell's
+    /// settings.
     pub differs_from_file: bool,
-    /// What all cells together may use.
+    /// Amounts that all cells together may use.
     pub limit: AmountsView,
-    /// What the team gets in any case.
+    /// Amounts that are guaranteed to the team.
     pub guarantee: AmountsView,
-    /// On machines of this cell.
+    /// Amounts in use on machines of this cell.
     pub used_here: AmountsView,
-    /// What this cell may use just now.
+    /// Amounts that this cell may currently use.
     pub launch_limit_here: AmountsView,
-    /// The allotment of each cell.
+    /// Allotments by cell name.
     pub cells: BTreeMap<String, AllotmentView>,
 }
 
-/// CPUs and GPUs; 0 in a limit is none.
+/// Amounts of CPUs and GPUs; in a limit, 0 means no limit.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq)]
 pub struct AmountsView {
     /// CPUs.
@@ -102,28 +102,28 @@
     }
 }
 
-/// What a cell has of a team's limit, and requests.
+/// A cell's allotment from a team's limit, and its pending request.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct AllotmentView {
-    /// What it may use.
+    /// Amounts allotted to the cell.
     pub allotted: AmountsView,
-    /// Time of day of the last change, ms.
+    /// Unix time of the last change, in ms.
     pub since_ms: u64,
+    /// Total amounts that the cell requests, if a request is pending.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    /// What it requests to have in all, if it does.
     pub wants: Option<AmountsView>,
-    /// Number of the request, by which requests are served in turn.
+    /// Number of the request; requests are served in this order.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ticket: Option<u64>,
 }
 
 impl From<Allotment> for AllotmentView {
-    fn from(account: Allotment) -> Self {
+    fn from(allotment: Allotment) -> Self {
         AllotmentView {
-            allotted: account.amount.into(),
-            since_ms: account.since_ms,
-            wants: account.request.as_ref().map(|request| request.want.into()),
-            ticket: account.request.map(|request| request.number),
+            allotted: allotment.amount.into(),
+            since_ms: allotment.since_ms,
+            wants: allotment.request.as_ref().map(|request| request.want.into()),
+            ticket: allotment.request.map(|request| request.number),
         }
     }
 }
@@ -139,33 +139,33 @@
             guarantee: summary.guarantee.into(),
             used_here: summary.used.into(),
             launch_limit_here: summary.launch_limit.into(),
-            cells: cells.map(|(cell, account)| (cell, account.into())).collect(),
+            cells: cells.map(|(cell, allotment)| (cell, allotment.into())).collect(),
         }
     }
 }
 
-/// How evenly the machines are loaded, and what is done about it.
+/// Load distribution over the machines, and the moves that even it out.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct BalanceView {
-    /// The greatest load over the mean, in the machine pool where this is greatest.
+    /// Ratio of the highest load to the mean, in the machine pool where it is largest.
     pub spread: f64,
-    /// The greatest load there, as a fraction of a machine.
+    /// Highest load in that pool, as a fraction of a machine.
     pub greatest_load: f64,
-    /// The mean load there, as a fraction of a machine.
+    /// Mean load in that pool, as a fraction of a machine.
     pub mean_load: f64,
-    /// Machines above the bound that have tasks which may move.
+    /// Number of machines above the load bound that have movable tasks.
     pub machines_over_bound: usize,
-    /// Teams that use more than their share while others wait.
+    /// Teams that exceed their share while other teams wait.
     pub hot_teams: Vec<String>,
-    /// Moves under way, each with where it stands and why.
+    /// Moves in progress, each with its stage and reason.
     pub moves: Vec<String>,
-    /// The last moves that are over, each with how it ended and why.
+    /// The most recent finished moves, each with its outcome and reason.
     pub recent_moves: Vec<String>,
-    /// Moves begun in this term.
+    /// Number of moves started in this term.
     pub moves_begun: u64,
-    /// Of these, those after which the task runs elsewhere.
+    /// Number of these that were completed: the task runs on the target machine.
     pub moves_settled: u64,
-    /// Of these, those that were given up.
+    /// Number of these that were abandoned.
     pub moves_abandoned: u64,
 }
 
--- a/crates/latchtrack/src/wire/store.rs
+++ b/crates/latchtrack/src/wire/store.rs
@@ -3,18 +3,18 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A condition of a transaction: the key has this revision, 0 if it must not exist.
+/// A condition of a transaction: the key has this revision, or does not exist if it is 0.
 #[derive(Serialize, Clone, Debug)]
 pub struct Condition {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Its revision.
+    /// Expected revision of the key.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-/// A change of a transaction.
+/// A change made by a transaction.
 #[derive(Serialize, Clone, Debug)]
 #[serde(untagged)]
 pub enum Change {
@@ -26,7 +26,7 @@
         /// The value.
         #[serde(rename = "data")]
         value: Box<RawValue>,
-        /// The lease that the key is to go with, if any.
+        /// Lease that the key is attached to, if any: the key is deleted when the lease ends.
         #[serde(rename = "charter", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -39,7 +39,7 @@
 }
 
 impl Change {
-    /// Bytes of the value that it puts.
+    /// Size of the value written, in bytes; 0 for a deletion.
     pub fn bytes(&self) -> usize {
         match self {
             Change::Put { value, .. } => value.get().len(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The key that it changes.
+    /// The changed key.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
@@ -55,21 +55,21 @@
     }
 }
 
-/// A compare-and-swap: the changes take effect if all conditions hold.
+/// A transaction: all changes are applied atomically if all conditions hold, otherwise none.
 #[derive(Serialize, Clone, Debug)]
 pub struct Txn {
-    /// What must hold.
+    /// Conditions that must all hold.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// What is changed.
+    /// Changes to apply.
     #[serde(rename = "apply")]
     pub changes: Vec<Change>,
 }
 
-/// The answer to a transaction.
+/// Response to a transaction.
 #[derive(Deserialize, Debug)]
 pub struct TxnAnswer {
-    /// The revision that all changed keys have.
+    /// Revision of all changed keys.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// Keys whose conditions did not hold.
@@ -77,7 +77,7 @@
     pub failed: Option<Vec<String>>,
 }
 
-/// A key with its value.
+/// A key with its value and revision.
 #[derive(Deserialize, Debug)]
 pub struct Item {
     /// The key.
@@ -86,7 +86,7 @@
     /// The value.
     #[serde(rename = "data")]
     pub value: Box<RawValue>,
-    /// Revision of the last change.
+    /// Revision of the key's last change.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
@@ -94,42 +94,42 @@
 /// A page of a list.
 #[derive(Deserialize, Debug)]
 pub struct Page {
-    /// The items, in order of their keys.
+    /// Items in order of their keys.
     #[serde(rename = "rows")]
     pub items: Vec<Item>,
-    /// Whether others follow.
+    /// Whether more pages follow; missing means no.
     #[serde(default)]
     pub truncated: Option<bool>,
-    /// Revision of the service when it was read.
+    /// Revision of the store at which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// Asks for a lease.
+/// Request for a lease.
 #[derive(Serialize, Clone, Debug)]
 pub struct LeaseRequest {
-    /// ms until it expires.
+    /// Time until the lease expires unless renewed, in ms.
     pub ttl_ms: u64,
 }
 
-/// A lease that is granted.
+/// Response with a granted lease.
 #[derive(Deserialize, Debug)]
 pub struct LeaseAnswer {
-    /// Its id.
+    /// Id of the lease.
     #[serde(rename = "charter")]
     pub lease: u64,
 }
 
-/// One change that a watch tells of, as it stands on the wire.
+/// A change reported by a watch, in its serialized form.
 #[derive(Deserialize, Debug)]
 pub struct WatchEvent {
-    /// The key, if a value was put.
+    /// The key, if a value was written.
     #[serde(default)]
     pub put: Option<String>,
     /// The key, if it was deleted.
     #[serde(rename = "drop", default)]
     pub delete: Option<String>,
-    /// The value that was put.
+    /// The value, if one was written.
     #[serde(rename = "data", default)]
     pub value: Option<Box<RawValue>>,
     /// Revision of the change.
@@ -137,12 +137,12 @@
     pub revision: u64,
 }
 
-/// A change of a key.
+/// A change of a key, as reported by a watch.
 #[derive(Debug)]
 pub enum KeyChange {
-    /// It has a value now.
+    /// A value was written.
     Put(Item),
-    /// It was deleted.
+    /// The key was deleted.
     Delete {
         /// The key.
         key: String,
@@ -152,7 +152,7 @@
 }
 
 impl WatchEvent {
-    /// What has changed; None for an event that this version does not know.
+    /// Converts the event; `None` if it is of a kind unknown to this version.
     pub fn into_change(self) -> Option<KeyChange> {
         let revision = self.revision;
         match (self.put, self.delete, self.value) {
@@ -163,13 +163,13 @@
     }
 }
 
-/// The answer to a watch.
+/// Response to a watch.
 #[derive(Deserialize, Debug)]
 pub struct WatchAnswer {
-    /// Up to which revision the changes are included.
+    /// Revision up to which all changes are included.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// The changes, in order.
+    /// Changes in order of their revisions.
     #[serde(rename = "log", default)]
     pub events: Vec<WatchEvent>,
 }
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -7,30 +7,30 @@
 
 use crate::constants::{MAX_AMOUNT, MAX_NAME_BYTES};
 
-/// Why a submission is malformed; names the field. The texts are part of the answer to the user.
+/// Error in a submission; names the field where there is one. The texts are sent to the user.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum SubmissionError {
-    /// The body can't be parsed.
+    /// The body is not valid JSON.
     #[error("the body is not JSON")]
     NotJson,
-    /// The body is JSON of another kind.
+    /// The body is valid JSON, but not an object.
     #[error("the body is not an object")]
     NotObject,
-    /// This field is missing.
+    /// This required field is missing or null.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// This field can't be used, for this reason.
+    /// This field is invalid for this reason.
     #[error("{0} is invalid: {1}")]
     Invalid(&'static str, &'static str),
-    /// The record has more bytes than a value may have: both numbers.
+    /// The record exceeds the maximum size of a value: its size and the maximum, in bytes.
     #[error("the job is too large for its record: {0} of {1} bytes")]
     TooLarge(usize, usize),
 }
 
 use SubmissionError::{Invalid, Missing};
 
-/// Reads the body as an object, and its job's id: whether the job is known is decided before the
-/// other fields are read.
+/// Parses the body and the job id only. Whether the job is known is determined before the other
+/// fields are parsed.
 pub fn parse_id(body: &[u8]) -> Result<(JobId, Map<String, Value>), SubmissionError> {
     let value: Value = serde_json::from_slice(body).map_err(|_| SubmissionError::NotJson)?;
     let Value::Object(map) = value else { return Err(SubmissionError::NotObject) };
@@ -72,8 +72,8 @@
     get(map, name).ok_or(Missing(name))?.as_bool().ok_or(Invalid(name, "not true or false"))
 }
 
-/// Reads the job of a submission. `builds`, `yard` and `due_s` may be null or left out; without
-/// any other field a submission is refused, since the job's needs would be guessed.
+/// Parses the job of a submission. `builds`, `yard` and `due_s` may be null or missing; all other
+/// fields are required, because defaults would only guess the job's needs.
 pub fn parse_job(id: JobId, map: &Map<String, Value>) -> Result<JobSpec, SubmissionError> {
     let gang = match text(map, "shape")? {
         "batch" => false,
@@ -134,22 +134,22 @@
     })
 }
 
-/// The state of a job, for its user.
+/// The state of a job as reported to its user.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum JobState {
-    /// None of its tasks runs.
+    /// No task is running.
     Queued,
-    /// At least one task runs.
+    /// At least one task is running.
     Running,
     /// All tasks are done.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
 impl JobState {
-    /// The state's word on the wire.
-    fn wire_word(self) -> &'static str {
+    /// The state's name in the protocol.
+    fn wire_name(self) -> &'static str {
         match self {
             JobState::Queued => "pending",
             JobState::Running => "running",
@@ -159,7 +159,7 @@
     }
 }
 
-/// The answer about a job.
+/// Response with the state of a job.
 #[derive(Serialize)]
 pub struct JobAnswer {
     name_id: String,
@@ -171,20 +171,20 @@
 }
 
 impl JobAnswer {
-    /// The state alone.
+    /// Creates a response with only the state.
     pub fn state(id: JobId, state: JobState) -> Self {
-        JobAnswer { name_id: id.to_string(), status: state.wire_word(), done: None, running: None }
+        JobAnswer { name_id: id.to_string(), status: state.wire_name(), done: None, running: None }
     }
 
-    /// The state, and how many tasks are done and run.
+    /// Creates a response with the state and the numbers of done and running tasks.
     pub fn counts(id: JobId, state: JobState, done: u32, running: u32) -> Self {
         JobAnswer { done: Some(done), running: Some(running), ..Self::state(id, state) }
     }
 }
 
-/// An answer that refuses.
+/// Body of an error response.
 #[derive(Serialize)]
 pub struct ErrorAnswer<'a> {
-    /// Why.
+    /// Error text.
     pub error: &'a str,
 }
--- a/crates/latchtrack/src/wire/workers.rs
+++ b/crates/latchtrack/src/wire/workers.rs
@@ -3,13 +3,13 @@
 use latchtrack_core::machine::{Command, ExitCause, Heartbeat, TaskPhase, TaskStatus};
 use serde::{Deserialize, Serialize};
 
-/// Why a heartbeat can't be used. The texts are part of the answer to the worker.
+/// Error in a heartbeat. The texts are sent to the worker.
 #[derive(Debug, thiserror::Error)]
 pub enum HeartbeatError {
-    /// Not JSON, or a field is missing or of another kind.
+    /// The body is not valid JSON, or a field is missing or of the wrong type.
     #[error("not a report: {0}")]
     Json(#[from] serde_json::Error),
-    /// A task's id can't be parsed.
+    /// This task id can't be parsed, for this reason.
     #[error("task {0}: {1}")]
     Task(String, &'static str),
     /// The number in this field is out of range.
@@ -50,8 +50,8 @@
     cause: Option<String>,
 }
 
-/// The phase of a task that has not ended. One that this version does not know is no reason to
-/// lose a machine with all that is on it.
+/// Parses the phase of a task that has not ended. An unknown phase is accepted, since rejecting the
+/// heartbeat would lose the machine with all of its tasks.
 fn parse_phase(status: &str) -> TaskPhase {
     match status {
         "pulling" => TaskPhase::Fetching,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Why a task has ended.
+/// Parses the reason why a task has ended.
 fn parse_cause(cause: Option<&str>) -> ExitCause {
     match cause {
         Some("done") => ExitCause::Done,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Reads a heartbeat; also the body of a direct call's answer.
+/// Parses a heartbeat, which is also the body of the response to a direct call.
 pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, HeartbeatError> {
     let dto: HeartbeatDto = serde_json::from_slice(body)?;
     let mut tasks = Vec::new();
@@ -94,7 +94,7 @@
     if dto.notice_s.is_some_and(|n| !n.is_finite()) {
         return Err(HeartbeatError::Range("recall_s"));
     }
-    // Agent epochs start at 1; 0 stands for a machine that was never heard.
+    // Agent epochs start at 1; 0 stands for a machine that has not sent a heartbeat yet.
     if dto.agent_epoch == 0 {
         return Err(HeartbeatError::Range("shift"));
     }
@@ -136,35 +136,35 @@
     }
 }
 
-/// The leader's answer to a heartbeat.
+/// The leader's response to a heartbeat.
 #[derive(Serialize)]
 pub struct HeartbeatAnswer {
     /// Fencing token of the leader's term.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// What the worker is to do, in order.
+    /// Commands to execute in order.
     #[serde(rename = "orders")]
     pub commands: Vec<CommandDto>,
 }
 
-/// A direct call.
+/// A call from the leader to a worker, outside of heartbeats.
 #[derive(Serialize)]
 pub struct DirectCall {
     /// Fencing token of the leader's term.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The agent epoch that the commands are for; a worker in another one refuses them.
+    /// Agent epoch that the commands apply to; a worker in another epoch refuses them.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// What the worker is to do, in order.
+    /// Commands to execute in order.
     #[serde(rename = "orders")]
     pub commands: Vec<CommandDto>,
 }
 
-/// The answer to a heartbeat of a node that is not the leader.
+/// Response to a heartbeat from a node that is not the leader.
 #[derive(Serialize)]
 pub struct Redirect<'a> {
-    /// The leader's node, if it is known.
+    /// Name of the leader, if known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<&'a str>,
 }
