--- a/crates/latchtrack/src/cli.rs
+++ b/crates/latchtrack/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line. Comments here are the texts of `--help`.
+//! The command line. The doc comments of the commands and arguments are the `--help` texts.
 
 use std::path::PathBuf;
 
@@ -8,54 +8,55 @@
 #[derive(Parser, Debug)]
 #[command(version, about, arg_required_else_help = true)]
 pub struct Cli {
-    /// What is to be done.
+    /// Subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What is to be done.
+/// The subcommands.
 #[derive(Subcommand, Debug)]
 pub enum Command {
     /// Run one node of the service until it is killed
     Serve(Files),
-    /// Check the settings and print them as they take effect
+    /// Validate the settings and print the effective values
     Check(Files),
-    /// Tell what runs where, as the nodes see it, or without a leader as the state service and the
-    /// workers do
+    /// Print the state of the cluster as reported by the nodes, or by the state service and the
+    /// workers if there is no leader
     Status(Files),
-    /// Show what cells share of a team, or change its stored limit and guarantee while they run
+    /// Show the ledger of a team that cells share, or change its stored limit and guarantee while
+    /// the cells run
     Limit(LimitArgs),
 }
 
 /// Arguments of `latchtrack limit`.
 #[derive(Args, Debug)]
 pub struct LimitArgs {
-    /// The settings.
+    /// Settings files.
     #[command(flatten)]
     pub files: Files,
-    /// The team
+    /// Name of the team
     pub team: String,
-    /// CPUs that all cells together may use; 0 for no limit
+    /// New limit on the CPUs that all cells together may use; 0 for no limit
     #[arg(long)]
     pub cpus_max: Option<f64>,
-    /// GPUs that all cells together may use; 0 for no limit
+    /// New limit on the GPUs that all cells together may use; 0 for no limit
     #[arg(long)]
     pub gpus_max: Option<f64>,
-    /// CPUs of the guarantee
+    /// New number of guaranteed CPUs
     #[arg(long)]
     pub cpus: Option<f64>,
-    /// GPUs of the guarantee
+    /// New number of guaranteed GPUs
     #[arg(long)]
     pub gpus: Option<f64>,
 }
 
-/// The files with the settings.
+/// Paths of the settings files.
 #[derive(Args, Debug)]
 pub struct Files {
-    /// The platform's settings (JSON)
+    /// Settings of the platform (JSON)
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
-    /// The operators' own settings (YAML)
+    /// Settings of the operators (YAML); defaults apply if omitted
     #[arg(long, value_name = "FILE")]
     pub operator: Option<PathBuf>,
 }
--- a/crates/latchtrack/src/limit.rs
+++ b/crates/latchtrack/src/limit.rs
@@ -1,4 +1,4 @@
-//! `latchtrack limit`: shows the ledger that cells share of a team, and changes its limit and
+//! `latchtrack limit`: shows the ledger of a team that cells share, and changes its limit and
 //! guarantee.
 
 use std::collections::BTreeMap;
@@ -16,58 +16,59 @@
 use crate::wire::status::{AllotmentView, AmountsView};
 use crate::wire::store::{Change, Condition, Txn};
 
-/// A new limit and guarantee. What is None stays as it is; a limit of 0 is none.
+/// A change of a team's limit and guarantee. `None` leaves a value unchanged; a limit of 0 removes
+/// the limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitChange {
-    /// CPUs of the limit.
+    /// New limit on CPUs.
     pub cpus_max: Option<f64>,
-    /// GPUs of the limit.
+    /// New limit on GPUs.
     pub gpus_max: Option<f64>,
-    /// CPUs of the guarantee.
+    /// New number of guaranteed CPUs.
     pub cpus: Option<f64>,
-    /// GPUs of the guarantee.
+    /// New number of guaranteed GPUs.
     pub gpus: Option<f64>,
 }
 
-/// The ledger of a team, as it is shown.
+/// The ledger of a team, as printed by the command.
 #[derive(Debug, Serialize)]
 pub struct TeamLedgerView {
     /// Name of the team.
     pub team: String,
-    /// What all cells together may use.
+    /// Amounts that all cells together may use.
     pub limit: AmountsView,
-    /// What the team gets in any case.
+    /// Amounts that are guaranteed to the team.
     pub guarantee: AmountsView,
-    /// The allotment of each cell.
+    /// Allotments by cell name.
     pub cells: BTreeMap<String, AllotmentView>,
 }
 
-/// Why a limit was not shown or changed.
+/// Error of `latchtrack limit`.
 #[derive(Debug, thiserror::Error)]
 pub enum LimitError {
-    /// No cells share teams.
-    #[error("the operators' file names no quota.cell")]
+    /// The settings configure no cells that share teams.
+    #[error("quota.cell is not set in the operators' file")]
     NotShared,
-    /// The state service can't be asked.
-    #[error("the state service: {0}")]
+    /// A request to the state service failed.
+    #[error("state service: {0}")]
     Store(#[from] StoreError),
     /// There is no ledger of this team.
-    #[error("no cell has stored anything of team {0}")]
+    #[error("there is no ledger of team {0}")]
     UnknownTeam(String),
-    /// The ledger of this team can't be used.
-    #[error("the value of team {0} {1}; it is left alone")]
+    /// The ledger of this team can't be parsed.
+    #[error("the ledger of team {0} {1}; it was not changed")]
     Unusable(String, LedgerError),
-    /// The option of this name has a number that makes no sense.
-    #[error("{0} is {1}, must be a number of 0 or more")]
+    /// The option of this name has an invalid value.
+    #[error("--{0} is {1}, must be finite and not negative")]
     InvalidNumber(&'static str, f64),
-    /// The guarantee would not fit into the limit.
-    #[error("the limit is below the guarantee")]
+    /// The guarantee would exceed the limit.
+    #[error("the limit would be below the guarantee")]
     BelowGuarantee,
-    /// Cells have changed the ledger at each attempt.
-    #[error("the value was changed by others again and again; try once more")]
+    /// Every attempt conflicted with a change by a cell.
+    #[error("the ledger was changed concurrently during each attempt; try again")]
     Contended,
     /// The ledger can't be serialized.
-    #[error("the value can't be written: {0}")]
+    #[error("the ledger can't be serialized: {0}")]
     Json(#[from] serde_json::Error),
 }
 
@@ -91,8 +92,9 @@
         Ok(())
     }
 
-    /// Changes a ledger's limit and guarantee. Allotments stay, and cells give back what is beyond
-    /// the limit; but for a resource that had no limit they first enter what they use of it.
+    /// Applies the change to a ledger. Allotments are kept, and cells release what exceeds the
+    /// limit. A first limit on a resource discards them, since they don't cover its use yet; cells
+    /// then enter what they use.
     pub fn apply(&self, ledger: &mut TeamLedger) -> Result<(), LimitError> {
         self.check()?;
         let before = ledger.limit;
@@ -125,8 +127,8 @@
     }
 }
 
-/// Shows a team's ledger, after the change if there is one. A change is tried again while cells
-/// write the ledger, [`LIMIT_CHANGE_ATTEMPTS`] times at most.
+/// Applies a change to a team's ledger and returns the ledger; an empty change writes nothing. A
+/// write that conflicts with one by a cell is retried, up to [`LIMIT_CHANGE_ATTEMPTS`] attempts.
 pub async fn run(
     settings: &Settings,
     team: &str,
@@ -164,10 +166,10 @@
     Ok((item.revision, ledger))
 }
 
-/// What became of a write.
+/// Outcome of a ledger write.
 enum LedgerWriteResult {
     Written,
-    /// The ledger has another revision by now.
+    /// The ledger's revision has changed since it was read.
     Conflict,
 }
 
@@ -192,7 +194,7 @@
 }
 
 fn ledger_view(team: &str, ledger: TeamLedger) -> TeamLedgerView {
-    let view = |(cell, account): (String, Allotment)| (cell, account.into());
+    let view = |(cell, allotment): (String, Allotment)| (cell, allotment.into());
     TeamLedgerView {
         team: team.into(),
         limit: ledger.limit.total().into(),
--- a/crates/latchtrack/src/main.rs
+++ b/crates/latchtrack/src/main.rs
@@ -1,4 +1,4 @@
-//! The command.
+//! The `latchtrack` command.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
 use latchtrack::node::{self, StartError};
 use latchtrack::settings::{Settings, SettingsError};
 
-/// Why a command has failed. The texts are what the user sees.
+/// Error of a command. Its text is printed to standard error.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -20,9 +20,9 @@
     Limit(#[from] LimitError),
     #[error(transparent)]
     Yaml(#[from] serde_yaml_ng::Error),
-    #[error("nobody answers")]
+    #[error("neither the nodes nor the state service responded")]
     NoAnswer,
-    #[error("LOG_LEVEL: {0} is no level")]
+    #[error("LOG_LEVEL: {0:?} is not a log level")]
     LogLevel(String),
 }
 
@@ -73,8 +73,8 @@
         gpus: args.gpus,
     };
     let limit = latchtrack::limit::run(&settings, &args.team, change);
-    let shown = actix::System::new().block_on(limit)?;
-    print!("{}", serde_yaml_ng::to_string(&shown)?);
+    let ledger = actix::System::new().block_on(limit)?;
+    print!("{}", serde_yaml_ng::to_string(&ledger)?);
     Ok(())
 }
 
@@ -85,7 +85,8 @@
     Ok(())
 }
 
-/// Logs to standard error at the level that `LOG_LEVEL` names; `error` if it is not set.
+/// Logs to standard error at the level in the environment variable `LOG_LEVEL`, or at `error` if it
+/// is not set.
 fn init_log() -> Result<(), CommandError> {
     let level = match std::env::var("LOG_LEVEL") {
         Err(_) => tracing::Level::ERROR,
--- a/crates/latchtrack/src/status.rs
+++ b/crates/latchtrack/src/status.rs
@@ -1,5 +1,5 @@
-//! `latchtrack status`: what runs where, as the nodes tell it, or, when no leader answers, as the
-//! state service and the workers do. It only reads.
+//! `latchtrack status`: the state of the cluster as reported by the nodes or, if no leader answers,
+//! by the state service and the workers. It changes nothing.
 
 use std::collections::BTreeMap;
 
@@ -21,42 +21,42 @@
 use crate::wire::store::Item;
 use crate::wire::workers::parse_heartbeat;
 
-/// What could be learnt.
+/// The collected status.
 #[derive(Serialize, Debug)]
 pub struct Status {
-    /// Each node by its name; none if it did not answer.
+    /// Views by node name; `None` if the node did not answer.
     pub nodes: BTreeMap<String, Option<NodeView>>,
-    /// Only if no node answered as the leader.
+    /// Status from the state service and the workers, if no node answered as the leader.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub without_leader: Option<LeaderlessStatus>,
-    /// Why the state service gave no answer, if it was asked.
+    /// Why the state service could not be read, if that failed.
     #[serde(rename = "trouble", skip_serializing_if = "Option::is_none")]
     pub store_error: Option<String>,
 }
 
 impl Status {
-    /// Whether anything answered at all.
+    /// Whether a node or the state service answered.
     pub fn has_answer(&self) -> bool {
         self.without_leader.is_some() || self.nodes.values().any(Option::is_some)
     }
 }
 
-/// What the state service and the workers say.
+/// Status from the state service and the workers.
 #[derive(Serialize, Debug, Default)]
 pub struct LeaderlessStatus {
-    /// The leader key's value, if there is one.
+    /// Value of the leader key, if it exists.
     pub leader: Option<String>,
-    /// Jobs that are neither done nor cancelled.
+    /// Number of jobs that are neither done nor cancelled.
     pub jobs_open: usize,
-    /// Machines of the stored set.
+    /// Number of machines in the stored machine set.
     pub machines: usize,
-    /// Machines of which the worker did not answer.
+    /// Number of these machines whose worker did not answer.
     pub silent: usize,
-    /// Tasks that run, by job.
+    /// Number of running tasks by job.
     pub running: BTreeMap<String, usize>,
 }
 
-/// Asks all nodes, and without a leader the state service and the workers.
+/// Queries all nodes and, if none of them is the leader, the state service and the workers.
 pub async fn query(settings: &Settings) -> Status {
     let nodes = query_nodes(settings).await;
     let is_led = nodes.values().flatten().any(|node| node.cluster.is_some());
@@ -64,7 +64,7 @@
     if !is_led {
         match query_store_and_workers(settings).await {
             Ok(status) => without_leader = Some(status),
-            Err(error) => store_error = Some(format!("the state service: {error}")),
+            Err(error) => store_error = Some(format!("state service: {error}")),
         }
     }
     Status { nodes, without_leader, store_error }
@@ -100,7 +100,7 @@
     Ok(status)
 }
 
-/// Enters the leader and the number of open jobs.
+/// Sets the leader and the number of open jobs.
 fn count_records(live: &[Item], status: &mut LeaderlessStatus) {
     for item in live {
         if item.key == LEADER_KEY {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Enters the running tasks of the workers at these addresses, and how many do not answer.
+/// Counts the running tasks of the workers at these addresses, and the workers that don't answer.
 async fn query_workers(addrs: Vec<String>, status: &mut LeaderlessStatus) {
     let client = http_client(MAX_STATUS_CALLS);
     let calls = futures_util::stream::iter(addrs).map(|addr| {
