--- a/crates/latchtrack/src/constants.rs
+++ b/crates/latchtrack/src/constants.rs
@@ -175,8 +175,8 @@
 /// Time for which heartbeats are forwarded for a worker that came back after it was redirected to
 /// the leader, in ms. After that it is redirected again.
 pub const FORWARD_HEARTBEATS_MS: u64 = 20_000;
-/// Number of redirected workers remembered before old entries are dropped. This covers a fleet
-/// several times the largest in use after a change of leader, at about 80 bytes per entry.
+/// Number of redirected workers remembered before old entries are dropped, at about 80 bytes each.
+/// After a change of leader, this covers several times the largest fleet in use.
 pub const MAX_REDIRECTED_MACHINES: usize = 16_384;
 /// Maximum size of a frame between nodes, in bytes.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
--- a/crates/latchtrack/src/http/users.rs
+++ b/crates/latchtrack/src/http/users.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// Looks up a job. If the lookup fails, the error is the response to send.
+/// Looks up a job. Returns an error response if the lookup fails.
 async fn look_up(
     app: &AppState,
     id: JobId,
--- a/crates/latchtrack/src/http/workers.rs
+++ b/crates/latchtrack/src/http/workers.rs
@@ -38,8 +38,7 @@
     }
 }
 
-/// Passes a heartbeat to the scheduler driver. If it can't be parsed, the error is the response to
-/// send.
+/// Passes a heartbeat to the scheduler driver. Returns an error response if it can't be parsed.
 async fn handle_heartbeat(
     app: &AppState,
     bytes: &[u8],
--- a/crates/latchtrack/src/limit.rs
+++ b/crates/latchtrack/src/limit.rs
@@ -52,13 +52,13 @@
     /// A request to the state service failed.
     #[error("state service: {0}")]
     Store(#[from] StoreError),
-    /// There is no ledger of this team.
+    /// There is no ledger of the team: the name of the team.
     #[error("there is no ledger of team {0}")]
     UnknownTeam(String),
-    /// The ledger of this team can't be parsed.
+    /// A ledger can't be parsed: the name of the team and the cause.
     #[error("the ledger of team {0} {1}; it was not changed")]
     Unusable(String, LedgerError),
-    /// The option of this name has an invalid value.
+    /// An option has an invalid value: the name of the option and the value.
     #[error("--{0} is {1}, must be finite and not negative")]
     InvalidNumber(&'static str, f64),
     /// The guarantee would exceed the limit.
--- a/crates/latchtrack/src/settings/quota.rs
+++ b/crates/latchtrack/src/settings/quota.rs
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Rejects cells that could not work together.
+    /// Rejects invalid cell names, limits of the state service that are too low for a campaign or a
+    /// ledger, and invalid teams.
     pub(super) fn check_quota(&self) -> Result<(), SettingsError> {
         let Some(quota) = &self.tuning.quota else { return Ok(()) };
         for (field, name) in std::iter::once(("quota.cell", &quota.cell))
--- a/crates/latchtrack/src/wire/records/mod.rs
+++ b/crates/latchtrack/src/wire/records/mod.rs
@@ -1,4 +1,4 @@
-//! Keys and values of this service in the state service.
+//! Keys and values that nodes store in the state service.
 //!
 //! Nodes of two versions read and write these values concurrently during an upgrade. Keys, field
 //! names and the order of unnamed fields are therefore a published format
--- a/crates/latchtrack/src/wire/store.rs
+++ b/crates/latchtrack/src/wire/store.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A condition of a transaction: the key has this revision, or does not exist if it is 0.
+/// A condition of a transaction: the key has this revision. Revision 0 stands for a missing key.
 #[derive(Serialize, Clone, Debug)]
 pub struct Condition {
     /// The key.
@@ -69,7 +69,7 @@
 /// Response to a transaction.
 #[derive(Deserialize, Debug)]
 pub struct TxnAnswer {
-    /// Revision of all changed keys.
+    /// Revision assigned to all changed keys.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// Keys whose conditions did not hold.
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -7,7 +7,7 @@
 
 use crate::constants::{MAX_AMOUNT, MAX_NAME_BYTES};
 
-/// Error in a submission; names the field where there is one. The texts are sent to the user.
+/// Error in a submission. The texts, which name the field concerned, are sent to the user.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum SubmissionError {
     /// The body is not valid JSON.
@@ -16,10 +16,10 @@
     /// The body is valid JSON, but not an object.
     #[error("the body is not an object")]
     NotObject,
-    /// This required field is missing or null.
+    /// A required field is missing or null: the name of the field.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// This field is invalid for this reason.
+    /// A field is invalid: the name of the field and the reason.
     #[error("{0} is invalid: {1}")]
     Invalid(&'static str, &'static str),
     /// The record exceeds the maximum size of a value: its size and the maximum, in bytes.
--- a/crates/latchtrack/src/wire/workers.rs
+++ b/crates/latchtrack/src/wire/workers.rs
@@ -9,10 +9,10 @@
     /// The body is not valid JSON, or a field is missing or of the wrong type.
     #[error("not a report: {0}")]
     Json(#[from] serde_json::Error),
-    /// This task id can't be parsed, for this reason.
+    /// A task id can't be parsed: the id and the reason.
     #[error("task {0}: {1}")]
     Task(String, &'static str),
-    /// The number in this field is out of range.
+    /// A number is out of range: the name of its field.
     #[error("{0} is out of range")]
     Range(&'static str),
 }
