--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -42,12 +42,12 @@
             || machine.is_unreconciled()
             || machine.is_slow()
             || machine.preempt_at.is_some()
-            || now < machine.quarantined_until;
+            || now < machine.probation_until;
         if is_excluded || machine.is_up() {
             return !is_excluded;
         }
         // One that boots in an unreachable zone, or is late, will not be of use soon.
-        !self.failure_detector.is_unreachable(&machine.zone) && !self.is_late(now, machine)
+        !self.failure_detector.is_unreachable(&machine.zone) && !self.is_boot_late(now, machine)
     }
 
     /// The free capacities of all machines, up or pending, and what those that are up have in all.
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -108,7 +108,7 @@
             teams: self.teams,
             moves: self.moves,
             limits,
-            calm_ms: ms(self.delay_after_failover_s),
+            moves_delay_ms: ms(self.delay_after_failover_s),
         }
     }
 }
