--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -1,5 +1,6 @@
-//! This cell's part of limits and guarantees that cells share: what the teams use goes to the quota
-//! allotments, and what it allows limits placement. docs/quota.md says why no limit is passed.
+//! This cell's share of limits and guarantees that cells have in common. The teams' usage is passed
+//! to the quota allotments, whose launch limits restrict placement. docs/quota.md explains why no
+//! limit is ever exceeded.
 
 use std::collections::BTreeMap;
 
@@ -15,24 +16,24 @@
 use crate::job::{Job, JobSpec, Resources};
 use crate::Millis;
 
-/// What teams use and wait for, counted for the cells that share their limits. Without shared teams
-/// it counts nothing.
+/// What teams use and wait for, for quota shared between cells. Counts nothing if teams are not
+/// shared.
 #[derive(Clone, Debug)]
 pub(super) struct QuotaAccounting {
-    /// The cell's part of the limits; None if this deployment has its teams alone.
+    /// The cell's allotments; None if the teams are not shared with other cells.
     allotments: Option<AllotmentManager>,
-    /// What each team needs for the first of its starving jobs.
-    next_of_team: BTreeMap<String, MilliResources>,
-    /// What was launched of each team in this term.
+    /// Demand of the first starving job of each team in the current cycle.
+    next_start_by_team: BTreeMap<String, MilliResources>,
+    /// Resources of the tasks launched in this term, by team; never reduced.
     launched: BTreeMap<String, MilliResources>,
 }
 
 impl QuotaAccounting {
-    /// The accounting of a new leader; `term` is its fencing token.
+    /// Creates the accounting of a new leader; `term` is its fencing token.
     pub fn new(policy: &Policy, term: u64) -> Self {
         QuotaAccounting {
             allotments: new_allotment_manager(policy, term),
-            next_of_team: BTreeMap::new(),
+            next_start_by_team: BTreeMap::new(),
             launched: BTreeMap::new(),
         }
     }
@@ -42,23 +43,23 @@
         self.allotments.is_some()
     }
 
-    /// What a team may use here, if it has a limit that cells share.
+    /// What a team may use in this cell, if it has a shared limit.
     pub fn launch_limit(&self, team: &str) -> Option<LaunchLimit> {
         self.allotments.as_ref()?.launch_limit(team)
     }
 
-    /// The cell's part of a team's guarantee, where cells share the team.
+    /// This cell's part of a team's guarantee, if cells share the team.
     pub fn guarantee(&self, team: &str) -> Option<Resources> {
         let part = self.allotments.as_ref()?.guarantee(team)?;
         Some(Resources { cpus: part.cpus(), gpus: part.gpus(), memory_gb: 0.0 })
     }
 
-    /// A scheduling cycle begins, which finds anew what is next to start.
+    /// Starts a scheduling cycle, which determines again what is next to start.
     pub fn start_cycle(&mut self) {
-        self.next_of_team.clear();
+        self.next_start_by_team.clear();
     }
 
-    /// Notes that tasks of a job are launched.
+    /// Records that tasks of a job are launched.
     pub fn note_launched(&mut self, spec: &JobSpec, tasks: u32) {
         if self.is_shared() {
             let launched = self.launched.entry(spec.team.clone()).or_default();
@@ -66,11 +67,11 @@
         }
     }
 
-    /// Notes that tasks of a starving job are to start: the first such job of each team is the next
-    /// to start.
+    /// Records that tasks of a starving job should start. Only the first such job of each team
+    /// counts.
     pub fn note_next_to_start(&mut self, spec: &JobSpec, tasks: u32) {
         if self.is_shared() {
-            self.next_of_team.entry(spec.team.clone()).or_insert(demand_of(spec, tasks));
+            self.next_start_by_team.entry(spec.team.clone()).or_insert(demand_of(spec, tasks));
         }
     }
 
@@ -82,37 +83,37 @@
 /// The quota allotments of a new leader, if cells share the teams.
 fn new_allotment_manager(policy: &Policy, term: u64) -> Option<AllotmentManager> {
     let cell = policy.quota_cell.clone()?;
-    let terms = |team: &Team| TeamQuota {
+    let quota = |team: &Team| TeamQuota {
         limit: Limit::of(team.cpus_max, team.gpus_max),
         guarantee: MilliResources::covering(team.cpus, team.gpus),
     };
-    let teams = policy.teams.iter().map(|team| (team.name.clone(), terms(team))).collect();
+    let teams = policy.teams.iter().map(|team| (team.name.clone(), quota(team))).collect();
     Some(AllotmentManager::new(AllotmentManagerSettings { cell, term, teams }))
 }
 
-/// What `tasks` tasks of a job use.
+/// Resources of `tasks` tasks of a job, without memory.
 fn demand_of(spec: &JobSpec, tasks: u32) -> MilliResources {
     let mut usage = Resources::default();
     usage.add_multiple(&spec.demand, tasks);
     MilliResources::covering(usage.cpus, usage.gpus)
 }
 
-/// What the next of a job's tasks to start needs: a gang starts whole.
-fn next_of(job: &Job) -> MilliResources {
+/// Resources that a job needs to start its next task; all of its tasks for a gang.
+fn next_start_demand(job: &Job) -> MilliResources {
     let tasks = if job.spec.gang { job.spec.tasks } else { 1 };
     demand_of(&job.spec, tasks)
 }
 
 impl Scheduler {
-    /// The cells' allotments were read.
-    pub(super) fn on_quota_observed(&mut self, now: Millis, view: LedgerSnapshot) {
+    /// Handles a snapshot of the ledgers of all cells.
+    pub(super) fn on_quota_observed(&mut self, now: Millis, snapshot: LedgerSnapshot) {
         let Some(allotments) = self.quota.allotments.as_mut() else { return };
-        allotments.observe(now, view);
-        // At once, before other cells change what was read.
+        allotments.observe(now, snapshot);
+        // Step at once, before other cells change the ledgers again.
         self.step_cell_quota(now);
     }
 
-    /// A write of a ledger has ended.
+    /// Handles the outcome of a ledger write.
     pub(super) fn on_ledger_write_finished(
         &mut self,
         now: Millis,
@@ -124,20 +125,20 @@
         self.log_quota_notices();
     }
 
-    /// Requests quota, takes it and gives it back by what the teams use now. Placement comes after
-    /// it, within the limits that it leaves.
+    /// Requests, accepts and releases quota according to the teams' current usage. Placement
+    /// follows and stays within the resulting limits.
     pub(super) fn step_cell_quota(&mut self, now: Millis) {
         if !self.quota.is_shared() {
             return;
         }
-        let uses = self.team_uses(now);
+        let usage_by_team = self.local_usage(now);
         let Some(allotments) = self.quota.allotments.as_mut() else { return };
-        let writes = allotments.step(now, &uses);
+        let writes = allotments.step(now, &usage_by_team);
         self.out.extend(writes.into_iter().map(Effect::WriteLedger));
         self.log_quota_notices();
     }
 
-    /// The teams that cells share, for an operator; None if this deployment has its teams alone.
+    /// Status of the shared teams, for operators; None if the teams are not shared.
     pub fn quota_summary(&self) -> Option<Vec<TeamSummary>> {
         self.quota.allotments.as_ref().map(AllotmentManager::summary)
     }
@@ -151,17 +152,17 @@
     }
 
     /// What each team uses and waits for in this cell.
-    fn team_uses(&self, now: Millis) -> BTreeMap<String, LocalUsage> {
-        let mut uses = self.running_uses();
+    fn local_usage(&self, now: Millis) -> BTreeMap<String, LocalUsage> {
+        let mut usage_by_team = self.usage_of_live_runs();
         let mut oldest: BTreeMap<&str, &Job> = BTreeMap::new();
-        // A job in backoff asks for nothing.
+        // A job in backoff requests no quota.
         let is_waiting = |job: &&Job| job.schedulable_tasks() > 0 && job.backoff_until <= now;
         for job in self.jobs.values().filter(is_waiting) {
             let team = job.spec.team.as_str();
-            let Some(team_use) = uses.get_mut(team) else { continue };
-            team_use.waiting = team_use.waiting.plus(demand_of(&job.spec, job.schedulable_tasks()));
+            let Some(usage) = usage_by_team.get_mut(team) else { continue };
+            usage.waiting = usage.waiting.plus(demand_of(&job.spec, job.schedulable_tasks()));
             if job.is_quarantined {
-                // It may use what there is, but no quota is gathered for it.
+                // The job may use available quota, but none is requested for its start.
                 continue;
             }
             let first = oldest.entry(team).or_insert(job);
@@ -170,19 +171,19 @@
             }
         }
         for (team, job) in oldest {
-            let of_starving_job = self.quota.next_of_team.get(team).copied();
-            if let Some(team_use) = uses.get_mut(team) {
-                team_use.next_start = of_starving_job.unwrap_or_else(|| next_of(job));
+            let next_start_of_starving = self.quota.next_start_by_team.get(team).copied();
+            if let Some(usage) = usage_by_team.get_mut(team) {
+                usage.next_start = next_start_of_starving.unwrap_or_else(|| next_start_demand(job));
             }
         }
-        uses
+        usage_by_team
     }
 
-    /// What each team uses in this cell, without what it waits for.
-    fn running_uses(&self) -> BTreeMap<String, LocalUsage> {
+    /// What each team uses in this cell, without its waiting tasks.
+    fn usage_of_live_runs(&self) -> BTreeMap<String, LocalUsage> {
         let used = self.usage_of_all_teams();
         let is_reconciled = self.all_reconciled() && !used.has_unknown_runs();
-        let team_use = |team: &Team| {
+        let team_usage = |team: &Team| {
             let usage = used.of(&team.name);
             let used = MilliResources::covering(usage.cpus, usage.gpus);
             let started = self.quota.launched.get(&team.name).copied().unwrap_or_default();
@@ -191,6 +192,6 @@
                 LocalUsage { is_reconciled, used, started, ..LocalUsage::default() },
             )
         };
-        self.policy.teams.iter().map(team_use).collect()
+        self.policy.teams.iter().map(team_usage).collect()
     }
 }
--- a/crates/latchtrack-core/src/scheduler/gangs.rs
+++ b/crates/latchtrack-core/src/scheduler/gangs.rs
@@ -1,10 +1,10 @@
-//! Gangs: jobs whose tasks run all at the same time or not at all.
+//! Gangs: jobs whose tasks must all run at the same time.
 //!
-//! All tasks of a gang are placed in one scheduling cycle under one attempt number. What becomes of
-//! the attempt is told by the heartbeats of its machines alone. As soon as one task is off its
-//! machine without a result the attempt is over: its other tasks are told to stop, and keep their
-//! assignments until they are surely gone. Only then does the next attempt start. A new leader
-//! leaves an attempt alone whose tasks are all there, and ends any other.
+//! All tasks of a gang are placed in one scheduling cycle, with one attempt number. Only the
+//! heartbeats of its machines decide how the attempt proceeds. It is over once any task has left
+//! its machine without a result: the other tasks are told to stop, and keep their assignments until
+//! they have surely ended. Only then does the next attempt start. A new leader keeps an attempt
+//! whose tasks are all present, and ends any other.
 
 use std::sync::Arc;
 
@@ -14,30 +14,31 @@
 use crate::machine::{ExitCause, StopRequest, TaskPhase, TaskRun};
 use crate::Millis;
 
-/// How the attempt of a gang stands.
+/// State of a gang's current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// No task is on a machine.
+    /// No task is assigned to a machine.
     Ended,
-    /// Some task is on its way to its machine, fetches its image or waits for the others.
+    /// Some task is being launched, fetches its image or waits for the others.
     Starting,
     /// Every task runs.
     Running,
-    /// A task is gone or is being stopped, so that the others go too.
+    /// A task is missing or being stopped, so the others are stopped too.
     Stopping,
 }
 
-/// What becomes of tasks that fetch their image when their attempt ends.
+/// What to do with tasks that are still fetching their image when their attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FetchesOnEnd {
-    /// They go on: the next attempt needs the image.
+    /// Let them finish the fetch: the next attempt needs the image.
     Continue,
-    /// They are stopped like any other.
+    /// Stop them like any other task.
     Stop,
 }
 
 impl FetchesOnEnd {
-    /// After the end of this run: if only time was too short for the gang, fetches go on.
+    /// The choice after `run` has ended. Fetches continue if the run ended because the gang was not
+    /// complete in time.
     pub fn after(run: &TaskRun) -> Self {
         if run.phase == TaskPhase::Ended(ExitCause::GangIncomplete) {
             FetchesOnEnd::Continue
@@ -47,31 +48,31 @@
     }
 }
 
-/// What is to be done with a task of an attempt that is over.
+/// What to do with a task of an attempt that is over.
 enum EndAction {
-    /// Its launch was never sent: there is nothing to stop.
+    /// The launch was never sent, so there is nothing to stop.
     Remove,
     Stop,
     Nothing,
 }
 
-/// Where a task of a gang is assigned.
+/// The assignment of one task of a gang.
 struct GangTask {
     index: u32,
     machine: Arc<str>,
     attempt: u64,
 }
 
-/// An attempt of a gang of which tasks are missing.
-struct BrokenAttempt {
+/// A gang's attempt with missing tasks.
+struct IncompleteAttempt {
     job: JobId,
-    /// The attempt numbers of its tasks.
+    /// The attempt numbers of its remaining tasks, possibly with duplicates.
     attempts: Vec<u64>,
     fetches: FetchesOnEnd,
 }
 
 impl Scheduler {
-    /// How the attempt of a gang stands, by what its machines say.
+    /// The state of a gang's current attempt, as reported by its machines.
     pub fn attempt_state(&self, job: &Job) -> AttemptState {
         if job.placed.is_empty() {
             return AttemptState::Ended;
@@ -86,12 +87,12 @@
         }
     }
 
-    /// How many gangs are open, which a version that knows none would run task by task.
+    /// Number of open gangs. Versions without gang support would run their tasks one by one.
     pub fn open_gangs(&self) -> usize {
         self.jobs.values().filter(|job| job.spec.gang).count()
     }
 
-    /// The runs of a job on the machines to which its tasks are assigned.
+    /// The runs of a job's tasks on the machines to which they are assigned.
     fn placed_runs<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a TaskRun> + 'a {
         job.placed.iter().filter_map(|(index, assignment)| {
             let task = TaskId { job: job.spec.id, index: *index };
@@ -99,7 +100,7 @@
         })
     }
 
-    /// One task of a gang is done, and so all of them are: they complete together.
+    /// Completes all tasks of a gang, since they complete together as soon as one is done.
     pub(super) fn complete_gang(&mut self, id: JobId, attempt: u64) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         for index in 0..job.spec.tasks {
@@ -108,7 +109,7 @@
         self.persistence.put_completed_job(id);
     }
 
-    /// A task of the attempt is off its machine without a result: the others go too.
+    /// Ends an attempt after one of its tasks has left its machine without a result.
     pub(super) fn end_attempt(
         &mut self,
         now: Millis,
@@ -121,7 +122,7 @@
         for GangTask { index, machine, .. } in assigned_tasks(job) {
             let Some(machine) = self.inventory.get_mut(&machine) else { continue };
             let key = (TaskId { job: id, index }, attempt);
-            // Without a run it is of another attempt, or already off its machine.
+            // Without a run, the task is in another attempt or has already left its machine.
             let Some(run) = machine.runs.get_mut(&key) else { continue };
             match end_action(run, fetches) {
                 EndAction::Remove => {
@@ -137,11 +138,11 @@
         }
     }
 
-    /// Ends attempts of which tasks are missing: those that an earlier leader did not bring to a
-    /// start, once all that may be on machines is known; and what was left fetching of those that
-    /// have ended.
+    /// Ends attempts with missing tasks: those that an earlier leader did not start completely,
+    /// once all machines are reconciled, and the remaining tasks of attempts that are already over.
+    /// Fetches of the latter are stopped after [`FETCH_GRACE_MS`].
     pub(super) fn end_incomplete_gang_attempts(&mut self, now: Millis) {
-        for BrokenAttempt { job, mut attempts, fetches } in self.broken_attempts(now) {
+        for IncompleteAttempt { job, mut attempts, fetches } in self.incomplete_attempts(now) {
             attempts.dedup();
             for attempt in attempts {
                 self.end_attempt(now, job, attempt, fetches);
@@ -149,34 +150,35 @@
         }
     }
 
-    fn broken_attempts(&self, now: Millis) -> Vec<BrokenAttempt> {
-        let all_known = self.all_reconciled();
+    fn incomplete_attempts(&self, now: Millis) -> Vec<IncompleteAttempt> {
+        let all_reconciled = self.all_reconciled();
         self.jobs
             .values()
             .filter(|job| job.spec.gang && !job.placed.is_empty() && !job.has_complete_attempt())
-            .filter(|job| all_known || job.attempt_ended_at.is_some())
+            .filter(|job| all_reconciled || job.attempt_ended_at.is_some())
             .map(|job| {
                 let may_fetch =
                     job.attempt_ended_at.is_some_and(|at| now < at.saturating_add(FETCH_GRACE_MS));
                 let attempts = job.placed.values().map(|assignment| assignment.attempt).collect();
                 let fetches = if may_fetch { FetchesOnEnd::Continue } else { FetchesOnEnd::Stop };
-                BrokenAttempt { job: job.spec.id, attempts, fetches }
+                IncompleteAttempt { job: job.spec.id, attempts, fetches }
             })
             .collect()
     }
 
-    /// Tells all tasks of a running gang to save their progress and stop, if all of them can be
-    /// told now.
+    /// Tells all tasks of a running gang to save their progress and stop. Does nothing unless all
+    /// of their machines are responsive.
     pub(super) fn stop_gang(&mut self, now: Millis, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let probe_ms = self.policy.probe_ms();
-        let is_heard = |machine: &str| {
+        let is_responsive = |machine: &str| {
             self.inventory
                 .get(machine)
                 .is_some_and(|m| m.is_up() && !m.heartbeat_older_than(now, probe_ms))
         };
-        let all_heard = job.placed.values().all(|assignment| is_heard(&assignment.machine));
-        if self.attempt_state(job) != AttemptState::Running || !all_heard {
+        let all_responsive =
+            job.placed.values().all(|assignment| is_responsive(&assignment.machine));
+        if self.attempt_state(job) != AttemptState::Running || !all_responsive {
             return;
         }
         let grace_s = job.spec.save_s + STOP_GRACE_S;
@@ -203,16 +205,16 @@
         .collect()
 }
 
-/// What is to be done with a run of an attempt that is over.
+/// What to do with a run of an attempt that is over.
 fn end_action(run: &TaskRun, fetches: FetchesOnEnd) -> EndAction {
-    let stops_at_once = run.stop.is_some_and(|stop| stop.grace_s == 0.0);
+    let stops_immediately = run.stop.is_some_and(|stop| stop.grace_s == 0.0);
     match run.phase {
         TaskPhase::Ended(_) => EndAction::Nothing,
         TaskPhase::Assigned if run.launch_sends == 0 => EndAction::Remove,
         TaskPhase::Fetching if fetches == FetchesOnEnd::Continue && run.stop.is_none() => {
             EndAction::Nothing
         }
-        _ if stops_at_once => EndAction::Nothing,
+        _ if stops_immediately => EndAction::Nothing,
         _ => EndAction::Stop,
     }
 }
--- a/crates/latchtrack-core/src/scheduler/policy.rs
+++ b/crates/latchtrack-core/src/scheduler/policy.rs
@@ -1,4 +1,4 @@
-//! The policy: what operators and the platform set, as far as the core needs it.
+//! Scheduling policy: the settings of operators and of the platform that the core needs.
 
 use std::collections::BTreeSet;
 
@@ -11,63 +11,63 @@
 use crate::placement::ScoreWeights;
 use crate::Millis;
 
-/// What operators and the platform set. Times are in ms.
+/// Settings of operators and of the platform. Times are in ms.
 #[derive(Clone, Debug)]
 pub struct Policy {
-    /// The weights of the scores.
+    /// Weights of the placement scores.
     pub weights: ScoreWeights,
-    /// How many tasks of an array start together.
+    /// How many tasks of an array job start together.
     pub slice: u32,
-    /// How long an empty spot machine is kept.
+    /// How long an idle spot machine is kept.
     pub spot_idle_timeout_ms: Millis,
-    /// How long an empty on-demand machine is kept.
+    /// How long an idle on-demand machine is kept.
     pub on_demand_idle_timeout_ms: Millis,
-    /// How long a job finds no capacity before machines are reserved for it.
+    /// How long a job must find no capacity before machines are reserved for it.
     pub reserve_after_ms: Millis,
-    /// How long a job finds no capacity before a spot machine is provisioned for it.
+    /// How long a job must find no capacity before a spot machine is provisioned for it.
     pub spot_provision_delay_ms: Millis,
-    /// How long a job finds no capacity before an on-demand machine is provisioned for it.
+    /// How long a job must find no capacity before an on-demand machine is provisioned for it.
     pub on_demand_provision_delay_ms: Millis,
-    /// Silence after which a machine is given up.
+    /// Time without a heartbeat after which a machine is given up.
     pub heartbeat_timeout_ms: Millis,
-    /// How long a new leader waits for an unreconciled machine before it is given up.
+    /// How long a new leader waits for an unreconciled machine before giving it up.
     pub reconcile_timeout_ms: Millis,
-    /// Time between two heartbeats of a worker, plus or minus a quarter.
+    /// Mean time between two heartbeats of a worker; each interval varies by up to a quarter.
     pub heartbeat_interval_ms: Millis,
     /// Time without an answered heartbeat after which a worker kills its tasks.
     pub worker_lease_ms: Millis,
-    /// How late the cloud's lists are; sometimes they are twice as late.
+    /// Usual delay of the cloud's machine lists. It is sometimes twice as long.
     pub list_lag_ms: Millis,
-    /// Direct calls open at once, those with commands and probes together.
+    /// Maximum number of concurrent direct calls, commands and probes together.
     pub max_open_calls: usize,
-    /// Bytes of one stored value.
+    /// Maximum size of a stored value in bytes.
     pub value_bytes: usize,
-    /// The teams with their quota.
+    /// The teams with their guarantees and limits.
     pub teams: Vec<Team>,
-    /// How soon jobs of some classes are to be done.
+    /// How soon the jobs of some classes should be complete.
     pub completion_objectives: Vec<CompletionObjective>,
     /// Classes with an objective of any kind.
     pub classes_with_objectives: BTreeSet<String>,
-    /// How soon tasks of some classes are to start.
+    /// How soon the tasks of some classes should start.
     pub start_objectives: Vec<StartObjective>,
-    /// What of load balancing is switched on.
+    /// Load balancing settings.
     pub balance: BalancePolicy,
-    /// The cell that shares the teams' limits with others; None if this deployment has them alone.
+    /// This cell's name if it shares the teams with other cells, else None.
     pub quota_cell: Option<String>,
 }
 
-/// What of load balancing is switched on, and how often tasks may move.
+/// The enabled parts of load balancing, and the limits on moves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BalancePolicy {
-    /// Placement weighs the fetch of an image against the load of a machine.
+    /// Whether placement weighs image fetches against the load of machines.
     pub placement: bool,
-    /// Jobs of a hot team beyond its fair share stand behind those of others.
+    /// Whether jobs of a hot team beyond its fair share go after the jobs of other teams.
     pub teams: bool,
-    /// Running tasks move.
+    /// Whether running tasks are moved.
     pub moves: bool,
-    /// How often and how soon tasks move.
+    /// How often and how soon tasks may be moved.
     pub limits: MoveLimits,
-    /// ms after a failover in which nothing moves.
+    /// No task is moved for this many ms after a failover.
     pub moves_delay_ms: Millis,
 }
 
@@ -84,40 +84,39 @@
 }
 
 impl BalancePolicy {
-    /// Whether the loads of machines have to be observed.
+    /// Whether machine loads have to be observed.
     pub(super) fn observes_loads(&self) -> bool {
         self.placement || self.moves
     }
 }
 
 impl Policy {
-    /// The longest time between two heartbeats of a healthy worker, in ms.
+    /// Maximum time in ms between two heartbeats of a healthy worker.
     pub(super) fn max_heartbeat_gap_ms(&self) -> Millis {
         max_heartbeat_gap_ms(self.heartbeat_interval_ms)
     }
 
-    /// Silence in ms after which other nodes are told that a machine is overdue.
+    /// Time in ms without a heartbeat after which a machine is reported to other nodes as overdue.
     pub fn overdue_ms(&self) -> Millis {
         self.max_heartbeat_gap_ms().saturating_add(OVERDUE_MARGIN_MS)
     }
 
-    /// Silence in ms after which a machine is probed.
+    /// Time in ms without a heartbeat after which a machine is probed.
     pub fn probe_ms(&self) -> Millis {
         self.max_heartbeat_gap_ms().saturating_add(PROBE_MARGIN_MS)
     }
 
-    /// Silence in ms after which a worker has surely killed its tasks, since nobody has answered
-    /// it.
+    /// Time in ms without an answered heartbeat after which a worker has surely killed its tasks.
     pub fn worker_lease_expiry_ms(&self) -> Millis {
         self.worker_lease_ms.saturating_add(WORKER_LEASE_MARGIN_MS)
     }
 
-    /// Age in ms from which a machine is in every list of the cloud, however late.
+    /// Age in ms from which a machine is in every list of the cloud, even a late one.
     pub(super) fn list_complete_ms(&self) -> Millis {
         self.list_lag_ms.saturating_mul(2).saturating_add(LIST_MARGIN_MS)
     }
 
-    /// Silence in ms after which a machine is given up, unless operators set another.
+    /// Default of [`Policy::heartbeat_timeout_ms`]: the longest healthy gap plus time to probe.
     pub fn default_heartbeat_timeout_ms(heartbeat_interval_ms: Millis) -> Millis {
         max_heartbeat_gap_ms(heartbeat_interval_ms)
             .saturating_add(PROBE_MARGIN_MS + PROBING_TIMEOUT_MS)
@@ -131,41 +130,41 @@
 /// How soon the jobs of a class should be complete.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompletionObjective {
-    /// The workload class.
+    /// Name of the workload class.
     pub class: String,
-    /// When its jobs are due.
+    /// When the jobs of the class are due.
     pub due: Due,
 }
 
-/// How soon the tasks of a class are to start.
+/// How soon the tasks of a class should start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartObjective {
-    /// The workload class.
+    /// Name of the workload class.
     pub class: String,
-    /// ms from the submission of a job.
+    /// ms from the submission of the job.
     pub within_ms: Millis,
 }
 
-/// When a job is due, from its submission.
+/// When a job is due, relative to its submission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Due {
-    /// This many ms after it.
+    /// This many ms after submission.
     Within(Millis),
-    /// This many times its own deadline after it; a job without a deadline is not due.
+    /// This multiple of the job's own deadline. Does not apply to jobs without a deadline.
     DeadlineMultiple(f64),
 }
 
-/// A team with its quota: a guarantee and a limit of each resource; 0 is none.
+/// A team with its guarantee and limit of each resource; 0 means none.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// Name by which jobs refer to the team.
     pub name: String,
-    /// CPUs that it is guaranteed.
+    /// Guaranteed CPUs.
     pub cpus: f64,
-    /// CPUs that it may use at most.
+    /// Maximum CPUs in use at once.
     pub cpus_max: f64,
-    /// GPUs that it is guaranteed.
+    /// Guaranteed GPUs.
     pub gpus: f64,
-    /// GPUs that it may use at most.
+    /// Maximum GPUs in use at once.
     pub gpus_max: f64,
 }
