--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -1,5 +1,5 @@
-//! Backfill: what a heartbeat has freed on its machine is filled at once, by the order of the last
-//! scheduling cycle.
+//! Backfill: capacity that a heartbeat frees on its machine is filled at once, in the order of the
+//! last scheduling cycle.
 
 use super::Scheduler;
 use crate::constants::IMAGE_LOOKAHEAD_JOBS;
@@ -7,29 +7,31 @@
 use crate::placement::{self, FreeCapacity, ReservedFor};
 use crate::Millis;
 
-/// Which queue entry takes capacity of a machine next.
+/// The queue entry that gets capacity of a machine next.
 struct BackfillChoice {
-    /// Its index in the queue, and how many of its tasks.
+    /// Index into the queue and number of tasks; None if no entry fits.
     entry: Option<(usize, u32)>,
-    /// Entries passed that have nothing left to place.
+    /// Entries skipped because they have nothing left to place.
     closed: usize,
-    /// A gang that lacks capacity comes before the rest of the queue.
-    awaited_by_gang: bool,
+    /// The search stopped at a gang that lacks capacity; the rest of the queue must not use it.
+    held_for_gang: bool,
 }
 
-/// The free capacity of a machine as it is open to the entries of the queue, asked in their order.
+/// A machine's free capacity as the queue's entries may use it. Entries must be checked in queue
+/// order.
 struct MachineView<'a> {
-    /// All that is free.
+    /// All free capacity of the machine.
     free: &'a FreeCapacity,
-    /// The class for which the machine is reserved, and what the reservation leaves to others.
+    /// The class for which the machine is reserved, and the capacity with that reservation applied.
     reserved: Option<(ClassId, FreeCapacity)>,
-    /// The reservation binds from the first job of its class on; it does not bind those before.
+    /// Whether the reservation applies. It does from the first job of its class on, so that jobs
+    /// ahead of that one may use the whole machine; a gang reserve applies to all jobs.
     reservation_binds: bool,
 }
 
 impl MachineView<'_> {
-    /// What is open to the next entry, whose job is of this class.
-    fn open_to(&mut self, class: ClassId) -> &FreeCapacity {
+    /// The capacity that the next entry, whose job is of this class, may use.
+    fn available_to(&mut self, class: ClassId) -> &FreeCapacity {
         match &self.reserved {
             Some((reserved_for, capacity)) => {
                 self.reservation_binds |= *reserved_for == class;
@@ -45,8 +47,8 @@
 }
 
 impl Scheduler {
-    /// Fills what a machine's own heartbeat has freed, as a cycle would have done at this moment.
-    /// Jobs whose placement depends on more than this machine wait for the next cycle.
+    /// Fills the capacity that a machine's own heartbeat has freed as a cycle would do now. Jobs
+    /// whose placement depends on more than this machine wait for the next cycle.
     pub(super) fn backfill(&mut self, now: Millis, machine: &str) {
         if self.queue.entries().is_empty() {
             return;
@@ -65,21 +67,22 @@
         {
             return;
         }
-        if self.reservations.wanted_by_gang_reserve(&capacity) {
+        if self.reservations.needed_by_gang_reserve(&capacity) {
             self.cycle_timer.request();
             return;
         }
         self.backfill_queue(now, machine, &mut capacity);
     }
 
-    /// Starts a slice of each starving job that fits.
+    /// Starts one slice of each starving job that fits.
     fn backfill_starving_jobs(&mut self, now: Millis, machine: &str, capacity: &mut FreeCapacity) {
         let mut starving = self.queue.take_starving();
         starving.retain(|id| !self.backfill_starving_job(now, machine, *id, capacity));
         self.queue.set_starving(starving);
     }
 
-    /// Starts a slice of a starving job, if it fits; returns whether the job starves no more.
+    /// Starts one slice of a starving job if it fits. Returns whether the job is no longer
+    /// starving.
     fn backfill_starving_job(
         &mut self,
         now: Millis,
@@ -107,7 +110,7 @@
         while capacity.free.cpus > 0.0 {
             let choice = self.next_for_machine(now, machine, capacity);
             closed = choice.closed;
-            if choice.awaited_by_gang {
+            if choice.held_for_gang {
                 self.cycle_timer.request();
             }
             let Some((index, tasks)) = choice.entry else { break };
@@ -123,8 +126,8 @@
         }
     }
 
-    /// The entry that takes capacity of a machine next: the first that fits, or one of the next few
-    /// whose image the machine holds, unless that passes over a job with a start objective.
+    /// The entry that gets capacity of a machine next: the first that fits, or one of the next few
+    /// whose image the machine holds. The lookahead ends at a job with a start objective.
     fn next_for_machine(
         &self,
         now: Millis,
@@ -140,20 +143,20 @@
                 closed += 1;
                 continue;
             };
-            let open = view.open_to(job.equivalence_class);
+            let open = view.available_to(job.equivalence_class);
             let tasks = self.whole_slices(now, job, entry.max_tasks, machine, open);
             if tasks == 0 {
                 if self.queue.lacks_capacity(entry.job)
-                    && self.useful_to_gang(now, job, machine, open)
+                    && self.usable_by_gang(now, job, machine, open)
                 {
-                    // The next cycle keeps it for that gang.
-                    return BackfillChoice { entry: first, closed, awaited_by_gang: true };
+                    // The next cycle reserves the capacity for that gang.
+                    return BackfillChoice { entry: first, closed, held_for_gang: true };
                 }
                 continue;
             }
             if open.images.contains(&job.spec.image) {
                 let entry = Some((index, tasks));
-                return BackfillChoice { entry, closed, awaited_by_gang: false };
+                return BackfillChoice { entry, closed, held_for_gang: false };
             }
             first.get_or_insert((index, tasks));
             fitting += 1;
@@ -161,10 +164,10 @@
                 break;
             }
         }
-        BackfillChoice { entry: first, closed, awaited_by_gang: false }
+        BackfillChoice { entry: first, closed, held_for_gang: false }
     }
 
-    /// The machine as the queue sees it. A gang reserve binds all jobs.
+    /// The machine's capacity as the queue's entries may use it. A gang reserve binds all jobs.
     fn view_of_machine<'a>(&self, machine: &str, free: &'a FreeCapacity) -> MachineView<'a> {
         let reservation = self.reservations.on_machine(machine);
         let reserved = match reservation.map(|reservation| reservation.reserved_for) {
@@ -178,7 +181,7 @@
         MachineView { free, reserved, reservation_binds }
     }
 
-    /// How many tasks of a job, in whole slices or all that wait, go here.
+    /// How many tasks of a job to place here: whole slices, or all that are wanted if they fit.
     fn whole_slices(
         &self,
         now: Millis,
@@ -197,10 +200,11 @@
         }
     }
 
-    /// How many tasks of a job may go here, if that depends on nothing else.
+    /// How many tasks of a job fit on this machine; 0 if more than the machine decides about that,
+    /// such as zones or a team limit.
     fn tasks_fitting(&self, now: Millis, job: &Job, machine: &str, capacity: &FreeCapacity) -> u32 {
         let spec = &job.spec;
-        // A gang goes whole onto this machine or not at all, and so in one zone.
+        // Backfill starts a gang on a single machine or not at all, and so always in one zone.
         let zones_matter = spec.spread || (spec.one_zone && !spec.gang);
         if job.backoff_until > now
             || zones_matter
@@ -215,8 +219,8 @@
         self.tasks_admitted(now, job, capacity)
     }
 
-    /// Whether a task of a gang that lacks capacity could be on this machine.
-    fn useful_to_gang(
+    /// Whether a gang that lacks capacity could place a task on this machine.
+    fn usable_by_gang(
         &self,
         now: Millis,
         job: &Job,
--- a/crates/latchtrack-core/src/scheduler/cycle.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle.rs
@@ -1,5 +1,5 @@
-//! The scheduling cycle: the whole queue is placed on what all machines have free. Between two
-//! cycles, `backfill` fills what single heartbeats have freed.
+//! The scheduling cycle places the whole queue on the free capacity of all machines. Between two
+//! cycles, `backfill` fills the capacity that individual heartbeats free.
 
 use super::cycle_state::SchedulingCycle;
 use super::queue::QueueEntry;
@@ -8,14 +8,14 @@
 use crate::job::{JobSpec, Resources};
 use crate::Millis;
 
-/// When the next scheduling cycle is due.
+/// Decides when the next scheduling cycle is due.
 #[derive(Clone, Debug)]
 pub(super) struct CycleTimer {
-    /// When the last one began.
+    /// When the last cycle started; None before the first one.
     last_at: Option<Millis>,
-    /// Cycles in this term.
+    /// Cycles started in this term.
     count: u64,
-    /// Something has changed since the last one.
+    /// Set if something has changed since the last cycle started.
     requested: bool,
 }
 
@@ -26,18 +26,18 @@
 }
 
 impl CycleTimer {
-    /// Something has changed that the next cycle should take into account.
+    /// Requests a cycle because something has changed that affects scheduling.
     pub fn request(&mut self) {
         self.requested = true;
     }
 
-    /// Cycles in this term.
+    /// Cycles started in this term.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Whether a cycle is due: many changes in a row share one, and without any change there is one
-    /// now and then, since deadlines come closer.
+    /// Whether a cycle is due. Changes in quick succession share one cycle. Without changes there
+    /// is still one every [`MAX_CYCLE_INTERVAL_MS`], since deadlines approach.
     fn is_due(&self, now: Millis) -> bool {
         self.last_at.is_none_or(|last_at| {
             now >= last_at + MIN_CYCLE_INTERVAL_MS
@@ -53,21 +53,21 @@
 }
 
 impl Scheduler {
-    /// Whether a scheduling cycle is due.
+    /// Whether [`Self::run_cycle`] should be called now.
     pub(super) fn cycle_due(&self, now: Millis) -> bool {
         self.cycle_timer.is_due(now)
     }
 
-    /// Runs a scheduling cycle.
+    /// Runs a scheduling cycle over the whole queue, and keeps what it leaves for backfill.
     pub(super) fn run_cycle(&mut self, now: Millis) {
-        // Tasks that move start on the targets reserved for them, outside of the queue.
+        // Moved tasks start on the targets reserved for them, without going through the queue.
         self.advance_moves(now);
         self.cycle_timer.start(now);
         self.refresh_image_locality(now);
         let mut cycle = self.start_cycle(now);
         let mut entries = self.order_queue(now, &cycle);
         self.count_waiting_tasks(&entries, &mut cycle);
-        self.serve_starving_jobs(now, &entries, &mut cycle);
+        self.schedule_starving_jobs(now, &entries, &mut cycle);
         self.fill_gang_reserves(now, &mut cycle);
         for entry in &mut entries {
             self.schedule_entry(now, entry, &mut cycle);
@@ -76,7 +76,7 @@
         self.reservations.replace(cycle.into_reservations());
     }
 
-    /// A snapshot of the free capacity and of what the teams use.
+    /// Takes a snapshot of the free capacity and of the teams' usage.
     fn start_cycle(&mut self, now: Millis) -> SchedulingCycle {
         let (capacities, total) = self.free_capacities(now);
         let searches = self.equivalence_classes.new_searches();
@@ -85,25 +85,26 @@
         SchedulingCycle::new(capacities, total, searches, self.limited_usage())
     }
 
-    /// Counts the waiting tasks of each equivalence class: capacity is provisioned and reserved for
-    /// all of them together.
+    /// Counts the waiting tasks of each equivalence class, since capacity is provisioned and
+    /// reserved for a class as a whole.
     fn count_waiting_tasks(&self, entries: &[QueueEntry], cycle: &mut SchedulingCycle) {
         for entry in entries {
             let Some(job) = self.jobs.get(&entry.job) else { continue };
             if !job.is_quarantined {
                 let tasks = job.schedulable_tasks().min(entry.max_tasks);
-                cycle.search_mut(job.equivalence_class).add_behind(tasks);
+                cycle.search_mut(job.equivalence_class).add_tasks_behind(tasks);
             }
         }
     }
 
-    /// How many tasks of a job start together.
+    /// How many tasks of a job must start together.
     pub(super) fn slice_size(&self, spec: &JobSpec) -> u32 {
         if spec.gang {
             return spec.tasks;
         }
-        // A slice above what its team may ever use would never start.
-        let most = self.policy.slice.min(self.within_limit(spec, Resources::default()));
-        most.clamp(1, spec.tasks)
+        // A slice larger than the team's limit could never start.
+        let max_tasks =
+            self.policy.slice.min(self.tasks_allowed_besides(spec, Resources::default()));
+        max_tasks.clamp(1, spec.tasks)
     }
 }
--- a/crates/latchtrack-core/src/scheduler/cycle_state.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle_state.rs
@@ -1,4 +1,4 @@
-//! The state of one scheduling cycle, shared by its steps.
+//! The state that the steps of one scheduling cycle share.
 
 use std::sync::Arc;
 
@@ -6,24 +6,24 @@
 use crate::job::{ClassId, JobSpec, Resources};
 use crate::placement::{FreeCapacity, Reservation};
 
-/// The state of one scheduling cycle: the free capacity and the usage of the teams as the jobs
-/// placed so far leave them, and what was found for each equivalence class.
+/// The state of one scheduling cycle: free capacity and team usage after the placements so far, and
+/// the search results of each equivalence class.
 pub(super) struct SchedulingCycle {
-    /// Of machines that are ready and of pending ones; reservations are among it.
+    /// Ready and pending machines, including reserved ones.
     capacities: Vec<FreeCapacity>,
-    /// What all machines that are up have.
+    /// Total resources of all machines that are up.
     total: Resources,
-    /// By the id of the class.
+    /// Indexed by [`ClassId`].
     searches: Vec<ClassSearch>,
-    /// What teams use, if any has a limit.
+    /// Usage by team; empty if no team has a limit.
     used: UsageByTeam,
-    /// The same with the tasks counted on pending machines.
+    /// `used` plus the tasks counted on pending machines.
     expected: UsageByTeam,
 }
 
 impl SchedulingCycle {
-    /// A cycle in which nothing has been placed: `total` is what the machines that are up have,
-    /// `used` what the teams use, if any has a limit.
+    /// Creates a cycle in which nothing has been placed. `total` covers the machines that are up;
+    /// `used` is empty if no team has a limit.
     pub fn new(
         capacities: Vec<FreeCapacity>,
         total: Resources,
@@ -33,24 +33,23 @@
         SchedulingCycle { capacities, total, searches, expected: used.clone(), used }
     }
 
-    /// The capacities, ready ones and pending ones. An index into them is valid for the whole
-    /// cycle.
+    /// Ready and pending capacities. An index into them stays valid for the whole cycle.
     pub fn capacities(&self) -> &[FreeCapacity] {
         &self.capacities
     }
 
-    /// What all machines that are up have.
+    /// Total resources of all machines that are up, whether free or in use.
     pub fn total(&self) -> &Resources {
         &self.total
     }
 
-    /// The capacity of machines that are not ready for tasks yet.
+    /// The capacities of machines that are not ready for tasks yet.
     pub fn pending_mut(&mut self) -> impl Iterator<Item = &mut FreeCapacity> {
         self.capacities.iter_mut().filter(|capacity| !capacity.ready)
     }
 
-    /// Adds machines that were just requested. What the job they are for leaves of them is pending
-    /// capacity for jobs of all classes.
+    /// Adds newly requested machines. Jobs of all classes may use the capacity that is left over by
+    /// the job for which they were requested.
     pub fn add_pending(&mut self, capacity: &FreeCapacity, machines: u32) {
         self.capacities.extend((0..machines).map(|_| capacity.clone()));
         for search in &mut self.searches {
@@ -58,142 +57,145 @@
         }
     }
 
-    /// Takes the demand of tasks out of a capacity; returns its machine, if it has been
-    /// provisioned.
+    /// Subtracts the demand of `tasks` tasks from a capacity. Returns its machine, or None if that
+    /// has only been requested.
     pub fn take(&mut self, index: usize, demand: &Resources, tasks: u32) -> Option<Arc<str>> {
         let capacity = &mut self.capacities[index];
         capacity.take(demand, tasks);
         capacity.machine.clone()
     }
 
-    /// Keeps a capacity from all but the jobs for which it is reserved.
+    /// Reserves a capacity; other jobs may use only the spare part of the reservation.
     pub fn reserve(&mut self, index: usize, reservation: Reservation) {
         self.capacities[index].reservation = Some(reservation);
     }
 
-    /// The reservations made in this cycle, by machine.
+    /// The reservations made in this cycle, by machine. Machines that have only been requested are
+    /// left out.
     pub fn into_reservations(self) -> impl Iterator<Item = (Arc<str>, Reservation)> {
         self.capacities
             .into_iter()
             .filter_map(|capacity| Some((capacity.machine?, capacity.reservation?)))
     }
 
-    /// What was found for an equivalence class.
+    /// The search results of an equivalence class.
     pub fn search(&self, class: ClassId) -> &ClassSearch {
         &self.searches[class.0]
     }
 
-    /// What was found for an equivalence class, to note more.
+    /// The search results of an equivalence class, for updates.
     pub fn search_mut(&mut self, class: ClassId) -> &mut ClassSearch {
         &mut self.searches[class.0]
     }
 
-    /// What the teams use.
+    /// Usage by team, including the tasks placed in this cycle.
     pub fn used(&self) -> &UsageByTeam {
         &self.used
     }
 
-    /// What the teams will use once the tasks counted on pending machines run too.
+    /// Usage by team once the tasks counted on pending machines run too.
     pub fn expected(&self) -> &UsageByTeam {
         &self.expected
     }
 
-    /// Counts tasks that were placed, or for which a part of their team's limit is reserved.
+    /// Counts tasks that were placed, or for which part of their team's limit is reserved.
     pub fn count_used(&mut self, spec: &JobSpec, tasks: u32) {
         self.used.add(spec, tasks);
         self.expected.add(spec, tasks);
     }
 
-    /// Counts tasks that pending machines are to take.
+    /// Counts tasks that were assigned to pending capacity.
     pub fn count_expected(&mut self, spec: &JobSpec, tasks: u32) {
         self.expected.add(spec, tasks);
     }
 }
 
-/// Tasks that a capacity of the cycle takes, or could take.
+/// A number of tasks at one of the cycle's capacities: the tasks it takes, or the most it could
+/// take.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TasksAt {
-    /// The index of the capacity in the cycle.
+    /// Index into [`SchedulingCycle::capacities`].
     pub index: usize,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
 }
 
-/// Whether a job may use what is reserved for jobs of other classes.
+/// Whether a job may use capacity that is reserved for jobs of other classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReservationAccess {
-    /// The reservations of others bind it.
+    /// Reservations for other classes apply to the job.
     Respects,
-    /// It has waited so long that they don't, unless they are exclusive.
+    /// The job has waited so long that only exclusive reservations apply to it.
     Ignores,
 }
 
-/// What a cycle has found for an equivalence class: a search that failed for one of its jobs is not
-/// repeated for the others.
+/// What a cycle has found out about an equivalence class, so that a search that failed for one job
+/// is not repeated for the others.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ClassSearch {
-    /// No ready machine has capacity that is not reserved for others.
+    /// No ready machine has capacity left, apart from what is reserved for other classes.
     ready_exhausted: bool,
-    /// Nor has one capacity that is reserved for jobs of other classes.
+    /// No ready machine has capacity left, including what is reserved for other classes.
     reserved_exhausted: bool,
     /// No pending machine has capacity.
     pending_exhausted: bool,
-    /// Nothing can be provisioned.
+    /// No machine can be provisioned.
     offers_exhausted: bool,
     /// Capacity was reserved for the waiting jobs of the class.
     has_reservation: bool,
-    /// Waiting tasks of its jobs further back in the queue.
+    /// Waiting tasks of the class's jobs that the cycle has not reached yet.
     tasks_behind: u32,
 }
 
 impl ClassSearch {
-    /// Counts waiting tasks of a job further back in the queue.
-    pub fn add_behind(&mut self, tasks: u32) {
+    /// Adds the waiting tasks of a job that the cycle has not reached yet.
+    pub fn add_tasks_behind(&mut self, tasks: u32) {
         self.tasks_behind += tasks;
     }
 
-    /// A job with these waiting tasks is up now, and no longer further back.
-    pub fn reached(&mut self, tasks: u32) {
+    /// Removes the waiting tasks of a job that the cycle has reached. Saturates at 0.
+    pub fn remove_tasks_behind(&mut self, tasks: u32) {
         self.tasks_behind = self.tasks_behind.saturating_sub(tasks);
     }
 
-    /// The waiting tasks of the class's jobs further back in the queue.
+    /// Waiting tasks of the class's jobs further back in the queue.
     pub fn tasks_behind(&self) -> u32 {
         self.tasks_behind
     }
 
-    /// Whether a ready machine may be found.
+    /// Whether a search for ready machines is worthwhile for a job with this access.
     pub fn may_find_ready(&self, access: ReservationAccess) -> bool {
         !self.ready_exhausted || access == ReservationAccess::Ignores && !self.reserved_exhausted
     }
 
-    /// No ready machine has capacity that jobs with this access may use.
-    pub fn exhaust_ready(&mut self, access: ReservationAccess) {
+    /// Records that no ready machine has capacity for jobs with this access.
+    pub fn mark_ready_exhausted(&mut self, access: ReservationAccess) {
         self.ready_exhausted = true;
         self.reserved_exhausted |= access == ReservationAccess::Ignores;
     }
 
-    /// Whether pending capacity may be found.
+    /// Whether a search for pending capacity is worthwhile.
     pub fn may_find_pending(&self) -> bool {
         !self.pending_exhausted
     }
 
-    /// No pending capacity is left.
-    pub fn exhaust_pending(&mut self) {
+    /// Records that no pending capacity is left. [`SchedulingCycle::add_pending`] resets this.
+    pub fn mark_pending_exhausted(&mut self) {
         self.pending_exhausted = true;
     }
 
-    /// Whether an offer to provision may be found.
+    /// Whether a search for a machine to provision is worthwhile.
     pub fn may_find_offer(&self) -> bool {
         !self.offers_exhausted
     }
 
-    /// Nothing can be provisioned any more.
-    pub fn exhaust_offers(&mut self) {
+    /// Records that no machine can be provisioned for the rest of the cycle.
+    pub fn mark_offers_exhausted(&mut self) {
         self.offers_exhausted = true;
     }
 
-    /// Notes that capacity is reserved for all waiting jobs of the class; false if it was before.
+    /// Records that capacity is reserved for the waiting jobs of the class. Returns false if that
+    /// was recorded before.
     pub fn claim_reservation(&mut self) -> bool {
         !std::mem::replace(&mut self.has_reservation, true)
     }
--- a/crates/latchtrack-core/src/scheduler/deferral.rs
+++ b/crates/latchtrack-core/src/scheduler/deferral.rs
@@ -1,4 +1,4 @@
-//! Deferral: jobs that can't be in time stand behind those that can.
+//! Deferral: jobs that can't be completed in time go after jobs that can.
 
 use super::queue_order::{QueueTier, RankedJob};
 use super::Scheduler;
@@ -6,12 +6,12 @@
 use crate::placement::{deferred, TimedDemand};
 use crate::Millis;
 
-/// The part of its estimate that a running task has still before it, on average.
+/// Fraction of its estimated run time that a running task still has ahead of it, on average.
 const REMAINING_RUN_SHARE: f64 = 0.5;
 
 impl Scheduler {
-    /// Moves jobs to the tier of the deferred ones where not all with an objective can be in time:
-    /// see [`deferred`].
+    /// Moves jobs to [`QueueTier::Deferred`] if not all jobs with objectives can be completed in
+    /// time. [`deferred`] chooses them.
     pub(super) fn defer_jobs(&self, now: Millis, ranked: &mut [RankedJob], total: &Resources) {
         let running: f64 = self
             .inventory
@@ -55,12 +55,12 @@
     }
 }
 
-/// CPU-ms of a number of tasks of a job, as its owner estimates.
+/// CPU-ms of `tasks` tasks of a job, by its owner's estimate.
 fn cpu_ms(spec: &JobSpec, tasks: f64) -> f64 {
     spec.demand.cpus * tasks * spec.estimate_s * 1000.0
 }
 
-/// CPU-ms of all waiting tasks of a job.
+/// CPU-ms of all waiting tasks of a job, by its owner's estimate.
 pub(super) fn waiting_cpu_ms(job: &Job) -> f64 {
     cpu_ms(&job.spec, f64::from(job.waiting()))
 }
--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -1,5 +1,5 @@
-//! How a cycle schedules one queue entry: on ready machines, on pending ones, on machines that are
-//! provisioned for it, and by a reservation, in this order, until none of its tasks is left.
+//! Schedules one queue entry in a cycle. Its tasks go to ready machines first, then to pending
+//! ones, then to newly provisioned ones; for the remaining tasks, capacity is reserved.
 
 use std::sync::Arc;
 
@@ -14,14 +14,14 @@
 use crate::placement::{self, FreeCapacity, ReservedFor};
 use crate::Millis;
 
-/// In which zone capacity is sought for a job.
+/// The zone in which to look for capacity for a job.
 enum TargetZone {
-    /// In any that the job allows.
+    /// Any zone that the job allows.
     Any,
-    /// In this one, where tasks of the job are.
+    /// Only this zone, since tasks of the job already run there.
     Required(Arc<str>),
-    /// In this one, unless there is nothing to provision there: all tasks must be in one zone, and
-    /// spread over several, new machines would have room for a slice in none.
+    /// This zone, or any other if nothing can be provisioned here. The job must be in a single
+    /// zone; machines added across several zones might leave room for a slice in none of them.
     Preferred(Arc<str>),
 }
 
@@ -36,20 +36,18 @@
 
 /// Tasks of a job for which no ready machine was found.
 struct Shortage {
-    /// The job.
     spec: Arc<JobSpec>,
-    /// Its equivalence class.
     class: ClassId,
-    /// How many tasks.
+    /// Number of tasks that still lack capacity.
     remaining: u32,
-    /// For how long the job has found no capacity.
+    /// How long the job has found no capacity.
     unschedulable_ms: Millis,
-    /// Where capacity is sought.
+    /// Where to look for capacity.
     zone: TargetZone,
 }
 
 impl Scheduler {
-    /// Whether a job has waited so long that reservations for others don't bind it.
+    /// Whether reservations for other classes apply to a job, or it has waited too long for that.
     pub(super) fn reservation_access(&self, now: Millis, job: &Job) -> ReservationAccess {
         let ignores = job
             .unschedulable_since
@@ -61,19 +59,19 @@
         }
     }
 
-    /// How many tasks a job may put into a free capacity, by size and by its reservation.
+    /// How many tasks a job may place on a free capacity, given its size and reservation.
     pub(super) fn tasks_admitted(&self, now: Millis, job: &Job, capacity: &FreeCapacity) -> u32 {
-        let for_a_class = capacity
+        let reserved_for_class = capacity
             .reservation
             .is_some_and(|reservation| reservation.reserved_for != ReservedFor::Exclusive);
-        if for_a_class && self.reservation_access(now, job) == ReservationAccess::Ignores {
+        if reserved_for_class && self.reservation_access(now, job) == ReservationAccess::Ignores {
             capacity.holds(&job.spec.demand)
         } else {
             capacity.admits(&job.spec.demand, job.equivalence_class)
         }
     }
 
-    /// Schedules a queue entry, and takes off it what was placed.
+    /// Schedules a queue entry, and reduces its `max_tasks` by the tasks placed on ready machines.
     pub(super) fn schedule_entry(
         &mut self,
         now: Millis,
@@ -84,13 +82,14 @@
         let (spec, class) = (job.spec.clone(), job.equivalence_class);
         let wanted = job.schedulable_tasks().min(entry.max_tasks);
         if !job.is_quarantined {
-            cycle.search_mut(class).reached(wanted);
+            cycle.search_mut(class).remove_tasks_behind(wanted);
         }
         let access = self.reservation_access(now, job);
         let allowed = wanted.min(self.tasks_within_limit(&spec, cycle.used()));
         if spec.gang && allowed < wanted {
-            // It starts whole or not at all, and waits for its team's limit.
-            self.note_gang_lacks_quota(now, entry.job);
+            // A gang starts as a whole or not at all, so it waits until its team's limit allows all
+            // of it.
+            self.mark_gang_unschedulable(now, entry.job);
             return;
         }
         if allowed == 0 {
@@ -102,18 +101,21 @@
         }
         entry.max_tasks = entry.max_tasks.saturating_sub(placed);
         let remaining = allowed - placed;
-        let Some(unschedulable_ms) = self.note_placed(now, entry.job, placed, remaining) else {
+        let Some(unschedulable_ms) =
+            self.update_unschedulable_since(now, entry.job, placed, remaining)
+        else {
             return;
         };
         let job = self.jobs.get(&entry.job);
         if job.is_none_or(|job| self.waits_for_image_anywhere(now, job)) {
-            // It left capacity unused that others of its class may take, and waits only briefly.
+            // The job waits briefly for a machine that holds its image. The capacity that it left
+            // unused is open to other jobs of its class.
             return;
         }
         let zone = self.target_zone(&spec, cycle);
         let shortage = Shortage { spec, class, remaining, unschedulable_ms, zone };
         if shortage.spec.gang {
-            // That it does not fit whole says nothing of the others of its class.
+            // A gang may fail to fit where smaller gangs of its class still do.
             self.reserve_for_waiting_gang(now, &shortage, cycle);
         } else {
             self.note_ready_exhausted(&shortage, access, cycle);
@@ -121,15 +123,15 @@
         self.acquire_capacity(now, shortage, cycle);
     }
 
-    fn note_gang_lacks_quota(&mut self, now: Millis, id: JobId) {
+    fn mark_gang_unschedulable(&mut self, now: Millis, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_quarantined) {
             job.unschedulable_since.get_or_insert(now);
         }
     }
 
-    /// Notes since when a job finds no capacity. Returns for how many ms, or None if it lacks none,
-    /// or nothing is provisioned or reserved for it, since it is quarantined.
-    fn note_placed(
+    /// Updates since when a job has found no capacity. Returns for how many ms, or None if no task
+    /// is left over or the job is quarantined: nothing is provisioned or reserved for such a job.
+    fn update_unschedulable_since(
         &mut self,
         now: Millis,
         id: JobId,
@@ -162,7 +164,7 @@
         zone_with_most_capacity(allowed, spec).map_or(TargetZone::Any, TargetZone::Preferred)
     }
 
-    /// Reserves for a gang what is free, if it is to start promptly or has waited long enough.
+    /// Reserves free capacity for a gang that has a start objective or has waited long enough.
     fn reserve_for_waiting_gang(
         &mut self,
         now: Millis,
@@ -178,8 +180,9 @@
         }
     }
 
-    /// Notes for the other jobs of its class that a job found no ready machine. What a job finds
-    /// that is bound by where its own tasks are, or where they failed, says nothing of the others.
+    /// Records for the job's class that no ready machine was found. Not if the search was limited
+    /// by the zones of the job's own tasks, or by machines on which they failed: other jobs of the
+    /// class may still find one.
     fn note_ready_exhausted(
         &self,
         shortage: &Shortage,
@@ -189,19 +192,19 @@
         let spec = &shortage.spec;
         let avoids_machines = self.jobs.get(&spec.id).is_some_and(|job| !job.failed_on.is_empty());
         if !spec.is_zone_constrained() && !avoids_machines {
-            cycle.search_mut(shortage.class).exhaust_ready(access);
+            cycle.search_mut(shortage.class).mark_ready_exhausted(access);
         }
     }
 
-    /// Finds capacity for tasks that can't start now: pending, provisioned for them, or reserved.
+    /// Finds capacity for tasks that can't start now: pending, newly provisioned or reserved.
     fn acquire_capacity(
         &mut self,
         now: Millis,
         mut shortage: Shortage,
         cycle: &mut SchedulingCycle,
     ) {
-        // Nothing is provisioned for what the team's limit would hold back once all that is
-        // expected runs.
+        // Provision nothing for tasks that the team's limit would block once all expected tasks
+        // run.
         let allowed = self.tasks_within_limit(&shortage.spec, cycle.expected());
         shortage.remaining = shortage.remaining.min(allowed);
         if shortage.remaining > 0 {
@@ -215,7 +218,7 @@
         }
     }
 
-    /// Counts tasks on pending machines; returns how many.
+    /// Assigns tasks to pending capacity; returns how many.
     fn count_on_pending(&self, shortage: &Shortage, cycle: &mut SchedulingCycle) -> u32 {
         if !cycle.search(shortage.class).may_find_pending() {
             return 0;
@@ -224,12 +227,12 @@
         let placed = place_on_pending(&shortage.spec, zone, shortage.remaining, cycle);
         self.count_expected_usage(&shortage.spec, placed, cycle);
         if placed < shortage.remaining && zone.is_none() {
-            cycle.search_mut(shortage.class).exhaust_pending();
+            cycle.search_mut(shortage.class).mark_pending_exhausted();
         }
         placed
     }
 
-    /// Provisions machines; returns for how many tasks.
+    /// Provisions machines; returns the number of tasks that they will take.
     fn provision_for(
         &mut self,
         now: Millis,
@@ -247,12 +250,12 @@
         }
         self.count_expected_usage(spec, placed, cycle);
         if placed < *remaining && zone.is_none() {
-            cycle.search_mut(shortage.class).exhaust_offers();
+            cycle.search_mut(shortage.class).mark_offers_exhausted();
         }
         placed
     }
 
-    /// Reserves capacity for all waiting jobs of a class at once, if this one has waited long
+    /// Reserves capacity for all waiting jobs of a class at once, if this job has waited long
     /// enough.
     fn reserve_for_class(&self, now: Millis, shortage: &Shortage, cycle: &mut SchedulingCycle) {
         if shortage.spec.gang || shortage.unschedulable_ms < self.policy.reserve_after_ms {
--- a/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
+++ b/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
@@ -1,15 +1,15 @@
-//! Equivalence classes of jobs: with equal demands and constraints, what one job of a class can't
-//! find in a scheduling cycle another can't find either.
+//! Equivalence classes of jobs. Jobs of a class have equal demands and constraints, so if one finds
+//! no capacity in a scheduling cycle, the others don't either.
 
 use std::collections::HashMap;
 
 use super::cycle_state::ClassSearch;
 use crate::job::{ClassId, JobSpec};
 
-/// What jobs of one class have in common.
+/// The properties that jobs of one class have in common.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ClassKey {
-    /// CPUs, GPUs and GB of memory, as bit patterns: equal numbers are the same class.
+    /// CPUs, GPUs and GB of memory as bit patterns, since `f64` is neither `Eq` nor `Hash`.
     demand: [u64; 3],
     types: Option<Vec<String>>,
     zone: Option<String>,
@@ -30,18 +30,18 @@
     }
 }
 
-/// The classes that were seen in this term. None is ever removed, so that ids stay valid.
+/// The classes seen in this term. None is ever removed, so class ids stay valid.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EquivalenceClasses(HashMap<ClassKey, ClassId>);
 
 impl EquivalenceClasses {
-    /// The class of a job, a new one if it is the first of its kind.
+    /// Returns the class of a job, and creates it for the first job of its kind.
     pub fn of(&mut self, spec: &JobSpec) -> ClassId {
         let next = ClassId(self.0.len());
         *self.0.entry(ClassKey::of(spec)).or_insert(next)
     }
 
-    /// What a scheduling cycle begins with, by class: nothing has been searched for.
+    /// Empty search results for a new scheduling cycle, indexed by class.
     pub fn new_searches(&self) -> Vec<ClassSearch> {
         vec![ClassSearch::default(); self.0.len()]
     }
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -1,4 +1,4 @@
-//! Fair share: jobs of a hot team that are beyond its share stand behind those of other teams.
+//! Fair share: jobs of a hot team beyond its share are scheduled after the jobs of other teams.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,19 @@
 use crate::job::{Job, JobSpec, Resources};
 use crate::Millis;
 
-/// What a team uses and waits for, in dominant shares of the cluster.
+/// What a team uses and waits for, as dominant shares of the cluster.
 #[derive(Clone, Copy, Debug, Default)]
 struct TeamShares {
-    /// Of its live tasks.
+    /// Share of its live tasks.
     running: f64,
-    /// Of the tasks that its jobs may have placed now.
+    /// Share of the waiting tasks that may be placed now.
     waiting: f64,
 }
 
 impl Scheduler {
-    /// Marks the jobs of hot teams that are beyond their share, in the order of the queue. Among
-    /// themselves they keep that order, and they borrow what no other job asks for.
+    /// Marks the jobs of hot teams that are beyond their team's share. `ranked` must be in queue
+    /// order. Marked jobs keep their relative order, and still get capacity that no other job asks
+    /// for.
     pub(super) fn mark_beyond_share(
         &mut self,
         now: Millis,
@@ -32,7 +33,7 @@
         if !self.policy.balance.teams {
             return;
         }
-        let used = self.team_use(ranked, total);
+        let used = self.team_shares(ranked, total);
         let hot = self.hot_shares(now, &used, total);
         if hot.is_empty() {
             return;
@@ -48,8 +49,8 @@
         }
     }
 
-    /// The fair shares of the teams that are hot now: those of which more work arrives than their
-    /// share does.
+    /// The fair shares of the hot teams: those whose work arrives faster than their share can
+    /// complete it.
     fn hot_shares(
         &mut self,
         now: Millis,
@@ -64,16 +65,16 @@
         let shares = shares(&demands);
         let mut hot = BTreeMap::new();
         for (team, share) in self.policy.teams.iter().zip(shares) {
-            let heat = self.load_balancing.classify_arrivals(now, &team.name, share * total.cpus);
-            if heat == ArrivalLevel::Hot {
+            let level = self.load_balancing.classify_arrivals(now, &team.name, share * total.cpus);
+            if level == ArrivalLevel::Hot {
                 hot.insert(team.name.clone(), share);
             }
         }
         hot
     }
 
-    /// What each team uses, and what its jobs in the queue wait for.
-    fn team_use(&self, ranked: &[RankedJob], total: &Resources) -> BTreeMap<String, TeamShares> {
+    /// What each team uses, and what its queued jobs wait for.
+    fn team_shares(&self, ranked: &[RankedJob], total: &Resources) -> BTreeMap<String, TeamShares> {
         let mut used: BTreeMap<String, TeamShares> = BTreeMap::new();
         let runs = self.inventory.runs();
         for spec in runs.filter(|run| run.is_live()).filter_map(|run| run.spec.as_ref()) {
@@ -86,22 +87,22 @@
     }
 }
 
-/// The dominant share of the cluster that a task takes.
+/// The dominant share of the cluster that one task uses.
 fn task_share(spec: &JobSpec, total: &Resources) -> f64 {
     spec.demand.dominant_share(total)
 }
 
-/// The dominant share of the cluster that all tasks take that a job may have placed now.
+/// The dominant share of the cluster that the tasks of a job need that may be placed now.
 fn waiting_share(job: &Job, total: &Resources) -> f64 {
     task_share(&job.spec, total) * f64::from(job.schedulable_tasks())
 }
 
 fn team_demand(team: &Team, used: TeamShares, total: &Resources) -> TeamDemand {
-    let part = |amount: f64, all: f64| if all > 0.0 { amount / all } else { 0.0 };
-    let limits = [part(team.cpus_max, total.cpus), part(team.gpus_max, total.gpus)];
+    let fraction = |amount: f64, all: f64| if all > 0.0 { amount / all } else { 0.0 };
+    let limits = [fraction(team.cpus_max, total.cpus), fraction(team.gpus_max, total.gpus)];
     let limit = limits.into_iter().filter(|limit| *limit > 0.0).fold(f64::INFINITY, f64::min);
     TeamDemand {
-        guarantee: part(team.cpus, total.cpus).max(part(team.gpus, total.gpus)),
+        guarantee: fraction(team.cpus, total.cpus).max(fraction(team.gpus, total.gpus)),
         limit: if limit.is_finite() { limit } else { 0.0 },
         wanted: used.running + used.waiting,
     }
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -1,4 +1,4 @@
-//! The free capacity of machines, with which a scheduling cycle and backfill begin.
+//! The free capacity of machines, from which scheduling cycles and backfill start.
 
 use super::provisioning::pending_capacity;
 use super::Scheduler;
@@ -8,8 +8,8 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// The free capacity of a machine, without what moves reserve on it; None if it can't be
-    /// counted on.
+    /// The free capacity of a machine, minus what moves have reserved on it. None if no task may be
+    /// placed there, or its type or usage is unknown.
     pub(super) fn free_capacity_of(&self, now: Millis, machine: &Machine) -> Option<FreeCapacity> {
         if !self.takes_tasks(now, machine) {
             return None;
@@ -46,12 +46,12 @@
         if is_excluded || machine.is_up() {
             return !is_excluded;
         }
-        // One that boots in an unreachable zone, or is late, will not be of use soon.
+        // A booting machine that is late, or whose zone is unreachable, won't be usable soon.
         !self.failure_detector.is_unreachable(&machine.zone) && !self.is_late(now, machine)
     }
 
-    /// The free capacities of all machines, up or pending, and what those that are up have in all.
-    /// A machine whose heartbeat is overdue takes no more tasks, and still counts as up.
+    /// The free capacities of all machines, up or pending, and the total resources of those that
+    /// are up. A machine with an overdue heartbeat gets no more tasks but counts in the total.
     pub(super) fn free_capacities(&self, now: Millis) -> (Vec<FreeCapacity>, Resources) {
         let mut capacities = Vec::with_capacity(self.inventory.len());
         let mut total = Resources::default();
--- a/crates/latchtrack-core/src/scheduler/guarantees.rs
+++ b/crates/latchtrack-core/src/scheduler/guarantees.rs
@@ -1,4 +1,4 @@
-//! The teams' guarantees, and the jobs within them.
+//! Team guarantees, and the jobs that are covered by them.
 
 use std::collections::HashSet;
 
@@ -8,7 +8,8 @@
 use crate::job::{Job, JobId, Resources};
 
 impl Scheduler {
-    /// A team's guarantee here: the cell's part of it where cells share the team. Memory has none.
+    /// A team's guarantee in this cell: the cell's part of it if cells share the team. Memory is
+    /// never guaranteed.
     pub(super) fn guarantee_of(&self, team: &Team) -> Resources {
         self.quota.guarantee(&team.name).unwrap_or(Resources {
             cpus: team.cpus,
@@ -17,7 +18,7 @@
         })
     }
 
-    /// The jobs that fit into their team's guarantee together with the team's earlier ones.
+    /// The jobs that fit into their team's guarantee, together with all earlier jobs of the team.
     pub(super) fn guaranteed_jobs(&self) -> HashSet<JobId> {
         let mut guaranteed = HashSet::new();
         for team in &self.policy.teams {
--- a/crates/latchtrack-core/src/scheduler/queue_order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue_order.rs
@@ -1,5 +1,5 @@
-//! The order of the queue: guaranteed jobs first, jobs beyond their team's fair share last, and
-//! between them by tier, due time and demand.
+//! The order of the queue. Jobs within their team's guarantee come first, jobs beyond their team's
+//! fair share last; within each of these groups, jobs are ordered by tier, due time and demand.
 
 use std::cmp::Ordering;
 
@@ -12,53 +12,52 @@
 use crate::placement;
 use crate::Millis;
 
-/// The parts of the queue, in their order.
+/// Tiers of the queue, in scheduling order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum QueueTier {
-    /// One task of a quarantined job, now and then: it takes next to nothing, and if the failures
-    /// were the machines' fault, the job is to get going again soon.
+    /// A single task of a quarantined job, retried after each backoff. It uses little capacity, and
+    /// lets the job recover quickly if the machines caused its failures.
     Trial,
-    /// With a deadline of its own, or an objective that multiplies it, that can still be met; also
-    /// gangs with a start objective.
+    /// Jobs with a deadline that can still meet it or a completion objective; also gangs with a
+    /// start objective.
     Deadline,
-    /// With a completion objective of its class that can still be met.
+    /// Jobs without a deadline that can still meet a completion objective of their class.
     Objective,
-    /// With neither.
+    /// Jobs with neither deadline nor completion objective.
     Regular,
-    /// Can't all be in time: these would make the most others late, or have missed all their
-    /// objectives. The least work goes first: that gets the most of them done, and leaves no small
-    /// one to the end.
+    /// Jobs that have missed their deadline and all objectives, or that would make the most other
+    /// jobs late. The job with the least work goes first, which completes the most jobs and leaves
+    /// no small one to the end.
     Deferred,
-    /// Best effort: takes what would stand idle.
+    /// Best-effort jobs, which use capacity that would otherwise be idle.
     BestEffort,
 }
 
-/// Where a job stands in the queue; the smaller rank goes first, by the fields in their order.
+/// The position of a job in the queue. Compared field by field; the smallest rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct QueueRank {
-    /// It does not fit into its team's guarantee.
+    /// The job does not fit into its team's guarantee.
     pub beyond_guarantee: bool,
-    /// Its team is hot and beyond its fair share, while others wait.
+    /// The job's team is hot and beyond its fair share.
     pub beyond_share: bool,
-    /// The part of the queue.
+    /// Compared in the order of the variants.
     pub tier: QueueTier,
-    /// When it is due (earliest deadline first), or what else orders the jobs of its tier.
+    /// Due time (earliest deadline first), or the key that orders the jobs of the tier instead.
     pub due: Millis,
-    /// The demand of its waiting tasks by Eq. 9 of the paper, negated: the largest goes first.
-    pub minus_demand: f64,
+    /// Demand of the waiting tasks by Eq. 9 of the paper, negated so that the largest goes first.
+    pub negated_demand: f64,
 }
 
-/// A job with its rank. Of equal ranks the job with the smaller id goes first.
+/// A job with its rank. Ties are broken by the smaller id.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct RankedJob {
-    /// Where it stands.
+    /// Compared before the id.
     pub rank: QueueRank,
-    /// The job.
     pub id: JobId,
 }
 
 impl Scheduler {
-    /// The jobs with waiting tasks that may be placed now, the first to be placed first.
+    /// The jobs with waiting tasks that may be placed now, in scheduling order.
     pub(super) fn order_queue(&mut self, now: Millis, cycle: &SchedulingCycle) -> Vec<QueueEntry> {
         let total = cycle.total();
         let best_effort_tasks = self.best_effort_due(now, total);
@@ -67,8 +66,8 @@
         let mut ranked: Vec<RankedJob> = Vec::new();
         for (id, job) in &self.jobs {
             let waiting = job.schedulable_tasks();
-            let waits = !all_reconciled && self.waits_for_reconciliation(job);
-            if waiting == 0 || waits || job.backoff_until > now {
+            let is_held_back = !all_reconciled && self.waits_for_reconciliation(job);
+            if waiting == 0 || is_held_back || job.backoff_until > now {
                 continue;
             }
             let (tier, due) = match best_effort_tasks.get(id) {
@@ -82,7 +81,7 @@
                 beyond_share: false,
                 tier,
                 due,
-                minus_demand: -placement::job_demand(&job.spec.demand, waiting, total, weights),
+                negated_demand: -placement::job_demand(&job.spec.demand, waiting, total, weights),
             };
             ranked.push(RankedJob { rank, id: *id });
         }
@@ -98,24 +97,27 @@
             .collect()
     }
 
-    /// Whether a job may not start anything while a machine is unreconciled: an earlier leader may
-    /// have launched its tasks, or its team's limit depends on what runs there.
+    /// Whether the job must not start anything while a machine is unreconciled, because an earlier
+    /// leader may have launched its tasks or because its team has a limit and unknown tasks may
+    /// count against it.
     fn waits_for_reconciliation(&self, job: &Job) -> bool {
         job.inherited || self.has_team_limit(&job.spec)
     }
 
-    /// In which tier a job stands that is neither quarantined nor a best-effort job whose time has
-    /// come, and when it is due on the local clock: by the next of its deadline and objectives that
-    /// can still be met.
+    /// The tier of a job and its due time on the local clock: the earliest of its deadline and
+    /// objectives that can still be met. Not for quarantined jobs or for best-effort jobs that have
+    /// waited for [`STARVATION_MS`](crate::constants::STARVATION_MS).
     fn tier_and_due(&self, now: Millis, job: &Job) -> (QueueTier, Millis) {
         if let Some(within_ms) = self.start_objective_ms(&job.spec).filter(|_| job.spec.gang) {
-            // What is due is its start, and for that it needs its capacity at once.
+            // The due time is that of the start, for which a gang needs all of its capacity at
+            // once.
             return (QueueTier::Deadline, job.submitted_at.saturating_add(within_ms));
         }
         let dues = self.dues_ms(job);
         if dues.is_empty() {
             return if self.is_best_effort(&job.spec) {
-                // One job after the other: all at once, none would be done for long.
+                // In order of submission: if all ran side by side, none would complete for a long
+                // time.
                 (QueueTier::BestEffort, job.submitted_at)
             } else {
                 (QueueTier::Regular, 0)
@@ -129,7 +131,7 @@
         }
     }
 
-    /// By when a job is due, in ms from its submission: its own deadline, and the completion
+    /// When a job is due, in ms from its submission: its own deadline, and the completion
     /// objectives of its class.
     fn dues_ms(&self, job: &Job) -> Vec<Millis> {
         let deadline_ms = job.spec.deadline_s.map(|s| (s * 1000.0) as Millis);
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -1,11 +1,10 @@
-//! Capacity that is reserved: for jobs that wait, from those behind them in the queue, and for
-//! gangs to come.
+//! Reserved capacity: for waiting jobs, against those behind them in the queue, and for future
+//! gangs.
 //!
-//! A gang needs all of its capacity at the same moment, and on machines that it may use. Where
-//! these are busy with other tasks, capacity comes free task by task, and where they have to be
-//! provisioned it takes a boot. So while gangs of an equivalence class with a start objective have
-//! been seen lately, capacity for the largest of them is reserved on machines that are up, from all
-//! jobs of other classes.
+//! A gang needs all of its capacity at once, on machines that it may use. Busy machines free their
+//! capacity task by task, and new ones take time to boot. Therefore, while gangs with a start
+//! objective keep arriving in an equivalence class, capacity for the largest of them is reserved on
+//! machines that are up, against jobs of all other classes.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, HashMap};
@@ -21,33 +20,33 @@
 use crate::rules;
 use crate::Millis;
 
-/// Capacity that is reserved.
+/// All reserved capacity.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Reservations {
-    /// The machines that the last cycle reserved.
+    /// The reservations made by the last cycle.
     by_machine: HashMap<Arc<str>, Reservation>,
-    /// Capacity for gangs to come, by their class.
+    /// Capacity for future gangs, by equivalence class.
     gang_reserves: BTreeMap<ClassId, GangReserve>,
 }
 
 impl Reservations {
-    /// Puts the reservations of a cycle in the place of the last one's.
+    /// Replaces the reservations of the previous cycle. Gang reserves are kept.
     pub fn replace(&mut self, reservations: impl Iterator<Item = (Arc<str>, Reservation)>) {
         self.by_machine = reservations.collect();
     }
 
-    /// Whether a machine is reserved for anybody.
+    /// Whether the last cycle reserved any capacity on a machine.
     pub fn is_reserved(&self, machine: &str) -> bool {
         self.by_machine.contains_key(machine)
     }
 
-    /// The reservation of a machine.
+    /// The reservation on a machine, if it has one.
     pub fn on_machine(&self, machine: &str) -> Option<Reservation> {
         self.by_machine.get(machine).copied()
     }
 
-    /// Tasks of a job start on a machine: those of other classes than the one for which it is
-    /// reserved use what that one can't.
+    /// Subtracts tasks that start on a machine from the spare part of its reservation, unless the
+    /// machine is reserved for their class.
     pub fn take_spare(&mut self, machine: &str, class: ClassId, demand: &Resources, tasks: u32) {
         if let Some(reservation) = self.by_machine.get_mut(machine) {
             if reservation.reserved_for != ReservedFor::Class(class) {
@@ -56,28 +55,29 @@
         }
     }
 
-    /// Whether capacity is kept ready for gangs of this class.
+    /// Whether capacity is reserved for future gangs of this class.
     pub fn has_gang_reserve(&self, class: ClassId) -> bool {
         self.gang_reserves.contains_key(&class)
     }
 
-    /// Whether what comes free here is to wait for the next cycle, which keeps it for a gang
-    /// reserve.
-    pub fn wanted_by_gang_reserve(&self, capacity: &FreeCapacity) -> bool {
+    /// Whether free capacity must be left for the next cycle, because a gang reserve is not
+    /// complete and could use it.
+    pub fn needed_by_gang_reserve(&self, capacity: &FreeCapacity) -> bool {
         self.gang_reserves.values().any(|reserve| {
-            reserve.lacking > 0
+            reserve.unreserved_tasks > 0
                 && reserve.may_use(capacity)
                 && capacity.holds(&reserve.spec.demand) > 0
         })
     }
 
-    /// A gang with a start objective was submitted: more like it will come.
+    /// Records the arrival of a gang with a start objective, and creates or extends the reserve of
+    /// its class, since similar gangs are likely to follow.
     fn note_gang(&mut self, spec: &Arc<JobSpec>, class: ClassId, submitted_at: Millis) {
         let reserve = self.gang_reserves.entry(class).or_insert_with(|| GangReserve {
             spec: spec.clone(),
             seen_at: submitted_at,
             zone: None,
-            lacking: 0,
+            unreserved_tasks: 0,
         });
         reserve.seen_at = reserve.seen_at.max(submitted_at);
         if spec.tasks > reserve.spec.tasks {
@@ -91,28 +91,28 @@
     }
 }
 
-/// Capacity kept ready for gangs of a class.
+/// Capacity reserved for future gangs of an equivalence class.
 #[derive(Clone, Debug)]
 struct GangReserve {
-    /// The largest of them that was seen.
+    /// The largest recent gang of the class; the reserve has its size.
     spec: Arc<JobSpec>,
-    /// When the last was submitted.
+    /// Submission time of the latest gang of the class.
     seen_at: Millis,
-    /// The zone in which it is kept, if they must be in one.
+    /// The zone of the reserve, if the gangs must be in a single zone.
     zone: Option<Arc<str>>,
-    /// Tasks for which nothing is reserved yet.
-    lacking: u32,
+    /// Tasks for which no capacity is reserved yet.
+    unreserved_tasks: u32,
 }
 
 impl GangReserve {
-    /// Whether a task of such a gang could be here, apart from its size.
+    /// Whether a task of such a gang may run here, regardless of its size.
     fn may_use(&self, capacity: &FreeCapacity) -> bool {
         let in_zone = self.zone.as_ref().is_none_or(|zone| *zone == capacity.zone);
         in_zone && allowed(&self.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
     }
 
-    /// Chooses the zone: the present one as long as there are ready machines, else that with most
-    /// machines.
+    /// Chooses the zone: keeps the current one while it has usable ready machines, otherwise takes
+    /// the zone with the most usable machines.
     fn choose_zone(&mut self, cycle: &SchedulingCycle) {
         if !self.spec.one_zone {
             return;
@@ -124,10 +124,10 @@
         }
         self.zone = None;
         let usable = cycle.capacities().iter().filter(|capacity| self.may_use(capacity));
-        self.zone = zone_with_most_entries(usable.map(|capacity| capacity.zone.clone()).collect());
+        self.zone = most_frequent_zone(usable.map(|capacity| capacity.zone.clone()).collect());
     }
 
-    /// Reserves what is free; notes for how many tasks there was nothing.
+    /// Reserves free capacity for the gang, and updates `unreserved_tasks`.
     fn reserve_free(&mut self, class: ClassId, cycle: &mut SchedulingCycle) {
         let demand = &self.spec.demand;
         let mut free: Vec<TasksAt> = cycle
@@ -139,28 +139,30 @@
             .map(|(index, capacity)| TasksAt { index, tasks: capacity.holds(demand) })
             .filter(|at| at.tasks > 0)
             .collect();
-        // On few machines; those first that hold the image of the last such gang.
+        // Prefer machines that hold the image, then those with the most room, to reserve few
+        // machines.
         let lacks_image =
             |index: usize| !cycle.capacities()[index].images.contains(&self.spec.image);
         free.sort_by_key(|at| (lacks_image(at.index), Reverse(at.tasks)));
         let reserved_for = ReservedFor::Class(class);
-        self.lacking = reserve_free(&free, demand, self.spec.tasks, reserved_for, cycle);
+        self.unreserved_tasks = reserve_free(&free, demand, self.spec.tasks, reserved_for, cycle);
     }
 }
 
-/// What may be reserved for a gang.
+/// Which capacity may be reserved for a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GangReservation {
-    /// Only what is free, and what comes free until the next cycle.
+    /// Only free capacity, including what becomes free before the next cycle.
     FreeOnly,
-    /// Beyond that whole machines, however much of them is in use.
+    /// If free capacity is not enough, also whole machines, regardless of their use.
     MachinesInUse,
 }
 
 impl Scheduler {
-    /// Reserves machines for tasks of a job: those with the most free CPUs on which a slice may
-    /// start once they have more free. Where a slice fits already, the job was free to start and
-    /// did not, because of the zones of its other tasks; such a machine would stand idle.
+    /// Reserves machines on which a slice of a job does not fit yet, those with the most free CPUs
+    /// first, until they could hold `tasks` tasks if empty. Machines on which a slice already fits
+    /// are left out: the zones of the job's other tasks must have kept it from starting there, so a
+    /// reserved machine would only stand idle.
     pub(super) fn reserve(
         &self,
         now: Millis,
@@ -201,13 +203,13 @@
         }
     }
 
-    /// Reserves capacity for a whole gang, in one zone if it must be in one.
+    /// Reserves capacity for a whole gang, in a single zone if it requires that.
     pub(super) fn reserve_for_gang(
         &mut self,
         now: Millis,
         spec: &JobSpec,
         reserved_for: ReservedFor,
-        which: GangReservation,
+        extent: GangReservation,
         cycle: &mut SchedulingCycle,
     ) {
         let zone = if spec.one_zone { self.choose_gang_zone(now, spec, cycle) } else { None };
@@ -221,18 +223,19 @@
             .filter(|at| at.tasks > 0)
             .collect();
         free.sort_by_key(|at| Reverse(at.tasks));
-        let lacking = reserve_free(&free, &spec.demand, spec.tasks, reserved_for, cycle);
-        if lacking == 0 {
+        let unreserved_tasks = reserve_free(&free, &spec.demand, spec.tasks, reserved_for, cycle);
+        if unreserved_tasks == 0 {
             return;
         }
-        if which == GangReservation::MachinesInUse {
+        if extent == GangReservation::MachinesInUse {
             let spec = JobSpec { zone: zone.map(|zone| zone.to_string()), ..spec.clone() };
-            self.reserve(now, &spec, reserved_for, lacking, cycle);
+            self.reserve(now, &spec, reserved_for, unreserved_tasks, cycle);
         }
         self.queue.note_gang_lacks_capacity(spec.id);
     }
 
-    /// The zone in which most of a gang fits now, or else that with most machines that it may use.
+    /// The zone in which most tasks of a gang fit now. If none fits anywhere, the zone with the
+    /// most machines that it may use.
     fn choose_gang_zone(
         &self,
         now: Millis,
@@ -242,19 +245,19 @@
         let job = self.jobs.get(&spec.id)?;
         let usable = || self.usable_capacities(now, job, cycle).map(|(_, capacity)| capacity);
         zone_with_most_capacity(usable(), spec).or_else(|| {
-            zone_with_most_entries(usable().map(|capacity| capacity.zone.clone()).collect())
+            most_frequent_zone(usable().map(|capacity| capacity.zone.clone()).collect())
         })
     }
 
-    /// How many tasks of a job its machine would take if it were empty.
+    /// How many tasks of a job the machine could hold if it were empty.
     fn tasks_when_empty(&self, spec: &JobSpec, capacity: &FreeCapacity) -> u32 {
         let machine_type = self.inventory.type_named(&capacity.machine_type);
         machine_type.map_or(0, |machine_type| machine_type.holds(&spec.demand))
     }
 
-    /// What a machine has beside `tasks` tasks of a job, the most that it takes: without other
-    /// tasks there, it would stand idle. Part of it is in use by tasks that are small enough for
-    /// it; larger ones must end in any case before a task of the job starts there.
+    /// The part of a machine that `tasks` tasks of a job, the most it holds, leave unused and that
+    /// other jobs may therefore use. Tasks already there that fit into this part are subtracted;
+    /// larger ones have to end anyway before a task of the job can start.
     fn unusable_remainder(&self, spec: &JobSpec, tasks: u32, capacity: &FreeCapacity) -> Resources {
         let Some(machine_type) = self.inventory.type_named(&capacity.machine_type) else {
             return Resources::default();
@@ -273,7 +276,7 @@
         spare
     }
 
-    /// Notes a submitted job, if capacity is to be kept ready for more like it.
+    /// Records a submitted job if capacity should be reserved for similar ones.
     pub(super) fn note_gang_arrival(
         &mut self,
         spec: &Arc<JobSpec>,
@@ -285,16 +288,16 @@
         }
     }
 
-    /// Reserves what is free for gangs to come, before any job takes it, and provisions what no
-    /// machine could hold.
+    /// Reserves free capacity for future gangs, ahead of all jobs but the starving ones. Provisions
+    /// machines if the existing ones could not hold a gang even when empty.
     pub(super) fn fill_gang_reserves(&mut self, now: Millis, cycle: &mut SchedulingCycle) {
         self.reservations.drop_expired_gang_reserves(now);
-        // Taken out meanwhile: nothing below asks for reserves.
+        // Taken out to satisfy the borrow checker. Nothing called below reads them.
         let mut reserves = std::mem::take(&mut self.reservations.gang_reserves);
         for (class, reserve) in &mut reserves {
             reserve.choose_zone(cycle);
             reserve.reserve_free(*class, cycle);
-            let beyond = self.tasks_beyond_machines(reserve, cycle);
+            let beyond = self.tasks_beyond_total_capacity(reserve, cycle);
             if beyond > 0 {
                 self.provision(now, &reserve.spec, reserve.zone.as_deref(), beyond, 0, cycle);
             }
@@ -302,8 +305,8 @@
         self.reservations.gang_reserves = reserves;
     }
 
-    /// For how many tasks of a reserve there would be no capacity if its machines were empty.
-    fn tasks_beyond_machines(&self, reserve: &GangReserve, cycle: &SchedulingCycle) -> u32 {
+    /// Number of tasks of a reserve that its machines could not hold even if they were empty.
+    fn tasks_beyond_total_capacity(&self, reserve: &GangReserve, cycle: &SchedulingCycle) -> u32 {
         let usable = cycle.capacities().iter().filter(|capacity| reserve.may_use(capacity));
         let tasks: u64 =
             usable.map(|capacity| u64::from(self.tasks_when_empty(&reserve.spec, capacity))).sum();
@@ -311,8 +314,8 @@
     }
 }
 
-/// Reserves free capacities, given with how many tasks each takes, in their order; returns
-/// for how many of the tasks there was nothing.
+/// Reserves free capacities in the given order, each for up to the given number of tasks. Returns
+/// the number of tasks for which there was no capacity.
 fn reserve_free(
     free: &[TasksAt],
     demand: &Resources,
@@ -334,8 +337,8 @@
     remaining
 }
 
-/// The zone that is named most often; of several the last by name.
-fn zone_with_most_entries(zones: Vec<Arc<str>>) -> Option<Arc<str>> {
+/// The most frequent zone; in a tie, the last by name.
+fn most_frequent_zone(zones: Vec<Arc<str>>) -> Option<Arc<str>> {
     let mut entries: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     for zone in zones {
         *entries.entry(zone).or_default() += 1;
--- a/crates/latchtrack-core/src/scheduler/starvation.rs
+++ b/crates/latchtrack-core/src/scheduler/starvation.rs
@@ -1,4 +1,5 @@
-//! Starving jobs: those of which nothing has begun for so long that they go before the whole queue.
+//! Starvation: jobs that have waited very long without starting take precedence over the whole
+//! queue.
 
 use std::sync::Arc;
 
@@ -14,8 +15,8 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// Serves the starving jobs of the queue, the one that was submitted first going first.
-    pub(super) fn serve_starving_jobs(
+    /// Schedules the starving jobs of the queue, in order of submission.
+    pub(super) fn schedule_starving_jobs(
         &mut self,
         now: Millis,
         entries: &[QueueEntry],
@@ -30,12 +31,12 @@
         starving.sort();
         let starving: Vec<JobId> = starving.into_iter().map(|(_, id)| id).collect();
         for id in &starving {
-            self.serve_starving_job(now, *id, cycle);
+            self.schedule_starving_job(now, *id, cycle);
         }
         self.queue.set_starving(starving);
     }
 
-    /// Whether a job goes before all others.
+    /// Whether a job takes precedence over the queue.
     fn is_starving(&self, now: Millis, job: &Job) -> bool {
         // Nothing is reserved for a quarantined job.
         if job.is_quarantined {
@@ -47,33 +48,33 @@
         now >= job.submitted_at.saturating_add(STARVATION_MS) && job.never_started()
     }
 
-    /// Starts one slice of a starving job; where that is not possible, reserves what it lacks.
-    fn serve_starving_job(&mut self, now: Millis, id: JobId, cycle: &mut SchedulingCycle) {
+    /// Starts one slice of a starving job, or reserves the quota or capacity that it lacks.
+    fn schedule_starving_job(&mut self, now: Millis, id: JobId, cycle: &mut SchedulingCycle) {
         let Some(spec) = self.jobs.get(&id).map(|job| job.spec.clone()) else { return };
         let slice = self.slice_size(&spec);
         self.quota.note_next_to_start(&spec, slice);
         let allowed = slice.min(self.tasks_within_limit(&spec, cycle.used()));
-        // A gang starts whole or not at all.
+        // A gang starts as a whole or not at all.
         let may_start = allowed == slice || !spec.gang;
         if may_start && self.place_on_ready_machines(now, &spec, allowed, cycle) > 0 {
             return;
         }
         if allowed < slice {
-            // It lacks quota: what comes free of its team's limit is kept from the team's other
-            // jobs.
+            // The job lacks quota. Counting its slice as used keeps quota that becomes free from
+            // the other jobs of the team.
             self.count_usage(&spec, slice, cycle);
             return;
         }
         self.reserve_for_starving_job(now, &spec, cycle);
-        // Scheduled now, since later in the queue its team's limit may be used up, and nothing
-        // would ever be provisioned for it.
+        // Scheduled now because other jobs may use up the team's limit before its turn in the
+        // queue; then nothing would ever be provisioned for it.
         self.schedule_entry(now, &mut QueueEntry { job: id, max_tasks: slice }, cycle);
         if self.reserves_quota_for_gang(now, id) {
             self.count_usage(&spec, slice, cycle);
         }
     }
 
-    /// Keeps machines for a starving job from all others.
+    /// Reserves machines exclusively for a starving job.
     fn reserve_for_starving_job(
         &mut self,
         now: Millis,
@@ -84,16 +85,16 @@
         let reserve_at =
             job.submitted_at.saturating_add(STARVATION_MS + STARVATION_RESERVE_DELAY_MS);
         if spec.gang {
-            let which = GangReservation::MachinesInUse;
-            self.reserve_for_gang(now, spec, ReservedFor::Exclusive, which, cycle);
+            let extent = GangReservation::MachinesInUse;
+            self.reserve_for_gang(now, spec, ReservedFor::Exclusive, extent, cycle);
         } else if now >= reserve_at {
             self.reserve(now, spec, ReservedFor::Exclusive, 1, cycle);
         }
     }
 
-    /// Whether a gang that has its quota and waits for machines keeps that quota from its team's
-    /// other jobs: they would take it while the machines boot, so that it would never have both at
-    /// once.
+    /// Whether to reserve quota for a gang that has enough of it but waits for machines. Otherwise
+    /// the team's other jobs would take the quota while the machines boot, and the gang would never
+    /// have both at once.
     fn reserves_quota_for_gang(&self, now: Millis, id: JobId) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
         if !job.spec.gang || job.schedulable_tasks() == 0 {
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -1,7 +1,7 @@
-//! Which machines take the tasks of a job, and the numbers of their attempts.
+//! Chooses the machines for the tasks of a job, and issues attempt numbers.
 //!
-//! Machines are ranked by the cost of the image, their size, the price and the score of the paper;
-//! then it is chosen how many tasks each takes, and last they are assigned.
+//! Candidates are ranked by cost, machine size, price and the score of the paper. Then the number
+//! of tasks for each is chosen, and finally the tasks are assigned.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap};
@@ -18,18 +18,17 @@
 use crate::rules;
 use crate::Millis;
 
-/// Hands out the numbers of attempts. The fencing token is part of them, so that no two leaders use
-/// the same.
+/// Issues attempt numbers. They contain the fencing token, so no two leaders issue the same number.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptNumbers {
-    /// The fencing token of the term.
+    /// Fencing token of the term.
     token: u64,
-    /// The last number of the term, without the token.
+    /// The last number issued in the term, without the token.
     last: u64,
 }
 
 impl AttemptNumbers {
-    /// The numbers of the term with this fencing token.
+    /// Starts the numbers of the term with this fencing token.
     pub fn new(token: u64) -> Self {
         AttemptNumbers { token, last: 0 }
     }
@@ -39,29 +38,29 @@
         (self.token << ATTEMPT_BITS) | self.last
     }
 
-    /// Whether an attempt was launched in this term.
+    /// Whether an attempt number was issued in this term.
     pub fn is_of_this_term(&self, attempt: u64) -> bool {
         attempt >> ATTEMPT_BITS == self.token
     }
 }
 
-/// What ranks the candidates for tasks of a job, the smallest first, by the fields in their order.
+/// The rank of a candidate machine. Compared field by field; the smallest goes first.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct CandidateRank {
-    /// What weighs against the machine: that it has to fetch the image, or its load.
+    /// Cost of placing the job there, from the image fetch or the load of the machine.
     cost: f64,
-    /// CPUs of the whole machine: the smallest types first.
+    /// CPUs of the whole machine, so that small machine types go first.
     total_cpus: f64,
-    /// Spot machines come first.
+    /// Spot machines go first.
     is_on_demand: bool,
-    /// By Eq. 8 of the paper: the machine with the least free first.
+    /// Score by Eq. 8 of the paper: the machine with the least free resources goes first.
     score: f64,
-    /// The index of its capacity in the cycle.
+    /// Index of the capacity in the cycle.
     index: usize,
 }
 
 impl Scheduler {
-    /// The ready capacities that a job may use, whatever their size, with their indices in the
+    /// The ready capacities that a job may use, regardless of its size, with their indices in the
     /// cycle.
     pub(super) fn usable_capacities<'a>(
         &'a self,
@@ -80,7 +79,8 @@
         })
     }
 
-    /// Places whole slices of a job on machines that are up; returns how many tasks.
+    /// Places tasks of a job on machines that are up, in whole slices unless all `wanted` tasks
+    /// fit. Returns how many were placed.
     pub(super) fn place_on_ready_machines(
         &mut self,
         now: Millis,
@@ -98,7 +98,7 @@
             });
             candidates.retain(|index| Some(&cycle.capacities()[*index].zone) == zone.as_ref());
         }
-        // Counted before anything is placed, since a slice starts whole.
+        // Counted before placing anything, since a slice starts as a whole.
         let counts = self.choose_counts(now, job, zones_in_use, candidates, wanted, cycle);
         let found: u32 = counts.iter().map(|count| count.tasks).sum();
         let slice = self.slice_size(spec);
@@ -108,8 +108,8 @@
         placed
     }
 
-    /// The zones of a job's assigned tasks, one entry a task, if they restrict where others may
-    /// start.
+    /// The zones of a job's assigned tasks, one entry per task. Empty if they don't restrict where
+    /// other tasks may start.
     pub(super) fn zones_in_use(&self, job: &Job) -> Vec<Arc<str>> {
         if !job.spec.is_zone_constrained() {
             return Vec::new();
@@ -121,8 +121,8 @@
             .collect()
     }
 
-    /// The capacities that take a task of the job at least, by index, the best first. Unless zones
-    /// restrict the choice, `wanted` of them are enough.
+    /// Indices of the capacities that can take at least one task of the job, best first. Limited to
+    /// `wanted` candidates unless zones restrict the choice.
     fn rank_candidates(
         &self,
         now: Millis,
@@ -155,8 +155,8 @@
         candidates.into_iter().map(|candidate| candidate.index).collect()
     }
 
-    /// How many tasks each candidate takes, in their order, `wanted` in all at most; of a job that
-    /// is to be spread no more in a zone than its share.
+    /// How many tasks each candidate takes, in the given order, up to `wanted` in total. A job that
+    /// must be spread gets at most its share in each zone.
     fn choose_counts(
         &self,
         now: Millis,
@@ -192,7 +192,7 @@
         counts
     }
 
-    /// Assigns `tasks` tasks of those that were counted, the first candidates first.
+    /// Assigns `tasks` tasks to the counted candidates, in their order.
     fn assign_counts(
         &mut self,
         now: Millis,
@@ -229,7 +229,7 @@
         self.assign_tasks(id, spec, machine, &tasks);
     }
 
-    /// Assigns these tasks, which were taken from their job, to a machine.
+    /// Assigns tasks to a machine. They must have been taken from their job.
     pub(super) fn assign_tasks(
         &mut self,
         id: JobId,
@@ -239,7 +239,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(m) = self.inventory.get_mut(machine) else { return };
-        // All tasks of a gang share an attempt.
+        // All tasks of a gang share one attempt number.
         let mut gang_attempt = job.placed.values().next().map(|p| p.attempt).filter(|_| spec.gang);
         job.attempt_ended_at = None;
         for index in tasks.iter().copied() {
@@ -255,7 +255,7 @@
     }
 }
 
-/// An attempt of which nothing has been sent to its machine.
+/// A run for which nothing has been sent to its machine yet.
 fn assigned_run(task: TaskId, attempt: u64, spec: &Arc<JobSpec>) -> TaskRun {
     TaskRun {
         task,
--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -1,4 +1,4 @@
-//! Team limits: what the teams use, and how many tasks of a job their limits still allow.
+//! Team limits: how much the teams use, and how many more tasks their limits allow.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,18 @@
 use crate::job::{JobSpec, Resources};
 use crate::machine::fits;
 
-/// What the teams use, by name.
+/// Resources in use, by team name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageByTeam {
     teams: BTreeMap<String, Resources>,
-    /// Some live run is of unknown size and team.
+    /// Set if some live run has an unknown size and team.
     unknown_runs: bool,
 }
 
 impl UsageByTeam {
-    /// Counts `tasks` tasks of a job.
+    /// Adds `tasks` tasks of a job.
     pub fn add(&mut self, spec: &JobSpec, tasks: u32) {
-        // Looked up first: almost always the team is there, and its name need not be copied.
+        // The team is almost always present, and this path avoids copying its name.
         if let Some(usage) = self.teams.get_mut(&spec.team) {
             usage.add_multiple(&spec.demand, tasks);
             return;
@@ -30,25 +30,26 @@
         self.teams.entry(spec.team.clone()).or_default().add_multiple(&spec.demand, tasks);
     }
 
-    /// Counts a run of unknown size and team.
+    /// Adds a run of unknown size and team.
     fn add_unknown(&mut self) {
         self.unknown_runs = true;
     }
 
-    /// Whether runs of unknown size and team are on some machine, so that any team may use more.
+    /// Whether there are live runs of unknown size and team, so that any team may use more than
+    /// [`Self::of`] returns.
     pub fn has_unknown_runs(&self) -> bool {
         self.unknown_runs
     }
 
-    /// What a team uses.
+    /// Known usage of a team.
     pub fn of(&self, team: &str) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 }
 
-/// The limit of the settings, if there is one; infinite of resources without a limit.
-fn limit_of_settings(team: &Team) -> Option<Resources> {
-    let limit = |most: f64| if most > 0.0 { most } else { f64::INFINITY };
+/// The configured limit of a team, if it has one. Resources without a limit are infinite.
+fn configured_limit(team: &Team) -> Option<Resources> {
+    let limit = |max: f64| if max > 0.0 { max } else { f64::INFINITY };
     let has_limit = team.cpus_max > 0.0 || team.gpus_max > 0.0;
     has_limit.then(|| Resources {
         cpus: limit(team.cpus_max),
@@ -57,30 +58,31 @@
     })
 }
 
-/// What the cell may use of a limit that cells share; infinite of resources without a limit.
-fn limit_of_allotment(limit: LaunchLimit) -> Resources {
-    let decimal = |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI);
+/// The limit on what this cell may use of a shared limit. Resources without a limit are infinite.
+fn allotted_limit(limit: LaunchLimit) -> Resources {
+    let from_milli = |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI);
     Resources {
-        cpus: decimal(limit.millicpus),
-        gpus: decimal(limit.milligpus),
+        cpus: from_milli(limit.millicpus),
+        gpus: from_milli(limit.milligpus),
         memory_gb: f64::INFINITY,
     }
 }
 
 impl Scheduler {
-    /// The limit of a team at this moment: its allotment where teams are shared with other cells.
+    /// The current limit of a team: its allotment if cells share the teams, else the configured
+    /// one.
     fn limit_of(&self, team: &Team) -> Option<Resources> {
         if !self.quota.is_shared() {
-            return limit_of_settings(team);
+            return configured_limit(team);
         }
-        self.quota.launch_limit(&team.name).map(limit_of_allotment)
+        self.quota.launch_limit(&team.name).map(allotted_limit)
     }
 
     fn team_of(&self, spec: &JobSpec) -> Option<&Team> {
         self.policy.teams.iter().find(|team| team.name == spec.team)
     }
 
-    /// Whether its team's limit may hold back tasks of a job.
+    /// Whether the job's team has a limit.
     pub(super) fn has_team_limit(&self, spec: &JobSpec) -> bool {
         self.team_of(spec).is_some_and(|team| self.limit_of(team).is_some())
     }
@@ -89,7 +91,7 @@
         self.policy.teams.iter().any(|team| self.limit_of(team).is_some())
     }
 
-    /// What the teams use, if any has a limit; otherwise nothing is counted.
+    /// Usage by team if any team has a limit; otherwise empty.
     pub(super) fn limited_usage(&self) -> UsageByTeam {
         if self.any_limit() {
             self.usage_of_all_teams()
@@ -98,7 +100,7 @@
         }
     }
 
-    /// What all teams use, with a limit or without.
+    /// Usage by team, whether or not the teams have limits.
     pub(super) fn usage_of_all_teams(&self) -> UsageByTeam {
         let mut used = UsageByTeam::default();
         for run in self.inventory.runs().filter(|run| run.is_live()) {
@@ -110,31 +112,31 @@
         used
     }
 
-    /// How many tasks of a job its team's limit allows beside what is in use; none if the team is
-    /// unknown.
-    pub(super) fn within_limit(&self, spec: &JobSpec, used: Resources) -> u32 {
+    /// How many tasks of a job its team's limit allows besides `used`; 0 if the team is unknown.
+    pub(super) fn tasks_allowed_besides(&self, spec: &JobSpec, used: Resources) -> u32 {
         let Some(team) = self.team_of(spec) else { return 0 };
         let Some(limit) = self.limit_of(team) else { return u32::MAX };
         let (cpus, gpus) = (limit.cpus - used.cpus, limit.gpus - used.gpus);
         fits(&spec.demand, cpus, gpus, f64::INFINITY)
     }
 
-    /// The same by what all teams use: none while runs of unknown size may count against a limit.
+    /// How many tasks of a job its team's limit allows besides the usage of all teams; 0 while runs
+    /// of unknown size may count against the limit.
     pub(super) fn tasks_within_limit(&self, spec: &JobSpec, used: &UsageByTeam) -> u32 {
         if self.has_team_limit(spec) && used.has_unknown_runs() {
             return 0;
         }
-        self.within_limit(spec, used.of(&spec.team))
+        self.tasks_allowed_besides(spec, used.of(&spec.team))
     }
 
-    /// Counts tasks against their team's limit.
+    /// Counts tasks against their team's limit. Does nothing if no team has one.
     pub(super) fn count_usage(&self, spec: &JobSpec, tasks: u32, cycle: &mut SchedulingCycle) {
         if self.any_limit() {
             cycle.count_used(spec, tasks);
         }
     }
 
-    /// Counts tasks that pending machines are to take.
+    /// Counts tasks assigned to pending machines against the expected usage of their team.
     pub(super) fn count_expected_usage(
         &self,
         spec: &JobSpec,
