--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -110,7 +110,7 @@
             ProvisionOutcome::Unknown => {
                 // The id must not be used for anything else, and may have provisioned machines:
                 // asked again under it, the cloud names them or provisions them now.
-                self.out.push(Effect::Provision {
+                self.effects.push(Effect::Provision {
                     request_id: request_id.to_string(),
                     offer: request.offer.clone(),
                     number: request.number,
@@ -153,7 +153,7 @@
         let Some(machine_type) = self.inventory.type_named(&offer.machine_type).cloned() else {
             return 0;
         };
-        let per_machine = machine_type.holds(&spec.demand).max(1);
+        let per_machine = machine_type.fitting_tasks(&spec.demand).max(1);
         // Jobs of an equivalence class are decided together: one request for all of it, not one a
         // job. Team limits are left to each job.
         let alike = match self.tasks_within_limit(spec, cycle.used()) {
@@ -171,7 +171,7 @@
         cycle.add_pending(&pending_capacity(&offer, &machine_type), number);
         let request = ProvisionRequest { offer: offer.clone(), number };
         let request_id = self.provisioning.open_request(request);
-        self.out.push(Effect::Provision { request_id, offer, number });
+        self.effects.push(Effect::Provision { request_id, offer, number });
         place_on_pending(spec, only, tasks, cycle)
     }
 
@@ -239,7 +239,7 @@
         if in_zone
             && placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
         {
-            let fitting = capacity.holds(&spec.demand).min(left);
+            let fitting = capacity.fitting_tasks(&spec.demand).min(left);
             capacity.take(&spec.demand, fitting);
             left -= fitting;
         }
