--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -13,7 +13,8 @@
     entry: Option<(usize, u32)>,
     /// Entries skipped because they have nothing left to place.
     closed: usize,
-    /// The search stopped at a gang that lacks capacity; the rest of the queue must not use it.
+    /// Set if the search stopped at a gang that lacks capacity: this machine is then left for the
+    /// gang.
     held_for_gang: bool,
 }
 
@@ -24,8 +25,9 @@
     free: &'a FreeCapacity,
     /// The class for which the machine is reserved, and the capacity with that reservation applied.
     reserved: Option<(ClassId, FreeCapacity)>,
-    /// Whether the reservation applies. It does from the first job of its class on, so that jobs
-    /// ahead of that one may use the whole machine; a gang reserve applies to all jobs.
+    /// Whether the reservation applies to the entry being checked. A gang reserve applies to all
+    /// entries. Any other reservation applies from the first job of its class on; jobs ahead of
+    /// that one may use the whole machine.
     reservation_binds: bool,
 }
 
@@ -200,8 +202,8 @@
         }
     }
 
-    /// How many tasks of a job fit on this machine; 0 if more than the machine decides about that,
-    /// such as zones or a team limit.
+    /// How many tasks of a job fit on this machine. Returns 0 if the answer depends on more than
+    /// this machine, such as the zones of other tasks or a team limit.
     fn tasks_fitting(&self, now: Millis, job: &Job, machine: &str, capacity: &FreeCapacity) -> u32 {
         let spec = &job.spec;
         // Backfill starts a gang on a single machine or not at all, and so always in one zone.
--- a/crates/latchtrack-core/src/scheduler/cycle_state.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle_state.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Subtracts the demand of `tasks` tasks from a capacity. Returns its machine, or None if that
-    /// has only been requested.
+    /// Subtracts the demand of `tasks` tasks from a capacity. Returns its machine, or None if the
+    /// machine has only been requested.
     pub fn take(&mut self, index: usize, demand: &Resources, tasks: u32) -> Option<Arc<str>> {
         let capacity = &mut self.capacities[index];
         capacity.take(demand, tasks);
@@ -110,8 +110,7 @@
     }
 }
 
-/// A number of tasks at one of the cycle's capacities: the tasks it takes, or the most it could
-/// take.
+/// A capacity of the cycle with a number of tasks: those to place there, or those that fit.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TasksAt {
     /// Index into [`SchedulingCycle::capacities`].
@@ -133,9 +132,10 @@
 /// is not repeated for the others.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ClassSearch {
-    /// No ready machine has capacity left, apart from what is reserved for other classes.
+    /// No ready machine has capacity left for the class, except what is reserved for other classes.
     ready_exhausted: bool,
-    /// No ready machine has capacity left, including what is reserved for other classes.
+    /// No ready machine has capacity left for the class, even where it is reserved for other
+    /// classes.
     reserved_exhausted: bool,
     /// No pending machine has capacity.
     pending_exhausted: bool,
--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -47,7 +47,8 @@
 }
 
 impl Scheduler {
-    /// Whether reservations for other classes apply to a job, or it has waited too long for that.
+    /// Whether a job must respect reservations for other classes; not once it has waited for
+    /// [`RESERVATION_IGNORED_AFTER_MS`].
     pub(super) fn reservation_access(&self, now: Millis, job: &Job) -> ReservationAccess {
         let ignores = job
             .unschedulable_since
--- a/crates/latchtrack-core/src/scheduler/queue_order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue_order.rs
@@ -18,8 +18,8 @@
     /// A single task of a quarantined job, retried after each backoff. It uses little capacity, and
     /// lets the job recover quickly if the machines caused its failures.
     Trial,
-    /// Jobs with a deadline that can still meet it or a completion objective; also gangs with a
-    /// start objective.
+    /// Jobs with a deadline, if the deadline or a completion objective can still be met; also gangs
+    /// with a start objective.
     Deadline,
     /// Jobs without a deadline that can still meet a completion objective of their class.
     Objective,
@@ -97,16 +97,15 @@
             .collect()
     }
 
-    /// Whether the job must not start anything while a machine is unreconciled, because an earlier
-    /// leader may have launched its tasks or because its team has a limit and unknown tasks may
-    /// count against it.
+    /// Whether the job must wait until all machines are reconciled: an earlier leader may have
+    /// launched its tasks, or unknown tasks may count against its team's limit.
     fn waits_for_reconciliation(&self, job: &Job) -> bool {
         job.inherited || self.has_team_limit(&job.spec)
     }
 
-    /// The tier of a job and its due time on the local clock: the earliest of its deadline and
-    /// objectives that can still be met. Not for quarantined jobs or for best-effort jobs that have
-    /// waited for [`STARVATION_MS`](crate::constants::STARVATION_MS).
+    /// The tier of a job and its due time on the local clock, which is the earliest of its deadline
+    /// and objectives that can still be met. The caller handles quarantined jobs and overdue
+    /// best-effort jobs.
     fn tier_and_due(&self, now: Millis, job: &Job) -> (QueueTier, Millis) {
         if let Some(within_ms) = self.start_objective_ms(&job.spec).filter(|_| job.spec.gang) {
             // The due time is that of the start, for which a gang needs all of its capacity at
