--- a/crates/latchtrack-core/src/scheduler/log_events.rs
+++ b/crates/latchtrack-core/src/scheduler/log_events.rs
@@ -1,4 +1,4 @@
-//! What the scheduler has to tell an operator: log events, and the reasons to stop leading.
+//! Log events for operators, and the reasons for which a leader resigns.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,185 +13,187 @@
 use crate::job::{JobId, TaskId};
 use crate::Millis;
 
-/// Where the scheduler learnt of a machine that it did not provision in this term.
+/// How the scheduler discovered a machine that it did not provision in this term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptionSource {
     /// Its worker sent a heartbeat.
     Heartbeat,
-    /// The cloud's list has it.
+    /// The cloud listed it.
     CloudList,
 }
 
-/// An event for the log, emitted once each.
+/// An event for the log, emitted once per occurrence.
 ///
-/// `Display` writes a constant message, followed by the values as `key=value`.
+/// `Display` writes a constant message followed by the fields as `key=value`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// A machine that is not in the stored set was found; no leader has launched anything on it.
+    /// A machine that is not in the stored set was found; no leader has launched a task on it.
     MachineAdopted {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
-        /// How it was found.
+        /// How the machine was found.
         source: AdoptionSource,
     },
-    /// The cloud lists a machine as failed. It is terminated.
+    /// The cloud lists a machine as failed; it is terminated.
     MachineFailed {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
     },
-    /// A silent machine is not in the cloud's list any more. It is terminated.
+    /// A silent machine is missing from the cloud's list; it is terminated.
     MachineUnlisted {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
     },
-    /// A machine was silent for longer than the heartbeat timeout. It is terminated.
+    /// A machine was silent for longer than the heartbeat timeout; it is terminated.
     MachineUnreachable {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
-        /// For how long it has been silent, in ms.
+        /// How long it has been silent, in ms.
         silent_ms: Millis,
     },
-    /// Nobody can have answered a machine for its worker lease: its tasks are placed elsewhere.
+    /// No node can have answered a machine within its worker lease; its tasks are requeued.
     WorkerLeaseExpired {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
-        /// How many task runs were on it.
+        /// Number of released task runs.
         task_runs: usize,
     },
-    /// A machine's heartbeat has a higher agent epoch: its worker has killed its tasks.
+    /// A machine's heartbeat has a higher agent epoch, so its worker has killed its tasks.
     AgentEpochAdvanced {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
-        /// How many task runs were lost.
+        /// Number of lost task runs.
         task_runs: usize,
     },
-    /// A machine of an earlier leader never showed this term's token, and its worker lease is over.
-    /// It is terminated.
+    /// A machine of an earlier leader did not report this term's token before its worker lease
+    /// expired; it is terminated.
     UnreconciledMachineExpired {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
-        /// Time since this term began, in ms.
+        /// Time since the start of this term, in ms.
         term_ms: Millis,
     },
-    /// A machine sends heartbeats, but does not start what it is told to. It is terminated.
+    /// A machine sends heartbeats but does not start its tasks; it is terminated.
     LaunchesIgnored {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
     },
-    /// A machine did not come up in time. It is terminated.
+    /// A machine did not come up in time; it is terminated.
     MachineNeverJoined {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
     },
-    /// Tasks in a row ran much longer on a machine than their like elsewhere: it gets no more.
+    /// Consecutive tasks ran much longer on a machine than similar tasks elsewhere. It receives no
+    /// more tasks and is terminated once it is empty.
     MachineSlow {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
     },
-    /// Different jobs fail on a machine. It is terminated.
+    /// Tasks of several jobs failed on a machine; it is terminated.
     MachineFailsJobs {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
     },
-    /// Most machines of a type in a zone that should be up are not.
+    /// Most machines of a type in a zone have exceeded their boot time.
     BootsLate {
-        /// The machine type.
+        /// Name of the machine type.
         machine_type: Arc<str>,
-        /// The zone.
+        /// Name of the zone.
         zone: Arc<str>,
     },
-    /// Boots of a type in a zone are not late any more.
+    /// Boots of a type in a zone are no longer late.
     BootsRecovered {
-        /// The machine type.
+        /// Name of the machine type.
         machine_type: Arc<str>,
-        /// The zone.
+        /// Name of the zone.
         zone: Arc<str>,
     },
-    /// Nothing is heard of a zone.
+    /// No machine of a zone sends heartbeats or answers calls.
     ZoneUnreachable {
-        /// The zone.
+        /// Name of the zone.
         zone: Arc<str>,
     },
-    /// An unreachable zone is heard again, or has no machines left.
+    /// An unreachable zone is reachable again, or has no machines left.
     ZoneReachable {
-        /// The zone.
+        /// Name of the zone.
         zone: Arc<str>,
     },
-    /// A task is in a phase that this version does not know.
+    /// A task reports a phase that this version does not know.
     UnrecognisedPhase {
-        /// Its machine.
+        /// Name of the task's machine.
         machine: String,
-        /// The task.
+        /// Id of the task.
         task: TaskId,
     },
-    /// A task ended for a cause that this version does not know.
+    /// A task ended with a cause that this version does not know.
     UnrecognisedExitCause {
-        /// Its machine.
+        /// Name of the task's machine.
         machine: String,
-        /// The task.
+        /// Id of the task.
         task: TaskId,
     },
-    /// A job has shown nothing but failures: it is tried one task at a time.
+    /// All finished tasks of a job have failed; its tasks are tried one at a time.
     JobQuarantined {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// On how many machines it failed.
+        /// Number of machines on which it failed.
         failed_machines: usize,
     },
-    /// A task of a quarantined job did well: its failures were its machines' fault.
+    /// A task of a quarantined job succeeded or ran long enough; its failures are attributed to
+    /// their machines.
     JobRestored {
-        /// The job.
+        /// Id of the job.
         job: JobId,
     },
     /// The first tasks of a starving job are placed.
     StarvingJobStarted {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// Time since it was submitted, in ms.
+        /// Time since the job was submitted, in ms.
         age_ms: Millis,
     },
-    /// The state service rejected a stored value by itself.
+    /// The state service rejected a stored value in a batch of its own, because of its size.
     RecordShardRejected {
         /// The value's name under its prefix.
         shard: String,
-        /// What happens to it.
+        /// What is done with the value.
         action: RejectedShard,
     },
-    /// A move of running tasks starts.
+    /// A move of running tasks has started.
     MoveStarted {
         /// Its tasks, machines and loads.
         description: String,
     },
-    /// A move is over.
+    /// A move has ended.
     MoveEnded {
-        /// The task or gang.
+        /// The task or gang that was to be moved.
         unit: String,
         /// How it ended.
         stage: MoveStage,
     },
-    /// The load of machines of a type can't be computed from these amounts.
+    /// The load of machines of a type cannot be computed from these amounts.
     InvalidLoad {
-        /// The machine type.
+        /// Name of the machine type.
         machine_type: String,
-        /// The amounts in use.
+        /// The resources in use.
         used: Resources,
     },
-    /// How balanced the cluster is.
+    /// A periodic summary of how balanced the cluster is.
     Balance(Box<BalanceSummary>),
-    /// A notice of the quota shared among cells.
+    /// A notice about quota shared by several cells.
     Quota(Notice),
 }
 
 impl LogEvent {
-    /// The constant message of an event; none of those that other crates word.
+    /// Returns the constant message; empty for events whose text comes from another crate.
     fn message(&self) -> &'static str {
         match self {
             LogEvent::MachineAdopted { .. } => "machine adopted",
             LogEvent::MachineFailed { .. } => "machine failed, terminating it",
             LogEvent::MachineUnlisted { .. } => {
-                "silent machine is not in the cloud's list any more, terminating it"
+                "silent machine missing from the cloud's list, terminating it"
             }
-            LogEvent::MachineUnreachable { .. } => "heartbeat timeout of machine, terminating it",
+            LogEvent::MachineUnreachable { .. } => "machine heartbeat timed out, terminating it",
             LogEvent::WorkerLeaseExpired { .. } => "worker lease expired, task runs released",
             LogEvent::AgentEpochAdvanced { .. } => {
                 "machine has a new agent epoch, task runs released"
@@ -201,24 +203,28 @@
             }
             LogEvent::LaunchesIgnored { .. } => "machine ignores launches, terminating it",
             LogEvent::MachineNeverJoined { .. } => "machine never joined, terminating it",
-            LogEvent::MachineSlow { .. } => "machine is slow",
-            LogEvent::MachineFailsJobs { .. } => "machine fails different jobs, terminating it",
-            LogEvent::BootsLate { .. } => "boots are late",
-            LogEvent::BootsRecovered { .. } => "boots are not late any more",
+            LogEvent::MachineSlow { .. } => "machine is slow, draining it",
+            LogEvent::MachineFailsJobs { .. } => {
+                "tasks of several jobs failed on machine, terminating it"
+            }
+            LogEvent::BootsLate { .. } => "machine boots are late",
+            LogEvent::BootsRecovered { .. } => "machine boots are no longer late",
             LogEvent::ZoneUnreachable { .. } => "zone is unreachable",
-            LogEvent::ZoneReachable { .. } => "zone is not unreachable any more",
+            LogEvent::ZoneReachable { .. } => "zone is no longer unreachable",
             LogEvent::UnrecognisedPhase { .. } => "task is in a phase unknown to this version",
             LogEvent::UnrecognisedExitCause { .. } => {
-                "task ended for a cause unknown to this version"
+                "task ended with a cause unknown to this version"
             }
             LogEvent::JobQuarantined { .. } => "job quarantined, trying one task at a time",
-            LogEvent::JobRestored { .. } => "job is not quarantined any more",
-            LogEvent::StarvingJobStarted { .. } => "starving job starts",
+            LogEvent::JobRestored { .. } => "job is no longer quarantined",
+            LogEvent::StarvingJobStarted { .. } => "starving job started",
             LogEvent::RecordShardRejected { .. } => "record shard rejected by the state service",
             LogEvent::MoveStarted { .. } => "move started",
             LogEvent::MoveEnded { .. } => "move ended",
-            LogEvent::InvalidLoad { .. } => "machine type has invalid amounts",
-            LogEvent::Balance(_) => "balance",
+            LogEvent::InvalidLoad { .. } => {
+                "machine type has invalid amounts, cannot compute its load"
+            }
+            LogEvent::Balance(_) => "load balance",
             LogEvent::Quota(_) => "",
         }
     }
@@ -279,7 +285,7 @@
     }
 }
 
-/// Writes the fields of a balance summary.
+/// Writes the fields of a balance summary, each with a leading space.
 fn write_balance(f: &mut fmt::Formatter<'_>, summary: &BalanceSummary) -> fmt::Result {
     let (spread, counts) = (summary.spread, summary.counts);
     write!(
@@ -315,24 +321,24 @@
     }
 }
 
-/// Why a leader stops leading of its own accord.
+/// Why a leader resigns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResignReason {
-    /// A worker holds a higher fencing token, so that another node leads.
+    /// A worker holds a higher fencing token, so another node has become leader.
     HigherToken,
-    /// No machine is heard any more, though one was in this term.
+    /// No zone is reachable any more, although some machine was heard in this term.
     NoZoneReachable,
-    /// All heartbeats come by way of other nodes, which can also call the workers.
+    /// All heartbeats are relayed by other nodes, which can also call the workers directly.
     HeartbeatsOnlyRelayed,
 }
 
 impl ResignReason {
-    /// The reason in words.
+    /// Returns the reason as it appears in the log.
     pub fn as_str(self) -> &'static str {
         match self {
-            ResignReason::HigherToken => "a machine holds a higher fencing token",
+            ResignReason::HigherToken => "a worker holds a higher fencing token",
             ResignReason::NoZoneReachable => "no zone is reachable",
-            ResignReason::HeartbeatsOnlyRelayed => "heartbeats come by way of other nodes only",
+            ResignReason::HeartbeatsOnlyRelayed => "all heartbeats are relayed by other nodes",
         }
     }
 }
--- a/crates/latchtrack-core/tests/log_events.rs
+++ b/crates/latchtrack-core/tests/log_events.rs
@@ -21,7 +21,7 @@
         ),
         (
             LogEvent::MachineUnreachable { machine: machine(), silent_ms: 9_000 },
-            "heartbeat timeout of machine, terminating it machine=m-1 silent_ms=9000".to_string(),
+            "machine heartbeat timed out, terminating it machine=m-1 silent_ms=9000".to_string(),
         ),
         (
             LogEvent::WorkerLeaseExpired { machine: machine(), task_runs: 3 },
@@ -30,7 +30,7 @@
         (LogEvent::ZoneUnreachable { zone: "b".into() }, "zone is unreachable zone=b".to_string()),
         (
             LogEvent::BootsLate { machine_type: "c8".into(), zone: "b".into() },
-            "boots are late machine_type=c8 zone=b".to_string(),
+            "machine boots are late machine_type=c8 zone=b".to_string(),
         ),
         (
             LogEvent::UnrecognisedPhase { machine: machine(), task },
@@ -70,7 +70,7 @@
     };
     assert_eq!(
         LogEvent::Balance(Box::new(summary)).to_string(),
-        "balance spread=2.00 greatest_load=0.90 mean_load=0.45 over_bound=1 \
+        "load balance spread=2.00 greatest_load=0.90 mean_load=0.45 over_bound=1 \
          hot_teams=\"red, blue\" moves_begun=3 moves_settled=2 moves_abandoned=1"
     );
 }
