--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -1,9 +1,9 @@
-//! How long machines take to come up, learnt for each machine type and zone.
+//! Boot times, measured per machine type and zone, and detection of late boots.
 //!
-//! Single machines that are late are replaced, and terminated when they seem never to come. When
-//! most of a type in a zone are late, to terminate them and provision the same again would begin
-//! their boots anew, for ever: they are waited for, what is needed meanwhile is provisioned
-//! elsewhere, and a few are provisioned now and then to see whether the trouble is over.
+//! A single late machine is replaced, and terminated once it is unlikely to come up. When most
+//! machines of a type in a zone are late, terminating them and provisioning the same again would
+//! restart their boots forever. The scheduler waits for these machines, provisions replacements
+//! elsewhere, and periodically provisions a few machines of the late pool as a trial.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -21,61 +21,63 @@
 use crate::placement::Offer;
 use crate::Millis;
 
-/// Machines whose boots are judged together: those of a type in a zone.
+/// The machines of one type in one zone, whose boots are evaluated together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct MachinePool {
     machine_type: Arc<str>,
     zone: Arc<str>,
 }
 
-/// A boot that was seen to end.
+/// A completed boot.
 #[derive(Clone, Copy, Debug)]
 struct BootSample {
     up_at: Millis,
     took_ms: Millis,
 }
 
-/// When machines of a late pool were last provisioned and given up, as trials.
+/// When machines of a late pool were last provisioned and terminated as trials.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootTrials {
     provisioned_at: Millis,
-    given_up_at: Millis,
+    terminated_at: Millis,
 }
 
-/// Machines of a pool of which something can be told.
+/// Counts of the machines of a pool whose boots have completed or are late.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootCounts {
-    /// The last few by name.
+    /// The most recent machines by name, at most `BOOT_SAMPLES`.
     sampled: usize,
-    /// Those of these that should be up and are not.
+    /// How many of the sampled machines are late.
     sampled_missing: usize,
-    /// All that should be up and are not.
+    /// All late machines.
     missing: usize,
 }
 
-/// Whether a machine that has not come up in its time may still come.
+/// Status of a machine that has exceeded its boot time.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum BootHope {
-    MayCome,
-    None,
+enum BootStatus {
+    /// It may still come up.
+    Overdue,
+    /// It is so late that it is presumed never to come up.
+    Failed,
 }
 
-/// What is known of the boots of each pool.
+/// Boot samples and late pools.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BootTracker {
-    /// The last boots of this term, by the machine's name.
+    /// The most recent boots of this term, by machine name.
     samples: BTreeMap<MachinePool, BTreeMap<Arc<str>, BootSample>>,
-    /// Median boot time by these, in ms.
-    typical_ms: BTreeMap<MachinePool, Millis>,
-    /// Pools of which most machines are late now.
+    /// Median boot time of the samples, in ms.
+    median_ms: BTreeMap<MachinePool, Millis>,
+    /// Pools in which most machines are late.
     late: BTreeMap<MachinePool, BootTrials>,
     updated_at: Option<Millis>,
 }
 
-/// Pools that began or ceased to be late, in their order.
+/// Pools that became late or recovered, in sorted order.
 struct LateChanges {
-    began: Vec<MachinePool>,
-    ended: Vec<MachinePool>,
+    late: Vec<MachinePool>,
+    recovered: Vec<MachinePool>,
 }
 
 impl MachinePool {
@@ -112,15 +114,16 @@
         }
     }
 
-    /// Whether three quarters of the last boots are late, and at least `min_missing` machines.
+    /// Whether at least three quarters of the sampled boots and at least `min_missing` machines are
+    /// late.
     fn are_late(&self, min_missing: usize) -> bool {
         self.missing >= min_missing && self.sampled_missing * 4 >= self.sampled * 3
     }
 }
 
 impl BootTracker {
-    /// A machine has come up. One adopted by its heartbeat was provisioned at an unknown time, and
-    /// says nothing.
+    /// Records that a machine has come up. A machine adopted from its heartbeat is ignored, since
+    /// its provisioning time is unknown.
     pub fn record_boot(&mut self, now: Millis, machine: &Machine) {
         let took_ms = now.saturating_sub(machine.provisioned_at);
         if machine.inherited || took_ms == 0 {
@@ -133,15 +136,15 @@
         }
     }
 
-    /// Machines of the offer have been asked for.
+    /// Records a provision request for the offer.
     pub fn record_provision(&mut self, now: Millis, offer: &Offer) {
         if let Some(trials) = self.late.get_mut(&MachinePool::of_offer(offer)) {
             trials.provisioned_at = now;
         }
     }
 
-    /// How many machines of an offer may be provisioned now: of a late pool a few now and then, as
-    /// more of them would not help sooner.
+    /// Returns how many machines of an offer may be provisioned now. A late pool gets only a few
+    /// per trial interval, since provisioning more would not provide capacity sooner.
     pub fn max_provisionable(&self, now: Millis, offer: &Offer) -> u32 {
         match self.late.get(&MachinePool::of_offer(offer)) {
             Some(trials) if now < trials.provisioned_at.saturating_add(BOOT_TRIAL_INTERVAL_MS) => 0,
@@ -150,26 +153,27 @@
         }
     }
 
-    /// Whether a machine that has not come up is given up now, when `given_up` others of its pool
-    /// were in this step. Of a late pool those that may still come are given up a few at a time.
-    fn start_give_up(
+    /// Whether a machine that has not come up may be terminated now, after `terminated` others of
+    /// its pool in the same step. In a late pool, machines that may still come up are terminated a
+    /// few per trial interval.
+    fn allow_termination(
         &mut self,
         now: Millis,
         pool: &MachinePool,
-        given_up: usize,
-        hope: BootHope,
+        terminated: usize,
+        status: BootStatus,
     ) -> bool {
         let Some(trials) = self.late.get_mut(pool) else { return true };
         let is_due =
-            given_up > 0 || now >= trials.given_up_at.saturating_add(BOOT_TRIAL_INTERVAL_MS);
-        if hope == BootHope::MayCome && (!is_due || given_up >= BOOT_TRIAL_MACHINES) {
+            terminated > 0 || now >= trials.terminated_at.saturating_add(BOOT_TRIAL_INTERVAL_MS);
+        if status == BootStatus::Overdue && (!is_due || terminated >= BOOT_TRIAL_MACHINES) {
             return false;
         }
-        trials.given_up_at = now;
+        trials.terminated_at = now;
         true
     }
 
-    /// Whether an update is due; if so, it counts as made.
+    /// Whether an update is due; if so, records it as done at `now`.
     fn start_update_if_due(&mut self, now: Millis) -> bool {
         if self.updated_at.is_some_and(|at| now < at.saturating_add(MAX_CYCLE_INTERVAL_MS)) {
             return false;
@@ -178,58 +182,62 @@
         true
     }
 
-    /// Drops old samples, and learns the typical boot times from the others.
-    fn update_typical(&mut self, now: Millis) {
-        self.typical_ms.clear();
+    /// Drops expired samples and computes the median boot times of the others.
+    fn update_medians(&mut self, now: Millis) {
+        self.median_ms.clear();
         for (pool, samples) in &mut self.samples {
             samples.retain(|_, boot| now < boot.up_at.saturating_add(BOOT_SAMPLE_TTL_MS));
             let mut took_ms: Vec<Millis> = samples.values().map(|boot| boot.took_ms).collect();
             took_ms.sort_unstable();
             if took_ms.len() >= MIN_BOOT_SAMPLES {
-                self.typical_ms.insert(pool.clone(), took_ms[took_ms.len() / 2]);
+                self.median_ms.insert(pool.clone(), took_ms[took_ms.len() / 2]);
             }
         }
     }
 
-    /// Decides which pools are late, by their counts.
-    fn judge(&mut self, counts: BTreeMap<MachinePool, BootCounts>, min: usize) -> LateChanges {
+    /// Updates the set of late pools from their counts.
+    fn update_late_pools(
+        &mut self,
+        counts: BTreeMap<MachinePool, BootCounts>,
+        min_missing: usize,
+    ) -> LateChanges {
         let before = std::mem::take(&mut self.late);
-        let mut began = Vec::new();
-        for (pool, _) in counts.into_iter().filter(|(_, counts)| counts.are_late(min)) {
+        let mut late = Vec::new();
+        for (pool, _) in counts.into_iter().filter(|(_, counts)| counts.are_late(min_missing)) {
             if !before.contains_key(&pool) {
-                began.push(pool.clone());
+                late.push(pool.clone());
             }
             let trials = before.get(&pool).copied().unwrap_or_default();
             self.late.insert(pool, trials);
         }
-        let ended = before.into_keys().filter(|pool| !self.late.contains_key(pool)).collect();
-        LateChanges { began, ended }
+        let recovered = before.into_keys().filter(|pool| !self.late.contains_key(pool)).collect();
+        LateChanges { late, recovered }
     }
 
-    /// ms that boots of the machine's pool have lately taken, 0 if too few were seen.
-    fn typical_boot_ms(&self, machine: &Machine) -> f64 {
-        self.typical_ms.get(&MachinePool::of(machine)).copied().unwrap_or(0) as f64
+    /// Returns the median boot time of the machine's pool in ms, or 0 with too few samples.
+    fn median_boot_ms(&self, machine: &Machine) -> f64 {
+        self.median_ms.get(&MachinePool::of(machine)).copied().unwrap_or(0) as f64
     }
 }
 
-/// Provisioned, and neither heard nor given up.
-fn is_awaited(machine: &Machine) -> bool {
+/// Whether a machine is still expected to come up for the first time.
+fn is_joining(machine: &Machine) -> bool {
     !machine.is_up() && !machine.inherited && !machine.to_terminate
 }
 
-/// Awaited, and not up as far as the cloud's list tells: one that is up and not heard is cut off,
-/// which says nothing of boots.
+/// Whether a joining machine is not yet running according to the cloud. One that is running but
+/// sends no heartbeats is disconnected, which does not count as a late boot.
 fn is_booting(machine: &Machine) -> bool {
-    is_awaited(machine) && !machine.listed_as_running
+    is_joining(machine) && !machine.listed_as_running
 }
 
 impl Scheduler {
-    /// Learns once a second from what has come up and what has not.
+    /// Updates boot times and late pools once per second, and terminates failed boots.
     pub(super) fn track_boots(&mut self, now: Millis) {
         if !self.boot_tracker.start_update_if_due(now) {
             return;
         }
-        self.boot_tracker.update_typical(now);
+        self.boot_tracker.update_medians(now);
         self.detect_late_boots(now);
         self.terminate_never_joined(now);
     }
@@ -237,18 +245,18 @@
     fn detect_late_boots(&mut self, now: Millis) {
         let counts = self.count_boots(now);
         let share = (self.inventory.len() as f64 * MIN_MISSING_SHARE) as usize;
-        let changes = self.boot_tracker.judge(counts, MIN_BOOT_SAMPLES.max(share));
-        for MachinePool { machine_type, zone } in changes.began {
+        let changes = self.boot_tracker.update_late_pools(counts, MIN_BOOT_SAMPLES.max(share));
+        for MachinePool { machine_type, zone } in changes.late {
             self.effects.push(Effect::Log(LogEvent::BootsLate { machine_type, zone }));
         }
-        for MachinePool { machine_type, zone } in changes.ended {
+        for MachinePool { machine_type, zone } in changes.recovered {
             self.effects.push(Effect::Log(LogEvent::BootsRecovered { machine_type, zone }));
         }
     }
 
-    /// Counts in each pool the machines that are up and those that should be. The last by name come
-    /// first, which is the order of creation: a few stragglers of long ago, which are all that a
-    /// new leader sees boot, say nothing when others came after them.
+    /// Counts the machines of each pool that are up and those that are late, newest first: names
+    /// are in order of creation. A new leader may see only a few old stragglers boot; these do not
+    /// make a pool late if newer machines have come up.
     fn count_boots(&self, now: Millis) -> BTreeMap<MachinePool, BootCounts> {
         let mut counts: BTreeMap<MachinePool, BootCounts> = BTreeMap::new();
         for machine in self.inventory.iter().rev() {
@@ -260,39 +268,39 @@
                 is_booting(machine) && now.saturating_sub(machine.provisioned_at) > limit_ms;
             if is_missing {
                 counts.entry(MachinePool::of(machine)).or_default().add_missing();
-            } else if !is_awaited(machine) {
+            } else if !is_joining(machine) {
                 counts.entry(MachinePool::of(machine)).or_default().add_up();
             }
         }
         counts
     }
 
-    /// Terminates machines that seem never to come up; of a late pool a few at a time, until none
-    /// can be hoped for.
+    /// Terminates machines that are unlikely to come up. In a late pool only a few are terminated
+    /// at a time, except those that have exceeded the longer limit of late pools.
     fn terminate_never_joined(&mut self, now: Millis) {
         let mut never_joined: Vec<(Millis, String)> = self
             .inventory
             .iter()
-            .filter(|machine| is_awaited(machine))
+            .filter(|machine| is_joining(machine))
             .filter(|machine| {
                 now.saturating_sub(machine.provisioned_at) > self.boot_failed_after_ms(machine)
             })
             .map(|machine| (machine.provisioned_at, machine.name.to_string()))
             .collect();
         never_joined.sort();
-        let mut given_up: BTreeMap<MachinePool, usize> = BTreeMap::new();
+        let mut terminated: BTreeMap<MachinePool, usize> = BTreeMap::new();
         for (provisioned_at, name) in never_joined {
             let Some(machine) = self.inventory.get(&name) else { continue };
             let pool = MachinePool::of(machine);
-            let hopeless_ms =
+            let failed_ms =
                 self.boot_limit_ms(&machine.machine_type, BOOT_FAILED_FACTOR_WHILE_LATE);
-            let is_hopeless = now.saturating_sub(provisioned_at) > hopeless_ms;
-            let hope = if is_hopeless { BootHope::None } else { BootHope::MayCome };
-            let given_up = given_up.entry(pool.clone()).or_default();
-            if !self.boot_tracker.start_give_up(now, &pool, *given_up, hope) {
+            let has_failed = now.saturating_sub(provisioned_at) > failed_ms;
+            let status = if has_failed { BootStatus::Failed } else { BootStatus::Overdue };
+            let terminated = terminated.entry(pool.clone()).or_default();
+            if !self.boot_tracker.allow_termination(now, &pool, *terminated, status) {
                 continue;
             }
-            *given_up += 1;
+            *terminated += 1;
             if let Some(machine) = self.inventory.get_mut(&name) {
                 machine.to_terminate = true;
             }
@@ -300,33 +308,35 @@
         }
     }
 
-    /// Machine types and zones of which most boots are late, for display.
+    /// Returns the machine types and zones in which most boots are late, for display.
     pub fn late_boot_pools(&self) -> Vec<String> {
         self.boot_tracker.late.keys().map(MachinePool::to_string).collect()
     }
 
-    /// How many machines are not up though they should be.
-    pub(super) fn late_boots(&self, now: Millis) -> usize {
+    /// Returns the number of machines whose boots are late.
+    pub(super) fn count_late_boots(&self, now: Millis) -> usize {
         let is_late = |machine: &&Machine| is_booting(machine) && self.is_boot_late(now, machine);
         self.inventory.iter().filter(is_late).count()
     }
 
-    /// Whether a machine that is not up is too old to be counted on.
+    /// Whether a booting machine has exceeded its expected boot time by so much that placement no
+    /// longer counts on it.
     pub(super) fn is_boot_late(&self, now: Millis, machine: &Machine) -> bool {
         let limit_ms = self.boot_limit_ms(&machine.machine_type, BOOT_LATE_FACTOR);
-        let typical_ms = self.boot_tracker.typical_boot_ms(machine);
+        let median_ms = self.boot_tracker.median_boot_ms(machine);
         now.saturating_sub(machine.provisioned_at)
-            > limit_ms.max((typical_ms * BOOT_LATE_FACTOR) as Millis)
+            > limit_ms.max((median_ms * BOOT_LATE_FACTOR) as Millis)
     }
 
-    /// Age in ms from which a machine that is not up may be terminated.
+    /// Returns the age in ms beyond which a machine that is not up may be terminated.
     fn boot_failed_after_ms(&self, machine: &Machine) -> Millis {
         let limit_ms = self.boot_limit_ms(&machine.machine_type, BOOT_FAILED_FACTOR);
-        let typical_ms = self.boot_tracker.typical_boot_ms(machine);
-        limit_ms.max((typical_ms * BOOT_LATE_FACTOR) as Millis)
+        let median_ms = self.boot_tracker.median_boot_ms(machine);
+        limit_ms.max((median_ms * BOOT_LATE_FACTOR) as Millis)
     }
 
-    /// A multiple of the time that the cloud names for a boot of this type, and a grace, in ms.
+    /// Returns `factor` times the boot time that the cloud states for this type, plus a grace
+    /// period, in ms.
     fn boot_limit_ms(&self, machine_type: &str, factor: f64) -> Millis {
         let machine_type = self.inventory.type_named(machine_type);
         let nominal_s = machine_type.map_or(DEFAULT_BOOT_S, |t| t.boot_s.max(0.0));
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -1,11 +1,11 @@
-//! Whose fault a failure is: the machine's, or the job's.
+//! Attributes task failures to the machine or to the job.
 //!
-//! A job submitted with a mistake fails on every machine until its user cancels it; a faulty
-//! machine fails every task that it starts. Machines are judged by jobs that do well elsewhere. A
-//! job that has shown nothing but failures, on several machines, is quarantined: one task of it at
-//! a time is tried, on machines where others have lately succeeded, with growing backoffs, and
-//! nothing is provisioned or reserved for it. Its first success, or a task that runs for longer than
-//! the failed ones did, restores it, and then its failures speak against the machines after all.
+//! A broken job fails on every machine until its user cancels it; a faulty machine fails every task
+//! that it starts. Machines are blamed for failures of jobs that succeed elsewhere. A job that has
+//! only failed, on several machines, is quarantined: its tasks are tried one at a time, on machines
+//! where others have recently succeeded, with increasing backoffs, and nothing is provisioned or
+//! reserved for it. Its first success, or a task that runs for longer than the failed ones did,
+//! restores it; its earlier failures then count against the machines.
 
 use super::log_events::LogEvent;
 use super::messages::Effect;
@@ -19,23 +19,25 @@
 use crate::machine::TaskPhase;
 use crate::Millis;
 
-/// Doublings of the backoff after which it is at its maximum in any case; more would overflow.
+/// Maximum number of backoff doublings. The backoff reaches its maximum earlier; more doublings
+/// would overflow.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 impl Scheduler {
-    /// A task failed on this machine after it had been seen to run for `ran_ms`.
+    /// Handles a task that failed on this machine after running for `ran_ms`, as far as observed.
     pub(super) fn on_run_failed(&mut self, now: Millis, machine: &str, id: JobId, ran_ms: Millis) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.failed_on.insert(machine.to_string(), now);
         job.failed_after = job.failed_after.max(ran_ms);
         let is_quarantined = job.is_quarantined;
-        let looks_broken = job.done.ones() == 0 && job.failed_on.len() >= JOB_QUARANTINE_MACHINES;
-        if is_quarantined || (looks_broken && !self.has_healthy_run(now, id)) {
+        let has_only_failed =
+            job.done.ones() == 0 && job.failed_on.len() >= JOB_QUARANTINE_MACHINES;
+        if is_quarantined || (has_only_failed && !self.has_healthy_run(now, id)) {
             if !is_quarantined {
                 self.quarantine_job(id);
             }
             let Some(job) = self.jobs.get_mut(&id) else { return };
-            // What was launched together fails together, which says no more than one failure does.
+            // Tasks launched together fail together; they count as one failed trial.
             if now >= job.backoff_until {
                 job.backoff_until = now
                     + (FAILURE_BACKOFF_MS << job.failed_trials.min(MAX_BACKOFF_DOUBLINGS))
@@ -43,12 +45,12 @@
                 job.failed_trials += 1;
             }
         } else {
-            self.blame_machine(now, machine, id);
+            self.record_failed_job(now, machine, id);
         }
     }
 
-    /// Whether a task of the job is done, or has run for longer than the failed ones did: looked
-    /// for among the first few, which were launched first.
+    /// Whether a task of the job is done, or has run for clearly longer than the failed ones did.
+    /// Checks only the first few placed tasks, which were launched first.
     fn has_healthy_run(&self, now: Millis, id: JobId) -> bool {
         let Some(job) = self.jobs.get(&id) else { return false };
         let min_run_ms = job.failed_after.saturating_mul(2).saturating_add(HEALTHY_RUN_MARGIN_MS);
@@ -63,7 +65,7 @@
                 .any(|run| run.running_since.is_some_and(|at| now >= at.saturating_add(min_run_ms)))
     }
 
-    /// Tries a job one task at a time from now on, and clears the machines on which it failed.
+    /// Quarantines a job, and no longer counts its failures against the machines.
     fn quarantine_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.is_quarantined = true;
@@ -80,7 +82,8 @@
         self.cycle_timer.request();
     }
 
-    /// A task of the job did well: what failed was its machines' fault.
+    /// Resets the job's backoff after a healthy run. If the job was quarantined, lifts that and
+    /// counts its failures against the machines.
     pub(super) fn restore_job(&mut self, now: Millis, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.backoff_until = 0;
@@ -91,13 +94,14 @@
         self.effects.push(Effect::Log(LogEvent::JobRestored { job: id }));
         let names: Vec<String> = job.failed_on.keys().cloned().collect();
         for name in names {
-            self.blame_machine(now, &name, id);
+            self.record_failed_job(now, &name, id);
         }
         self.cycle_timer.request();
     }
 
-    /// Holds a job's failure against the machine. One that fails different jobs is terminated.
-    fn blame_machine(&mut self, now: Millis, name: &str, id: JobId) {
+    /// Counts a job's failure against the machine, which is terminated if too many different jobs
+    /// fail on it.
+    fn record_failed_job(&mut self, now: Millis, name: &str, id: JobId) {
         let Some(machine) = self.inventory.get_mut(name) else { return };
         machine.failed_jobs.insert(id);
         machine.proven = false;
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Restores the quarantined jobs of which a task does well.
+    /// Restores the quarantined jobs that have a healthy run.
     pub(super) fn restore_healthy_jobs(&mut self, now: Millis) {
         let healthy: Vec<JobId> =
             self.quarantined_jobs().filter(|id| self.has_healthy_run(now, *id)).collect();
@@ -118,9 +122,9 @@
         }
     }
 
-    /// Whether a job avoids this machine: it failed there lately. Not for ever, as machines that
-    /// were faulty for a time may be all that it fits on. A quarantined job is tried only where
-    /// others have succeeded, unless it has waited long for such a machine.
+    /// Whether a job avoids this machine because it recently failed there. This expires, since the
+    /// job may fit on no other machines and their fault may have passed. A quarantined job avoids
+    /// unproven machines too, and accepts any machine `TRIAL_ANYWHERE_MS` after its backoff.
     pub(super) fn avoids_machine(&self, now: Millis, job: &Job, machine: &str) -> bool {
         let failed = job
             .failed_on
--- a/crates/latchtrack-core/src/scheduler/failure_detector.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_detector.rs
@@ -1,8 +1,8 @@
-//! Which machines and zones are unreachable, by heartbeats and unanswered direct calls.
+//! Detects unreachable machines and zones from heartbeats and unanswered direct calls.
 //!
-//! Silence is held against a machine only while this node could hear it: not after a pause of its
-//! own, not while the machine's whole zone is unreachable, and not while most machines are silent
-//! at once, which rather shows a fault of this node.
+//! Silence counts against a machine only while this node could have received its heartbeats: not
+//! after this node itself was suspended, not while the machine's whole zone is unreachable, and not
+//! while most machines are silent at once, which suggests a fault of this node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,49 +18,50 @@
 use crate::machine::{Machine, TaskPhase};
 use crate::Millis;
 
-/// Judges by heartbeats and unanswered calls which machines and zones are unreachable.
+/// Tracks heartbeats and unanswered calls to find unreachable machines and zones.
 #[derive(Clone, Debug)]
 pub(super) struct FailureDetector {
     term_started_at: Millis,
-    /// What was heard of each zone in this term.
+    /// Reachability of each zone in this term.
     zones: BTreeMap<Arc<str>, ZoneReachability>,
-    /// Zones of which nothing is heard, at the last tick.
+    /// Zones found unreachable at the last tick.
     unreachable_zones: BTreeSet<Arc<str>>,
-    /// Since when heartbeats have come by way of other nodes, and none to this one itself.
+    /// Since when all heartbeats have been relayed by other nodes; `None` if the last one or an
+    /// answer to a call came directly.
     relayed_since: Option<Millis>,
     last_tick_at: Millis,
-    /// Since when this node has listened without a pause of its own.
+    /// Since when this node has been running without a suspension or stall.
     listening_since: Millis,
 }
 
-/// What is heard of a zone.
+/// Reachability of a zone.
 #[derive(Clone, Debug, Default)]
 struct ZoneReachability {
-    /// When one of its machines was last heard holding this term's token.
+    /// When one of its machines last reported this term's token.
     last_heartbeat_at: Option<Millis>,
-    /// Direct calls into it without an answer since.
+    /// Unanswered direct calls into the zone since then.
     unanswered_calls: u32,
-    /// When it last ceased to be unreachable.
+    /// When it last became reachable again; 0 if it was never unreachable.
     reachable_since: Millis,
 }
 
-/// Whose fault it is that machines are silent.
+/// The presumed cause of silent machines.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SilenceCause {
-    /// Single machines are silent, each by itself.
+    /// Individual machines have failed independently.
     Machines,
-    /// So many are silent that this node rather does not hear them.
+    /// So many are silent that this node has more likely lost its connection.
     ThisNode,
 }
 
-/// Zones that became unreachable or reachable with a tick, in the order of their names.
+/// Zones that became unreachable (`lost`) or reachable (`recovered`) at a tick, sorted by name.
 struct ZoneChanges {
     lost: Vec<Arc<str>>,
     recovered: Vec<Arc<str>>,
 }
 
 impl FailureDetector {
-    /// A detector that listens from the start of the term on.
+    /// Creates a detector at the start of a term.
     pub fn new(now: Millis) -> Self {
         FailureDetector {
             term_started_at: now,
@@ -72,34 +73,34 @@
         }
     }
 
-    /// A machine of the zone was heard holding this term's token.
+    /// Records that a machine of the zone reported this term's token.
     pub fn heartbeat_observed(&mut self, now: Millis, zone: &Arc<str>) {
         let zone = self.zones.entry(zone.clone()).or_default();
         (zone.last_heartbeat_at, zone.unanswered_calls) = (Some(now), 0);
     }
 
-    /// A heartbeat came to this node itself, or a worker answered its call.
+    /// Records a heartbeat sent directly to this node or an answer to its direct call.
     pub fn worker_reached_directly(&mut self) {
         self.relayed_since = None;
     }
 
-    /// A heartbeat came by way of another node.
+    /// Records a heartbeat relayed by another node.
     pub fn heartbeat_relayed(&mut self, now: Millis) {
         self.relayed_since.get_or_insert(now);
     }
 
-    /// A direct call into the zone ended without an answer.
+    /// Records an unanswered direct call into the zone.
     pub fn call_unanswered(&mut self, zone: &Arc<str>) {
         self.zones.entry(zone.clone()).or_default().unanswered_calls += 1;
     }
 
-    /// Direct calls into the zone that ended without an answer since it was last heard.
+    /// Returns the number of unanswered direct calls into the zone since its last heartbeat.
     pub fn unanswered_calls(&self, zone: &str) -> u32 {
         self.zones.get(zone).map_or(0, |zone| zone.unanswered_calls)
     }
 
-    /// Notes a tick. After a gap between two, the node did not lead or stood still: the machines
-    /// spoke meanwhile, and nobody listened.
+    /// Records a tick. A gap between ticks means that this node was not leading or was suspended,
+    /// and missed the heartbeats sent meanwhile.
     pub fn observe_tick(&mut self, now: Millis) {
         if now > self.last_tick_at.saturating_add(MAX_TICK_GAP_MS) {
             self.listening_since = now;
@@ -107,38 +108,44 @@
         self.last_tick_at = now;
     }
 
-    /// Whether this node has listened without a pause for at least `ms`.
+    /// Whether this node has been able to receive heartbeats for at least `ms` without a gap.
     pub fn has_listened_for(&self, now: Millis, ms: Millis) -> bool {
         now >= self.listening_since.saturating_add(ms)
     }
 
-    /// Whether nothing was heard of the zone, at the last tick.
+    /// Whether the zone was found unreachable at the last tick.
     pub fn is_unreachable(&self, zone: &str) -> bool {
         self.unreachable_zones.contains(zone)
     }
 
-    /// The zones of which nothing was heard, at the last tick, by name.
+    /// Returns the zones found unreachable at the last tick, sorted by name.
     pub fn unreachable_zones(&self) -> impl Iterator<Item = &Arc<str>> {
         self.unreachable_zones.iter()
     }
 
-    /// Whether there was no unreachable zone at the last tick.
+    /// Whether no zone was found unreachable at the last tick.
     pub fn all_zones_reachable(&self) -> bool {
         self.unreachable_zones.is_empty()
     }
 
-    /// For how long, in ms, a machine that should send heartbeats has been silent while this node
-    /// listened and the machine's zone was reachable: when a network partition ends, one machine is
-    /// heard before the others. `None` for one that is not expected to send any yet.
+    /// Returns for how long, in ms, a machine has been silent while this node was listening and the
+    /// machine's zone was reachable. Time before the zone recovered does not count, because after a
+    /// network partition the machines are heard one after another. `None` if the machine is not
+    /// expected to send heartbeats yet.
     pub fn observed_silence(&self, now: Millis, machine: &Machine) -> Option<Millis> {
         let reachable_since = self.zones.get(&machine.zone).map_or(0, |zone| zone.reachable_since);
         let since = self.listening_since.max(reachable_since);
         machine.heartbeat_age(now).map(|age| age.min(now.saturating_sub(since)))
     }
 
-    /// Finds the unreachable zones among those given with their counts of machines. So many silent
-    /// machines at once with calls unanswered rather show a network partition than that all died.
-    fn judge_zones(&mut self, now: Millis, machines: BTreeMap<Arc<str>, u32>) -> ZoneChanges {
+    /// Updates the set of unreachable zones, given the number of machines in each zone. If a whole
+    /// zone is silent and calls into it go unanswered, a network partition is more likely than the
+    /// failure of all its machines.
+    fn update_unreachable_zones(
+        &mut self,
+        now: Millis,
+        machines: BTreeMap<Arc<str>, u32>,
+    ) -> ZoneChanges {
         let unreachable: BTreeSet<Arc<str>> = machines
             .into_iter()
             .filter(|(zone, machines)| self.looks_unreachable(now, zone, *machines))
@@ -163,21 +170,21 @@
             && now >= since + ZONE_UNREACHABLE_AFTER_MS
     }
 
-    /// Whether a zone that was heard in this term is reachable: then this node can hear.
-    fn is_any_zone_heard(&self) -> bool {
+    /// Whether a zone heard in this term is reachable, which shows that this node is connected.
+    fn can_hear_any_zone(&self) -> bool {
         self.zones.iter().any(|(name, zone)| {
             zone.last_heartbeat_at.is_some() && !self.unreachable_zones.contains(name)
         })
     }
 
-    /// Whether for at least `ms` of listening all heartbeats came by way of other nodes.
-    fn hears_relayed_only_for(&self, now: Millis, ms: Millis) -> bool {
+    /// Whether all heartbeats were relayed by other nodes for at least `ms` of listening.
+    fn received_only_relayed_for(&self, now: Millis, ms: Millis) -> bool {
         self.relayed_since.is_some_and(|at| now >= at.max(self.listening_since).saturating_add(ms))
     }
 
-    /// Whose fault the silence of machines is: if a large share of those in reachable zones is
-    /// overdue, rather this node's. Machines fall silent within a heartbeat interval of each other,
-    /// so all that are overdue count.
+    /// Returns the presumed cause of silent machines: this node, if a large share of the machines
+    /// in reachable zones is overdue. When a node loses its connection, its machines become silent
+    /// within one heartbeat interval, so every machine that is overdue counts.
     fn silence_cause<'a>(
         &self,
         now: Millis,
@@ -200,12 +207,12 @@
 }
 
 impl Scheduler {
-    /// Finds the machines and zones that are unreachable, gives up machines past the heartbeat
-    /// timeout, and releases what was on machines whose worker lease has expired.
+    /// Detects unreachable zones, terminates machines past the heartbeat timeout, and releases the
+    /// task runs of machines whose worker lease has expired.
     pub(super) fn detect_failures(&mut self, now: Millis) {
         self.detect_unreachable_zones(now);
         self.resign_if_isolated(now);
-        self.give_up_silent_machines(now);
+        self.terminate_silent_machines(now);
         self.expire_worker_leases(now);
         let term_ms = now.saturating_sub(self.term_started_at);
         if term_ms >= self.policy.worker_lease_expiry_ms() {
@@ -219,15 +226,15 @@
             *machines.entry(machine.zone.clone()).or_default() += 1;
         }
         let zones = machines.len();
-        let changes = self.failure_detector.judge_zones(now, machines);
+        let changes = self.failure_detector.update_unreachable_zones(now, machines);
         for zone in changes.lost {
             self.effects.push(Effect::Log(LogEvent::ZoneUnreachable { zone }));
         }
         for zone in changes.recovered {
             self.effects.push(Effect::Log(LogEvent::ZoneReachable { zone }));
         }
-        // A machine heard in this term shows that this node was heard once. A new leader that hears
-        // none must not resign: the next would do the same for ever, and none would reconcile them.
+        // Resign only if some machine was heard in this term. Otherwise each new leader would
+        // resign in turn, and none would ever reconcile the machines.
         if zones > 0
             && self.failure_detector.unreachable_zones.len() == zones
             && self.inventory.iter().any(Machine::is_up)
@@ -236,27 +243,27 @@
         }
     }
 
-    /// Resigns while heartbeats come by way of other nodes only: starts would wait for the next
-    /// heartbeat of each machine, and another node can call the workers.
+    /// Resigns if all heartbeats are relayed by other nodes. This node could launch tasks only in
+    /// heartbeat responses, while another node can call the workers directly.
     fn resign_if_isolated(&mut self, now: Millis) {
-        if self.failure_detector.hears_relayed_only_for(now, self.policy.probe_ms()) {
+        if self.failure_detector.received_only_relayed_for(now, self.policy.probe_ms()) {
             self.effects.push(Effect::Resign(ResignReason::HeartbeatsOnlyRelayed));
         }
     }
 
-    fn give_up_silent_machines(&mut self, now: Millis) {
+    fn terminate_silent_machines(&mut self, now: Millis) {
         let cause =
             self.failure_detector.silence_cause(now, self.inventory.iter(), self.policy.probe_ms());
-        let mut given_up: Vec<(String, Millis)> = Vec::new();
+        let mut timed_out: Vec<(String, Millis)> = Vec::new();
         for machine in self.inventory.iter().filter(|machine| !machine.to_terminate) {
             let Some(silent_ms) = self.failure_detector.observed_silence(now, machine) else {
                 continue;
             };
             if self.is_past_heartbeat_timeout(machine, silent_ms, cause) {
-                given_up.push((machine.name.to_string(), silent_ms));
+                timed_out.push((machine.name.to_string(), silent_ms));
             }
         }
-        for (name, silent_ms) in given_up {
+        for (name, silent_ms) in timed_out {
             if let Some(machine) = self.inventory.get_mut(&name) {
                 machine.to_terminate = true;
                 let event = LogEvent::MachineUnreachable { machine: name, silent_ms };
@@ -265,7 +272,7 @@
         }
     }
 
-    /// Whether a machine that was silent for this long is given up.
+    /// Whether a machine that has been silent for this long is to be terminated.
     fn is_past_heartbeat_timeout(
         &self,
         machine: &Machine,
@@ -279,24 +286,25 @@
             } else {
                 self.policy.reconcile_timeout_ms
             };
-            // Silence is the machine's only if it was called and did not answer: a node that is
-            // late hears late. Past its lease it has no task left in any case.
+            // Silence counts against the machine only if it also left direct calls unanswered: a
+            // slow node processes heartbeats late. Past its lease it has no tasks in any case.
             let called = machine.unanswered_calls >= MIN_UNANSWERED_CALLS || machine.addr.is_none();
             silent_ms >= timeout
                 && (called && cause == SilenceCause::Machines || silent_ms >= past_lease)
-        } else if machine.is_unreconciled() && self.failure_detector.is_any_zone_heard() {
-            // Other zones are heard, so it is not this node; and all older jobs wait for this
-            // machine, in those zones too.
+        } else if machine.is_unreconciled() && self.failure_detector.can_hear_any_zone() {
+            // This node hears other zones, so it is not at fault. All inherited jobs wait for this
+            // machine, in other zones too.
             silent_ms >= self.policy.reconcile_timeout_ms
         } else {
-            // Its work goes on until its lease has expired, and it is there when the zone is back.
+            // Its tasks run until its lease expires, and it is useful again when the zone recovers.
             silent_ms >= past_lease + UNREACHABLE_ZONE_GRACE_MS
         }
     }
 
-    /// A machine whose heartbeats nobody has answered for its worker lease and a margin has killed
-    /// its tasks and moved on to the next agent epoch, so that commands on their way are void.
-    /// Its tasks may go elsewhere; the machine stays, as it may only be cut off.
+    /// Releases the task runs of machines whose worker lease has expired. A worker whose heartbeats
+    /// nobody answered for its lease plus a margin has killed its tasks and advanced to the next
+    /// agent epoch, so commands in flight are void. The machine is kept, as it may only be
+    /// disconnected.
     fn expire_worker_leases(&mut self, now: Millis) {
         let past_lease = self.policy.worker_lease_expiry_ms();
         let expired: Vec<String> = self
@@ -308,7 +316,7 @@
             .collect();
         for name in expired {
             let Some(machine) = self.inventory.get_mut(&name) else { continue };
-            // Messages of the expired epoch are stale from now on.
+            // From now on, messages of the expired epoch are stale.
             machine.latest_message = machine.latest_message.next_epoch();
             machine.idle_since = None;
             let runs = std::mem::take(&mut machine.runs);
@@ -321,10 +329,10 @@
         }
     }
 
-    /// Once a worker lease has passed since the term began, a machine of an earlier leader that
-    /// never showed this term's token holds none of its tasks any more: nobody else can have
-    /// answered it, and a command still on its way belongs to an expired agent epoch. It is
-    /// terminated, and no job waits for it.
+    /// Terminates machines of earlier leaders that have not reported this term's token within a
+    /// worker lease from the start of the term, so that no job waits for them. Nobody else can have
+    /// answered them since, so they have killed their tasks, and any command in flight belongs to
+    /// an expired agent epoch.
     fn release_unreconciled(&mut self, term_ms: Millis) {
         if self.persistence.drop_unreadable_machine_sets() {
             self.cycle_timer.request();
@@ -339,9 +347,8 @@
         }
     }
 
-    /// Gives up machines that send heartbeats while launches don't reach them, judged by what they
-    /// were seen to start. Given tasks again and again, such a machine would keep them from running
-    /// elsewhere.
+    /// Terminates machines that send heartbeats but do not start the tasks launched on them. Such a
+    /// machine would receive tasks again and again and keep them from running elsewhere.
     pub(super) fn detect_ignored_launches(&mut self, now: Millis) {
         for machine in self.inventory.iter_mut().filter(|machine| !machine.to_terminate) {
             let ignores_launches = machine.runs.values().any(|run| {
--- a/crates/latchtrack-core/src/scheduler/heartbeats.rs
+++ b/crates/latchtrack-core/src/scheduler/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: a machine is registered by its first, and reconciled by each.
+//! Heartbeats: the first registers a machine, and each reconciles its task runs.
 
 use std::collections::btree_map::Entry;
 use std::collections::HashSet;
@@ -13,17 +13,17 @@
 use crate::machine::{Heartbeat, Machine, MessageNumber, TaskPhase, TaskRun, TaskStatus};
 use crate::Millis;
 
-/// What came of a heartbeat.
+/// The outcome of reconciling a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReconcileOutcome {
-    /// What the scheduler holds to be on the machine is what the heartbeat says.
+    /// The scheduler's view of the machine now matches the heartbeat.
     Reconciled,
-    /// It is stale, of an unknown machine, or shows an older token and so proves nothing.
+    /// The heartbeat is stale, from an unknown machine, or carries an older token.
     Ignored,
 }
 
 impl Scheduler {
-    /// Takes in a heartbeat, and responds to it.
+    /// Handles a heartbeat and responds to it.
     pub(super) fn on_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         if heartbeat.token > self.token {
             self.effects.push(Effect::Resign(ResignReason::HigherToken));
@@ -42,16 +42,16 @@
                 return;
             }
         }
-        // Stale, or of a machine that has yet to see this term's token: it sees it with this
-        // response, and sends another heartbeat at once. A late copy gets the same response, which
-        // nobody reads.
+        // The heartbeat is stale, or its machine has not seen this term's token yet. The response
+        // carries the token, upon which the machine sends another heartbeat immediately. The
+        // response to a late duplicate is not read by anyone.
         self.effects.push(Effect::Respond(Vec::new()));
     }
 
-    /// Registers a machine that the scheduler does not know: a provision request that was executed
-    /// late, or whose answer was lost. It is not in the stored set, so no leader has launched
-    /// anything on it. Only with this term's token it is surely there: a copy of a heartbeat from
-    /// before this term may be of a machine that is long gone.
+    /// Registers an unknown machine, from a provision request that was executed late or whose
+    /// answer was lost. It is not in the stored set, so no leader has launched anything on it. Its
+    /// heartbeat must carry this term's token: an older one may be a late duplicate from a machine
+    /// that no longer exists.
     fn register(&mut self, now: Millis, heartbeat: &Heartbeat) {
         if heartbeat.token < self.token || self.inventory.contains(&heartbeat.machine) {
             return;
@@ -64,7 +64,7 @@
         }));
     }
 
-    /// Squares what a machine says with what the scheduler holds to be on it.
+    /// Updates the scheduler's view of a machine and its task runs from a heartbeat.
     pub(super) fn reconcile(&mut self, now: Millis, heartbeat: &Heartbeat) -> ReconcileOutcome {
         let Some(machine) = self.inventory.get_mut(&heartbeat.machine) else {
             return ReconcileOutcome::Ignored;
@@ -76,14 +76,14 @@
         let is_new_epoch = number.agent_epoch > machine.latest_message.agent_epoch;
         machine.latest_message = number;
         if heartbeat.token < self.token {
-            learn_address(machine, now, heartbeat);
+            record_address(machine, now, heartbeat);
             return ReconcileOutcome::Ignored;
         }
         self.record_heartbeat(now, heartbeat);
         if is_new_epoch {
             self.release_lost_runs(now, &heartbeat.machine);
         }
-        self.release_vanished_runs(now, heartbeat);
+        self.release_unlisted_runs(now, heartbeat);
         for status in &heartbeat.tasks {
             self.reconcile_task(now, &heartbeat.machine, status);
         }
@@ -91,8 +91,8 @@
         ReconcileOutcome::Reconciled
     }
 
-    /// Notes that a machine was heard holding this term's token. The first time it is up: it is
-    /// stored, so that tasks may be launched on it.
+    /// Records a heartbeat that carries this term's token. The first one marks the machine as up
+    /// and requests that it be stored, which must precede any launch on it.
     fn record_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         let Some(machine) = self.inventory.get_mut(&heartbeat.machine) else { return };
         let was_up = machine.is_up();
@@ -113,8 +113,8 @@
         }
     }
 
-    /// A machine has a new agent epoch: its worker lease expired, and the worker has killed and
-    /// forgotten all its tasks. Late commands for the old epoch are void.
+    /// Releases all runs of a machine with a new agent epoch: its worker lease expired, and the
+    /// worker has killed and forgotten its tasks. Late commands for the old epoch are void.
     fn release_lost_runs(&mut self, now: Millis, name: &str) {
         let Some(machine) = self.inventory.get_mut(name) else { return };
         let runs = std::mem::take(&mut machine.runs);
@@ -131,18 +131,18 @@
         self.cycle_timer.request();
     }
 
-    /// Releases the runs that a machine listed before and lists no more.
-    fn release_vanished_runs(&mut self, now: Millis, heartbeat: &Heartbeat) {
+    /// Releases the runs that a machine listed before and no longer lists.
+    fn release_unlisted_runs(&mut self, now: Millis, heartbeat: &Heartbeat) {
         let Some(machine) = self.inventory.get(&heartbeat.machine) else { return };
         let listed: HashSet<(TaskId, u64)> =
             heartbeat.tasks.iter().map(|status| (status.task, status.attempt)).collect();
-        let vanished: Vec<(TaskId, u64)> = machine
+        let unlisted: Vec<(TaskId, u64)> = machine
             .runs
             .iter()
             .filter(|(key, run)| run.phase != TaskPhase::Assigned && !listed.contains(key))
             .map(|(key, _)| *key)
             .collect();
-        for key in vanished {
+        for key in unlisted {
             let Some(machine) = self.inventory.get_mut(&heartbeat.machine) else { return };
             if let Some(run) = machine.runs.remove(&key).filter(TaskRun::is_live) {
                 self.release_run(now, &heartbeat.machine, &run);
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Takes in what a machine says of one task.
+    /// Updates one task run from its status in a heartbeat, adopting the run if it is unknown.
     fn reconcile_task(&mut self, now: Millis, name: &str, status: &TaskStatus) {
         let machine_type =
             self.inventory.get(name).map(|m| m.machine_type.clone()).unwrap_or_default();
@@ -158,10 +158,10 @@
         let Some(machine) = self.inventory.get_mut(name) else { return };
         let run = match machine.runs.entry((status.task, status.attempt)) {
             Entry::Occupied(run) => run.into_mut(),
-            Entry::Vacant(free) => {
+            Entry::Vacant(vacant) => {
                 let job = self.jobs.get_mut(&status.task.job);
                 let job = job.filter(|job| status.task.index < job.spec.tasks);
-                free.insert(adopt_run(name, status, job))
+                vacant.insert(adopt_run(name, status, job))
             }
         };
         if !run.is_live() || run.phase == status.phase {
@@ -208,9 +208,9 @@
     }
 }
 
-/// Learns from a heartbeat with an older token where to call the machine, and no more: it may be a
-/// late copy.
-fn learn_address(machine: &mut Machine, now: Millis, heartbeat: &Heartbeat) {
+/// Records the address from a heartbeat with an older token if none is known. Nothing else in the
+/// heartbeat is used, since it may be a late duplicate.
+fn record_address(machine: &mut Machine, now: Millis, heartbeat: &Heartbeat) {
     if machine.addr.is_none() {
         machine.addr = Some(heartbeat.addr.clone());
         machine.heartbeat_expected_since = Some(now);
--- a/crates/latchtrack-core/src/scheduler/machine_list.rs
+++ b/crates/latchtrack-core/src/scheduler/machine_list.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machines, reconciled with the inventory.
+//! Requests the cloud's list of machines and reconciles it with the inventory.
 
 use std::collections::HashSet;
 
@@ -10,8 +10,8 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// Asks for the cloud's list when it is due: more often while machines are silent, as one that
-    /// the list no longer has is known to be gone sooner.
+    /// Requests the cloud's list of machines when it is due. The interval is shorter while machines
+    /// are silent, because one missing from the list is presumed lost before its timeout.
     pub(super) fn request_machine_list(&mut self, now: Millis) {
         let probe_ms = self.policy.probe_ms();
         let any_silent = self
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Takes in the cloud's list: gives up machines that it lacks or that have failed, and adopts
-    /// those that the scheduler does not know.
+    /// Handles the cloud's list: terminates machines that have failed or that are silent and not
+    /// listed, and adopts unknown ones.
     pub(super) fn on_machines_listed(&mut self, now: Millis, listed: Vec<ListedMachine>) {
         self.detect_unlisted(now, &listed);
         for machine in listed {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// A machine that is not called before its first heartbeat, as it may still boot.
+    /// Adds an unknown machine from the list. It may still be booting, so it is not called before
+    /// its first heartbeat.
     fn adopt_listed(&mut self, now: Millis, listed: ListedMachine) {
         let mut machine =
             Machine::new(&listed.name, &listed.machine_type, &listed.zone, listed.spot, now);
@@ -62,19 +63,19 @@
         }));
     }
 
-    /// Gives up silent machines that the list no longer has: the cloud most likely preempted them.
-    /// A list proves nothing; the delete that this leads to does, and costs nothing if the machine
-    /// is gone already.
+    /// Terminates silent machines missing from the list, which the cloud has most likely preempted.
+    /// The list alone does not prove that a machine is gone; the confirmed termination does, and
+    /// terminating a machine that is already gone is harmless.
     fn detect_unlisted(&mut self, now: Millis, listed: &[ListedMachine]) {
         let names: HashSet<&str> = listed.iter().map(|machine| machine.name.as_str()).collect();
         let probe_ms = self.policy.probe_ms();
         let list_complete_ms = self.policy.list_complete_ms();
         for machine in self.inventory.iter_mut().filter(|machine| !machine.to_terminate) {
-            // A machine of the stored set was up before this term; it is hardly ever younger than
-            // lists are late.
+            // An inherited machine was up before this term, so it is almost certainly older than
+            // the delay of the list.
             let must_be_listed = machine.is_unreconciled()
                 || now >= machine.provisioned_at.saturating_add(list_complete_ms);
-            // One that is not up yet sends nothing that would show it to be there.
+            // A machine that is not up yet sends nothing that would show that it exists.
             let is_silent = machine.presumed_lost(now, probe_ms)
                 || (!machine.is_up() && !machine.is_unreconciled());
             if must_be_listed && is_silent && !names.contains(&*machine.name) {
--- a/crates/latchtrack-core/src/scheduler/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/summary.rs
@@ -1,4 +1,4 @@
-//! What the cluster looks like: counts for the log and for display.
+//! Cluster counts and job progress, for the log and for display.
 
 use std::collections::HashMap;
 
@@ -8,32 +8,32 @@
 use crate::machine::{Machine, TaskPhase};
 use crate::Millis;
 
-/// Counts of the cluster.
+/// Counts of machines, jobs and tasks, and sums of CPUs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SchedulerSummary {
-    /// Machines that are up.
+    /// Machines that have sent a heartbeat in this term.
     pub up: usize,
-    /// Machines that are not up.
+    /// Machines that have not, including unreconciled ones.
     pub booting: usize,
-    /// Machines that are not up though they should be.
+    /// Machines whose boots are late; part of `booting`.
     pub late: usize,
-    /// Unreconciled machines.
+    /// Machines of earlier leaders not heard in this term; part of `booting`.
     pub unreconciled: usize,
-    /// Quarantined jobs.
+    /// Quarantined jobs, whose tasks are tried one at a time.
     pub quarantined: usize,
-    /// Done jobs of which the record does not say so yet.
+    /// Completed jobs whose records are not yet marked as done.
     pub unpersisted: usize,
-    /// Tasks that wait to be placed.
+    /// Tasks waiting to be placed.
     pub waiting: u64,
-    /// CPUs of machines that are up.
+    /// Total CPUs of the machines that are up.
     pub cpus: f64,
-    /// CPUs of tasks that are assigned and not seen on their machine.
+    /// CPUs of tasks that are assigned but not yet reported by their machine.
     pub cpus_assigned: f64,
-    /// CPUs of tasks that fetch their image or wait for their gang.
+    /// CPUs of tasks that are fetching their image, waiting for their gang, or in an unknown phase.
     pub cpus_fetching: f64,
-    /// CPUs of tasks that run.
+    /// CPUs of tasks that are running or checkpointing.
     pub cpus_running: f64,
-    /// CPUs of tasks that wait to be placed.
+    /// CPUs of tasks waiting to be placed.
     pub cpus_waiting: f64,
 }
 
@@ -60,19 +60,19 @@
     }
 }
 
-/// How far an unfinished job is.
+/// The progress of an unfinished job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobProgress {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Its tasks that are done.
+    /// Number of its completed tasks.
     pub done: u32,
-    /// Its tasks that run; of a gang none before all do.
+    /// Number of its running tasks; 0 for a gang until all its tasks are running.
     pub running: u32,
 }
 
 impl Scheduler {
-    /// The progress of the unfinished jobs, for display.
+    /// Returns the progress of all unfinished jobs, for display.
     pub fn progress(&self) -> impl Iterator<Item = JobProgress> + '_ {
         let mut running_tasks: HashMap<JobId, u32> = HashMap::new();
         for run in self.inventory.runs() {
@@ -88,12 +88,12 @@
         })
     }
 
-    /// What the cluster looks like, for the log.
+    /// Returns a summary of the cluster for the log.
     pub fn summary(&self, now: Millis) -> SchedulerSummary {
         let mut summary = SchedulerSummary {
             quarantined: self.quarantined_jobs().count(),
             unpersisted: self.persistence.unpersisted_jobs(),
-            late: self.late_boots(now),
+            late: self.count_late_boots(now),
             ..SchedulerSummary::default()
         };
         for machine in self.inventory.iter() {
@@ -108,7 +108,8 @@
         summary
     }
 
-    /// Machines whose heartbeats are overdue: their workers may be able to reach another node.
+    /// Returns the names of machines with overdue heartbeats, whose workers may be able to reach
+    /// another node. The total size is limited to `MAX_OVERDUE_BYTES`.
     pub fn overdue_machines(&self, now: Millis) -> Vec<String> {
         let mut bytes = 0;
         self.inventory
@@ -125,7 +126,7 @@
     fn is_overdue(&self, now: Millis, machine: &Machine) -> bool {
         match machine.last_heartbeat_at {
             Some(last_heartbeat_at) => now >= last_heartbeat_at + self.policy.overdue_ms(),
-            // Called directly when the term began, it should have answered by now.
+            // It was called directly at the start of the term and should have answered by now.
             None => {
                 machine.is_unreconciled() && now >= self.term_started_at + UNRECONCILED_OVERDUE_MS
             }
