--- a/crates/latchtrack-core/src/scheduler/direct_calls.rs
+++ b/crates/latchtrack-core/src/scheduler/direct_calls.rs
@@ -1,4 +1,4 @@
-//! Direct calls to workers, with commands or as probes.
+//! Direct calls to workers, either carrying commands or as probes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use crate::machine::{Command, Heartbeat, Machine};
 use crate::Millis;
 
-/// ms until a machine is called again after a call that could not be sent, which says little.
+/// Backoff in ms after a call that could not be sent, which says little about the machine.
 const NOT_SENT_BACKOFF_MS: Millis = 500;
-/// ms until a machine is called again that did not answer, or rejected what it was told: it asks by
-/// its next heartbeat in that time if it can.
+/// Backoff in ms after a call that the machine did not answer or rejected. A healthy machine sends
+/// a heartbeat within that time.
 const CALL_BACKOFF_MS: Millis = 1_000;
 
-/// A machine that is to be probed. Sorted, those that were called longest ago come first.
+/// A machine to be probed. The ordering puts the machines called longest ago first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ProbeCandidate {
     next_call_at: Millis,
@@ -26,8 +26,8 @@
 }
 
 impl Scheduler {
-    /// Calls machines that are silent, or that have not yet shown this term's token. Paced: a new
-    /// leader has all machines to call.
+    /// Probes machines that are silent or have not yet reported this term's token. The number of
+    /// open probes is limited, because a new leader has to probe every machine.
     pub(super) fn probe_silent_machines(&mut self, now: Millis) {
         let mut open_calls = self.open_calls_by_zone();
         for candidate in self.probe_candidates(now) {
@@ -36,8 +36,8 @@
             }
             let open = open_calls.entry(candidate.zone.clone()).or_default();
             let unanswered = self.failure_detector.unanswered_calls(&candidate.zone);
-            // Each call holds its place for its whole timeout, and those that would answer
-            // elsewhere wait behind it.
+            // An unanswered call occupies its slot for the whole timeout and delays probes of
+            // machines in other zones that would answer.
             if unanswered >= ZONE_UNANSWERED_CALLS && *open >= MAX_PROBES_PER_UNREACHABLE_ZONE {
                 continue;
             }
@@ -70,7 +70,7 @@
         candidates
     }
 
-    /// Calls a machine with these commands; without any the call is a probe.
+    /// Sends commands to a machine by a direct call; without commands the call is a probe.
     pub(super) fn call(&mut self, machine: &str, commands: Vec<Command>) {
         let Some(machine) = self.inventory.get_mut(machine) else { return };
         let Some(addr) = machine.addr.clone() else { return };
@@ -86,7 +86,7 @@
         });
     }
 
-    /// Takes in how a direct call ended.
+    /// Handles the outcome of a direct call.
     pub(super) fn on_call_finished(
         &mut self,
         now: Millis,
@@ -94,7 +94,7 @@
         call: CallId,
         outcome: CallOutcome,
     ) {
-        // It counts as closed even if its machine is gone meanwhile.
+        // The call is closed even if its machine has been removed.
         let kind = self.dispatcher.close_call(call);
         let Some(machine) = self.inventory.get_mut(name).filter(|m| m.open_call == Some(call))
         else {
@@ -114,7 +114,7 @@
                     self.effects.push(Effect::Resign(ResignReason::HigherToken));
                     return;
                 }
-                // Not executed: its launches are sent again with the next response.
+                // Not executed: its launches are sent again in the next heartbeat response.
                 machine.unanswered_calls = 0;
                 let is_new_epoch = heartbeat.agent_epoch > machine.latest_message.agent_epoch;
                 machine.next_call_at = if is_new_epoch { now } else { now + CALL_BACKOFF_MS };
@@ -137,7 +137,7 @@
         self.dispatch(now, None);
     }
 
-    /// Takes in the heartbeat in a worker's answer, unless another machine has its address now.
+    /// Reconciles the heartbeat in a worker's answer, unless another machine now has that address.
     fn reconcile_answer(&mut self, now: Millis, machine: &str, heartbeat: &Heartbeat) {
         if heartbeat.machine == machine {
             self.reconcile(now, heartbeat);
@@ -145,8 +145,9 @@
     }
 }
 
-/// Which launches were in a call that got no answer is not kept: each one not yet seen, or ended,
-/// counts as possibly in it. Never forgetting one too many costs a line in each heartbeat.
+/// Marks the launch outcome of all runs on a machine as unknown after an unanswered call. The
+/// scheduler does not record which launches a call carried. A run marked unnecessarily is never
+/// forgotten, which costs one entry in each heartbeat.
 fn mark_launches_unknown(machine: &mut Machine) {
     for run in machine.runs.values_mut() {
         run.launch_outcome_unknown = true;
--- a/crates/latchtrack-core/src/scheduler/dispatcher.rs
+++ b/crates/latchtrack-core/src/scheduler/dispatcher.rs
@@ -1,5 +1,5 @@
-//! Commands to machines: in the response to a heartbeat, or by a direct call that need not wait for
-//! the next one.
+//! Sends commands to machines, in the response to a heartbeat or by a direct call if they should
+//! not wait for the next heartbeat.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,22 +10,22 @@
 use crate::machine::{Command, ExitCause, Machine, TaskPhase, TaskRun};
 use crate::Millis;
 
-/// What a direct call is for.
+/// The purpose of a direct call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallKind {
-    /// It carries commands.
+    /// Carries commands.
     Commands,
-    /// It only asks whether the worker is there.
+    /// Checks whether the worker responds; carries no commands.
     Probe,
 }
 
-/// Machines that may be owed commands, and the direct calls that are open.
+/// Machines with possibly pending commands, and the open direct calls.
 #[derive(Clone, Debug)]
 pub(super) struct CommandDispatcher {
     max_open_calls: usize,
-    /// Machines for which there may be something to send now.
+    /// Machines that may have commands to send now.
     woken: BTreeSet<String>,
-    /// Machines that are woken by the next tick.
+    /// Machines to be woken by the next tick.
     deferred: BTreeSet<String>,
     open_calls: HashMap<CallId, CallKind>,
     open_probes: usize,
@@ -33,7 +33,7 @@
 }
 
 impl CommandDispatcher {
-    /// A dispatcher that never has more than `max_open_calls` direct calls open.
+    /// Creates a dispatcher that allows at most `max_open_calls` open direct calls.
     pub fn new(max_open_calls: usize) -> Self {
         CommandDispatcher {
             max_open_calls,
@@ -45,22 +45,22 @@
         }
     }
 
-    /// Has the next dispatch look for commands to this machine.
+    /// Makes the next dispatch check this machine for commands to send.
     pub fn wake(&mut self, machine: &str) {
         self.woken.insert(machine.to_string());
     }
 
-    /// Has the first dispatch after the next tick look for commands to this machine.
+    /// Makes the first dispatch after the next tick check this machine for commands to send.
     pub fn wake_at_next_tick(&mut self, machine: String) {
         self.deferred.insert(machine);
     }
 
-    /// Wakes the machines that waited for a tick.
+    /// Wakes the machines deferred to this tick.
     pub fn observe_tick(&mut self) {
         self.woken.append(&mut self.deferred);
     }
 
-    /// There is nothing to send to this machine now.
+    /// Cancels a pending wake of this machine; one deferred to the next tick remains.
     pub fn forget(&mut self, machine: &str) {
         self.woken.remove(machine);
     }
@@ -75,7 +75,7 @@
         self.open_probes < MAX_OPEN_PROBES && self.may_call()
     }
 
-    /// Opens a direct call.
+    /// Opens a direct call and returns its id, which is unique within the term.
     pub fn open_call(&mut self, kind: CallKind) -> CallId {
         self.last_call += 1;
         let call = CallId(self.last_call);
@@ -84,7 +84,7 @@
         call
     }
 
-    /// Closes a direct call; returns its kind, `None` if it is not open.
+    /// Closes a direct call and returns its kind, or `None` if it is not open.
     pub fn close_call(&mut self, call: CallId) -> Option<CallKind> {
         let kind = self.open_calls.remove(&call)?;
         self.open_probes -= usize::from(kind == CallKind::Probe);
@@ -92,18 +92,18 @@
     }
 }
 
-/// Whether a stop that was sent before is sent again.
+/// When to resend a stop that was sent before.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StopResend {
-    /// Each time, as with the response to a heartbeat, which costs nothing.
+    /// Every time; in a heartbeat response this costs nothing.
     Always,
-    /// Only if the last one was sent a while ago.
+    /// Only after `STOP_RETRY_MS`.
     AfterInterval,
 }
 
 impl Scheduler {
-    /// The commands in the response to a heartbeat: everything that the machine has not yet been
-    /// seen to do.
+    /// Returns the commands for a heartbeat response: everything that the machine has not yet
+    /// reported as done.
     pub(super) fn heartbeat_response(&mut self, now: Millis, machine: &str) -> Vec<Command> {
         let Some(machine) = self.inventory.get_mut(machine) else { return Vec::new() };
         if !machine.is_up() {
@@ -119,8 +119,9 @@
                 TaskPhase::Assigned => {
                     commands.push(Command::Launch { task, attempt });
                     run.launch_sent(now);
-                    // A cancelled launch may still arrive by a direct call. Started and stopped
-                    // here, the attempt is known to the machine and the late command does nothing.
+                    // The launch of a cancelled attempt may still arrive by a direct call. Sending
+                    // launch and stop here makes the attempt known to the machine, which then
+                    // ignores the late launch.
                     push_stop(run, now, StopResend::Always, &mut commands);
                 }
                 TaskPhase::Fetching
@@ -138,19 +139,19 @@
                 }
             }
         }
-        // A forget changes what the worker lists, which costs another heartbeat; by itself it is
-        // not worth that.
+        // A forget changes the worker's task list, which triggers another heartbeat, so forgets
+        // are sent in batches or along with other commands.
         if !commands.is_empty() || forgets.len() >= MIN_FORGET_BATCH {
             commands.append(&mut forgets);
         }
         commands
     }
 
-    /// Sends what should not wait for the next heartbeat to the machines that were woken, other
-    /// than `except`, which has just got its response.
+    /// Sends urgent commands to the woken machines by direct calls, except to `except`, which has
+    /// just received a heartbeat response.
     pub(super) fn dispatch(&mut self, now: Millis, except: Option<&str>) {
         for name in std::mem::take(&mut self.dispatcher.woken) {
-            // With a call open, its end wakes the machine again.
+            // The end of an open call wakes the machine again.
             let Some(machine) = self.inventory.get_mut(&name).filter(|m| m.open_call.is_none())
             else {
                 continue;
@@ -173,7 +174,7 @@
     }
 }
 
-/// The commands that a machine is owed at once: launches that were never sent, and stops.
+/// Returns the urgent commands for a machine: launches that were never sent, and stops.
 fn direct_commands(machine: &mut Machine, now: Millis) -> Vec<Command> {
     let mut commands = Vec::new();
     for run in machine.runs.values_mut() {
@@ -188,16 +189,16 @@
     commands
 }
 
-/// Whether a run that ended is done and its result is not stored yet: its machine keeps it.
+/// Whether a run has completed but its result is not stored yet, so that its machine must keep it.
 fn is_unstored_result(run: &TaskRun, cause: ExitCause, jobs: &BTreeMap<JobId, Job>) -> bool {
     cause == ExitCause::Done
         && jobs.get(&run.task.job).is_some_and(|job| !job.persisted.get(run.task.index))
 }
 
-/// Adds the stop of a run, if there is one to send now.
+/// Adds the stop command of a run, if it is due.
 fn push_stop(run: &mut TaskRun, now: Millis, resend: StopResend, commands: &mut Vec<Command>) {
     let Some(stop) = &mut run.stop else { return };
-    // A task that saves its progress is told again only to end at once.
+    // A checkpointing task is sent another stop only if it is to end immediately.
     if run.phase == TaskPhase::Checkpointing && stop.grace_s > 0.0 {
         return;
     }
--- a/crates/latchtrack-core/src/scheduler/inventory.rs
+++ b/crates/latchtrack-core/src/scheduler/inventory.rs
@@ -1,5 +1,5 @@
-//! The inventory: provisioned machines, the machine types of the cloud, and the names of machines
-//! that were terminated in this term.
+//! The inventory: provisioned machines, the cloud's machine types, and the names of machines
+//! terminated in this term.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Index;
@@ -9,95 +9,96 @@
 use crate::machine::{Machine, MachineType, TaskRun};
 use crate::Millis;
 
-/// Every machine that the scheduler knows, by name.
+/// All machines known to the scheduler, by name.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MachineInventory {
     machines: BTreeMap<String, Machine>,
     types: Vec<MachineType>,
-    /// Names of machines of which the termination was answered.
+    /// Names of machines whose termination the cloud has confirmed.
     terminated: BTreeSet<String>,
-    /// The same names, the oldest first.
+    /// The same names in order of termination, oldest first.
     terminated_order: VecDeque<String>,
 }
 
 impl MachineInventory {
-    /// An inventory without machines.
+    /// Creates an inventory without machines.
     pub fn new(types: Vec<MachineType>) -> Self {
         MachineInventory { types, ..MachineInventory::default() }
     }
 
-    /// The machine of this name.
+    /// Returns the machine with this name.
     pub fn get(&self, name: &str) -> Option<&Machine> {
         self.machines.get(name)
     }
 
-    /// The same, to be changed.
+    /// Returns a mutable reference to the machine with this name.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Machine> {
         self.machines.get_mut(name)
     }
 
-    /// Whether there is a machine of this name.
+    /// Whether the inventory has a machine with this name.
     pub fn contains(&self, name: &str) -> bool {
         self.machines.contains_key(name)
     }
 
-    /// The machines by name, which is the order of their creation.
+    /// Iterates over the machines by name, which is their order of creation.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &Machine> {
         self.machines.values()
     }
 
-    /// The same, to be changed.
+    /// Iterates mutably over the machines, by name.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
         self.machines.values_mut()
     }
 
-    /// The task runs on all machines.
+    /// Iterates over the task runs of all machines, including ended ones not yet forgotten.
     pub fn runs(&self) -> impl Iterator<Item = &TaskRun> {
         self.machines.values().flat_map(|machine| machine.runs.values())
     }
 
-    /// How many machines there are.
+    /// Returns the number of machines, including those to be terminated.
     pub fn len(&self) -> usize {
         self.machines.len()
     }
 
-    /// Adds a machine, in place of one of the same name.
+    /// Adds a machine, replacing any with the same name.
     pub fn insert(&mut self, machine: Machine) {
         self.machines.insert(machine.name.to_string(), machine);
     }
 
-    /// Takes a machine out.
+    /// Removes and returns a machine; its name is not remembered as terminated.
     pub fn remove(&mut self, name: &str) -> Option<Machine> {
         self.machines.remove(name)
     }
 
-    /// All machines by name.
+    /// Returns the map of all machines by name.
     pub fn by_name(&self) -> &BTreeMap<String, Machine> {
         &self.machines
     }
 
-    /// The machine types that the cloud offers.
+    /// Returns the machine types that the cloud offers.
     pub fn types(&self) -> &[MachineType] {
         &self.types
     }
 
-    /// Replaces the machine types.
+    /// Replaces the machine types; existing machines may have a type that is no longer listed.
     pub fn set_types(&mut self, types: Vec<MachineType>) {
         self.types = types;
     }
 
-    /// The machine type of this name, if the cloud has it.
+    /// Returns the machine type with this name, if the cloud offers it.
     pub fn type_named(&self, name: &str) -> Option<&MachineType> {
         self.types.iter().find(|machine_type| machine_type.name == name)
     }
 
-    /// Whether a machine of this name was terminated in this term, so that late messages of it
-    /// mean nothing.
+    /// Whether a machine with this name was terminated in this term, so that late messages from it
+    /// are to be ignored.
     pub fn was_terminated(&self, name: &str) -> bool {
         self.terminated.contains(name)
     }
 
-    /// Remembers that a machine is gone for good. Old names are dropped once there are too many.
+    /// Records the name of a terminated machine. Beyond `MAX_TERMINATED_NAMES`, the oldest name is
+    /// dropped.
     pub fn remember_terminated(&mut self, name: String) {
         if !self.terminated.insert(name.clone()) {
             return;
@@ -114,13 +115,17 @@
 impl Index<&str> for MachineInventory {
     type Output = Machine;
 
-    /// The machine of this name. Panics if there is none.
+    /// Returns the machine with this name.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is no such machine.
     fn index(&self, name: &str) -> &Machine {
         &self.machines[name]
     }
 }
 
-/// A machine of the stored set, as a new leader finds it.
+/// Creates the unreconciled machine that a new leader inherits from the stored set.
 pub(super) fn inherited_machine(stored: StoredMachine, now: Millis) -> Machine {
     Machine {
         addr: Some(stored.addr),
--- a/crates/latchtrack-core/src/scheduler/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -1,4 +1,4 @@
-//! The scheduler's events and effects, and the records that it reads and writes.
+//! Events and effects of the scheduler, and the records that it reads and writes.
 
 use std::fmt;
 use std::sync::Arc;
@@ -23,262 +23,262 @@
     }
 }
 
-/// A machine as it stands in the stored set.
+/// A machine as recorded in the stored set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredMachine {
-    /// Its name.
+    /// Name of the machine, unique in the cloud.
     pub name: String,
-    /// Its machine type.
+    /// Name of its machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
     /// Whether the cloud may preempt it.
     pub spot: bool,
-    /// Where its worker takes direct calls.
+    /// Address at which its worker accepts direct calls.
     pub addr: String,
 }
 
-/// The revisions of the state service that a term begins with.
+/// Revisions of the state service at the start of a term.
 #[derive(Clone, Copy, Debug)]
 pub struct TermRevisions {
-    /// That of the leader key: the fencing token.
+    /// Revision of the leader key, which is the fencing token.
     pub token: u64,
-    /// From this one up to the token nobody led: what was accepted meanwhile was never launched.
+    /// There was no leader from this revision up to the token, so jobs accepted in this range were
+    /// never launched.
     pub leaderless_since: u64,
 }
 
-/// A stored value of the machine set.
+/// One stored value of the machine set, which is split into several.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredMachineSet {
-    /// Its name under the prefix of the machine set.
+    /// Name of the value under the prefix of the machine set.
     pub name: String,
-    /// The revision of its last change.
+    /// The revision of its last write.
     pub revision: u64,
-    /// The machines in it; `None` if it can't be read: then any machine may be in it.
+    /// The machines in it; `None` if it cannot be read, in which case it may contain any machine.
     pub machines: Option<Vec<StoredMachine>>,
 }
 
-/// A stored value of results.
+/// One stored value of results, which may hold chunks of several jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredResults {
-    /// Its name under the prefix of results.
+    /// Name of the value under the prefix of results.
     pub name: String,
-    /// The revision of its last change.
+    /// The revision of its last write.
     pub revision: u64,
-    /// Bits of done tasks, by job and chunk.
+    /// Bitmaps of done tasks, by job and chunk.
     pub chunks: Vec<(JobId, u32, Vec<u8>)>,
 }
 
 /// A machine as the cloud lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine, unique in the cloud.
     pub name: String,
-    /// Its machine type.
+    /// Name of its machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
     /// Whether the cloud may preempt it.
     pub spot: bool,
-    /// Whether it has failed.
+    /// Whether the cloud reports it as failed.
     pub failed: bool,
-    /// Up, as far as the cloud knows: its worker may not have been heard yet.
+    /// Whether the cloud reports it as up; its worker may not have sent a heartbeat yet.
     pub running: bool,
-    /// Time since it was created, in ms.
+    /// Time since its creation, in ms.
     pub age_ms: Millis,
 }
 
-/// How a direct call ended.
+/// The outcome of a direct call.
 #[derive(Clone, Debug)]
 pub enum CallOutcome {
-    /// Executed. The worker answers with a heartbeat.
+    /// Executed; the worker answered with a heartbeat.
     Executed(Heartbeat),
-    /// Not executed, and never will be. The worker answers with a heartbeat.
+    /// Not executed and never will be; the worker answered with a heartbeat.
     Rejected(Heartbeat),
-    /// Never sent.
+    /// Never sent, so not executed.
     NotSent,
-    /// No answer: may have been executed, or may be later.
+    /// No answer: it may have been executed, or may be later.
     NoAnswer,
 }
 
-/// How a provision request ended.
+/// The outcome of a provision request.
 #[derive(Clone, Debug)]
 pub enum ProvisionOutcome {
-    /// The names of the machines, fewer than asked for if the cloud has no more.
+    /// Names of the new machines; fewer than requested if the cloud has no more.
     Provisioned(Vec<String>),
-    /// The cloud has no such machine now.
+    /// The cloud has no such machine at present.
     NoCapacity,
-    /// Surely not executed.
+    /// Definitely not executed.
     NotExecuted,
-    /// Unknown: to be asked again under the same request id.
+    /// Unknown; must be retried under the same request id.
     Unknown,
 }
 
-/// How a request to terminate machines ended.
+/// The outcome of a request to terminate machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TerminateOutcome {
-    /// The cloud has terminated them, or has them no more.
+    /// The cloud has terminated them or no longer has them.
     Terminated,
-    /// Unknown, or not executed: to be asked again.
+    /// Unknown or not executed; must be retried.
     Failed,
 }
 
-/// One change for the state service; it costs one put or delete.
+/// One change to the state service, which costs one put or delete.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordWrite {
-    /// A value of the machine set.
+    /// Writes or deletes a value of the machine set.
     MachineSet {
-        /// The value.
+        /// The value, with the names of its machines.
         shard: ShardWrite<String>,
-        /// What is in it; without machines it is dropped.
+        /// The machines in it; if empty, the value is deleted.
         machines: Vec<StoredMachine>,
     },
-    /// A value of results.
+    /// Writes or deletes a value of results.
     Results {
-        /// The value.
+        /// The value, with the jobs and chunks in it.
         shard: ShardWrite<(JobId, u32)>,
-        /// Bits of done tasks, by job and chunk; without any the value is dropped.
+        /// Bitmaps of done tasks, by job and chunk; if empty, the value is deleted.
         chunks: Vec<(JobId, u32, Vec<u8>)>,
     },
-    /// The job's record becomes done.
+    /// Marks a job's record as done.
     JobDone {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// The revision of its open record.
+        /// Revision of its open record.
         revision: u64,
-        /// How many tasks it has.
+        /// Number of its tasks.
         tasks: u32,
     },
 }
 
-/// How a batch of writes ended.
+/// The outcome of a batch of writes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BatchOutcome {
-    /// Written, with the revision that all of it has now.
+    /// Written; carries the revision that all written values now have.
     Committed(u64),
-    /// Surely not written, and never will be.
+    /// Definitely not written, and never will be.
     NotExecuted,
-    /// May have been written, or may be later.
+    /// Unknown: it may have been written, or may be later.
     Unknown,
-    /// Surely not written: the state service does not take a transaction like this, by its size or
-    /// the number of its changes.
+    /// Definitely not written: the state service does not accept a transaction of this size or with
+    /// this many changes.
     Rejected,
-    /// Nothing was written, since some keys do not have the revisions that were expected.
+    /// Nothing was written, because some keys do not have the expected revisions.
     Conflict {
-        /// Jobs that somebody else has closed.
+        /// Jobs that another node or a user has closed.
         jobs: Vec<JobId>,
-        /// Values of the machine set of which an earlier write came late.
+        /// Values of the machine set to which an earlier write was applied late.
         machine_sets: Vec<String>,
-        /// Values of results of which an earlier write came late.
+        /// Values of results to which an earlier write was applied late.
         results: Vec<String>,
     },
 }
 
-/// What happens to the leader.
+/// An input to the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An unfinished job of the job cache.
+    /// The job cache has an unfinished job.
     JobOpened {
-        /// The job.
+        /// What the user submitted.
         spec: Arc<JobSpec>,
-        /// When it was submitted.
+        /// Time of submission.
         submitted_at: Millis,
-        /// The revision of its record.
+        /// Revision of its record.
         revision: u64,
-        /// Its tasks that are done, as far as that is stored.
+        /// Its tasks that are done according to the stored results.
         done: Option<Bitmap>,
     },
-    /// A job was cancelled, or called done by an earlier leader.
+    /// A job was cancelled, or an earlier leader marked it as done.
     JobClosed(JobId),
-    /// A worker's heartbeat, to which [`Effect::Respond`] is the response.
+    /// A worker's heartbeat, which is answered by [`Effect::Respond`].
     Heartbeat(Heartbeat),
-    /// The same by way of another node, which its worker could reach.
+    /// A worker's heartbeat relayed by another node, also answered by [`Effect::Respond`].
     RelayedHeartbeat(Heartbeat),
     /// A direct call ended.
     CallFinished {
-        /// The machine that was called.
+        /// Name of the machine that was called.
         machine: String,
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// How it ended.
+        /// The outcome.
         outcome: CallOutcome,
     },
     /// A provision request ended.
     ProvisionFinished {
-        /// Its id.
+        /// Id of the request, see [`Effect::Provision`].
         request_id: String,
-        /// How it ended.
+        /// The outcome.
         outcome: ProvisionOutcome,
     },
     /// A request to terminate machines ended.
     TerminateFinished {
-        /// The machines.
+        /// Names of the machines.
         names: Vec<String>,
-        /// How it ended.
+        /// The outcome.
         outcome: TerminateOutcome,
     },
-    /// The cloud's list of machines.
+    /// The cloud's list of machines has arrived.
     MachinesListed(Vec<ListedMachine>),
     /// A batch of writes ended.
     WritesFinished {
-        /// The batch.
+        /// The writes of the batch.
         writes: Vec<RecordWrite>,
-        /// How it ended.
+        /// The outcome.
         outcome: BatchOutcome,
     },
-    /// The cloud's machine types and prices.
+    /// The cloud's machine types and prices were read.
     MachineTypes(Vec<MachineType>),
-    /// A read of what the cells share, which began in this term.
+    /// A snapshot of the shared quota ledgers, whose read began in this term.
     QuotaObserved(LedgerSnapshot),
-    /// A change of a ledger ended.
+    /// A write to a quota ledger ended.
     LedgerWriteFinished {
-        /// The change.
+        /// The write.
         write: LedgerWrite,
-        /// How it ended.
+        /// The outcome.
         outcome: WriteOutcome,
     },
-    /// Time has passed.
+    /// Time has passed; sent periodically.
     Tick,
 }
 
-/// What the leader wants done.
+/// An output of the scheduler, to be executed by its driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// The response to the heartbeat that was the event.
+    /// Respond to the heartbeat being handled.
     Respond(Vec<Command>),
-    /// A direct call to a worker; [`Event::CallFinished`] must follow.
+    /// Call a worker directly; [`Event::CallFinished`] must follow.
     CallWorker {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
         /// The worker's address.
         addr: String,
-        /// The agent epoch in which the commands hold.
+        /// The agent epoch in which the commands are valid.
         agent_epoch: u64,
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// The commands; none in a probe.
+        /// The commands; empty in a probe.
         commands: Vec<Command>,
     },
     /// Provision machines; [`Event::ProvisionFinished`] must follow.
     Provision {
-        /// The request's id, under which the cloud executes it once.
+        /// Id of the request, which the cloud executes at most once.
         request_id: String,
-        /// What to provision.
+        /// The machine type and zone to provision, and whether as spot machines.
         offer: Offer,
-        /// How many machines.
+        /// Number of machines.
         number: u32,
     },
-    /// Terminate machines; [`Event::TerminateFinished`] must follow.
+    /// Terminate the named machines; [`Event::TerminateFinished`] must follow.
     Terminate(Vec<String>),
-    /// Ask the cloud for its list of machines.
+    /// Request the cloud's list of machines.
     ListMachines,
-    /// Something waits to be written, see
-    /// [`Scheduler::next_writes`](super::Scheduler::next_writes).
+    /// Writes are due; fetch them by [`Scheduler::next_writes`](super::Scheduler::next_writes).
     WritesReady,
-    /// A change of a ledger that the cells share; [`Event::LedgerWriteFinished`] must follow.
+    /// Write to a shared quota ledger; [`Event::LedgerWriteFinished`] must follow.
     WriteLedger(LedgerWrite),
-    /// Stop leading.
+    /// Resign as leader for the given reason.
     Resign(ResignReason),
-    /// An event for the log.
+    /// Write an event to the log.
     Log(LogEvent),
 }
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -1,14 +1,15 @@
-//! The scheduler: a leader's pure state machine. An event goes in, a list of effects comes out.
+//! The scheduler, a pure state machine run by the leader: it consumes events and returns effects.
 //!
-//! Its invariants, in short (docs/design.md has the reasoning):
-//! - a task has one assignment at a time, and keeps it until its machine says that the attempt has
-//!   ended, is in a later agent epoch, or is surely gone;
-//! - a machine of an earlier leader is unreconciled until a heartbeat of it carries this term's
-//!   fencing token or its termination was answered; while one is, no inherited job starts anything;
-//! - a launch whose direct call was never answered may execute later, so its attempt is never
-//!   forgotten in that agent epoch.
+//! Invariants (docs/design.md has the reasoning):
+//! - A task has at most one assignment. It keeps the assignment until its machine reports that the
+//!   attempt has ended, advances to a later agent epoch, or is known to be gone.
+//! - A machine of an earlier leader is unreconciled until one of its heartbeats carries this term's
+//!   fencing token or the cloud confirms its termination. While any machine is unreconciled, no
+//!   inherited job starts tasks.
+//! - A launch whose direct call was never answered may still be executed later, so its attempt is
+//!   never forgotten within that agent epoch.
 //!
-//! Each part of the state is a struct in the module that owns it; [`Scheduler::handle`] routes
+//! Each part of the state is a struct in the module that owns it. [`Scheduler::handle`] routes
 //! events to the modules, and `Scheduler::on_tick` lists the steps of a tick.
 
 mod backfill;
@@ -80,13 +81,13 @@
 use crate::machine::{Machine, MachineType};
 use crate::Millis;
 
-/// The scheduler: the state machine of a leader's term.
+/// The scheduler state of one leader's term.
 #[derive(Clone)]
 pub struct Scheduler {
     policy: Policy,
     /// The fencing token of this term.
     token: u64,
-    /// Jobs accepted from this revision on were never launched by an earlier leader.
+    /// Jobs accepted at or after this revision were never launched by an earlier leader.
     leaderless_since: u64,
     term_started_at: Millis,
     attempt_numbers: AttemptNumbers,
@@ -105,13 +106,13 @@
     image_locality: ImageLocality,
     cycle_timer: CycleTimer,
     load_balancing: LoadBalancing,
-    /// The effects of the event at hand.
+    /// Effects of the event being handled.
     effects: Vec<Effect>,
 }
 
 impl Scheduler {
-    /// The scheduler of a new term: `inherited` is the stored machine set, `results` what is stored
-    /// of open jobs.
+    /// Creates the scheduler of a new term from the stored machine set (`inherited`) and the stored
+    /// results of open jobs.
     pub fn new(
         policy: Policy,
         revisions: TermRevisions,
@@ -154,43 +155,43 @@
         }
     }
 
-    /// The fencing token of this term.
+    /// Returns the fencing token of this term.
     pub fn token(&self) -> u64 {
         self.token
     }
 
-    /// Whether all that may be on machines is known: no earlier leader's command can still arrive.
+    /// Whether every task run is known, so that no command of an earlier leader can still arrive.
     fn all_reconciled(&self) -> bool {
         self.persistence.is_machine_set_known()
             && !self.inventory.iter().any(Machine::is_unreconciled)
     }
 
-    /// The machines, for checks.
+    /// Returns all known machines by name; used by checks.
     pub fn machines(&self) -> &BTreeMap<String, Machine> {
         self.inventory.by_name()
     }
 
-    /// Quarantined jobs: they have shown nothing but failures.
+    /// Returns the quarantined jobs: those whose tasks have only failed so far.
     pub fn quarantined_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
         self.jobs.iter().filter(|(_, job)| job.is_quarantined).map(|(id, _)| *id)
     }
 
-    /// Unreachable zones, for display.
+    /// Returns the names of unreachable zones, for display.
     pub fn unreachable_zones(&self) -> Vec<String> {
         self.failure_detector.unreachable_zones().map(|zone| zone.to_string()).collect()
     }
 
-    /// Scheduling cycles in this term, for checks.
+    /// Returns the number of scheduling cycles run in this term; used by checks.
     pub fn cycles(&self) -> u64 {
         self.cycle_timer.count()
     }
 
-    /// The unfinished jobs, for checks.
+    /// Returns the unfinished jobs by id; used by checks.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
 
-    /// Takes one event; returns what is to be done, in this order.
+    /// Handles one event and returns its effects, to be executed in order.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Effect> {
         match event {
             Event::JobOpened { spec, submitted_at, revision, done } => {
@@ -231,7 +232,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// The steps of a tick, in their order.
+    /// Runs the steps of a tick. Their order matters.
     fn on_tick(&mut self, now: Millis) {
         self.provisioning.expire_exhausted(now);
         self.failure_detector.observe_tick(now);
@@ -253,7 +254,7 @@
         self.dispatch(now, None);
     }
 
-    /// Takes in an unfinished job of the job cache, with its tasks that are known to be done.
+    /// Adds an unfinished job from the job cache; `done` marks its tasks known to be done.
     fn on_job_opened(
         &mut self,
         spec: Arc<JobSpec>,
@@ -267,11 +268,11 @@
         }
         let mut done = done.unwrap_or_else(|| Bitmap::new(spec.tasks));
         if spec.gang && done.ones() > 0 {
-            // The tasks of a gang complete together: if one is done, all are.
+            // Gang tasks complete together: if one is done, all are.
             done.set_all();
         }
         let is_done = done.full();
-        // The record's revision is that of its creation while the job is open.
+        // While a job is open, its record keeps the revision of its creation.
         let inherited = revision < self.leaderless_since;
         let equivalence_class = self.equivalence_classes.of(&spec);
         self.note_gang_arrival(&spec, equivalence_class, submitted_at);
@@ -285,7 +286,7 @@
         self.cycle_timer.request();
     }
 
-    /// Forgets a job that was closed, and stops its task runs.
+    /// Removes a closed job and stops its task runs.
     fn on_job_closed(&mut self, now: Millis, id: JobId) {
         if self.jobs.remove(&id).is_none() {
             return;
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -1,4 +1,4 @@
-//! What has to be written to the state service: jobs that are done, the machine set, results.
+//! Writes to the state service: completed jobs, the machine set, and results.
 
 use std::collections::BTreeSet;
 
@@ -14,12 +14,12 @@
 use crate::record_shards::{RecordShards, ShardOutcome, Urgency};
 use crate::Millis;
 
-/// Bytes of a stored value that a chunk of results of this many bytes takes, in base 64.
+/// Returns how many bytes of a stored value a chunk of `chunk_bytes` takes, encoded in base64.
 fn result_entry_bytes(chunk_bytes: usize) -> usize {
     chunk_bytes.div_ceil(3) * 4 + ENTRY_BYTES
 }
 
-/// A machine as it is stored.
+/// Converts a machine to its stored form; an unknown address becomes empty.
 fn stored_machine(machine: &Machine) -> StoredMachine {
     StoredMachine {
         name: machine.name.to_string(),
@@ -31,37 +31,38 @@
 }
 
 impl StoredMachine {
-    /// Bytes of a stored value that it takes.
+    /// Returns how many bytes of a stored value this machine takes.
     pub fn bytes(&self) -> usize {
         let texts = [&self.name, &self.machine_type, &self.zone, &self.addr];
         texts.iter().map(|text| text.len()).sum::<usize>() + ENTRY_BYTES
     }
 }
 
-/// A value of the machine set that can't be read.
+/// A value of the machine set that could not be read.
 #[derive(Clone, Debug)]
 struct UnreadableMachineSet {
     name: String,
     revision: u64,
 }
 
-/// What is to be written to the state service.
+/// Pending writes to the state service.
 #[derive(Clone, Debug)]
 pub(super) struct RecordPersistence {
     machine_sets: RecordShards<String>,
-    /// Entries are jobs with their chunks.
+    /// The entries are pairs of job and chunk index.
     results: RecordShards<(JobId, u32)>,
-    /// Jobs whose record does not say yet that they are done.
+    /// Completed jobs whose records are not yet marked as done.
     completed_jobs: BTreeSet<JobId>,
-    /// Most changes of the next batch for the state service.
+    /// Maximum number of changes in the next batch for the state service.
     max_batch_changes: usize,
-    /// Until every worker lease of before this term has expired, tasks may be on machines in these
-    /// that this term does not know.
+    /// Values that may list machines unknown to this term. Tasks may run on these machines until
+    /// all worker leases from before this term have expired.
     unreadable_machine_sets: Vec<UnreadableMachineSet>,
 }
 
 impl RecordPersistence {
-    /// For the term of this fencing token, with values of at most `max_bytes`.
+    /// Creates the persistence of a term; `token` is its fencing token, and stored values hold at
+    /// most `max_bytes`.
     pub fn new(token: u64, max_bytes: usize) -> Self {
         RecordPersistence {
             machine_sets: RecordShards::new(token, max_bytes, MACHINE_SET_WRITE_INTERVAL_MS),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Takes in the stored machine set; returns the machines in it.
+    /// Loads the stored machine set and returns its machines.
     pub fn load_machine_sets(&mut self, sets: Vec<StoredMachineSet>) -> Vec<StoredMachine> {
         let mut machines = Vec::new();
         for StoredMachineSet { name, revision, machines: stored } in sets {
@@ -87,8 +88,8 @@
         machines
     }
 
-    /// Takes in a stored value of results. One with chunks of the earlier size, which may be above
-    /// the state service's limit by themselves, is replaced by others with small ones.
+    /// Loads a stored value of results. A value with chunks of the legacy size, each of which may
+    /// exceed the state service's limit on its own, is replaced by values with small chunks.
     pub fn load_results(&mut self, stored: &StoredResults) {
         let has_large_chunk = stored.chunks.iter().any(|(_, _, bytes)| is_large_chunk(bytes));
         let mut entries = Vec::new();
@@ -109,12 +110,13 @@
         }
     }
 
-    /// Whether every value of the machine set could be read, or can't matter any more.
+    /// Whether all values of the machine set were read, or those that were not no longer matter.
     pub fn is_machine_set_known(&self) -> bool {
         self.unreadable_machine_sets.is_empty()
     }
 
-    /// Has the unreadable values of the machine set dropped; true if there are any.
+    /// Schedules the deletion of the unreadable values of the machine set. Returns whether there
+    /// were any.
     pub fn drop_unreadable_machine_sets(&mut self) -> bool {
         let dropped = std::mem::take(&mut self.unreadable_machine_sets);
         for set in &dropped {
@@ -123,54 +125,55 @@
         !dropped.is_empty()
     }
 
-    /// Has a machine stored; tasks wait for that.
+    /// Schedules an urgent write of a machine, since tasks cannot be launched on it before.
     pub fn put_machine(&mut self, machine: &Machine) {
         let bytes = stored_machine(machine).bytes();
         self.machine_sets.put(machine.name.to_string(), bytes, Urgency::Urgent);
     }
 
-    /// Has a machine that is gone taken out of the stored set.
+    /// Schedules the removal of a terminated machine from the stored set.
     pub fn remove_machine(&mut self, name: &str) {
         self.machine_sets.remove(&name.to_string());
     }
 
-    /// Has a job's record written that says it is done.
+    /// Schedules the write that marks a job's record as done.
     pub fn put_completed_job(&mut self, id: JobId) {
         self.completed_jobs.insert(id);
     }
 
-    /// A job was closed by somebody else: nothing of it is to be written.
+    /// Cancels the pending writes of a job that was closed by another node or a user, and removes
+    /// its stored results.
     pub fn remove_job(&mut self, id: JobId) {
         self.completed_jobs.remove(&id);
         self.remove_results(id);
     }
 
-    /// How many jobs are done of which the record does not say so yet.
+    /// Returns the number of completed jobs whose records are not yet marked as done.
     pub fn unpersisted_jobs(&self) -> usize {
         self.completed_jobs.len()
     }
 
-    /// Has a changed chunk of a job's results written, of this many bytes.
+    /// Schedules the write of a changed chunk of a job's results, of `chunk_bytes` bytes.
     pub fn put_result(&mut self, id: JobId, chunk: u32, chunk_bytes: usize) {
         self.results.put((id, chunk), result_entry_bytes(chunk_bytes), Urgency::Deferred);
     }
 
-    /// A job is closed: what is stored of its results is of no use any more.
+    /// Schedules the removal of a closed job's stored results, which are no longer needed.
     fn remove_results(&mut self, id: JobId) {
         for chunk in all_chunks() {
             self.results.remove(&(id, chunk));
         }
     }
 
-    /// Whether something is to be written now.
+    /// Whether a write is due.
     pub fn has_due_write(&self, now: Millis) -> bool {
         !self.completed_jobs.is_empty()
             || self.machine_sets.has_due_write(now)
             || self.results.has_due_write(now)
     }
 
-    /// Adapts the size of batches. Smaller ones show which value is rejected, or keep to a lower
-    /// limit on the number of changes.
+    /// Adapts the batch size: halves it after a rejection and doubles it after a commit. Smaller
+    /// batches isolate the rejected value, or meet a lower limit on the number of changes.
     fn adapt_batch_size(&mut self, written: usize, outcome: &BatchOutcome) {
         match outcome {
             BatchOutcome::Rejected => self.max_batch_changes = (written / 2).max(1),
@@ -181,8 +184,8 @@
         }
     }
 
-    /// A value was rejected by itself: it is stored in smaller ones, or not at all. Returns its
-    /// name; `None` if the write was that of a job's record.
+    /// Handles a value that was rejected in a batch of its own: splits it, or abandons it if it has
+    /// a single entry. Returns its name and what was done, or `None` for the write of a job record.
     fn split_rejected_shard(&mut self, write: &RecordWrite) -> Option<(String, RejectedShard)> {
         match write {
             RecordWrite::MachineSet { shard, .. } => {
@@ -201,8 +204,8 @@
         matches!(self, BatchOutcome::Committed(_))
     }
 
-    /// How the write of a value of the machine set ended. An earlier write of it that came late
-    /// leaves its revision in doubt, as one without an answer does.
+    /// Returns the outcome for one value of the machine set. A conflict due to an earlier write
+    /// that was applied late leaves the value's revision unknown, as an unanswered write does.
     fn of_machine_set(&self, name: &str) -> ShardOutcome {
         let is_late = |names: &[String]| names.iter().any(|late| late == name);
         match self {
@@ -213,7 +216,7 @@
         }
     }
 
-    /// The same of a value of results.
+    /// Returns the outcome for one value of results, as `of_machine_set` does.
     fn of_results(&self, name: &str) -> ShardOutcome {
         let is_late = |names: &[String]| names.iter().any(|late| late == name);
         match self {
@@ -234,8 +237,8 @@
 }
 
 impl Scheduler {
-    /// The next batch for the state service, of at most `max_changes` changes: first jobs that are
-    /// done, then machines on which tasks wait, then results and machines that are gone.
+    /// Returns the next batch for the state service, with at most `max_changes` changes: first
+    /// completed jobs, then due values of the machine set, then due values of results.
     pub fn next_writes(&mut self, now: Millis, max_changes: usize) -> Vec<RecordWrite> {
         let mut writes: Vec<RecordWrite> = Vec::new();
         let max_changes = max_changes.min(self.persistence.max_batch_changes);
@@ -264,7 +267,7 @@
         writes
     }
 
-    /// Takes in how a batch of writes ended.
+    /// Handles the outcome of a batch of writes.
     pub(super) fn on_writes_finished(
         &mut self,
         now: Millis,
@@ -290,7 +293,7 @@
         self.dispatch(now, None);
     }
 
-    /// Somebody else has closed these jobs; the job cache will tell how.
+    /// Marks jobs closed by another node or a user. The job cache will report them as closed.
     fn mark_closed_elsewhere(&mut self, jobs: &[JobId]) {
         for id in jobs {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -335,7 +338,7 @@
         }
     }
 
-    /// These machines are stored: tasks may be launched on them.
+    /// Marks machines as stored, which allows launches on them.
     fn on_machines_persisted(&mut self, now: Millis, stored: &[StoredMachine]) {
         for StoredMachine { name, .. } in stored {
             let Some(machine) = self.inventory.get_mut(name) else { continue };
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -1,4 +1,4 @@
-//! Provisioning machines, and the pending capacity of those that still boot.
+//! Provisions machines and accounts for the pending capacity of those still booting.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,32 +13,32 @@
 use crate::placement::{FreeCapacity, Offer};
 use crate::Millis;
 
-/// Machines asked of the cloud, and what is known of its capacity.
+/// Open requests for machines, and what is known about the cloud's capacity.
 #[derive(Clone, Debug)]
 pub(super) struct Provisioning {
     token: u64,
-    /// Requests without an outcome, by their id.
+    /// Requests without an outcome, by id.
     open: BTreeMap<String, ProvisionRequest>,
-    /// Offers that had no machine, and until when they are not asked for.
+    /// Offers without available machines, and until when they are not requested again.
     exhausted: BTreeMap<Offer, Millis>,
     last_request_number: u64,
-    /// Turns the order of zones, so that machines spread over them.
+    /// Rotates the order of zones, so that machines are distributed over them.
     zone_rotation: usize,
-    /// When the cloud's list was last asked for.
+    /// When the cloud's list of machines was last requested.
     listed_at: Option<Millis>,
 }
 
-/// A request for machines.
+/// A request for machines of one offer.
 #[derive(Clone, Debug)]
 pub(super) struct ProvisionRequest {
-    /// What is asked for.
+    /// The requested machine type, zone and kind (spot or on-demand).
     pub offer: Offer,
-    /// How many machines.
+    /// Number of machines.
     pub number: u32,
 }
 
 impl Provisioning {
-    /// Nothing is asked for yet in the term of this fencing token.
+    /// Creates the state of a new term; `token` is its fencing token.
     pub fn new(token: u64) -> Self {
         Provisioning {
             token,
@@ -50,12 +50,13 @@
         }
     }
 
-    /// Requests without an outcome, by their id.
+    /// Iterates over the requests without an outcome, in order of their ids.
     pub fn open_requests(&self) -> impl Iterator<Item = &ProvisionRequest> {
         self.open.values()
     }
 
-    /// Notes a request, and returns its id, which no other leader uses.
+    /// Records a request and returns its id. The id contains the fencing token, so no other leader
+    /// uses it.
     fn open_request(&mut self, request: ProvisionRequest) -> String {
         self.last_request_number += 1;
         self.zone_rotation = self.zone_rotation.wrapping_add(1);
@@ -64,7 +65,7 @@
         id
     }
 
-    /// The offer had no machine: it is not asked for again for a while.
+    /// Records that the offer had no machines; it is not requested for `OFFER_EXHAUSTED_MS`.
     fn mark_exhausted(&mut self, now: Millis, offer: Offer) {
         self.exhausted.insert(offer, now + OFFER_EXHAUSTED_MS);
     }
@@ -73,18 +74,18 @@
         self.exhausted.get(offer).is_some_and(|until| *until > now)
     }
 
-    /// The cloud has a machine of this offer again, as one was terminated.
+    /// Records that the cloud has capacity for this offer again, since a machine was terminated.
     pub fn capacity_returned(&mut self, offer: &Offer) {
         self.exhausted.remove(offer);
     }
 
-    /// Forgets offers that may be asked for again.
+    /// Removes exhausted offers that may be requested again.
     pub fn expire_exhausted(&mut self, now: Millis) {
         self.exhausted.retain(|_, until| *until > now);
     }
 
-    /// Whether the cloud's list is due, asked for each `interval_ms`; if so, it counts as asked
-    /// for.
+    /// Whether the cloud's list of machines, requested every `interval_ms`, is due; if so, records
+    /// it as requested.
     pub fn start_list_if_due(&mut self, now: Millis, interval_ms: Millis) -> bool {
         let is_due = self.listed_at.is_none_or(|at| now >= at + interval_ms);
         if is_due {
@@ -95,7 +96,7 @@
 }
 
 impl Scheduler {
-    /// Takes in the outcome of a request for machines.
+    /// Handles the outcome of a provision request.
     pub(super) fn on_provision_finished(
         &mut self,
         now: Millis,
@@ -108,8 +109,8 @@
             ProvisionOutcome::NoCapacity => self.provisioning.mark_exhausted(now, request.offer),
             ProvisionOutcome::NotExecuted => {}
             ProvisionOutcome::Unknown => {
-                // The id must not be used for anything else, and may have provisioned machines:
-                // asked again under it, the cloud names them or provisions them now.
+                // The request may have been executed, so it is retried under the same id: the cloud
+                // then returns the machines it has provisioned, or provisions them now.
                 self.effects.push(Effect::Provision {
                     request_id: request_id.to_string(),
                     offer: request.offer.clone(),
@@ -136,12 +137,12 @@
     }
 
     /// Provisions machines for `tasks` tasks of a job that has found no capacity for `waited_ms`,
-    /// in the zone `only` if it must stay there. Returns for how many tasks there is capacity then.
+    /// restricted to `zone` if given. Returns for how many of the tasks there is pending capacity.
     pub(super) fn provision(
         &mut self,
         now: Millis,
         spec: &JobSpec,
-        only: Option<&str>,
+        zone: Option<&str>,
         tasks: u32,
         waited_ms: Millis,
         cycle: &mut SchedulingCycle,
@@ -149,14 +150,14 @@
         if self.provisioning.open.len() >= MAX_OPEN_PROVISIONS {
             return 0;
         }
-        let Some(offer) = self.choose_offer(now, spec, only, waited_ms) else { return 0 };
+        let Some(offer) = self.choose_offer(now, spec, zone, waited_ms) else { return 0 };
         let Some(machine_type) = self.inventory.type_named(&offer.machine_type).cloned() else {
             return 0;
         };
         let per_machine = machine_type.holds(&spec.demand).max(1);
-        // Jobs of an equivalence class are decided together: one request for all of it, not one a
-        // job. Team limits are left to each job.
-        let alike = match self.tasks_within_limit(spec, cycle.used()) {
+        // One request serves all jobs of an equivalence class, unless the team's limit applies,
+        // which is checked for each job.
+        let class_tasks = match self.tasks_within_limit(spec, cycle.used()) {
             u32::MAX => {
                 let class = self.jobs.get(&spec.id).map(|job| job.equivalence_class);
                 class.map_or(0, |class| cycle.search(class).tasks_behind())
@@ -164,7 +165,7 @@
             _ => 0,
         };
         let number = tasks
-            .saturating_add(alike)
+            .saturating_add(class_tasks)
             .div_ceil(per_machine)
             .min(self.boot_tracker.max_provisionable(now, &offer));
         self.boot_tracker.record_provision(now, &offer);
@@ -172,30 +173,30 @@
         let request = ProvisionRequest { offer: offer.clone(), number };
         let request_id = self.provisioning.open_request(request);
         self.effects.push(Effect::Provision { request_id, offer, number });
-        place_on_pending(spec, only, tasks, cycle)
+        place_on_pending(spec, zone, tasks, cycle)
     }
 
-    /// The first choice among the offers that the job may use and that may have machines.
+    /// Returns the best offer that the job may use and that may have machines.
     fn choose_offer(
         &self,
         now: Millis,
         spec: &JobSpec,
-        only: Option<&str>,
+        zone: Option<&str>,
         waited_ms: Millis,
     ) -> Option<Offer> {
         let offers =
             placement::offers(spec, self.inventory.types(), self.provisioning.zone_rotation);
         let is_best_effort = self.is_best_effort(spec);
         offers.into_iter().find(|offer| {
-            // A job that may not use spot machines has nothing to wait for; best-effort work is not
-            // worth an on-demand machine.
+            // For a job that may not use spot machines, on-demand is the cheapest kind. Best-effort
+            // work does not justify an on-demand machine if spot is allowed.
             let is_cheapest = offer.spot || !spec.spot;
             let delay_ms = if is_cheapest {
                 self.policy.spot_provision_delay_ms
             } else {
                 self.policy.on_demand_provision_delay_ms
             };
-            only.is_none_or(|zone| zone == offer.zone)
+            zone.is_none_or(|zone| zone == offer.zone)
                 && waited_ms >= delay_ms
                 && (is_cheapest || !is_best_effort)
                 && !self.provisioning.is_exhausted(now, offer)
@@ -205,7 +206,7 @@
     }
 }
 
-/// The pending capacity of a machine that is being provisioned.
+/// Returns the pending capacity of one machine that is being provisioned.
 pub(super) fn pending_capacity(offer: &Offer, machine_type: &MachineType) -> FreeCapacity {
     FreeCapacity {
         machine: None,
@@ -222,20 +223,20 @@
     }
 }
 
-/// Counts `want` waiting tasks of a job against the pending capacity, in the zone `only` if it must
-/// stay there. Returns how many of them fit.
+/// Places up to `tasks` waiting tasks of a job on pending capacity, restricted to `zone` if given.
+/// Returns how many of them fit.
 pub(super) fn place_on_pending(
     spec: &JobSpec,
-    only: Option<&str>,
-    want: u32,
+    zone: Option<&str>,
+    tasks: u32,
     cycle: &mut SchedulingCycle,
 ) -> u32 {
-    let mut left = want;
+    let mut left = tasks;
     for capacity in cycle.pending_mut() {
         if left == 0 {
             break;
         }
-        let in_zone = only.is_none_or(|zone| zone == &*capacity.zone);
+        let in_zone = zone.is_none_or(|zone| zone == &*capacity.zone);
         if in_zone
             && placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
         {
@@ -244,5 +245,5 @@
             left -= fitting;
         }
     }
-    want - left
+    tasks - left
 }
--- a/crates/latchtrack-core/src/scheduler/task_runs.rs
+++ b/crates/latchtrack-core/src/scheduler/task_runs.rs
@@ -1,4 +1,4 @@
-//! What becomes of task runs: adopted from a heartbeat, ended, released, stopped with their job.
+//! Life cycle of task runs: adoption from a heartbeat, end, release, and stop with their job.
 
 use super::gangs::FetchesOnEnd;
 use super::log_events::LogEvent;
@@ -11,8 +11,8 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// A machine says that a run has ended. Done, its task is complete; otherwise the task may go
-    /// elsewhere.
+    /// Handles a run that its machine reports as ended. The task is complete if the cause is
+    /// `Done`; otherwise the run is released, so that the task can be placed again.
     pub(super) fn on_run_ended(
         &mut self,
         now: Millis,
@@ -29,7 +29,7 @@
                 self.on_run_done(now, machine, run);
                 return;
             }
-            // What follows the first failure of a gang says nothing more.
+            // Only the first failure in a gang attempt counts; the others may follow from it.
             ExitCause::Failed if job.spec.gang && !job.has_complete_attempt() => {}
             ExitCause::Failed => {
                 let ran_ms = run.running_since.map_or(0, |since| now.saturating_sub(since));
@@ -43,7 +43,7 @@
             ExitCause::GangIncomplete => {
                 job.backoff_until = job.backoff_until.max(now + GANG_INCOMPLETE_BACKOFF_MS);
             }
-            // Neither the machine's fault nor the job's.
+            // Not a failure of the machine or of the job.
             ExitCause::Stopped | ExitCause::GangPeerLost => {}
             ExitCause::Unrecognised => {
                 self.effects.push(Effect::Log(LogEvent::UnrecognisedExitCause {
@@ -62,23 +62,23 @@
         machine.quarantined_until = 0;
         machine.proven = true;
         if self.jobs.get(&id).is_some_and(|job| job.spec.gang) {
-            // The pace of a gang is that of its slowest machine, whichever that is.
+            // A gang runs at the speed of its slowest machine, which its run times do not identify.
             self.complete_gang(id, run.attempt);
         } else {
-            self.judge_pace(now, name, run);
+            self.detect_slow_machine(now, name, run);
             self.complete_task(run);
         }
         self.restore_job(now, id);
-        // What a team with a limit may use again is given out by scheduling cycles alone.
+        // Only scheduling cycles place tasks of teams with a limit.
         if run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec)) {
             self.cycle_timer.request();
         }
     }
 
-    /// Compares how long a task ran with its like: one that ran much longer speaks against its
-    /// machine. Only runs seen from their start count: one that an earlier leader launched has run
-    /// for longer than this term knows, and would make all its like look slow.
-    fn judge_pace(&mut self, now: Millis, name: &str, run: &TaskRun) {
+    /// Compares a task's run time with those of its job's other tasks; much longer runs count
+    /// against the machine. Runs launched by an earlier leader are ignored: their run time is
+    /// underestimated in this term, which would make the other tasks look slow.
+    fn detect_slow_machine(&mut self, now: Millis, name: &str, run: &TaskRun) {
         let is_of_this_term = self.attempt_numbers.is_of_this_term(run.attempt);
         let Some(since) = run.running_since.filter(|_| is_of_this_term) else { return };
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A run is surely off its machine without a result: its task may go elsewhere.
+    /// Releases a run that is known to be off its machine without a result, and requeues its task.
     pub(super) fn release_run(&mut self, now: Millis, machine: &str, run: &TaskRun) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         let index = run.task.index;
@@ -122,8 +122,9 @@
     }
 }
 
-/// A run that an earlier leader launched. It keeps its assignment if its job is open and the task
-/// is not assigned elsewhere; otherwise it is stopped.
+/// Creates the run for a status that the scheduler does not know, launched by an earlier leader. It
+/// keeps its assignment if its job is open and the task is neither done nor assigned elsewhere;
+/// otherwise it is stopped.
 pub(super) fn adopt_run(machine: &str, status: &TaskStatus, job: Option<&mut Job>) -> TaskRun {
     let TaskStatus { task, attempt, .. } = *status;
     let spec = job.as_ref().map(|job| job.spec.clone());
@@ -147,8 +148,8 @@
     }
 }
 
-/// Stops the runs of a closed job; those of which the launch was never sent simply go. True if
-/// there is one to stop.
+/// Stops the runs of a closed job on a machine, and removes those whose launch was never sent.
+/// Returns whether there is a run to stop.
 pub(super) fn stop_job_runs(machine: &mut Machine, id: JobId) -> bool {
     machine.runs.retain(|(task, _), run| {
         task.job != id || run.phase != TaskPhase::Assigned || run.launch_sends > 0
--- a/crates/latchtrack-core/src/scheduler/termination.rs
+++ b/crates/latchtrack-core/src/scheduler/termination.rs
@@ -1,4 +1,4 @@
-//! Terminating machines: those that are idle, about to be preempted, slow or given up.
+//! Terminates machines that are idle, about to be preempted, slow or failed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,8 +12,8 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// Takes in whether the cloud deleted these machines. Of those that it deleted the task runs
-    /// are surely gone; the others are asked for again.
+    /// Handles the outcome of a request to terminate machines. The runs on terminated machines are
+    /// released; a failed request is retried.
     pub(super) fn on_terminate_finished(
         &mut self,
         now: Millis,
@@ -39,7 +39,7 @@
 
     fn remove_terminated(&mut self, now: Millis, name: String) {
         if let Some(machine) = self.inventory.remove(&name) {
-            // The cloud has a machine of this offer again.
+            // The cloud has capacity for this offer again.
             self.provisioning.capacity_returned(&Offer {
                 machine_type: machine.machine_type.to_string(),
                 zone: machine.zone.to_string(),
@@ -54,8 +54,8 @@
         self.inventory.remember_terminated(name);
     }
 
-    /// On machines that are about to be preempted, stops the tasks that can save their progress;
-    /// the others finish if they can.
+    /// Stops the tasks that can save a checkpoint on machines about to be preempted. Other tasks
+    /// keep running, as they may finish in time.
     pub(super) fn stop_preempted_tasks(&mut self, now: Millis) {
         let mut gangs: BTreeSet<JobId> = BTreeSet::new();
         for machine in self.inventory.iter_mut().filter(|machine| machine.preempt_at.is_some()) {
@@ -78,15 +78,16 @@
         }
     }
 
-    /// Decides which idle machines go, and asks the cloud to delete all machines that are to go.
+    /// Marks idle, slow and soon preempted machines without tasks for termination, and requests the
+    /// termination of all marked machines.
     pub(super) fn terminate_idle_machines(&mut self, now: Millis) {
         let probe_ms = self.policy.probe_ms();
         let mut terminated = Vec::new();
         for machine in self.inventory.iter_mut().filter(|machine| !machine.termination_sent) {
-            if may_count_as_idle(machine, now, probe_ms) {
+            if is_idle_candidate(machine, now, probe_ms) {
                 let since = *machine.idle_since.get_or_insert(now);
                 let name = &machine.name;
-                // Reserved for tasks to come, for instance until the last machine of a gang is up.
+                // Kept for future tasks, for example until the last machine of a gang is up.
                 let is_reserved =
                     self.reservations.is_reserved(name) || self.load_balancing.is_reserved(name);
                 let timeout_ms = idle_timeout_ms(&self.policy, machine);
@@ -95,9 +96,9 @@
             }
             let is_heard = machine.is_up()
                 && !machine.heartbeat_older_than(now, self.policy.heartbeat_timeout_ms);
-            // A result that is not stored is lost with its machine.
-            let waits = is_heard && has_unstored_result(machine, &self.jobs);
-            if machine.to_terminate && !waits {
+            // A result that is not stored yet would be lost with its machine.
+            let must_wait = is_heard && has_unstored_result(machine, &self.jobs);
+            if machine.to_terminate && !must_wait {
                 machine.termination_sent = true;
                 terminated.push(machine.name.to_string());
             }
@@ -108,16 +109,16 @@
     }
 }
 
-/// Whether a machine has no tasks and is heard. A silent one is not idle: it may be working while
-/// it is cut off, and is judged by its silence.
-fn may_count_as_idle(machine: &Machine, now: Millis, probe_ms: Millis) -> bool {
+/// Whether a machine has no tasks and sends heartbeats. A silent machine does not count as idle: it
+/// may be running tasks while disconnected, and failure detection handles it.
+fn is_idle_candidate(machine: &Machine, now: Millis, probe_ms: Millis) -> bool {
     machine.is_up()
         && !machine.to_terminate
         && !machine.heartbeat_older_than(now, probe_ms)
         && !machine.runs.values().any(TaskRun::is_live)
 }
 
-/// For how long a machine may be idle before it is terminated, in ms.
+/// Returns how long a machine may be idle before it is terminated, in ms.
 fn idle_timeout_ms(policy: &Policy, machine: &Machine) -> Millis {
     if machine.spot {
         policy.spot_idle_timeout_ms
@@ -126,7 +127,7 @@
     }
 }
 
-/// Whether a task was done on the machine of which the result is not stored yet.
+/// Whether the machine holds the result of a completed task that is not stored yet.
 fn has_unstored_result(machine: &Machine, jobs: &BTreeMap<JobId, Job>) -> bool {
     machine.runs.values().any(|run| {
         run.phase == TaskPhase::Ended(ExitCause::Done)
