--- a/crates/latchtrack-core/src/scheduler/dispatcher.rs
+++ b/crates/latchtrack-core/src/scheduler/dispatcher.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// When to resend a stop that was sent before.
+/// When to resend a stop command.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StopResend {
     /// Every time; in a heartbeat response this costs nothing.
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -65,7 +65,8 @@
                 .any(|run| run.running_since.is_some_and(|at| now >= at.saturating_add(min_run_ms)))
     }
 
-    /// Quarantines a job, and no longer counts its failures against the machines.
+    /// Quarantines a job and no longer counts its failures against the machines. Ends the probation
+    /// of those on which no other job failed.
     fn quarantine_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.is_quarantined = true;
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -160,7 +160,8 @@
         self.token
     }
 
-    /// Whether every task run is known, so that no command of an earlier leader can still arrive.
+    /// Whether all task runs on the machines are known: no command of an earlier leader can still
+    /// arrive.
     fn all_reconciled(&self) -> bool {
         self.persistence.is_machine_set_known()
             && !self.inventory.iter().any(Machine::is_unreconciled)
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether all values of the machine set were read, or those that were not no longer matter.
+    /// Whether no unreadable value of the machine set is left that may list unknown machines.
     pub fn is_machine_set_known(&self) -> bool {
         self.unreadable_machine_sets.is_empty()
     }
--- a/crates/latchtrack-core/src/scheduler/task_runs.rs
+++ b/crates/latchtrack-core/src/scheduler/task_runs.rs
@@ -69,7 +69,7 @@
             self.complete_task(run);
         }
         self.restore_job(now, id);
-        // Only scheduling cycles place tasks of teams with a limit.
+        // Only a scheduling cycle reassigns the quota that a team with a limit has freed.
         if run.spec.as_ref().is_some_and(|spec| self.has_team_limit(spec)) {
             self.cycle_timer.request();
         }
