--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -45,11 +45,11 @@
 /// Counts of the machines of a pool whose boots have completed or are late.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootCounts {
-    /// The most recent machines by name, at most `BOOT_SAMPLES`.
+    /// Number of sampled machines: the most recent by name, at most `BOOT_SAMPLES`.
     sampled: usize,
-    /// How many of the sampled machines are late.
+    /// Number of sampled machines that are late.
     sampled_missing: usize,
-    /// All late machines.
+    /// Number of late machines, sampled or not.
     missing: usize,
 }
 
@@ -275,8 +275,8 @@
         counts
     }
 
-    /// Terminates machines that are unlikely to come up. In a late pool only a few are terminated
-    /// at a time, except those that have exceeded the longer limit of late pools.
+    /// Terminates machines that are unlikely to come up. In a late pool, only a few are terminated
+    /// at a time until they are older than `BOOT_FAILED_FACTOR_WHILE_LATE` boot times.
     fn terminate_never_joined(&mut self, now: Millis) {
         let mut never_joined: Vec<(Millis, String)> = self
             .inventory
--- a/crates/latchtrack-core/src/scheduler/failure_detector.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_detector.rs
@@ -177,7 +177,7 @@
         })
     }
 
-    /// Whether all heartbeats were relayed by other nodes for at least `ms` of listening.
+    /// Whether this node has been listening for at least `ms` and received only relayed heartbeats.
     fn received_only_relayed_for(&self, now: Millis, ms: Millis) -> bool {
         self.relayed_since.is_some_and(|at| now >= at.max(self.listening_since).saturating_add(ms))
     }
