--- a/crates/latchtrack-core/src/scheduler/dispatcher.rs
+++ b/crates/latchtrack-core/src/scheduler/dispatcher.rs
@@ -118,7 +118,7 @@
             match run.phase {
                 TaskPhase::Assigned => {
                     commands.push(Command::Launch { task, attempt });
-                    run.launch_sent(now);
+                    run.record_launch_sent(now);
                     // The launch of a cancelled attempt may still arrive by a direct call. Sending
                     // launch and stop here makes the attempt known to the machine, which then
                     // ignores the late launch.
@@ -180,7 +180,7 @@
     for run in machine.runs.values_mut() {
         if run.phase == TaskPhase::Assigned && run.launch_sends == 0 {
             commands.push(Command::Launch { task: run.task, attempt: run.attempt });
-            run.launch_sent(now);
+            run.record_launch_sent(now);
         }
         if run.is_live() {
             push_stop(run, now, StopResend::AfterInterval, &mut commands);
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -240,7 +240,7 @@
         self.request_machine_list(now);
         self.detect_failures(now);
         self.stop_preempted_tasks(now);
-        self.end_broken_gang_attempts(now);
+        self.end_incomplete_gang_attempts(now);
         self.track_boots(now);
         self.terminate_idle_machines(now);
         self.detect_ignored_launches(now);
@@ -268,16 +268,16 @@
             return;
         }
         let mut done = done.unwrap_or_else(|| Bitmap::new(spec.tasks));
-        if spec.gang && done.ones() > 0 {
+        if spec.gang && done.count_ones() > 0 {
             // Gang tasks complete together: if one is done, all are.
             done.set_all();
         }
-        let is_done = done.full();
+        let is_done = done.is_full();
         // While a job is open, its record keeps the revision of its creation.
         let inherited = revision < self.leaderless_since;
         let equivalence_class = self.equivalence_classes.of(&spec);
         self.note_gang_arrival(&spec, equivalence_class, submitted_at);
-        self.note_arrival(&spec, submitted_at);
+        self.record_arrival(&spec, submitted_at);
         let mut job = Job::new(spec, submitted_at, revision, inherited, done);
         job.equivalence_class = equivalence_class;
         self.jobs.insert(id, job);
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -154,7 +154,7 @@
         let Some(machine_type) = self.inventory.type_named(&offer.machine_type).cloned() else {
             return 0;
         };
-        let per_machine = machine_type.holds(&spec.demand).max(1);
+        let per_machine = machine_type.fitting_tasks(&spec.demand).max(1);
         // One request serves all jobs of an equivalence class, unless the team's limit applies,
         // which is checked for each job.
         let class_tasks = match self.tasks_within_limit(spec, cycle.used()) {
@@ -240,7 +240,7 @@
         if in_zone
             && placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
         {
-            let fitting = capacity.holds(&spec.demand).min(left);
+            let fitting = capacity.fitting_tasks(&spec.demand).min(left);
             capacity.take(&spec.demand, fitting);
             left -= fitting;
         }
--- a/crates/latchtrack/src/actors/store/http.rs
+++ b/crates/latchtrack/src/actors/store/http.rs
@@ -11,8 +11,8 @@
 use super::error::{NotExecutedReason, StoreError, OVER_LIMIT};
 use super::namespace::Namespace;
 use crate::actors::messages::store::{Reply, StoreRequest};
-use crate::constants::{MAX_STORE_CALLS, REFUSAL_TEXT_BYTES, STORE_PAGE_ITEMS};
-use crate::net::{finish, http_client};
+use crate::constants::{MAX_LOGGED_REFUSAL_BYTES, MAX_STORE_CALLS, STORE_PAGE_ITEMS};
+use crate::net::{http_client, read_response};
 use crate::wire::store::{LeaseAnswer, LeaseRequest, Txn, TxnAnswer};
 
 /// What the request that is being sent will have brought.
@@ -37,18 +37,18 @@
 
     /// A reply with the keys as this deployment names them.
     pub(super) fn localize(&self, reply: Reply) -> Reply {
-        self.namespace.inner_reply(reply)
+        self.namespace.with_local_keys(reply)
     }
 
     /// Sends a request; its reply has the keys as the service names them.
     pub(super) fn send(&self, request: &StoreRequest) -> PendingReply {
         let base = &self.base;
         let timeout = request.timeout();
-        let key = self.namespace.outer_of(request).unwrap_or_default();
+        let key = self.namespace.full_key_of(request).unwrap_or_default();
         match request.clone() {
             StoreRequest::List { from, .. } => {
                 let mut url = format!("{base}/store?prefix={key}&most={STORE_PAGE_ITEMS}");
-                if let Some(from) = from.map(|from| self.namespace.outer(&from)) {
+                if let Some(from) = from.map(|from| self.namespace.full_key(&from)) {
                     url.push_str("&from=");
                     url.push_str(&from);
                 }
@@ -61,7 +61,7 @@
                 let url = format!("{base}/watch?prefix={key}&from={from}&wait_ms=0");
                 self.get(url, timeout, Reply::Changes)
             }
-            StoreRequest::Txn(txn) => self.commit(self.namespace.outer_txn(txn), timeout),
+            StoreRequest::Txn(txn) => self.commit(self.namespace.with_full_keys(txn), timeout),
             StoreRequest::Grant { ttl_ms } => self.grant(ttl_ms, timeout),
             StoreRequest::Renew { lease } => self.renew(lease, timeout),
             StoreRequest::End { lease } => self.end(lease, timeout),
@@ -76,7 +76,7 @@
     ) -> PendingReply {
         let client = self.client.clone();
         Box::pin(async move {
-            let (status, body) = finish(client.get(&url).timeout(timeout).send()).await?;
+            let (status, body) = read_response(client.get(&url).timeout(timeout).send()).await?;
             parse(status, &body).map(reply)
         })
     }
@@ -87,8 +87,8 @@
             let (status, body) = post(&client, &url, &txn, timeout).await?;
             if status == StatusCode::CONFLICT {
                 let answer: TxnAnswer =
-                    serde_json::from_slice(&body).map_err(|_| StoreError::Unknown)?;
-                return Ok(Reply::Failed(answer.failed.unwrap_or_default()));
+                    serde_json::from_slice(&body).map_err(|_| StoreError::OutcomeUnknown)?;
+                return Ok(Reply::Conflict(answer.failed.unwrap_or_default()));
             }
             parse(status, &body).map(|answer: TxnAnswer| Reply::Applied(answer.revision))
         })
@@ -113,7 +113,7 @@
     fn end(&self, lease: u64, timeout: Duration) -> PendingReply {
         let (client, url) = (self.client.clone(), format!("{}/grants/{lease}", self.base));
         Box::pin(async move {
-            let (status, body) = finish(client.delete(&url).timeout(timeout).send()).await?;
+            let (status, body) = read_response(client.delete(&url).timeout(timeout).send()).await?;
             check_status(status, &body).map(|()| Reply::Done)
         })
     }
@@ -125,7 +125,7 @@
     body: &T,
     timeout: Duration,
 ) -> Result<(StatusCode, Vec<u8>), StoreError> {
-    Ok(finish(client.post(url).timeout(timeout).send_json(body)).await?)
+    Ok(read_response(client.post(url).timeout(timeout).send_json(body)).await?)
 }
 
 /// What the status of an answer means.
@@ -137,10 +137,10 @@
         429 => Err(OVER_LIMIT),
         503 => Err(StoreError::NotExecuted(NotExecutedReason::OutOfService)),
         400..=499 => {
-            let text = String::from_utf8_lossy(&body[..body.len().min(REFUSAL_TEXT_BYTES)]);
+            let text = String::from_utf8_lossy(&body[..body.len().min(MAX_LOGGED_REFUSAL_BYTES)]);
             Err(StoreError::Refused(text.into_owned()))
         }
-        _ => Err(StoreError::Unknown),
+        _ => Err(StoreError::OutcomeUnknown),
     }
 }
 
@@ -148,6 +148,6 @@
     check_status(status, body)?;
     serde_json::from_slice(body).map_err(|error| {
         tracing::error!(%error, "answer of the state service can't be parsed");
-        StoreError::Unknown
+        StoreError::OutcomeUnknown
     })
 }
