--- a/crates/latchtrack-balance/src/balancer.rs
+++ b/crates/latchtrack-balance/src/balancer.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use crate::constants::{
-    MACHINE_COOLDOWN_MS, MACHINE_GAP_MS, MIN_RUN_MS, MOVES_PER_MINUTE, OVER_BOUND_MS, RECENT_MOVES,
-    TASK_COOLDOWN_MS, WORTH_FACTOR,
+    MACHINE_COOLDOWN_MS, MACHINE_GAP_MS, MIN_REMAINING_TO_COST, MIN_RUN_MS, MOVES_PER_MINUTE,
+    OVER_BOUND_MS, RECENT_MOVES, TASK_COOLDOWN_MS,
 };
 use crate::moves::{AbandonReason, Move, MoveEvent, MoveStage, MoveUnit, Side};
 use crate::planner::{over_bound, plan, ClusterLoads, PlanInput, PlannedMove};
@@ -30,7 +30,7 @@
     /// Moves that may begin in a minute.
     pub moves_per_minute: u32,
     /// The remaining run time that is worth a move, in multiples of its cost.
-    pub worth_factor: f64,
+    pub min_remaining_to_cost: f64,
 }
 
 impl Default for MoveLimits {
@@ -42,7 +42,7 @@
             machine_gap_ms: MACHINE_GAP_MS,
             machine_cooldown_ms: MACHINE_COOLDOWN_MS,
             moves_per_minute: MOVES_PER_MINUTE,
-            worth_factor: WORTH_FACTOR,
+            min_remaining_to_cost: MIN_REMAINING_TO_COST,
         }
     }
 }
@@ -88,7 +88,7 @@
 
     /// Takes in the loads; returns the moves that begin now, with their targets reserved.
     pub fn observe(&mut self, now: Millis, mut input: PlanInput, new_moves: NewMoves) -> Vec<Move> {
-        input.worth_factor = self.limits.worth_factor;
+        input.min_remaining_to_cost = self.limits.min_remaining_to_cost;
         let loads = ClusterLoads::of(&input.machines);
         self.spreads = loads.spreads().clone();
         self.note_over_bound(now, &input, &loads);
@@ -123,9 +123,9 @@
             let over_since = self.over_since.get(&machine.name);
             let over_for_long =
                 over_since.is_some_and(|at| now >= at.saturating_add(limits.over_bound_ms));
-            machine.may_give &= !in_cooldown;
+            machine.may_be_source &= !in_cooldown;
             machine.may_be_relieved &= over_for_long;
-            machine.may_receive &= !in_cooldown;
+            machine.may_be_target &= !in_cooldown;
         }
         input.movables.retain(|movable| {
             let is_moving = self.moves.iter().any(|active| active.unit == movable.unit);
--- a/crates/latchtrack-balance/src/constants.rs
+++ b/crates/latchtrack-balance/src/constants.rs
@@ -23,7 +23,7 @@
 /// Moves started per minute in the whole cluster.
 pub const MOVES_PER_MINUTE: u32 = 30;
 /// The remaining run time of a task that is worth a move, in multiples of its cost.
-pub const WORTH_FACTOR: f64 = 3.0;
+pub const MIN_REMAINING_TO_COST: f64 = 3.0;
 /// Machines with capacity that are compared as the target of a task: the least loaded ones, of
 /// which one is nearly always the best.
 pub const MAX_TARGETS_COMPARED: usize = 8;
--- a/crates/latchtrack-balance/src/fairness.rs
+++ b/crates/latchtrack-balance/src/fairness.rs
@@ -46,7 +46,7 @@
 
 /// The share of each team, in the order of the input. Together they are at most 1: if the
 /// guarantees alone are more, they are cut in proportion.
-pub fn shares(teams: &[TeamDemand]) -> Vec<f64> {
+pub fn fair_shares(teams: &[TeamDemand]) -> Vec<f64> {
     let all_guaranteed: f64 = teams.iter().map(TeamDemand::guaranteed).sum();
     let cut = if all_guaranteed > 1.0 { 1.0 / all_guaranteed } else { 1.0 };
     let mut given: Vec<f64> = teams.iter().map(|team| team.guaranteed() * cut).collect();
--- a/crates/latchtrack-balance/src/planner/candidates.rs
+++ b/crates/latchtrack-balance/src/planner/candidates.rs
@@ -52,14 +52,14 @@
 fn may_move(movable: &Movable, input: &PlanInput, loads: &ClusterLoads) -> bool {
     let times = [movable.save_s, movable.cost_s, movable.remaining_s];
     let is_valid = movable.demand.is_valid() && times.iter().all(|s| *s >= 0.0 && s.is_finite());
-    let is_worth_it = movable.remaining_s >= input.worth_factor * movable.cost_s;
+    let is_worth_it = movable.remaining_s >= input.min_remaining_to_cost * movable.cost_s;
     let mut on = movable.tasks.iter().map(|(_, machine)| *machine);
     let Some(first) = on.clone().next().and_then(|machine| input.machines.get(machine)) else {
         return false;
     };
     let may_leave = |index: usize| {
         let Some(machine) = input.machines.get(index) else { return false };
-        machine.pool == first.pool && machine.may_give && loads.load(index).is_some()
+        machine.pool == first.pool && machine.may_be_source && loads.load(index).is_some()
     };
     is_valid && is_worth_it && on.all(may_leave)
 }
--- a/crates/latchtrack-balance/src/planner/input.rs
+++ b/crates/latchtrack-balance/src/planner/input.rs
@@ -18,9 +18,9 @@
     /// What its tasks use and what is reserved on it, without what is about to leave.
     pub used: Resources,
     /// Whether tasks may move to it.
-    pub may_receive: bool,
+    pub may_be_target: bool,
     /// Whether tasks may move from it.
-    pub may_give: bool,
+    pub may_be_source: bool,
     /// Whether it is to be relieved if it is over the bound.
     pub may_be_relieved: bool,
 }
@@ -72,7 +72,7 @@
     /// Moves that may begin.
     pub budget: usize,
     /// The remaining run time that is worth a move, in multiples of its cost.
-    pub worth_factor: f64,
+    pub min_remaining_to_cost: f64,
     /// Whether a machine takes part in one move of the plan at most.
     pub once_per_machine: bool,
 }
--- a/crates/latchtrack-balance/src/planner/planned_loads.rs
+++ b/crates/latchtrack-balance/src/planner/planned_loads.rs
@@ -44,7 +44,7 @@
     pub(super) fn new(input: &'a PlanInput, cluster_loads: &ClusterLoads) -> Self {
         let mut targets: BTreeMap<u32, BTreeSet<LoadKey>> = BTreeMap::new();
         for (index, machine) in input.machines.iter().enumerate() {
-            if let Some(load) = cluster_loads.load(index).filter(|_| machine.may_receive) {
+            if let Some(load) = cluster_loads.load(index).filter(|_| machine.may_be_target) {
                 let key = LoadKey { load, machine: index };
                 targets.entry(machine.pool).or_default().insert(key);
             }
--- a/crates/latchtrack-balance/src/resources.rs
+++ b/crates/latchtrack-balance/src/resources.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes `times` times another amount out of it; what is left may be negative.
-    pub fn take_multiple(&mut self, other: &Resources, times: u32) {
+    pub fn subtract_multiple(&mut self, other: &Resources, times: u32) {
         let times = f64::from(times);
         self.cpus -= other.cpus * times;
         self.gpus -= other.gpus * times;
--- a/crates/latchtrack-balance/tests/balancer.rs
+++ b/crates/latchtrack-balance/tests/balancer.rs
@@ -16,7 +16,7 @@
     machine_gap_ms: 10_000,
     machine_cooldown_ms: 60_000,
     moves_per_minute: 6,
-    worth_factor: 2.0,
+    min_remaining_to_cost: 2.0,
 };
 
 /// Machines of 16 CPUs, and the tasks of one CPU that run on each.
--- a/crates/latchtrack-balance/tests/common/mod.rs
+++ b/crates/latchtrack-balance/tests/common/mod.rs
@@ -35,8 +35,8 @@
         pool: 0,
         capacity: cpus_and_memory(cpus),
         used: cpus_and_memory(used),
-        may_receive: true,
-        may_give: true,
+        may_be_target: true,
+        may_be_source: true,
         may_be_relieved: true,
     }
 }
--- a/crates/latchtrack-balance/tests/planner.rs
+++ b/crates/latchtrack-balance/tests/planner.rs
@@ -34,7 +34,7 @@
     let machine = (0u32..3, prop::collection::vec((1u32..6, any::<bool>(), 0u32..200), 0..6));
     let machines = prop::collection::vec((machine, prop::bool::weighted(0.9)), 1..24);
     (machines, 0usize..12, prop::bool::ANY).prop_map(|(machines, budget, gangs)| {
-        let mut input = PlanInput { budget, worth_factor: 2.0, ..PlanInput::default() };
+        let mut input = PlanInput { budget, min_remaining_to_cost: 2.0, ..PlanInput::default() };
         for (index, ((pool, tasks), healthy)) in machines.into_iter().enumerate() {
             let capacity = cpus_and_memory(if pool == 0 { 8.0 } else { 16.0 });
             let mut used = Resources::default();
@@ -56,8 +56,8 @@
                 pool,
                 capacity,
                 used,
-                may_receive: healthy,
-                may_give: healthy,
+                may_be_target: healthy,
+                may_be_source: healthy,
                 may_be_relieved: healthy,
             });
         }
@@ -106,7 +106,7 @@
             for task_move in &m.task_moves {
                 let (from, to) = (by_name[&task_move.source], by_name[&task_move.target]);
                 prop_assert_eq!(from.pool, to.pool);
-                prop_assert!(from.may_give && to.may_receive);
+                prop_assert!(from.may_be_source && to.may_be_target);
                 prop_assert!(!sources.contains(&task_move.target));
             }
         }
@@ -137,8 +137,8 @@
         input.budget = usize::MAX;
         input.movables.retain(|m| m.tasks.len() == 1 && m.remaining_s >= 2.0 * m.cost_s);
         for machine in &mut input.machines {
-            machine.may_receive = true;
-            machine.may_give = true;
+            machine.may_be_target = true;
+            machine.may_be_source = true;
             machine.may_be_relieved = true;
         }
         let plan = plan(&input);
@@ -183,7 +183,8 @@
 #[test]
 fn a_machine_within_the_bound_gives_nothing() {
     // 4 machines with 16, 6, 6 and 4 tasks of one CPU of 16: mean 8, bound 11.
-    let mut input = PlanInput { budget: usize::MAX, worth_factor: 2.0, ..PlanInput::default() };
+    let mut input =
+        PlanInput { budget: usize::MAX, min_remaining_to_cost: 2.0, ..PlanInput::default() };
     for (index, tasks) in [16u32, 6, 6, 4].into_iter().enumerate() {
         input.machines.push(machine(index, 16.0, f64::from(tasks)));
         for task in 0..tasks {
@@ -242,7 +243,8 @@
 /// A target that comes over the bound by what it receives gives tasks of its own.
 #[test]
 fn a_target_that_is_crowded_by_a_plan_is_relieved_in_it() {
-    let mut input = PlanInput { budget: usize::MAX, worth_factor: 2.0, ..PlanInput::default() };
+    let mut input =
+        PlanInput { budget: usize::MAX, min_remaining_to_cost: 2.0, ..PlanInput::default() };
     for (index, used) in [16.0, 4.0, 4.0, 4.0].into_iter().enumerate() {
         input.machines.push(machine(index, 16.0, used));
     }
@@ -277,7 +279,7 @@
 /// A gang with tasks in two pools has no target that suits all of it.
 #[test]
 fn a_gang_in_two_pools_stays() {
-    let mut input = PlanInput { budget: 10, worth_factor: 2.0, ..PlanInput::default() };
+    let mut input = PlanInput { budget: 10, min_remaining_to_cost: 2.0, ..PlanInput::default() };
     input.machines = vec![machine(0, 8.0, 8.0), machine(1, 8.0, 1.0), machine(2, 8.0, 0.0)];
     input.machines[1].pool = 1;
     input.movables = vec![movable(MoveUnit { job: 1, task: None }, &[(0, 0), (1, 1)], 1.0)];
@@ -293,7 +295,7 @@
     for machine in &mut input.machines {
         machine.capacity.gpus = 1.0;
     }
-    input.machines[2].may_receive = false;
+    input.machines[2].may_be_target = false;
     input.movables.truncate(1);
     input.movables[0].demand.gpus = 0.3;
     // It carries more than it has, as when its type was changed; the other one has no GPU left,
@@ -308,7 +310,8 @@
 /// Machines of 16 CPUs: `busy` of them carry `each` tasks of one CPU that may move, the others
 /// nothing.
 fn crowded_pool(machines: usize, busy: usize, each: u32) -> PlanInput {
-    let mut input = PlanInput { budget: usize::MAX, worth_factor: 2.0, ..PlanInput::default() };
+    let mut input =
+        PlanInput { budget: usize::MAX, min_remaining_to_cost: 2.0, ..PlanInput::default() };
     for index in 0..machines {
         let tasks = if index < busy { each } else { 0 };
         input.machines.push(machine(index, 16.0, f64::from(tasks)));
@@ -372,7 +375,7 @@
 
 #[test]
 fn a_gang_moves_whole_to_other_machines_or_not_at_all() {
-    let mut input = PlanInput { budget: 10, worth_factor: 2.0, ..PlanInput::default() };
+    let mut input = PlanInput { budget: 10, min_remaining_to_cost: 2.0, ..PlanInput::default() };
     input.machines = vec![machine(0, 8.0, 8.0), machine(1, 8.0, 0.0), machine(2, 8.0, 0.0)];
     let gang = MoveUnit { job: 1, task: None };
     input.movables = vec![movable(gang, &[(0, 0), (1, 0)], 1.0)];
@@ -381,7 +384,7 @@
     assert_eq!(moves[0].task_moves.len(), 2, "all of it");
     assert!(moves[0].task_moves.iter().all(|task_move| *task_move.target != *name(0)));
     // Room for one of the two only.
-    input.machines[1].may_receive = false;
+    input.machines[1].may_be_target = false;
     input.machines[2].used = cpus_and_memory(6.0);
     assert_eq!(plan(&input).moves, []);
     input.machines[2].used = cpus_and_memory(5.0);
--- a/crates/latchtrack-balance/tests/shares.rs
+++ b/crates/latchtrack-balance/tests/shares.rs
@@ -4,7 +4,7 @@
 
 use common::proptest_config;
 use latchtrack_balance::arrivals::{ArrivalLevel, Arrivals, DecayedRate};
-use latchtrack_balance::fairness::{shares, TeamDemand};
+use latchtrack_balance::fairness::{fair_shares, TeamDemand};
 use latchtrack_balance::locality::{fetch_s, PlacementOption};
 use proptest::prelude::*;
 
@@ -21,20 +21,20 @@
 
 #[test]
 fn guarantees_come_first_then_equal_shares() {
-    assert_close(&shares(&[team(0.0, 0.0, 2.0), team(0.0, 0.0, 0.1)]), &[0.9, 0.1]);
-    assert_close(&shares(&[team(0.0, 0.0, 2.0), team(0.0, 0.0, 2.0)]), &[0.5, 0.5]);
+    assert_close(&fair_shares(&[team(0.0, 0.0, 2.0), team(0.0, 0.0, 0.1)]), &[0.9, 0.1]);
+    assert_close(&fair_shares(&[team(0.0, 0.0, 2.0), team(0.0, 0.0, 2.0)]), &[0.5, 0.5]);
     // A guarantee is given first, and is the weight for the rest.
     assert_close(
-        &shares(&[team(0.4, 0.0, 2.0), team(0.2, 0.0, 2.0)]),
+        &fair_shares(&[team(0.4, 0.0, 2.0), team(0.2, 0.0, 2.0)]),
         &[0.4 + 0.4 * 2.0 / 3.0, 0.2 + 0.4 / 3.0],
     );
     // What a team does not ask for is borrowed by the others.
-    assert_close(&shares(&[team(0.6, 0.0, 0.1), team(0.0, 0.0, 2.0)]), &[0.1, 0.9]);
+    assert_close(&fair_shares(&[team(0.6, 0.0, 0.1), team(0.0, 0.0, 2.0)]), &[0.1, 0.9]);
     // A limit holds whatever is left.
-    assert_close(&shares(&[team(0.0, 0.3, 2.0), team(0.0, 0.0, 0.2)]), &[0.3, 0.2]);
+    assert_close(&fair_shares(&[team(0.0, 0.3, 2.0), team(0.0, 0.0, 0.2)]), &[0.3, 0.2]);
     // Guarantees beyond the cluster are cut alike.
-    assert_close(&shares(&[team(1.0, 0.0, 1.0), team(1.0, 0.0, 1.0)]), &[0.5, 0.5]);
-    assert_close(&shares(&[]), &[]);
+    assert_close(&fair_shares(&[team(1.0, 0.0, 1.0), team(1.0, 0.0, 1.0)]), &[0.5, 0.5]);
+    assert_close(&fair_shares(&[]), &[]);
 }
 
 proptest! {
@@ -45,7 +45,7 @@
         teams in prop::collection::vec((0.0..0.5f64, 0.0..1.0f64, 0.0..2.0f64), 0..8)
     ) {
         let teams: Vec<TeamDemand> = teams.into_iter().map(|(g, l, w)| team(g, l, w)).collect();
-        let given = shares(&teams);
+        let given = fair_shares(&teams);
         prop_assert!(given.iter().sum::<f64>() <= 1.0 + 1e-6);
         let most = |t: &TeamDemand| if t.limit > 0.0 { t.wanted.min(t.limit) } else { t.wanted };
         let floors: f64 = teams.iter().map(|t| t.guarantee.min(most(t))).sum();
@@ -78,7 +78,10 @@
 
 #[test]
 fn nonsense_counts_nothing() {
-    assert_close(&shares(&[team(f64::NAN, -1.0, f64::INFINITY), team(0.0, 0.0, 0.5)]), &[0.0, 0.5]);
+    assert_close(
+        &fair_shares(&[team(f64::NAN, -1.0, f64::INFINITY), team(0.0, 0.0, 0.5)]),
+        &[0.0, 0.5],
+    );
     let mut rate = DecayedRate::new(1_000);
     for size in [f64::NAN, f64::INFINITY, -5.0] {
         rate.add(0, size);
--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -84,9 +84,9 @@
 
     /// Subtracts the demand of `tasks` tasks.
     pub fn take(&mut self, demand: &Resources, tasks: u32) {
-        self.free.take_multiple(demand, tasks);
+        self.free.subtract_multiple(demand, tasks);
         if let Some(reservation) = &mut self.reservation {
-            reservation.spare.take_multiple(demand, tasks);
+            reservation.spare.subtract_multiple(demand, tasks);
         }
     }
 
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use latchtrack_balance::arrivals::ArrivalLevel;
-use latchtrack_balance::fairness::{shares, TeamDemand};
+use latchtrack_balance::fairness::{fair_shares, TeamDemand};
 
 use super::policy::Team;
 use super::queue_order::RankedJob;
@@ -62,7 +62,7 @@
             team_demand(team, used, total)
         };
         let demands: Vec<TeamDemand> = self.policy.teams.iter().map(demand).collect();
-        let shares = shares(&demands);
+        let shares = fair_shares(&demands);
         let mut hot = BTreeMap::new();
         for (team, share) in self.policy.teams.iter().zip(shares) {
             let level = self.load_balancing.classify_arrivals(now, &team.name, share * total.cpus);
--- a/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
@@ -29,9 +29,9 @@
         for name in names {
             let Some(load) = self.machine_load(now, &name) else { continue };
             let index = input.machines.len();
-            let may_give = load.may_give;
+            let may_be_source = load.may_be_source;
             input.machines.push(load);
-            if may_give {
+            if may_be_source {
                 self.add_movable_tasks(now, &name, index, &mut input, &mut gangs);
             }
         }
@@ -117,8 +117,8 @@
             pool: self.load_balancing.pool_number(pool_key),
             capacity,
             used,
-            may_receive: may_take_part,
-            may_give: may_take_part,
+            may_be_target: may_take_part,
+            may_be_source: may_take_part,
             may_be_relieved: may_take_part,
         })
     }
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -50,7 +50,7 @@
     pub fn take_spare(&mut self, machine: &str, class: ClassId, demand: &Resources, tasks: u32) {
         if let Some(reservation) = self.by_machine.get_mut(machine) {
             if reservation.reserved_for != ReservedFor::Class(class) {
-                reservation.spare.take_multiple(demand, tasks);
+                reservation.spare.subtract_multiple(demand, tasks);
             }
         }
     }
@@ -265,7 +265,7 @@
             return Resources::default();
         };
         let mut spare = machine_type.resources();
-        spare.take_multiple(&spec.demand, tasks);
+        spare.subtract_multiple(&spec.demand, tasks);
         let remainder = spare;
         let name = capacity.machine.as_deref().unwrap_or_default();
         let runs = self.inventory.get(name).into_iter().flat_map(|machine| machine.runs.values());
@@ -273,7 +273,7 @@
         for other in specs.filter(|other| other.demand != spec.demand) {
             if fitting_tasks(&other.demand, remainder.cpus, remainder.gpus, remainder.memory_gb) > 0
             {
-                spare.take_multiple(&other.demand, 1);
+                spare.subtract_multiple(&other.demand, 1);
             }
         }
         spare
@@ -333,7 +333,7 @@
         }
         let here = remaining.min(at.tasks);
         let mut spare = cycle.capacities()[at.index].free;
-        spare.take_multiple(demand, here);
+        spare.subtract_multiple(demand, here);
         cycle.reserve(at.index, Reservation { reserved_for, spare });
         remaining -= here;
     }
--- a/crates/latchtrack-core/tests/load_balancing/fixtures.rs
+++ b/crates/latchtrack-core/tests/load_balancing/fixtures.rs
@@ -17,7 +17,7 @@
     machine_gap_ms: 1_000,
     machine_cooldown_ms: 20_000,
     moves_per_minute: 60,
-    worth_factor: 3.0,
+    min_remaining_to_cost: 3.0,
 };
 
 pub fn moves_enabled() -> Policy {
--- a/crates/latchtrack-core/tests/simulation/world/leadership.rs
+++ b/crates/latchtrack-core/tests/simulation/world/leadership.rs
@@ -38,7 +38,7 @@
             machine_gap_ms: 500,
             machine_cooldown_ms: 5_000,
             moves_per_minute: MOVES_PER_MINUTE,
-            worth_factor: 0.2,
+            min_remaining_to_cost: 0.2,
         };
         BalancePolicy { placement: true, teams: true, moves: true, limits, moves_delay_ms: 1_000 }
     }
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -101,7 +101,7 @@
             machine_gap_ms: ms(self.machine_gap_s),
             machine_cooldown_ms: balance::MACHINE_COOLDOWN_MS,
             moves_per_minute: self.moves_per_minute,
-            worth_factor: balance::WORTH_FACTOR,
+            min_remaining_to_cost: balance::MIN_REMAINING_TO_COST,
         };
         BalancePolicy {
             placement: self.placement,
