--- a/crates/latchtrack-balance/src/arrivals.rs
+++ b/crates/latchtrack-balance/src/arrivals.rs
@@ -1,92 +1,92 @@
-//! Rates of arriving work, decayed exponentially, and which teams are hot by them: those that have
-//! asked for more than their share of the cluster for some time.
+//! Measures how much work arrives from each team, by exponentially decayed rates, and detects hot
+//! teams: those that have asked for more than their share of the cluster for some time.
 
 use std::collections::BTreeMap;
 
 use crate::constants::{BURST_HALF_LIFE_MS, HOT_ENTER_FACTOR, HOT_EXIT_FACTOR, HOT_HALF_LIFE_MS};
 use crate::Millis;
 
-/// An exponentially decayed rate: an arrival counts half after each half-life.
+/// An exponentially decayed arrival rate: the weight of an arrival halves with each half-life.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayedRate {
     half_life_ms: Millis,
-    /// What has arrived, decayed to `at`.
-    weight: f64,
-    at: Millis,
+    /// Sum of all arrivals, decayed to `updated_at`.
+    decayed_sum: f64,
+    updated_at: Millis,
 }
 
 impl DecayedRate {
-    /// A rate without arrivals, with a half-life in ms.
+    /// Creates a rate without arrivals. The half-life is at least 1 ms.
     pub fn new(half_life_ms: Millis) -> Self {
-        DecayedRate { half_life_ms: half_life_ms.max(1), weight: 0.0, at: 0 }
+        DecayedRate { half_life_ms: half_life_ms.max(1), decayed_sum: 0.0, updated_at: 0 }
     }
 
-    /// Counts an arrival. Sizes that are not positive and finite are ignored.
+    /// Adds an arrival. Sizes that are not positive and finite are ignored.
     pub fn add(&mut self, now: Millis, size: f64) {
         if size.is_finite() && size > 0.0 {
-            self.weight = self.decayed(now) + size;
-            self.at = self.at.max(now);
+            self.decayed_sum = self.decayed(now) + size;
+            self.updated_at = self.updated_at.max(now);
         }
     }
 
-    /// Size per second, as if what arrived had come evenly: exact for a steady flow.
+    /// Returns the arriving size per second. It converges to the true rate if arrivals are steady.
     pub fn per_second(&self, now: Millis) -> f64 {
         let mean_life_s = self.half_life_ms as f64 / 1000.0 / std::f64::consts::LN_2;
         self.decayed(now) / mean_life_s
     }
 
     fn decayed(&self, now: Millis) -> f64 {
-        let half_lives = now.saturating_sub(self.at) as f64 / self.half_life_ms as f64;
-        self.weight * 0.5f64.powf(half_lives)
+        let half_lives = now.saturating_sub(self.updated_at) as f64 / self.half_life_ms as f64;
+        self.decayed_sum * 0.5f64.powf(half_lives)
     }
 }
 
-/// How much a team has asked for lately, compared with its share.
+/// How much a team has recently asked for, compared with its share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ArrivalLevel {
-    /// It asks for no more than its share.
+    /// The team asks for about its share or less.
     Normal,
-    /// It asks for more at the moment, but has not done so for long.
+    /// The team currently asks for more than its share, but has not done so for long.
     Burst,
-    /// It has asked for more than its share for some time.
+    /// The team has asked for more than its share for some time.
     Hot,
 }
 
 #[derive(Clone, Debug)]
 struct TeamRates {
-    short: DecayedRate,
-    long: DecayedRate,
+    short_term: DecayedRate,
+    long_term: DecayedRate,
     hot: bool,
 }
 
-/// The arrivals of all teams, in CPU-seconds of work.
+/// Arrival rates of all teams, in CPU-seconds of work per second.
 #[derive(Clone, Debug, Default)]
 pub struct Arrivals {
     teams: BTreeMap<String, TeamRates>,
 }
 
 impl Arrivals {
-    /// Counts a job of a team, by the CPU-seconds that it is to take.
+    /// Adds a job of a team that is expected to take `cpu_seconds`.
     pub fn add(&mut self, now: Millis, team: &str, cpu_seconds: f64) {
         let rates = self.teams.entry(team.to_string()).or_insert_with(|| TeamRates {
-            short: DecayedRate::new(BURST_HALF_LIFE_MS),
-            long: DecayedRate::new(HOT_HALF_LIFE_MS),
+            short_term: DecayedRate::new(BURST_HALF_LIFE_MS),
+            long_term: DecayedRate::new(HOT_HALF_LIFE_MS),
             hot: false,
         });
-        rates.short.add(now, cpu_seconds);
-        rates.long.add(now, cpu_seconds);
+        rates.short_term.add(now, cpu_seconds);
+        rates.long_term.add(now, cpu_seconds);
     }
 
-    /// Classifies a team whose share of the cluster is `share_cpus`. A hot team stays hot until it
-    /// asks for clearly less than its share.
+    /// Classifies a team whose share of the cluster is `share_cpus` CPUs. A hot team stays hot
+    /// until it asks for less than [`HOT_EXIT_FACTOR`] times its share.
     pub fn classify(&mut self, now: Millis, team: &str, share_cpus: f64) -> ArrivalLevel {
         let Some(rates) = self.teams.get_mut(team) else { return ArrivalLevel::Normal };
         if share_cpus <= 0.0 || share_cpus.is_nan() {
             return ArrivalLevel::Normal;
         }
-        let long = rates.long.per_second(now) / share_cpus;
-        rates.hot = long >= if rates.hot { HOT_EXIT_FACTOR } else { HOT_ENTER_FACTOR };
-        let burst = rates.short.per_second(now) / share_cpus >= HOT_ENTER_FACTOR;
+        let long_term = rates.long_term.per_second(now) / share_cpus;
+        rates.hot = long_term >= if rates.hot { HOT_EXIT_FACTOR } else { HOT_ENTER_FACTOR };
+        let burst = rates.short_term.per_second(now) / share_cpus >= HOT_ENTER_FACTOR;
         match (rates.hot, burst) {
             (true, _) => ArrivalLevel::Hot,
             (false, true) => ArrivalLevel::Burst,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Teams that were hot when last classified.
+    /// Returns the teams that were hot when last classified, sorted by name.
     pub fn hot_teams(&self) -> Vec<String> {
         self.teams.iter().filter(|(_, rates)| rates.hot).map(|(name, _)| name.clone()).collect()
     }
--- a/crates/latchtrack-balance/src/balancer.rs
+++ b/crates/latchtrack-balance/src/balancer.rs
@@ -1,35 +1,36 @@
-//! The balancer of one leader: what it has seen of loads, and the moves that are under way.
+//! The balancer of a leader: observes loads, decides which moves begin, and tracks them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 use crate::constants::{
-    MACHINE_COOLDOWN_MS, MACHINE_GAP_MS, MIN_REMAINING_TO_COST, MIN_RUN_MS, MOVES_PER_MINUTE,
-    OVER_BOUND_MS, RECENT_MOVES, TASK_COOLDOWN_MS,
+    MACHINE_COOLDOWN_MS, MACHINE_GAP_MS, MAX_RECENT_MOVES, MIN_REMAINING_TO_COST, MIN_RUN_MS,
+    MOVES_PER_MINUTE, OVER_BOUND_MS, TASK_COOLDOWN_MS,
 };
-use crate::moves::{AbandonReason, Move, MoveEvent, MoveStage, MoveUnit, Side};
+use crate::moves::{AbandonReason, Move, MoveEvent, MoveSide, MoveStage, MoveUnit};
 use crate::planner::{over_bound, plan, ClusterLoads, PlanInput, PlannedMove};
 use crate::resources::Resources;
 use crate::spread::Spread;
 use crate::throttle::MoveThrottle;
 use crate::Millis;
 
-/// How often and how soon tasks may move.
+/// Limits on how often and how soon tasks may be moved.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveLimits {
-    /// ms that a machine must be over its bound before a task of it moves.
+    /// ms for which a machine must be over its bound before a task is moved off it.
     pub over_bound_ms: Millis,
-    /// ms that a task must have run before it may move.
+    /// ms for which a task must have run before it may be moved.
     pub min_run_ms: Millis,
-    /// ms between two moves of a task.
+    /// Minimum ms between the starts of two moves of the same task or gang.
     pub task_cooldown_ms: Millis,
-    /// ms between two moves from or to a machine.
+    /// Minimum ms between the starts of two moves from or to the same machine. If 0, a machine may
+    /// also take part in several moves of one plan.
     pub machine_gap_ms: Millis,
-    /// ms for which a machine that made a move fail takes part in no other.
+    /// ms for which a machine that caused a move to fail takes part in no other move.
     pub machine_cooldown_ms: Millis,
-    /// Moves that may begin in a minute.
+    /// Maximum number of moves that begin per minute.
     pub moves_per_minute: u32,
-    /// The remaining run time that is worth a move, in multiples of its cost.
+    /// Minimum ratio of a task's remaining run time to the cost of its move.
     pub min_remaining_to_cost: f64,
 }
 
@@ -50,28 +51,28 @@
 /// Whether moves may begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NewMoves {
-    /// They may.
+    /// New moves may begin.
     Allowed,
-    /// They may not: the loads are observed all the same.
+    /// No new moves begin, but loads are still observed.
     Suspended,
 }
 
-/// Moves of a term, counted.
+/// Numbers of moves in a leader's term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MoveCounts {
-    /// Moves that have begun.
+    /// Moves that have begun, including those that have ended since.
     pub begun: u64,
-    /// Moves whose tasks run on their targets.
+    /// Moves that ended with all their tasks running on the targets.
     pub settled: u64,
-    /// Moves that were abandoned.
+    /// Moves that were abandoned, for any [`AbandonReason`].
     pub abandoned: u64,
 }
 
-/// The balancer of one leader. Nothing of it is stored: a new leader begins anew.
+/// The balancer of a leader. Its state is not persisted: a new leader starts with an empty one.
 #[derive(Clone, Debug, Default)]
 pub struct Balancer {
     limits: MoveLimits,
-    /// Since when machines have been over their bound.
+    /// Time since which each overloaded machine has been over its bound.
     over_since: BTreeMap<Arc<str>, Millis>,
     spreads: BTreeMap<u32, Spread>,
     moves: Vec<Move>,
@@ -81,31 +82,31 @@
 }
 
 impl Balancer {
-    /// A balancer that has observed nothing.
+    /// Creates a balancer that has observed no loads.
     pub fn new(limits: MoveLimits) -> Self {
         Balancer { limits, ..Balancer::default() }
     }
 
-    /// Takes in the loads; returns the moves that begin now, with their targets reserved.
+    /// Observes the loads. Returns the moves that begin now, whose targets have been reserved.
     pub fn observe(&mut self, now: Millis, mut input: PlanInput, new_moves: NewMoves) -> Vec<Move> {
         input.min_remaining_to_cost = self.limits.min_remaining_to_cost;
         let loads = ClusterLoads::of(&input.machines);
         self.spreads = loads.spreads().clone();
-        self.note_over_bound(now, &input, &loads);
+        self.update_over_since(now, &input, &loads);
         self.throttle.expire(now, self.limits.task_cooldown_ms);
         if new_moves == NewMoves::Suspended {
             return Vec::new();
         }
         input.budget = self.throttle.remaining_budget(now, self.limits.moves_per_minute);
         input.once_per_machine = self.limits.machine_gap_ms > 0;
-        self.restrict(now, &mut input);
-        // The restrictions leave the amounts of the machines alone, so the loads still hold.
+        self.apply_limits(now, &mut input);
+        // `apply_limits` doesn't change any resource amounts, so `loads` is still valid.
         let planned = plan(&input, &loads).moves;
         planned.into_iter().map(|planned| self.begin(now, planned)).collect()
     }
 
-    /// Notes which machines are over their bound, and since when.
-    fn note_over_bound(&mut self, now: Millis, input: &PlanInput, loads: &ClusterLoads) {
+    /// Updates which machines are over their bound, and since when.
+    fn update_over_since(&mut self, now: Millis, input: &PlanInput, loads: &ClusterLoads) {
         let since = |machine: usize| {
             let name = input.machines[machine].name.clone();
             let since = self.over_since.get(&name).copied().unwrap_or(now);
@@ -114,17 +115,18 @@
         self.over_since = over_bound(input, loads).into_iter().map(since).collect();
     }
 
-    /// Leaves out what may not move yet: sources that have not been over the bound for long,
-    /// machines in cooldown, and tasks that are young, in cooldown or moving already.
-    fn restrict(&self, now: Millis, input: &mut PlanInput) {
+    /// Restricts the input to moves that may begin now. Machines in cooldown take part in none, and
+    /// machines that have not been over their bound for long enough are not relieved. Tasks that
+    /// are in cooldown, are being moved, or have not run for long enough are removed.
+    fn apply_limits(&self, now: Millis, input: &mut PlanInput) {
         let limits = &self.limits;
         for machine in &mut input.machines {
             let in_cooldown = self.throttle.machine_in_cooldown(now, &machine.name);
             let over_since = self.over_since.get(&machine.name);
-            let over_for_long =
+            let over_long_enough =
                 over_since.is_some_and(|at| now >= at.saturating_add(limits.over_bound_ms));
             machine.may_be_source &= !in_cooldown;
-            machine.may_be_relieved &= over_for_long;
+            machine.may_be_relieved &= over_long_enough;
             machine.may_be_target &= !in_cooldown;
         }
         input.movables.retain(|movable| {
@@ -136,7 +138,7 @@
         });
     }
 
-    /// Begins a planned move: reserves its targets and counts it.
+    /// Begins a planned move: reserves its targets and starts the cooldowns.
     fn begin(&mut self, now: Millis, planned: PlannedMove) -> Move {
         let gap_ms = self.limits.machine_gap_ms;
         let begun = Move {
@@ -157,7 +159,7 @@
         begun
     }
 
-    /// Hands an event to the move of a unit; returns the stage of the move if that has changed.
+    /// Passes an event to the move of a unit. Returns the new stage of the move if it has changed.
     pub fn handle_event(
         &mut self,
         now: Millis,
@@ -168,32 +170,32 @@
         let changed = self.moves[index].handle(now, event);
         let stage = self.moves[index].stage;
         if stage.is_final() {
-            let over = self.moves.remove(index);
+            let finished = self.moves.remove(index);
             match stage {
                 MoveStage::Abandoned(reason) => {
                     self.counts.abandoned += 1;
-                    self.cool_down_after(now, &over, reason);
+                    self.start_failure_cooldowns(now, &finished, reason);
                 }
                 _ => self.counts.settled += 1,
             }
-            self.recent.push_back(over);
-            if self.recent.len() > RECENT_MOVES {
+            self.recent.push_back(finished);
+            if self.recent.len() > MAX_RECENT_MOVES {
                 self.recent.pop_front();
             }
         }
         changed.then_some(stage)
     }
 
-    /// Leaves the machines alone that made a move fail: the next attempt would most likely end in
-    /// the same way.
-    fn cool_down_after(&mut self, now: Millis, over: &Move, reason: AbandonReason) {
+    /// Starts cooldowns of the machines that caused a move to fail, since another move from or to
+    /// them would most likely fail in the same way.
+    fn start_failure_cooldowns(&mut self, now: Millis, finished: &Move, reason: AbandonReason) {
         let cooldown_ms = self.limits.machine_cooldown_ms;
-        for task_move in &over.task_moves {
-            match reason.side() {
-                Some(Side::Source) => {
+        for task_move in &finished.task_moves {
+            match reason.faulty_side() {
+                Some(MoveSide::Source) => {
                     self.throttle.start_machine_cooldown(now, &task_move.source, cooldown_ms)
                 }
-                Some(Side::Target) => {
+                Some(MoveSide::Target) => {
                     self.throttle.start_machine_cooldown(now, &task_move.target, cooldown_ms)
                 }
                 None => {}
@@ -201,42 +203,42 @@
         }
     }
 
-    /// The moves under way.
+    /// Returns the moves in progress, in the order in which they began.
     pub fn moves(&self) -> &[Move] {
         &self.moves
     }
 
-    /// The last moves that are over.
+    /// Iterates over the last [`MAX_RECENT_MOVES`] finished moves, oldest first.
     pub fn recent(&self) -> impl Iterator<Item = &Move> {
         self.recent.iter()
     }
 
-    /// The moves of this term, counted.
+    /// Returns the numbers of moves since this balancer was created.
     pub fn counts(&self) -> MoveCounts {
         self.counts
     }
 
-    /// The spread of each pool, as last observed.
+    /// Returns the spread of each pool when last observed.
     pub fn spreads(&self) -> &BTreeMap<u32, Spread> {
         &self.spreads
     }
 
-    /// Machines over their bound, as last observed.
+    /// Returns the number of machines that were over their bound when last observed.
     pub fn over_bound(&self) -> usize {
         self.over_since.len()
     }
 
-    /// What moves keep free on a machine.
+    /// Returns the resources that moves reserve on a machine.
     pub fn reserved_on(&self, machine: &str) -> Resources {
         self.moves.iter().fold(Resources::default(), |sum, m| sum.plus(&m.reserved_on(machine)))
     }
 
-    /// Whether moves keep anything free on a machine, so that it is not idle.
+    /// Whether moves have reserved resources on a machine, which is then not idle.
     pub fn is_reserved(&self, machine: &str) -> bool {
         self.reserved_on(machine) != Resources::default()
     }
 
-    /// What moves will free on a machine.
+    /// Returns the resources on a machine that moves have yet to free by stopping tasks.
     pub fn leaving_from(&self, machine: &str) -> Resources {
         self.moves.iter().fold(Resources::default(), |sum, m| sum.plus(&m.leaving_from(machine)))
     }
--- a/crates/latchtrack-balance/src/constants.rs
+++ b/crates/latchtrack-balance/src/constants.rs
@@ -1,63 +1,63 @@
-//! Every constant of load balancing, each with its unit and its reason. Those that operators or
-//! tests may change are defaults of [`crate::balancer::MoveLimits`].
+//! Constants of load balancing. Those that operators or tests may change are the defaults of
+//! [`crate::balancer::MoveLimits`].
 
 use crate::Millis;
 
-/// What the most loaded machine of a pool may carry beside one task, in multiples of the mean load.
-/// Below this the gain of a move is within what tasks differ by anyway.
+/// Multiple of the mean load of a pool up to which a machine may be loaded, not counting one
+/// movable task. Below this, tasks differ from each other by more than a move would gain.
 pub const SPREAD_FACTOR: f64 = 1.25;
-/// ms that a machine must be over the bound before a task of it moves: longer than most tasks take
-/// to end by themselves, and than a burst of launches.
+/// ms for which a machine must be over its bound before a task is moved off it. Longer than most
+/// tasks run, and longer than a burst of launches lasts.
 pub const OVER_BOUND_MS: Millis = 10_000;
-/// ms that a task must have run before it may be moved: a start counts for the objective of its
-/// class only if the task is not stopped within 30 s of it.
+/// ms for which a task must have run before it may be moved. A start counts towards the objective
+/// of the task's class only if the task is not stopped within 30 s.
 pub const MIN_RUN_MS: Millis = 35_000;
-/// ms after a move in which the same task stays where it is.
+/// ms after a move begins during which the same task is not moved again.
 pub const TASK_COOLDOWN_MS: Millis = 120_000;
-/// ms between two moves from or to the same machine: its next heartbeat must show what the last one
-/// did.
+/// Minimum ms between two moves from or to the same machine, so that a heartbeat shows the effect
+/// of the first before the second is planned.
 pub const MACHINE_GAP_MS: Millis = 10_000;
-/// ms for which a machine that made a move fail takes part in no other: a partition or a pause of
-/// some seconds is over by then, and a machine that is really faulty has been given up.
+/// ms for which a machine that caused a move to fail takes part in no other move. A partition or a
+/// pause of a few seconds is over by then, and a faulty machine has been given up.
 pub const MACHINE_COOLDOWN_MS: Millis = 30_000;
-/// Moves started per minute in the whole cluster.
+/// Maximum number of moves that begin per minute in the whole cluster.
 pub const MOVES_PER_MINUTE: u32 = 30;
-/// The remaining run time of a task that is worth a move, in multiples of its cost.
+/// Minimum ratio of a task's remaining run time to the cost of its move.
 pub const MIN_REMAINING_TO_COST: f64 = 3.0;
-/// Machines with capacity that are compared as the target of a task: the least loaded ones, of
-/// which one is nearly always the best.
+/// Maximum number of machines with enough capacity that are compared as the target of a task. The
+/// least loaded ones are compared; one of them is nearly always the best.
 pub const MAX_TARGETS_COMPARED: usize = 8;
-/// s that a move costs beside saving and fetching: two heartbeats and the launch.
+/// s that a move takes in addition to saving and fetching: two heartbeats and the launch.
 pub const MOVE_OVERHEAD_S: f64 = 2.0;
-/// s that the fetch of an image is assumed to last if its size or the rate is unknown.
+/// s that the fetch of an image is assumed to take if its size or the fetch rate is unknown.
 pub const UNKNOWN_FETCH_S: f64 = 10.0;
-/// ms that a target is reserved until the stop has been sent, or until the launch after the stop.
+/// ms after which a move is abandoned if its stop has not been sent, or if its tasks have all
+/// stopped but have not been launched.
 pub const RESERVATION_TIMEOUT_MS: Millis = 10_000;
-/// ms beyond the time to save after which a stop has timed out, and the target is released.
+/// ms added to a task's save time to get the timeout of its stop. The targets are then released.
 pub const STOP_TIMEOUT_MARGIN_MS: Millis = 30_000;
-/// ms in which a moved task must be seen to run on its target.
+/// ms within which all launched tasks of a move must have been seen to run on their targets.
 pub const LAUNCH_TIMEOUT_MS: Millis = 60_000;
-/// Moves that are over and kept for the operator.
-pub const RECENT_MOVES: usize = 32;
+/// Number of finished moves that are kept for the status report.
+pub const MAX_RECENT_MOVES: usize = 32;
 
-/// Half-life in ms of the rate by which a burst is seen.
+/// Half-life in ms of the short-term arrival rate, which detects bursts.
 pub const BURST_HALF_LIFE_MS: Millis = 10_000;
-/// Half-life in ms of the rate by which a hot team is seen.
+/// Half-life in ms of the long-term arrival rate, which detects hot teams.
 pub const HOT_HALF_LIFE_MS: Millis = 60_000;
-/// What a team must ask for to turn hot, in multiples of its share of the cluster. It stays hot
-/// down to [`HOT_EXIT_FACTOR`], so that a team at the edge does not change with every job.
+/// Multiple of its share of the cluster that a team must ask for to become hot. It stays hot down
+/// to [`HOT_EXIT_FACTOR`], so that a team near the threshold does not change state with every job.
 pub const HOT_ENTER_FACTOR: f64 = 1.2;
-/// What a hot team asks for when it is no longer hot, in multiples of its share.
+/// Multiple of its share below which a hot team is no longer hot.
 pub const HOT_EXIT_FACTOR: f64 = 0.8;
 
-/// The most that the placement term adds to the score of a machine, in parts of the design's score
-/// of an empty cluster. The term orders machines that all have capacity; it never admits or
-/// excludes one.
+/// Maximum placement cost of a machine. The cost only orders machines that all have enough
+/// capacity; it never admits or excludes one.
 pub const MAX_PLACEMENT_COST: f64 = 1.0;
-/// Steps into which the placement term is divided: differences below a step leave the order to the
-/// score.
+/// Number of steps per unit to which a placement cost is rounded. Machines whose costs round to the
+/// same step are ordered by the scheduler's other criteria.
 pub const PLACEMENT_COST_STEPS: f64 = 10.0;
-/// Slack for sums of decimal amounts.
-pub const ROUNDING: f64 = 1e-6;
-/// ms in a minute, over which moves are counted.
+/// Tolerance for rounding errors when sums of resource amounts, loads or shares are compared.
+pub const ROUNDING_TOLERANCE: f64 = 1e-6;
+/// ms over which [`MOVES_PER_MINUTE`] counts moves.
 pub const MINUTE_MS: Millis = 60_000;
--- a/crates/latchtrack-balance/src/lib.rs
+++ b/crates/latchtrack-balance/src/lib.rs
@@ -1,11 +1,10 @@
-//! Load balancing for latchtrack: how evenly machines are loaded, which teams ask for more than
-//! their share, what a machine costs a task by the locality of its image and its load, and which
-//! running tasks should move.
-
+//! Load balancing for latchtrack: measures how evenly machines are loaded, detects teams that ask
+//! for more than their share, weighs image locality against load when a task is placed, and plans
+//! moves of running tasks.
 //!
-//! Pure and deterministic: no sockets, clocks, threads or random numbers. Time comes in as an
-//! argument. The crate decides and proposes; `latchtrack-core` launches, stops and checks the
-//! rules.
+//! The crate is pure and deterministic: it uses no sockets, clocks, threads or random numbers, and
+//! receives the time as an argument. It only proposes moves; `latchtrack-core` checks the
+//! placement rules, and stops and launches the tasks.
 
 #![deny(missing_docs)]
 
@@ -20,5 +19,5 @@
 pub mod spread;
 pub mod throttle;
 
-/// Milliseconds on the local steady clock.
+/// Milliseconds on the local monotonic clock.
 pub type Millis = u64;
--- a/crates/latchtrack-balance/src/moves.rs
+++ b/crates/latchtrack-balance/src/moves.rs
@@ -1,13 +1,13 @@
-//! The state machine of one move, from the reserved target to the task that runs there.
+//! The state machine of a move, from the reservation of its targets until its tasks run there.
 //!
 //! ```text
-//! Reserved --stop sent--> Stopping --all ended--> Ready --launched--> Launching --all run--> Settled
-//!     \_______________________\_____________________\___________________\--> Abandoned
+//! Reserved -stop sent-> Stopping -all ended-> Ready -launched-> Launching -all run-> Settled
+//!     \______________________\___________________\__________________\--> Abandoned
 //! ```
 //!
-//! A move owns nothing but the capacity that it reserves on its targets. The scheduler stops and
-//! launches by the heartbeats of the machines alone. A move that is abandoned, or lost with its
-//! leader, costs the task its place in the queue and nothing else.
+//! A move holds nothing but the capacity that it reserves on its targets. Whether its tasks have
+//! stopped or started is known only from the heartbeats of the machines. If a move is abandoned, or
+//! lost in a failover, its tasks lose at most their place in the queue.
 
 use std::fmt;
 use std::sync::Arc;
@@ -16,63 +16,63 @@
 use crate::resources::Resources;
 use crate::Millis;
 
-/// What moves as one: a task of an array, or all tasks of a gang.
+/// What is moved as a whole: a task of an array job, or all tasks of a gang.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MoveUnit {
-    /// The job.
+    /// Number of the job.
     pub job: u64,
-    /// None for a whole gang.
+    /// Index of the task in its job; `None` for a whole gang.
     pub task: Option<u32>,
 }
 
 impl MoveUnit {
-    /// Whether a task belongs to this unit.
+    /// Whether a task of a job belongs to this unit.
     pub fn covers(&self, job: u64, task: u32) -> bool {
         self.job == job && self.task.is_none_or(|own| own == task)
     }
 }
 
-/// One task of a move.
+/// The move of one task, as part of a [`Move`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskMove {
     /// Index of the task in its job.
     pub task: u32,
-    /// The machine that it leaves.
+    /// Name of the machine that the task leaves.
     pub source: Arc<str>,
-    /// The machine that it goes to.
+    /// Name of the machine that the task moves to.
     pub target: Arc<str>,
-    /// What it takes of either machine.
+    /// Resources that the task uses on either machine.
     pub demand: Resources,
-    /// Whether it is off its source, stopped and not completed.
+    /// Whether the task has stopped on its source without completing.
     pub ended: bool,
-    /// Whether it was seen to run on its target.
+    /// Whether the task has been seen to run on its target.
     pub running: bool,
 }
 
-/// How far a move has come.
+/// The stage of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveStage {
-    /// Capacity is reserved on every target; nothing has been stopped.
+    /// Capacity is reserved on every target; no task has been told to stop.
     Reserved,
-    /// The tasks were told to save their checkpoints and stop.
+    /// The tasks have been told to save their checkpoints and stop.
     Stopping,
-    /// All of them are off their sources.
+    /// All tasks have stopped on their sources.
     Ready,
-    /// They were launched on their targets.
+    /// The tasks have been launched on their targets.
     Launching,
-    /// They run there.
+    /// All tasks run on their targets.
     Settled,
-    /// The tasks run on where they are, or wait in the queue.
+    /// The move has failed. Its tasks keep running where they are, or wait in the queue.
     Abandoned(AbandonReason),
 }
 
 impl MoveStage {
-    /// Whether the move is over.
+    /// Whether the move is over, so that no event changes it any more.
     pub fn is_final(self) -> bool {
         matches!(self, MoveStage::Settled | MoveStage::Abandoned(_))
     }
 
-    /// Whether its targets are reserved: once the tasks are launched they use the capacity
+    /// Whether capacity is reserved on the targets. Tasks that have been launched use the capacity
     /// themselves.
     fn reserves_targets(self) -> bool {
         matches!(self, MoveStage::Reserved | MoveStage::Stopping | MoveStage::Ready)
@@ -82,48 +82,48 @@
 /// Why a move was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonReason {
-    /// A target takes no tasks any more: it is lost, silent, unreachable, slow, or to be
+    /// A target accepts no tasks: it is lost, silent, unreachable, slow, or about to be
     /// terminated.
     TargetLost,
-    /// A target has less free capacity than was reserved.
+    /// A target has too little free capacity, or the launch was not made in time.
     TargetFull,
-    /// The job may not start there, by its constraints on zones, types and spot machines.
+    /// The job's constraints on zones, machine types or spot machines rule out a target.
     ConstraintViolated,
-    /// Its team is at its limit.
+    /// The job's team is at its limit.
     TeamLimit,
-    /// A source is silent or to be terminated, which ends its tasks in another way.
+    /// A source is silent or about to be terminated, so its tasks end without this move.
     SourceLost,
-    /// The stop did not end in time.
+    /// The tasks did not stop in time.
     StopTimedOut,
-    /// The stop could not be sent.
+    /// The stop could not be requested, or was not requested in time.
     StopNotSent,
     /// The tasks were not seen to run in time.
     StartTimedOut,
-    /// The job is over, or its tasks are placed already.
+    /// The job is over, or a task is already placed on another machine.
     JobOver,
     /// A task completed before it stopped.
     Completed,
 }
 
-/// The machines at one end of a move.
+/// The source or the target machines of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum MoveSide {
     /// The machines that tasks leave.
     Source,
-    /// The machines that tasks go to.
+    /// The machines that tasks move to.
     Target,
 }
 
 impl AbandonReason {
-    /// The end whose machine made the move fail; None if it was the job or its team.
-    pub fn side(self) -> Option<Side> {
+    /// Returns the side whose machine caused the move to fail; `None` if the job or its team did.
+    pub fn faulty_side(self) -> Option<MoveSide> {
         match self {
             AbandonReason::SourceLost
             | AbandonReason::StopTimedOut
-            | AbandonReason::StopNotSent => Some(Side::Source),
+            | AbandonReason::StopNotSent => Some(MoveSide::Source),
             AbandonReason::TargetLost
             | AbandonReason::TargetFull
-            | AbandonReason::StartTimedOut => Some(Side::Target),
+            | AbandonReason::StartTimedOut => Some(MoveSide::Target),
             AbandonReason::ConstraintViolated
             | AbandonReason::TeamLimit
             | AbandonReason::JobOver
@@ -162,60 +162,61 @@
     }
 }
 
-/// An event of a move.
+/// An event that may change the stage of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveEvent {
-    /// Every task has been told to save its checkpoint and stop.
+    /// All tasks have been told to save their checkpoints and stop.
     StopSent,
-    /// A task is off its source, stopped and not completed.
+    /// A task has stopped on its source without completing.
     Ended {
-        /// Its index.
+        /// Index of the task in its job.
         task: u32,
     },
-    /// All tasks were launched on their targets, under a new attempt.
+    /// All tasks have been launched on their targets, as a new attempt.
     Launched,
-    /// A task was seen to run on its target.
+    /// A task has been seen to run on its target.
     Running {
-        /// Its index.
+        /// Index of the task in its job.
         task: u32,
     },
-    /// The move can't go on.
+    /// The move can't be continued.
     Failed(AbandonReason),
-    /// Time passes.
+    /// Time has passed: the stage may have timed out.
     Tick,
 }
 
 /// A move of a task or a whole gang.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Move {
-    /// What moves.
+    /// The task or gang that is moved.
     pub unit: MoveUnit,
-    /// Each of its tasks.
+    /// Moves of the individual tasks.
     pub task_moves: Vec<TaskMove>,
-    /// How far it has come.
+    /// Current stage.
     pub stage: MoveStage,
-    /// When it came to this stage, ms.
+    /// Time at which the current stage began, in ms.
     pub since: Millis,
-    /// ms that its tasks take to save their checkpoints.
+    /// ms that the tasks take to save their checkpoints.
     pub save_ms: Millis,
-    /// The load of the busiest source when it was planned, in parts of a machine.
+    /// Load of the source that the move was planned to relieve, as a share of the machine.
     pub load: f64,
-    /// The bound that the source was over.
+    /// Bound that the load of this source exceeded.
     pub bound: f64,
 }
 
 impl Move {
-    /// Takes in an event; returns whether the stage changed. An event that does not belong to the
-    /// stage, such as a repeated or late one, changes nothing.
+    /// Handles an event and returns whether the stage has changed. Events that do not apply to the
+    /// current stage, such as repeated or late ones, are ignored.
     pub fn handle(&mut self, now: Millis, event: MoveEvent) -> bool {
-        let before = self.stage;
+        let previous = self.stage;
         self.stage = self.next_stage(now, event);
-        if self.stage != before {
+        if self.stage != previous {
             self.since = now;
         }
-        self.stage != before
+        self.stage != previous
     }
 
+    /// Applies an event to the tasks of the move and returns the resulting stage.
     fn next_stage(&mut self, now: Millis, event: MoveEvent) -> MoveStage {
         match (self.stage, event) {
             (stage, _) if stage.is_final() => stage,
@@ -251,7 +252,7 @@
         }
     }
 
-    /// The stage after a tick: abandoned, if the present one has lasted too long.
+    /// Returns the stage after a tick: abandoned if the current stage has timed out.
     fn check_timeout(&self, now: Millis, stage: MoveStage) -> MoveStage {
         let (timeout_ms, reason) = match stage {
             MoveStage::Reserved => (RESERVATION_TIMEOUT_MS, AbandonReason::StopNotSent),
@@ -269,7 +270,7 @@
         }
     }
 
-    /// What is reserved on a machine for this move.
+    /// Returns the resources that this move reserves on a machine.
     pub fn reserved_on(&self, machine: &str) -> Resources {
         if !self.stage.reserves_targets() {
             return Resources::default();
@@ -278,7 +279,7 @@
         task_moves.fold(Resources::default(), |sum, task_move| sum.plus(&task_move.demand))
     }
 
-    /// What is still in use on a machine and will come free.
+    /// Returns the resources on a machine that this move has yet to free by stopping tasks.
     pub fn leaving_from(&self, machine: &str) -> Resources {
         if !matches!(self.stage, MoveStage::Reserved | MoveStage::Stopping) {
             return Resources::default();
@@ -290,7 +291,7 @@
         task_moves.fold(Resources::default(), |sum, task_move| sum.plus(&task_move.demand))
     }
 
-    /// The machines that take part.
+    /// Iterates over the sources and targets. A machine with several tasks is repeated.
     pub fn machines(&self) -> impl Iterator<Item = &Arc<str>> {
         self.task_moves.iter().flat_map(|task_move| [&task_move.source, &task_move.target])
     }
--- a/crates/latchtrack-balance/src/planner/candidates.rs
+++ b/crates/latchtrack-balance/src/planner/candidates.rs
@@ -1,12 +1,12 @@
-//! Which movables may move at all, and which machines are over their bound by them.
+//! Selects the movables that may be moved, and the machines that are over their bound.
 
 use std::collections::BTreeSet;
 
 use super::cluster_loads::ClusterLoads;
 use super::input::{Movable, PlanInput};
-use crate::constants::ROUNDING;
+use crate::constants::ROUNDING_TOLERANCE;
 
-/// The movables that may move at all, by the machines that their tasks are on.
+/// The movables that may be moved, indexed by the machines of their tasks.
 pub(super) struct Candidates<'a> {
     input: &'a PlanInput,
     loads: &'a ClusterLoads,
@@ -14,7 +14,7 @@
 }
 
 impl<'a> Candidates<'a> {
-    /// Of an input and the loads of its machines.
+    /// Selects the candidates from an input, given the loads of its machines.
     pub(super) fn of(input: &'a PlanInput, loads: &'a ClusterLoads) -> Self {
         let mut on_machine = vec![Vec::new(); input.machines.len()];
         for (index, movable) in input.movables.iter().enumerate() {
@@ -27,52 +27,54 @@
         Candidates { input, loads, on_machine }
     }
 
-    /// Indices of the candidates on a machine.
-    pub(super) fn on(&self, machine: usize) -> &[usize] {
+    /// Returns the indices of the candidates that have a task on a machine.
+    pub(super) fn on_machine(&self, machine: usize) -> &[usize] {
         &self.on_machine[machine]
     }
 
-    /// What a movable takes of a machine, in parts of it.
+    /// Returns the dominant share of a machine that a movable's tasks use there.
     pub(super) fn share(&self, movable: usize, machine: usize) -> f64 {
         let movable = &self.input.movables[movable];
         let tasks_here = movable.tasks.iter().filter(|(_, on)| *on == machine).count();
-        let of_one = movable.demand.dominant_share(&self.input.machines[machine].capacity);
-        of_one * tasks_here as f64
+        let task_share = movable.demand.dominant_share(&self.input.machines[machine].capacity);
+        task_share * tasks_here as f64
     }
 
-    /// The bound of a machine with respect to one movable there.
+    /// Returns the bound on the load of a machine with respect to a movable on it.
     pub(super) fn bound(&self, movable: usize, machine: usize) -> f64 {
         let pool = self.input.machines[machine].pool;
         self.loads.bound(pool, self.share(movable, machine))
     }
 }
 
-/// Whether a movable may move at all: its numbers are valid, its remaining time is worth the move,
-/// and all of it is in one pool, on machines that may give.
+/// Whether a movable may be moved: its numbers are valid, its remaining run time justifies the
+/// cost, and all its tasks are in one pool, on machines that may be sources.
 fn may_move(movable: &Movable, input: &PlanInput, loads: &ClusterLoads) -> bool {
     let times = [movable.save_s, movable.cost_s, movable.remaining_s];
     let is_valid = movable.demand.is_valid() && times.iter().all(|s| *s >= 0.0 && s.is_finite());
     let is_worth_it = movable.remaining_s >= input.min_remaining_to_cost * movable.cost_s;
-    let mut on = movable.tasks.iter().map(|(_, machine)| *machine);
-    let Some(first) = on.clone().next().and_then(|machine| input.machines.get(machine)) else {
+    let mut task_machines = movable.tasks.iter().map(|(_, machine)| *machine);
+    let Some(first) = task_machines.clone().next().and_then(|machine| input.machines.get(machine))
+    else {
         return false;
     };
     let may_leave = |index: usize| {
         let Some(machine) = input.machines.get(index) else { return false };
         machine.pool == first.pool && machine.may_be_source && loads.load(index).is_some()
     };
-    is_valid && is_worth_it && on.all(may_leave)
+    is_valid && is_worth_it && task_machines.all(may_leave)
 }
 
-/// Machines over their bound, by index in the input: those that have a task which may move, and
-/// carry more than the bound allows beside the smallest such task.
+/// Returns the indices of the machines that are over their bound. The bound is that with respect to
+/// the smallest candidate on the machine; a machine without candidates has none.
 pub fn over_bound(input: &PlanInput, loads: &ClusterLoads) -> BTreeSet<usize> {
     let candidates = Candidates::of(input, loads);
     let is_over_bound = |machine: &usize| {
-        let shares = candidates.on(*machine).iter().map(|i| candidates.share(*i, *machine));
+        let shares = candidates.on_machine(*machine).iter().map(|i| candidates.share(*i, *machine));
         let smallest = shares.fold(f64::INFINITY, f64::min);
         let bound = loads.bound(input.machines[*machine].pool, smallest);
-        smallest.is_finite() && loads.load(*machine).is_some_and(|load| load > bound + ROUNDING)
+        smallest.is_finite()
+            && loads.load(*machine).is_some_and(|load| load > bound + ROUNDING_TOLERANCE)
     };
     (0..input.machines.len()).filter(is_over_bound).collect()
 }
--- a/crates/latchtrack-balance/src/planner/input.rs
+++ b/crates/latchtrack-balance/src/planner/input.rs
@@ -1,4 +1,4 @@
-//! What a plan is made from.
+//! The input of the planner.
 
 use std::sync::Arc;
 
@@ -6,54 +6,55 @@
 use crate::resources::Resources;
 use crate::Millis;
 
-/// A machine, as far as its load is concerned.
+/// A machine with its load, and the parts that it may have in moves.
 #[derive(Clone, Debug)]
 pub struct MachineLoad {
-    /// Its name.
+    /// Name of the machine.
     pub name: Arc<str>,
-    /// Machines of one pool are alike in all that a job may ask for: see [`crate::spread`].
+    /// Number of the machine's pool; tasks move only within a pool. See [`crate::spread`].
     pub pool: u32,
-    /// What it has.
+    /// Total resources of the machine.
     pub capacity: Resources,
-    /// What its tasks use and what is reserved on it, without what is about to leave.
+    /// Resources that tasks use or moves reserve, without those that moves are about to free.
     pub used: Resources,
-    /// Whether tasks may move to it.
+    /// Whether tasks may be moved to it.
     pub may_be_target: bool,
-    /// Whether tasks may move from it.
+    /// Whether tasks may be moved off it.
     pub may_be_source: bool,
-    /// Whether it is to be relieved if it is over the bound.
+    /// Whether a move may be planned because this machine is over its bound.
     pub may_be_relieved: bool,
 }
 
 impl MachineLoad {
-    /// Its load, in parts of a machine; None if its amounts are invalid.
+    /// Returns the load, as a share of the machine; `None` if its resource amounts are invalid.
     pub fn load(&self) -> Option<f64> {
         let valid = self.used.is_valid() && self.capacity.is_valid();
         valid.then(|| self.used.dominant_share(&self.capacity)).filter(|load| load.is_finite())
     }
 }
 
-/// A running task, or the running tasks of a gang.
+/// A running task of an array job, or all running tasks of a gang, with the cost of moving it.
 #[derive(Clone, Debug)]
 pub struct Movable {
-    /// What would move.
+    /// The task or gang to move.
     pub unit: MoveUnit,
-    /// Each task with the index of its machine in the input.
+    /// Index of each task in its job, and that of its machine in [`PlanInput::machines`].
     pub tasks: Vec<(u32, usize)>,
-    /// What one task takes.
+    /// Resources that each task uses.
     pub demand: Resources,
     /// s that a task takes to save its checkpoint.
     pub save_s: f64,
-    /// s that the move takes in all.
+    /// s from the stop of a task until it runs on its target: saving, fetching and overhead.
     pub cost_s: f64,
-    /// s that it has still to run, by its owner's estimate.
+    /// s that a task still has to run, by its owner's estimate. If it is negative, the movable is
+    /// not moved.
     pub remaining_s: f64,
-    /// ms for which all of it has been seen to run.
+    /// ms for which all tasks have been seen to run.
     pub ran_ms: Millis,
 }
 
 impl Movable {
-    /// The machines of its tasks by index in the input, in rising order, each once.
+    /// Returns the indices of the machines of its tasks, sorted and without duplicates.
     pub fn machines(&self) -> Vec<usize> {
         let mut machines: Vec<usize> = self.tasks.iter().map(|(_, machine)| *machine).collect();
         machines.sort_unstable();
@@ -62,17 +63,17 @@
     }
 }
 
-/// What a plan is made from.
+/// The input of the planner: machines, movables and limits.
 #[derive(Clone, Debug, Default)]
 pub struct PlanInput {
-    /// All machines.
+    /// Machines of all pools.
     pub machines: Vec<MachineLoad>,
-    /// What may move.
+    /// Tasks and gangs that may be moved.
     pub movables: Vec<Movable>,
-    /// Moves that may begin.
+    /// Maximum number of moves in the plan.
     pub budget: usize,
-    /// The remaining run time that is worth a move, in multiples of its cost.
+    /// Minimum ratio of a movable's remaining run time to the cost of its move.
     pub min_remaining_to_cost: f64,
-    /// Whether a machine takes part in one move of the plan at most.
+    /// Whether each machine takes part in at most one move of the plan.
     pub once_per_machine: bool,
 }
--- a/crates/latchtrack-balance/src/planner/mod.rs
+++ b/crates/latchtrack-balance/src/planner/mod.rs
@@ -1,9 +1,10 @@
-//! Which running tasks should move, and where: a greedy plan, pool by pool.
+//! A greedy planner that decides which running tasks should move, and to which machines.
 //!
-//! The most loaded machine over its bound gives the task that costs least to the least loaded
-//! machine of the pool, until no machine is over its bound, nothing that may move improves
-//! anything, or the budget is used up. Every move of a plan leaves its source and its targets below
-//! what the source carried before, so a plan never raises the greatest load.
+//! Repeatedly, the task or gang that is cheapest to move is taken off the most loaded machine over
+//! its bound and placed on the least loaded machines of the same pool. The plan is complete when no
+//! machine is over its bound, no move would be an improvement, or the budget is used up. After each
+//! move its source and targets are less loaded than the source was before, so a plan never raises
+//! the greatest load.
 
 mod candidates;
 mod cluster_loads;
@@ -19,35 +20,35 @@
 use candidates::Candidates;
 use planned_loads::{LoadKey, PlannedLoads};
 
-use crate::constants::{MAX_TARGETS_COMPARED, ROUNDING};
+use crate::constants::{MAX_TARGETS_COMPARED, ROUNDING_TOLERANCE};
 use crate::moves::{MoveUnit, TaskMove};
 use crate::resources::Resources;
 
-/// A move that should begin.
+/// A move proposed by a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedMove {
-    /// What is to move.
+    /// The task or gang to move.
     pub unit: MoveUnit,
-    /// Each of its tasks.
+    /// Moves of the individual tasks.
     pub task_moves: Vec<TaskMove>,
-    /// s that its tasks take to save their checkpoints.
+    /// s that the tasks take to save their checkpoints.
     pub save_s: f64,
-    /// The load of its busiest source, in parts of a machine.
+    /// Load of the source that the move is meant to relieve, as a share of the machine.
     pub load: f64,
-    /// The bound that the source is over.
+    /// Bound that the load of this source exceeds.
     pub bound: f64,
 }
 
-/// The moves that should begin, and what it took to find them.
+/// The proposed moves, and the work that it took to find them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// The moves that should begin.
+    /// Proposed moves, in the order in which they were planned.
     pub moves: Vec<PlannedMove>,
-    /// Machines and tasks looked at.
+    /// Number of machines and movables examined, counting repetitions.
     pub steps: u64,
 }
 
-/// Makes a plan from an input and the loads of its machines. The same input gives the same plan.
+/// Makes a plan from an input and the loads of its machines. Equal inputs give equal plans.
 pub fn plan(input: &PlanInput, loads: &ClusterLoads) -> Plan {
     let mut planner = Planner::new(input, loads);
     let mut sources = planner.sources();
@@ -55,7 +56,8 @@
         let Some(source) = sources.pop() else { break };
         planner.plan.steps += 1;
         if source.load != planner.planned.load(source.machine) {
-            // It has changed since it was queued; its present load is queued as well.
+            // The load has changed since this entry was queued. If the machine may still be
+            // relieved, its current load has an entry of its own.
             continue;
         }
         let changed = planner.relieve(source.machine);
@@ -69,15 +71,15 @@
     planner.plan
 }
 
-/// A plan in the making.
+/// The state of a plan while it is made.
 struct Planner<'a> {
     input: &'a PlanInput,
     cluster_loads: &'a ClusterLoads,
     candidates: Candidates<'a>,
     planned: PlannedLoads<'a>,
-    /// Indices of the movables that this plan moves.
+    /// Indices of the movables that the plan already moves.
     moved: BTreeSet<usize>,
-    /// Machines that take part in no other move of this plan.
+    /// Indices of the machines that may take part in no further move of the plan.
     excluded: BTreeSet<usize>,
     plan: Plan,
 }
@@ -95,7 +97,7 @@
         }
     }
 
-    /// The machines that may be relieved, the most loaded on top.
+    /// Returns the machines that may be relieved, as a heap with the most loaded on top.
     fn sources(&self) -> BinaryHeap<LoadKey> {
         let machines = self.input.machines.iter().enumerate();
         machines
@@ -104,13 +106,13 @@
             .collect()
     }
 
-    /// Moves one task off a machine that is over its bound, the one that costs least. Returns the
-    /// machines whose load has changed: none if there is no task whose move is an improvement.
+    /// Plans the cheapest possible move off a machine that is over its bound. Returns the machines
+    /// whose loads have changed; none if no move would be an improvement.
     fn relieve(&mut self, machine: usize) -> Vec<usize> {
         let load = self.planned.load(machine);
         for movable in self.movables_by_cost(machine, load) {
             if let Some(targets) = self.find_targets(movable, load) {
-                self.commit(movable, machine, &targets);
+                self.add_move(movable, machine, &targets);
                 let mut changed = self.input.movables[movable].machines();
                 changed.extend(targets);
                 return changed;
@@ -119,15 +121,16 @@
         Vec::new()
     }
 
-    /// The movables by which a machine with this load is over its bound, the cheapest first.
+    /// Returns the movables on a machine with respect to which its load is over the bound, cheapest
+    /// first.
     fn movables_by_cost(&mut self, machine: usize, load: f64) -> Vec<usize> {
-        let on_machine = self.candidates.on(machine);
+        let on_machine = self.candidates.on_machine(machine);
         self.plan.steps += on_machine.len() as u64;
         let mut movables: Vec<usize> = on_machine
             .iter()
             .copied()
             .filter(|i| !self.moved.contains(i))
-            .filter(|i| load > self.candidates.bound(*i, machine) + ROUNDING)
+            .filter(|i| load > self.candidates.bound(*i, machine) + ROUNDING_TOLERANCE)
             .filter(|i| !self.has_excluded_machine(*i))
             .collect();
         movables.sort_by(|a, b| {
@@ -137,13 +140,13 @@
         movables
     }
 
-    /// Whether a machine of this movable takes part in another move already.
+    /// Whether a machine of this movable may take part in no further move.
     fn has_excluded_machine(&self, movable: usize) -> bool {
         let machines = self.input.movables[movable].machines();
         machines.iter().any(|machine| self.excluded.contains(machine))
     }
 
-    /// Leaves these machines out of the rest of the plan.
+    /// Excludes machines from further moves of the plan.
     fn exclude(&mut self, machines: &[usize]) {
         for machine in machines {
             self.excluded.insert(*machine);
@@ -151,8 +154,8 @@
         }
     }
 
-    /// A target for each task of a movable such that every one of them carries less afterwards than
-    /// `load`, which the source carries now. None if there is not one for each.
+    /// Returns a target for each task of a movable, such that the load of each target stays below
+    /// `load`, the current load of the source; `None` if a task has no such target.
     fn find_targets(&mut self, movable: usize, load: f64) -> Option<Vec<usize>> {
         let movable = &self.input.movables[movable];
         let sources: BTreeSet<usize> = movable.machines().into_iter().collect();
@@ -167,9 +170,9 @@
         Some(targets)
     }
 
-    /// The target on which one more task of a movable leaves the least load. `added` is what its
-    /// other tasks take already. A few of the least loaded machines are compared, since the
-    /// dominant share is not of the same resource everywhere.
+    /// Returns the target that has the lowest load with one more task of a movable added. `added`
+    /// is what the movable's other tasks already take of each target. Several machines are compared
+    /// because the least loaded one may have another dominant resource.
     fn best_target(
         &mut self,
         movable: &Movable,
@@ -192,7 +195,7 @@
             let added_here = added.get(&key.machine).copied().unwrap_or_default();
             let used = self.planned.used(key.machine).plus(&added_here).plus(&movable.demand);
             let after = LoadKey { load: used.dominant_share(capacity), machine: key.machine };
-            if after.load + ROUNDING < load && used.fits_in(capacity) {
+            if after.load + ROUNDING_TOLERANCE < load && used.fits_in(capacity) {
                 best = Some(best.map_or(after, |best| best.min(after)));
                 compared += 1;
             }
@@ -200,8 +203,9 @@
         best.map(|best| best.machine)
     }
 
-    /// Adds a move to the plan, for a movable on `source` with a target for each of its tasks.
-    fn commit(&mut self, movable: usize, source: usize, targets: &[usize]) {
+    /// Adds a move that relieves `source` to the plan. `targets` has one machine for each task of
+    /// the movable.
+    fn add_move(&mut self, movable: usize, source: usize, targets: &[usize]) {
         let bound = self.candidates.bound(movable, source);
         self.moved.insert(movable);
         let movable = &self.input.movables[movable];
--- a/crates/latchtrack-balance/src/planner/planned_loads.rs
+++ b/crates/latchtrack-balance/src/planner/planned_loads.rs
@@ -1,4 +1,4 @@
-//! What the machines use and carry by a plan in the making, and which of them may receive.
+//! The machines' resource use and loads after the moves planned so far, and the possible targets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,12 +6,12 @@
 use super::input::{MachineLoad, PlanInput};
 use crate::resources::Resources;
 
-/// A load with its machine, in the order of loads; equal loads in the order of machines.
+/// The load of a machine, ordered by load and then by the index of the machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct LoadKey {
-    /// In parts of a machine.
+    /// Load as a share of the machine.
     pub load: f64,
-    /// Index of the machine.
+    /// Index of the machine in the planner's input.
     pub machine: usize,
 }
 
@@ -29,18 +29,18 @@
     }
 }
 
-/// What each machine uses and carries by the plan so far.
+/// The resource use and the load of each machine after the moves planned so far.
 pub(super) struct PlannedLoads<'a> {
     input: &'a PlanInput,
     used: Vec<Resources>,
-    /// Infinite for machines with invalid amounts.
+    /// Load of each machine; infinite if its resource amounts are invalid.
     loads: Vec<f64>,
-    /// Machines of each pool that may receive, the least loaded first.
+    /// Possible targets in each pool, least loaded first.
     targets: BTreeMap<u32, BTreeSet<LoadKey>>,
 }
 
 impl<'a> PlannedLoads<'a> {
-    /// Before the first move.
+    /// Returns the state before the first move.
     pub(super) fn new(input: &'a PlanInput, cluster_loads: &ClusterLoads) -> Self {
         let mut targets: BTreeMap<u32, BTreeSet<LoadKey>> = BTreeMap::new();
         for (index, machine) in input.machines.iter().enumerate() {
@@ -58,27 +58,27 @@
         }
     }
 
-    /// The load of a machine, in parts of a machine.
+    /// Returns the load of a machine, as a share of it.
     pub(super) fn load(&self, machine: usize) -> f64 {
         self.loads[machine]
     }
 
-    /// The load of a machine with its index.
+    /// Returns the current load of a machine together with its index.
     pub(super) fn key(&self, machine: usize) -> LoadKey {
         LoadKey { load: self.loads[machine], machine }
     }
 
-    /// What a machine uses.
+    /// Returns the resources in use on a machine.
     pub(super) fn used(&self, machine: usize) -> Resources {
         self.used[machine]
     }
 
-    /// Machines of a pool that may receive, the least loaded first; None if there never was one.
+    /// Returns the possible targets of a pool, least loaded first; `None` if it never had any.
     pub(super) fn targets(&self, pool: u32) -> Option<&BTreeSet<LoadKey>> {
         self.targets.get(&pool)
     }
 
-    /// Takes a machine out of the targets.
+    /// Removes a machine from the possible targets.
     pub(super) fn exclude_target(&mut self, machine: usize) {
         let key = self.key(machine);
         if let Some(targets) = self.targets.get_mut(&self.input.machines[machine].pool) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Moves `demand` from one machine to another.
+    /// Moves `demand` from one machine to another and updates the order of the targets.
     pub(super) fn move_demand(&mut self, from: usize, to: usize, demand: &Resources) {
         self.set_used(from, self.used[from].minus(demand));
         self.set_used(to, self.used[to].plus(demand));
--- a/crates/latchtrack-balance/src/resources.rs
+++ b/crates/latchtrack-balance/src/resources.rs
@@ -1,26 +1,26 @@
-//! What a task takes of a machine, and what a machine has.
+//! Resource amounts, such as the demand of a task or the capacity of a machine.
 
-use crate::constants::ROUNDING;
+use crate::constants::ROUNDING_TOLERANCE;
 
-/// An amount of each resource that machines offer.
+/// An amount of each kind of resource that a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs; may be fractional.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs; may be fractional.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// Whether every amount is finite and not negative. Others come from faulty reports and are
-    /// left out of all sums.
+    /// Whether every amount is finite and not negative. Other amounts come from faulty reports and
+    /// are left out of all sums.
     pub fn is_valid(&self) -> bool {
-        self.each().iter().all(|amount| amount.is_finite() && *amount >= 0.0)
+        self.amounts().iter().all(|amount| amount.is_finite() && *amount >= 0.0)
     }
 
-    /// The sum of both.
+    /// Returns the sum of both amounts.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus + other.cpus,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What is left without `other`, never below 0.
+    /// Returns what remains after subtracting `other`, but at least 0 of each resource.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpus: (self.cpus - other.cpus).max(0.0),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds `times` times another amount to it.
+    /// Adds `times` times `other`.
     pub fn add_multiple(&mut self, other: &Resources, times: u32) {
         let times = f64::from(times);
         self.cpus += other.cpus * times;
@@ -46,7 +46,7 @@
         self.memory_gb += other.memory_gb * times;
     }
 
-    /// Takes `times` times another amount out of it; what is left may be negative.
+    /// Subtracts `times` times `other`. The result may be negative.
     pub fn subtract_multiple(&mut self, other: &Resources, times: u32) {
         let times = f64::from(times);
         self.cpus -= other.cpus * times;
@@ -54,21 +54,21 @@
         self.memory_gb -= other.memory_gb * times;
     }
 
-    /// Whether this is at most `available`, of each resource, but for rounding.
+    /// Whether no resource exceeds `available`, within [`ROUNDING_TOLERANCE`].
     pub fn fits_in(&self, available: &Resources) -> bool {
-        let mut pairs = self.each().into_iter().zip(available.each());
-        pairs.all(|(needed, available)| needed <= available + ROUNDING)
+        let mut pairs = self.amounts().into_iter().zip(available.amounts());
+        pairs.all(|(needed, available)| needed <= available + ROUNDING_TOLERANCE)
     }
 
-    /// The dominant share: the largest part of `capacity` that this takes of any resource. A
-    /// resource of which there is none does not count.
+    /// Returns the dominant share: the largest share of any one resource of `capacity`. Resources
+    /// of which there is no capacity are ignored.
     pub fn dominant_share(&self, capacity: &Resources) -> f64 {
-        let pairs = self.each().into_iter().zip(capacity.each());
+        let pairs = self.amounts().into_iter().zip(capacity.amounts());
         let shares = pairs.map(|(used, total)| if total > 0.0 { used / total } else { 0.0 });
         shares.fold(0.0, f64::max)
     }
 
-    fn each(&self) -> [f64; 3] {
+    fn amounts(&self) -> [f64; 3] {
         [self.cpus, self.gpus, self.memory_gb]
     }
 }
--- a/crates/latchtrack-balance/src/spread.rs
+++ b/crates/latchtrack-balance/src/spread.rs
@@ -1,34 +1,34 @@
-//! How evenly the machines of a pool are loaded.
+//! Measures how evenly the machines of a pool are loaded.
 //!
-//! A pool is a set of machines that are alike in everything a job may ask for: type, zone, spot or
-//! not. What may run on one of them may run on all, so a move within a pool breaks no rule about
-//! where a job may be.
+//! A pool is a set of machines that are alike in everything a job may ask for: type, zone, and spot
+//! or on-demand. A task that may run on one of them may run on all, so a move within a pool
+//! violates no placement constraint.
 //!
-//! The load of a machine is the dominant share of what its tasks use, a part of the machine from 0
-//! to 1. The spread of a pool is the greatest load over the mean load. The bound: a machine that
-//! has a task which may move carries at most [`SPREAD_FACTOR`] times the mean load of its pool plus
-//! the share of that task.
+//! The load of a machine is the dominant share of its capacity that its tasks use, from 0 to 1. The
+//! spread of a pool is the ratio of the greatest load to the mean load. The bound is the load that
+//! a machine with a movable task should not exceed: [`SPREAD_FACTOR`] times the mean load of its
+//! pool, plus the share of that task.
 //!
-//! Why the bound can be reached: let a machine carry `L > F * mean + s`, where `s` is the share of
-//! one of its tasks. The least loaded machine carries at most the mean, so with the task it carries
-//! less than `L`, and since machines of a pool are of one size and `L` is at most 1, the task fits
-//! there.
+//! The bound can be reached. Suppose a machine has the load `L > SPREAD_FACTOR * mean + s`, where
+//! `s` is the share of one of its tasks. The least loaded machine has at most the mean load, so its
+//! load with the task added is less than `L`. All machines of a pool have the same size and `L` is
+//! at most 1, so the task fits there.
 
 use crate::constants::SPREAD_FACTOR;
 
-/// The load of the machines of a pool.
+/// Summary of the loads of a pool's machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Spread {
-    /// The greatest load of a machine, in parts of a machine.
+    /// Greatest load of a machine, from 0 to 1.
     pub greatest: f64,
-    /// The mean load, in parts of a machine.
+    /// Mean load of the machines, from 0 to 1.
     pub mean: f64,
-    /// Machines counted.
+    /// Number of machines.
     pub machines: usize,
 }
 
 impl Spread {
-    /// The spread of these loads.
+    /// Computes the spread of these loads; all 0 if there are none.
     pub fn of(loads: impl IntoIterator<Item = f64>) -> Spread {
         let mut spread = Spread::default();
         let mut sum = 0.0;
@@ -43,7 +43,7 @@
         spread
     }
 
-    /// The greatest over the mean load; 1 for a pool without load.
+    /// Returns the ratio of the greatest load to the mean load; 1 for a pool without load.
     pub fn ratio(&self) -> f64 {
         if self.mean > 0.0 {
             self.greatest / self.mean
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The most that a machine may carry of which a task of this share may move.
+    /// Returns the bound on the load of a machine that has a movable task of this share.
     pub fn bound(&self, task_share: f64) -> f64 {
         SPREAD_FACTOR * self.mean + task_share
     }
