--- a/crates/latchtrack-balance/src/constants.rs
+++ b/crates/latchtrack-balance/src/constants.rs
@@ -6,8 +6,8 @@
 /// Multiple of the mean load of a pool up to which a machine may be loaded, not counting one
 /// movable task. Below this, tasks differ from each other by more than a move would gain.
 pub const SPREAD_FACTOR: f64 = 1.25;
-/// ms for which a machine must be over its bound before a task is moved off it. Longer than most
-/// tasks run, and longer than a burst of launches lasts.
+/// ms for which a machine must be over its bound before a task is moved off it. By then most tasks
+/// have ended by themselves, and a burst of launches is over.
 pub const OVER_BOUND_MS: Millis = 10_000;
 /// ms for which a task must have run before it may be moved. A start counts towards the objective
 /// of the task's class only if the task is not stopped within 30 s.
@@ -34,7 +34,8 @@
 /// ms after which a move is abandoned if its stop has not been sent, or if its tasks have all
 /// stopped but have not been launched.
 pub const RESERVATION_TIMEOUT_MS: Millis = 10_000;
-/// ms added to a task's save time to get the timeout of its stop. The targets are then released.
+/// ms added to the save time of a move's tasks to get the timeout of their stop, after which the
+/// targets are released.
 pub const STOP_TIMEOUT_MARGIN_MS: Millis = 30_000;
 /// ms within which all launched tasks of a move must have been seen to run on their targets.
 pub const LAUNCH_TIMEOUT_MS: Millis = 60_000;
@@ -54,8 +55,8 @@
 /// Maximum placement cost of a machine. The cost only orders machines that all have enough
 /// capacity; it never admits or excludes one.
 pub const MAX_PLACEMENT_COST: f64 = 1.0;
-/// Number of steps per unit to which a placement cost is rounded. Machines whose costs round to the
-/// same step are ordered by the scheduler's other criteria.
+/// Placement costs are rounded to multiples of 1 over this number. Machines with the same rounded
+/// cost are ordered by the scheduler's other criteria.
 pub const PLACEMENT_COST_STEPS: f64 = 10.0;
 /// Tolerance for rounding errors when sums of resource amounts, loads or shares are compared.
 pub const ROUNDING_TOLERANCE: f64 = 1e-6;
--- a/crates/latchtrack-balance/src/planner/input.rs
+++ b/crates/latchtrack-balance/src/planner/input.rs
@@ -6,7 +6,7 @@
 use crate::resources::Resources;
 use crate::Millis;
 
-/// A machine with its load, and the parts that it may have in moves.
+/// A machine with its load and its permitted roles in moves.
 #[derive(Clone, Debug)]
 pub struct MachineLoad {
     /// Name of the machine.
--- a/crates/latchtrack-balance/src/planner/mod.rs
+++ b/crates/latchtrack-balance/src/planner/mod.rs
@@ -140,7 +140,7 @@
         movables
     }
 
-    /// Whether a machine of this movable may take part in no further move.
+    /// Whether a machine of this movable is excluded from further moves.
     fn has_excluded_machine(&self, movable: usize) -> bool {
         let machines = self.input.movables[movable].machines();
         machines.iter().any(|machine| self.excluded.contains(machine))
--- a/crates/latchtrack-balance/src/resources.rs
+++ b/crates/latchtrack-balance/src/resources.rs
@@ -60,8 +60,8 @@
         pairs.all(|(needed, available)| needed <= available + ROUNDING_TOLERANCE)
     }
 
-    /// Returns the dominant share: the largest share of any one resource of `capacity`. Resources
-    /// of which there is no capacity are ignored.
+    /// Returns the dominant share: the largest share of `capacity` that this uses of any resource.
+    /// Resources of which there is no capacity are ignored.
     pub fn dominant_share(&self, capacity: &Resources) -> f64 {
         let pairs = self.amounts().into_iter().zip(capacity.amounts());
         let shares = pairs.map(|(used, total)| if total > 0.0 { used / total } else { 0.0 });
--- a/crates/latchtrack-balance/src/spread.rs
+++ b/crates/latchtrack-balance/src/spread.rs
@@ -4,10 +4,10 @@
 //! or on-demand. A task that may run on one of them may run on all, so a move within a pool
 //! violates no placement constraint.
 //!
-//! The load of a machine is the dominant share of its capacity that its tasks use, from 0 to 1. The
-//! spread of a pool is the ratio of the greatest load to the mean load. The bound is the load that
-//! a machine with a movable task should not exceed: [`SPREAD_FACTOR`] times the mean load of its
-//! pool, plus the share of that task.
+//! The load of a machine is the dominant share of its capacity that its tasks use, normally from 0
+//! to 1. The spread of a pool is the ratio of the greatest load to the mean load. The bound is the
+//! load that a machine with a movable task should not exceed: [`SPREAD_FACTOR`] times the mean load
+//! of its pool, plus the share of that task.
 //!
 //! The bound can be reached. Suppose a machine has the load `L > SPREAD_FACTOR * mean + s`, where
 //! `s` is the share of one of its tasks. The least loaded machine has at most the mean load, so its
@@ -19,9 +19,9 @@
 /// Summary of the loads of a pool's machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Spread {
-    /// Greatest load of a machine, from 0 to 1.
+    /// Greatest load of a machine, as a share of that machine.
     pub greatest: f64,
-    /// Mean load of the machines, from 0 to 1.
+    /// Mean load of the machines, as a share of a machine.
     pub mean: f64,
     /// Number of machines.
     pub machines: usize,
--- a/crates/latchtrack-balance/tests/balancer.rs
+++ b/crates/latchtrack-balance/tests/balancer.rs
@@ -19,7 +19,7 @@
     min_remaining_to_cost: 2.0,
 };
 
-/// The tasks of one CPU each that run on every machine of 16 CPUs.
+/// Machines of 16 CPUs. `units_on` holds the tasks on each of them, which use one CPU each.
 struct Fleet {
     units_on: Vec<Vec<MoveUnit>>,
 }
--- a/crates/latchtrack-balance/tests/planner.rs
+++ b/crates/latchtrack-balance/tests/planner.rs
@@ -130,7 +130,7 @@
         prop_assert_eq!(plan(&input), plan(&input.clone()));
     }
 
-    /// With enough budget, no machine stays over its bound with respect to a task that has not moved.
+    /// With enough budget, a plan leaves no machine over its bound with respect to unmoved tasks.
     #[test]
     fn with_enough_budget_array_tasks_come_within_the_bound(input in cluster()) {
         let mut input = input;
