--- a/crates/latchtrack-balance/src/fairness.rs
+++ b/crates/latchtrack-balance/src/fairness.rs
@@ -29,8 +29,8 @@
         finite_or_zero(self.guarantee).min(self.max_usable())
     }
 
-    /// Returns the team's weight when the rest is divided. A team without a guarantee weighs as much
-    /// as the team with the smallest guarantee.
+    /// Returns the team's weight when the rest is divided. A team without a guarantee has the same
+    /// weight as the team with the smallest guarantee.
     fn weight(&self, smallest_guarantee: f64) -> f64 {
         finite_or_zero(self.guarantee).max(smallest_guarantee)
     }
