--- a/crates/latchtrack-core/tests/common/mod.rs
+++ b/crates/latchtrack-core/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use latchtrack_core::scheduler::*;
 
 /// The worker lease, ms.
-pub const LEASE: u64 = 24_000;
+pub const WORKER_LEASE_MS: u64 = 24_000;
 
 /// A policy with one team, `t`, that has neither limit nor guarantee.
 pub fn policy() -> Policy {
@@ -28,7 +28,7 @@
         heartbeat_timeout_ms: 12_000,
         reconcile_timeout_ms: 9_000,
         heartbeat_interval_ms: 3_000,
-        worker_lease_ms: LEASE,
+        worker_lease_ms: WORKER_LEASE_MS,
         list_lag_ms: 3_000,
         max_open_calls: 64,
         value_bytes: 4_096,
@@ -58,7 +58,7 @@
 }
 
 /// The name of a machine.
-pub fn name(number: u64) -> String {
+pub fn machine_name(number: u64) -> String {
     format!("n-{number:06}")
 }
 
@@ -102,11 +102,11 @@
 /// The stored machine set of these machines, in one value.
 pub fn stored_set(numbers: std::ops::Range<u64>) -> Vec<StoredMachineSet> {
     let machine = |number| StoredMachine {
-        name: name(number),
+        name: machine_name(number),
         machine_type: "g".into(),
         zone: "a".into(),
         spot: true,
-        addr: name(number),
+        addr: machine_name(number),
     };
     let machines = Some(numbers.map(machine).collect());
     vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
@@ -115,8 +115,8 @@
 /// A heartbeat of a spot machine in zone `a`, in its first agent epoch.
 pub fn heartbeat(number: u64, sequence: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
-        machine: name(number),
-        addr: name(number),
+        machine: machine_name(number),
+        addr: machine_name(number),
         machine_type: "g".into(),
         zone: "a".into(),
         spot: true,
@@ -175,7 +175,7 @@
 }
 
 /// ms after which direct calls end in [`tick_until`].
-const CALL_MS: u64 = 1_000;
+const CALL_DURATION_MS: u64 = 1_000;
 
 /// A direct call that has not ended.
 struct OpenCall {
@@ -207,7 +207,7 @@
         let effects = scheduler.handle(now, Event::Tick);
         for effect in &effects {
             if let Effect::CallWorker { machine, call, .. } = effect {
-                let (ends_at, machine, call) = (now + CALL_MS, machine.clone(), *call);
+                let (ends_at, machine, call) = (now + CALL_DURATION_MS, machine.clone(), *call);
                 open.push(OpenCall { ends_at, machine, call });
             }
         }
@@ -227,8 +227,8 @@
 }
 
 /// Whether all runs on a machine have ended, as far as the scheduler knows.
-pub fn has_only_ended(scheduler: &Scheduler, number: u64) -> bool {
-    let mut runs = scheduler.machines()[&name(number)].runs.values();
+pub fn all_runs_ended(scheduler: &Scheduler, number: u64) -> bool {
+    let mut runs = scheduler.machines()[&machine_name(number)].runs.values();
     runs.all(|run| matches!(run.phase, TaskPhase::Ended(_)))
 }
 
@@ -245,6 +245,6 @@
 
 /// A machine type that no zone offers any more: while something can be provisioned, a job reserves
 /// no machines.
-pub fn types_out_of_stock() -> Vec<MachineType> {
+pub fn types_without_zones() -> Vec<MachineType> {
     vec![MachineType { zones: Vec::new(), ..types().remove(0) }]
 }
--- a/crates/latchtrack-core/tests/common/site.rs
+++ b/crates/latchtrack-core/tests/common/site.rs
@@ -13,7 +13,7 @@
 
 /// The fencing token of the first leader.
 pub const TOKEN: u64 = 7;
-/// ms of a step of [`Site::pass`].
+/// ms of a step of [`Cluster::advance_time`].
 const STEP_MS: u64 = 200;
 /// ms between two heartbeats of each machine.
 const HEARTBEAT_MS: u64 = 1_000;
@@ -21,7 +21,7 @@
 const MAX_CHANGES: usize = 8;
 
 /// A leader with machines of eight CPUs. Times are in ms; machines are named by their numbers.
-pub struct Site {
+pub struct Cluster {
     /// The scheduler of the term.
     pub leader: Scheduler,
     /// The time.
@@ -35,9 +35,9 @@
     /// Launches that machines executed: machine, task and attempt.
     pub launches: Vec<(u64, TaskId, u64)>,
     /// Machines that responses and commands do not reach.
-    pub deaf: BTreeSet<u64>,
+    pub inbound_lost: BTreeSet<u64>,
     /// Preemption notices of machines, in seconds.
-    pub notice: BTreeMap<u64, f64>,
+    pub preemption_notices: BTreeMap<u64, f64>,
     /// All writes of the leader.
     pub writes: Vec<RecordWrite>,
     /// Offers that machines were asked for.
@@ -49,15 +49,15 @@
     /// The agent epoch of each machine.
     pub agent_epoch: BTreeMap<u64, u64>,
     /// When the last heartbeat of each machine that got its response was sent.
-    pub lease_from: BTreeMap<u64, u64>,
+    pub lease_renewed_at: BTreeMap<u64, u64>,
     /// Terminations are executed and confirmed.
-    pub deletes: bool,
+    pub confirms_terminations: bool,
     /// Machines that reject every launch for insufficient resources.
-    pub refusing: BTreeSet<u64>,
+    pub rejecting_launches: BTreeSet<u64>,
     /// Times at which a task started on one machine while it was on another.
-    pub ran_twice: Vec<String>,
+    pub concurrent_runs: Vec<String>,
     /// Log lines of the leader.
-    pub notes: Vec<String>,
+    pub log_lines: Vec<String>,
 }
 
 /// Even machines are in zone a, odd ones in zone b.
@@ -66,13 +66,13 @@
 }
 
 /// The stored set of on-demand machines with numbers below this.
-fn stored(machines: u64) -> Vec<StoredMachineSet> {
+fn stored_on_demand_set(machines: u64) -> Vec<StoredMachineSet> {
     let machine = |i| StoredMachine {
-        name: name(i),
+        name: machine_name(i),
         machine_type: "g".into(),
         zone: zone_of(i).into(),
         spot: false,
-        addr: name(i),
+        addr: machine_name(i),
     };
     let machines = Some((0..machines).map(machine).collect());
     vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
@@ -82,34 +82,34 @@
 pub fn new_leader(machines: u64, token: u64, policy: Policy, now: u64) -> Scheduler {
     let types = vec![machine_type(vec!["a".into(), "b".into()])];
     let revisions = TermRevisions { token, leaderless_since: token };
-    Scheduler::new(policy, revisions, types, stored(machines), Vec::new(), now)
+    Scheduler::new(policy, revisions, types, stored_on_demand_set(machines), Vec::new(), now)
 }
 
-impl Site {
+impl Cluster {
     /// So many machines, all up and reconciled.
-    pub fn new(machines: u64, policy: Policy) -> Site {
-        let mut site = Site {
+    pub fn new(machines: u64, policy: Policy) -> Cluster {
+        let mut cluster = Cluster {
             leader: new_leader(machines, TOKEN, policy, 1_000),
             now: 1_000,
             tasks: (0..machines).map(|i| (i, BTreeMap::new())).collect(),
             sequence: 0,
             stops: Vec::new(),
             launches: Vec::new(),
-            deaf: BTreeSet::new(),
-            notice: BTreeMap::new(),
+            inbound_lost: BTreeSet::new(),
+            preemption_notices: BTreeMap::new(),
             writes: Vec::new(),
             provisions: Vec::new(),
             no_capacity: false,
             silent: BTreeSet::new(),
             agent_epoch: (0..machines).map(|i| (i, 1)).collect(),
-            lease_from: (0..machines).map(|i| (i, 1_000)).collect(),
-            deletes: false,
-            refusing: BTreeSet::new(),
-            ran_twice: Vec::new(),
-            notes: Vec::new(),
+            lease_renewed_at: (0..machines).map(|i| (i, 1_000)).collect(),
+            confirms_terminations: false,
+            rejecting_launches: BTreeSet::new(),
+            concurrent_runs: Vec::new(),
+            log_lines: Vec::new(),
         };
-        site.report_all();
-        site
+        cluster.send_all_heartbeats();
+        cluster
     }
 
     /// A job is opened now.
@@ -120,11 +120,11 @@
             revision: self.leader.token() + 1,
             done: None,
         };
-        self.drive(event);
+        self.handle_event(event);
     }
 
     /// Hands an event to the leader and carries out its effects.
-    pub fn drive(&mut self, event: Event) {
+    pub fn handle_event(&mut self, event: Event) {
         let reporting = match &event {
             Event::Heartbeat(report) => Some(report.machine.clone()),
             _ => None,
@@ -137,31 +137,31 @@
                 }
                 Effect::CallWorker { machine, call, commands, .. } => {
                     let outcome = if self.execute(&machine, &commands) {
-                        CallOutcome::Executed(self.report_of(number(&machine)))
+                        CallOutcome::Executed(self.next_heartbeat(machine_number(&machine)))
                     } else {
                         CallOutcome::NoAnswer
                     };
-                    self.drive(Event::CallFinished { machine, call, outcome });
+                    self.handle_event(Event::CallFinished { machine, call, outcome });
                 }
                 Effect::Provision { request_id, offer, .. } => {
                     self.provisions.push(offer);
                     if self.no_capacity {
-                        self.drive(Event::ProvisionFinished {
+                        self.handle_event(Event::ProvisionFinished {
                             request_id,
                             outcome: ProvisionOutcome::NoCapacity,
                         });
                     }
                 }
-                Effect::Terminate(names) if self.deletes => {
+                Effect::Terminate(names) if self.confirms_terminations => {
                     for name in &names {
-                        self.tasks.remove(&number(name));
+                        self.tasks.remove(&machine_number(name));
                     }
-                    self.drive(Event::TerminateFinished {
+                    self.handle_event(Event::TerminateFinished {
                         names,
                         outcome: TerminateOutcome::Terminated,
                     });
                 }
-                Effect::Log(event) => self.notes.push(event.to_string()),
+                Effect::Log(event) => self.log_lines.push(event.to_string()),
                 _ => {}
             }
         }
@@ -169,12 +169,12 @@
 
     /// A machine executes commands; returns whether they reached it.
     pub fn execute(&mut self, machine: &str, commands: &[Command]) -> bool {
-        let i = number(machine);
-        if self.deaf.contains(&i) || self.silent.contains(&i) {
+        let i = machine_number(machine);
+        if self.inbound_lost.contains(&i) || self.silent.contains(&i) {
             return false;
         }
-        self.check_starts(i, commands);
-        let rejects = self.refusing.contains(&i);
+        self.record_concurrent_runs(i, commands);
+        let rejects = self.rejecting_launches.contains(&i);
         let Some(tasks) = self.tasks.get_mut(&i) else { return false };
         for command in commands {
             match *command {
@@ -208,7 +208,7 @@
     }
 
     /// The next heartbeat of a machine.
-    pub fn report_of(&mut self, i: u64) -> Heartbeat {
+    pub fn next_heartbeat(&mut self, i: u64) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks[&i].iter().map(|((task, attempt), phase)| TaskStatus {
             task: *task,
@@ -216,33 +216,33 @@
             phase: *phase,
         });
         Heartbeat {
-            machine: name(i),
-            addr: name(i),
+            machine: machine_name(i),
+            addr: machine_name(i),
             machine_type: "g".into(),
             zone: zone_of(i).into(),
             spot: false,
             agent_epoch: self.agent_epoch[&i],
             sequence: self.sequence,
             token: self.leader.token(),
-            notice_s: self.notice.get(&i).copied(),
+            notice_s: self.preemption_notices.get(&i).copied(),
             tasks: tasks.collect(),
         }
     }
 
     /// A machine heartbeats, unless it is silent.
-    pub fn report(&mut self, i: u64) {
+    pub fn send_heartbeat(&mut self, i: u64) {
         if self.silent.contains(&i) || !self.tasks.contains_key(&i) {
             return;
         }
-        let heartbeat = self.report_of(i);
-        self.drive(Event::Heartbeat(heartbeat));
-        if !self.deaf.contains(&i) {
-            self.lease_from.insert(i, self.now);
+        let heartbeat = self.next_heartbeat(i);
+        self.handle_event(Event::Heartbeat(heartbeat));
+        if !self.inbound_lost.contains(&i) {
+            self.lease_renewed_at.insert(i, self.now);
         }
     }
 
     /// The referee: no task starts while it is on another machine.
-    fn check_starts(&mut self, machine: u64, commands: &[Command]) {
+    fn record_concurrent_runs(&mut self, machine: u64, commands: &[Command]) {
         for command in commands {
             let Command::Launch { task, attempt } = command else { continue };
             let is_new = !self.tasks[&machine].contains_key(&(*task, *attempt));
@@ -252,16 +252,16 @@
             });
             if let (true, Some((other, _))) = (is_new, elsewhere) {
                 let text = format!("{task} on {other} and {machine} at {}", self.now);
-                self.ran_twice.push(text);
+                self.concurrent_runs.push(text);
             }
         }
     }
 
     /// Machines whose lease has expired lose what they run.
-    fn end_leases(&mut self) {
-        for (i, from) in self.lease_from.clone() {
-            if self.now > from + LEASE {
-                self.lease_from.insert(i, self.now);
+    fn expire_leases(&mut self) {
+        for (i, from) in self.lease_renewed_at.clone() {
+            if self.now > from + WORKER_LEASE_MS {
+                self.lease_renewed_at.insert(i, self.now);
                 *self.agent_epoch.entry(i).or_default() += 1;
                 if let Some(tasks) = self.tasks.get_mut(&i) {
                     tasks.clear();
@@ -271,33 +271,33 @@
     }
 
     /// All machines heartbeat.
-    pub fn report_all(&mut self) {
+    pub fn send_all_heartbeats(&mut self) {
         for i in self.tasks.keys().copied().collect::<Vec<_>>() {
-            self.report(i);
+            self.send_heartbeat(i);
         }
     }
 
     /// Lets time pass, with heartbeats and writes.
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance_time(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += STEP_MS;
-            self.end_leases();
-            self.drive(Event::Tick);
+            self.expire_leases();
+            self.handle_event(Event::Tick);
             if self.now % HEARTBEAT_MS == 0 {
-                self.report_all();
+                self.send_all_heartbeats();
             }
             let writes = self.leader.next_writes(self.now, MAX_CHANGES);
             if !writes.is_empty() {
                 self.writes.extend(writes.clone());
                 let outcome = BatchOutcome::Committed(self.now);
-                self.drive(Event::WritesFinished { writes, outcome });
+                self.handle_event(Event::WritesFinished { writes, outcome });
             }
         }
     }
 
     /// Sets the phase of a job's live tasks, all of them or some.
-    pub fn set(&mut self, id: u64, phase: TaskPhase, which: impl Fn(u32) -> bool) {
+    pub fn set_phase(&mut self, id: u64, phase: TaskPhase, which: impl Fn(u32) -> bool) {
         for tasks in self.tasks.values_mut() {
             for ((task, _), p) in tasks.iter_mut() {
                 let live = !matches!(p, TaskPhase::Ended(_));
@@ -309,7 +309,7 @@
     }
 
     /// Number of live tasks of a job on the machines, by attempt.
-    pub fn live(&self, id: u64) -> BTreeMap<u64, usize> {
+    pub fn live_by_attempt(&self, id: u64) -> BTreeMap<u64, usize> {
         let mut live = BTreeMap::new();
         for ((task, attempt), phase) in self.tasks.values().flatten() {
             if task.job == JobId(id) && !matches!(phase, TaskPhase::Ended(_)) {
@@ -320,12 +320,12 @@
     }
 
     /// The state of a gang's attempt, as the leader has it.
-    pub fn state(&self, id: u64) -> AttemptState {
+    pub fn attempt_state(&self, id: u64) -> AttemptState {
         self.leader.attempt_state(&self.leader.jobs()[&JobId(id)])
     }
 }
 
 /// The number of a machine with this name.
-pub fn number(machine: &str) -> u64 {
+pub fn machine_number(machine: &str) -> u64 {
     machine[2..].parse().expect("a name as `n-000001`")
 }
--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -11,7 +11,7 @@
 use latchtrack_core::scheduler::*;
 
 #[test]
-fn an_inherited_job_waits_until_every_machine_carries_the_token() {
+fn inherited_jobs_wait_until_every_machine_is_reconciled() {
     let mut scheduler =
         Scheduler::new(policy(), TERM, types(), stored_set(0..2), Vec::new(), 1_000);
     let job = |id, revision| job_opened(id, 2, revision);
@@ -42,7 +42,7 @@
     let effects = scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     assert_eq!(launches(&effects), 8);
     let ended = |scheduler: &Scheduler| -> Vec<TaskStatus> {
-        let runs = scheduler.machines()[&name(0)].runs.values();
+        let runs = scheduler.machines()[&machine_name(0)].runs.values();
         runs.map(|run| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) })
             .collect()
     };
@@ -76,7 +76,7 @@
 fn runs_of_an_earlier_leader_do_not_make_machines_look_slow() {
     let mut scheduler = busy_fleet(4);
     let end = |scheduler: &Scheduler, i: u64| -> Vec<TaskStatus> {
-        let runs = scheduler.machines()[&name(i)].runs.values();
+        let runs = scheduler.machines()[&machine_name(i)].runs.values();
         runs.map(|run| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) })
             .collect()
     };
@@ -88,21 +88,21 @@
     assert_eq!(scheduler.jobs()[&JobId(1)].run_times, RunTimes::default());
     let tasks = end(&scheduler, 3);
     scheduler.handle(30_000, Event::Heartbeat(heartbeat(3, 2, 7, tasks)));
-    assert_eq!(scheduler.machines()[&name(3)].consecutive_slow_tasks, 0);
+    assert_eq!(scheduler.machines()[&machine_name(3)].consecutive_slow_tasks, 0);
 }
 
 /// Found in review: a new leader counted deadlines from when it first saw a job, not from when the
 /// user submitted it, so that after a failover the oldest looked as good as new.
 #[test]
-fn deadlines_count_from_the_submission_whoever_leads() {
+fn deadlines_count_from_submission_after_a_failover() {
     let mut scheduler =
         Scheduler::new(policy(), TERM, types(), stored_set(0..1), Vec::new(), 100_000);
-    let due = |id, deadline_s, submitted_at| {
+    let job_with_deadline = |id, deadline_s, submitted_at| {
         let spec = JobSpec { deadline_s: Some(deadline_s), ..(*spec(id, 2)).clone() };
         Event::JobOpened { spec: Arc::new(spec), submitted_at, revision: 8, done: None }
     };
-    scheduler.handle(100_000, due(1, 60.0, 99_000));
-    scheduler.handle(100_000, due(2, 90.0, 20_000));
+    scheduler.handle(100_000, job_with_deadline(1, 60.0, 99_000));
+    scheduler.handle(100_000, job_with_deadline(2, 90.0, 20_000));
     scheduler.handle(100_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     let placed = |id| scheduler.jobs()[&JobId(id)].placed.len();
     assert_eq!((placed(1), placed(2)), (0, 2), "due at 159 s and at 110 s");
@@ -111,7 +111,7 @@
 /// A value of the machine set that can't be read may hold any machine: what an earlier leader may
 /// have launched waits until every lease of then has run out.
 #[test]
-fn a_garbled_machine_set_holds_inherited_jobs_for_a_lease() {
+fn an_unreadable_machine_set_blocks_inherited_jobs_for_a_lease() {
     let mut stored = stored_set(0..1);
     stored.push(StoredMachineSet { name: "3-2".into(), revision: 5, machines: None });
     let mut scheduler =
@@ -127,7 +127,7 @@
             first.get_or_insert(now);
         }
     }
-    assert!(first.is_some_and(|at| at > 1_000 + LEASE), "{first:?}");
+    assert!(first.is_some_and(|at| at > 1_000 + WORKER_LEASE_MS), "{first:?}");
     let writes = scheduler.next_writes(70_000, 8);
     let drops = |write: &RecordWrite| match write {
         RecordWrite::MachineSet { shard, machines } => shard.name == "3-2" && machines.is_empty(),
@@ -138,7 +138,7 @@
 
 /// What was accepted while nobody led can't have been launched, and need not wait for the fleet.
 #[test]
-fn a_job_accepted_while_nobody_led_starts_before_the_fleet_is_reconciled() {
+fn a_job_accepted_without_a_leader_starts_before_reconciliation() {
     let revisions = TermRevisions { token: 7, leaderless_since: 5 };
     let mut scheduler = Scheduler::new(
         long_idle_timeout(),
@@ -160,7 +160,7 @@
 /// launched again, none of which was then ever forgotten; after a cut the heartbeats of a machine grew
 /// without end.
 #[test]
-fn a_probe_without_an_answer_keeps_no_run_from_being_forgotten() {
+fn unanswered_probes_do_not_keep_runs_from_being_forgotten() {
     let forgets = |commands: bool| {
         let mut scheduler =
             Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..1), Vec::new(), 1_000);
@@ -176,7 +176,7 @@
         }
         // Launched by the answer or by a direct call; in either case the next call is lost.
         let running = |scheduler: &Scheduler, phase| -> Vec<TaskStatus> {
-            let runs = scheduler.machines()[&name(0)].runs.values();
+            let runs = scheduler.machines()[&machine_name(0)].runs.values();
             runs.map(|run| TaskStatus { phase, ..status_of(run) }).collect()
         };
         tick_until(&mut scheduler, 1_300, 9_000, &CallOutcome::NoAnswer);
--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_large_job_on_a_few_faulty_machines_is_not_quarantined() {
     let phases = |scheduler: &Scheduler, i: u64, phase| -> Vec<TaskStatus> {
-        let runs = scheduler.machines()[&name(i)].runs.values();
+        let runs = scheduler.machines()[&machine_name(i)].runs.values();
         runs.map(|run| TaskStatus { phase, ..status_of(run) }).collect()
     };
     let run = |tasks: u32| {
@@ -33,8 +33,10 @@
         scheduler.handle(1_100, job);
         scheduler.handle(1_300, Event::Tick);
         // All its tasks on three of its machines fail.
-        let on: Vec<u64> =
-            (0..20).filter(|i| !scheduler.machines()[&name(*i)].runs.is_empty()).take(3).collect();
+        let on: Vec<u64> = (0..20)
+            .filter(|i| !scheduler.machines()[&machine_name(*i)].runs.is_empty())
+            .take(3)
+            .collect();
         for i in on {
             let failed = phases(&scheduler, i, TaskPhase::Ended(ExitCause::Failed));
             scheduler.handle(2_000, Event::Heartbeat(heartbeat(i, 2, 7, failed)));
@@ -43,7 +45,7 @@
     };
     let mut large = run(30);
     // Three failures say nothing once others are seen to run for longer.
-    let rest: Vec<u64> = (0..20).filter(|i| !has_only_ended(&large, *i)).collect();
+    let rest: Vec<u64> = (0..20).filter(|i| !all_runs_ended(&large, *i)).collect();
     for (sequence, now) in [(3, 2_500), (4, 6_000)] {
         for i in &rest {
             let running = phases(&large, *i, TaskPhase::Running);
@@ -61,7 +63,7 @@
 /// met on the same machines, which then counted as faulty and went back with what else ran there;
 /// and every minute all their tasks were launched again.
 #[test]
-fn two_broken_arrays_over_the_same_machines_lose_none_of_them() {
+fn two_failing_arrays_do_not_mark_sound_machines_as_faulty() {
     let machines = 20u64;
     let mut scheduler = Scheduler::new(
         long_idle_timeout(),
@@ -71,14 +73,14 @@
         Vec::new(),
         1_000,
     );
-    let mut seqs = vec![1; machines as usize];
+    let mut sequences = vec![1; machines as usize];
     let job = |id, tasks, at| Event::JobOpened {
         spec: spec(id, tasks),
         submitted_at: at,
         revision: 8,
         done: None,
     };
-    let (mut failed, mut gone, mut good_done) = (0, Vec::new(), 0);
+    let (mut failed, mut marked_faulty, mut good_done) = (0, Vec::new(), 0);
     let mut running: std::collections::BTreeMap<(TaskId, u64), u64> = Default::default();
     for step in 0..1_200u64 {
         let now = 1_000 + step * 500;
@@ -90,8 +92,8 @@
         }
         let mut effects = scheduler.handle(now, Event::Tick);
         for i in 0..machines {
-            seqs[i as usize] += 1;
-            let runs = scheduler.machines()[&name(i)].runs.clone();
+            sequences[i as usize] += 1;
+            let runs = scheduler.machines()[&machine_name(i)].runs.clone();
             let tasks = runs.iter().map(|(key, run)| {
                 let phase = match run.phase {
                     TaskPhase::Assigned | TaskPhase::Fetching if key.0.job.0 < 3 => {
@@ -110,16 +112,16 @@
                 };
                 TaskStatus { phase, ..status_of(run) }
             });
-            let heartbeat = heartbeat(i, seqs[i as usize], 7, tasks.collect());
+            let heartbeat = heartbeat(i, sequences[i as usize], 7, tasks.collect());
             effects.extend(scheduler.handle(now, Event::Heartbeat(heartbeat)));
         }
         for effect in &effects {
             if let Effect::Log(LogEvent::MachineFailsJobs { machine }) = effect {
-                gone.push(machine.clone());
+                marked_faulty.push(machine.clone());
             }
         }
     }
-    assert_eq!(gone, Vec::<String>::new(), "sound machines went back");
+    assert_eq!(marked_faulty, Vec::<String>::new(), "sound machines went back");
     // Those on their way when the third machine failed, then one a minute at most.
     assert!(failed < 2 * 40 + 2 * 20, "{failed} failed starts");
     assert!(good_done >= 8 * 28, "{good_done} tasks of good jobs done");
@@ -128,12 +130,12 @@
 /// A good job whose first tasks all met faulty machines is tried where others succeed, and then
 /// goes on whole; what it suffered speaks against those machines.
 #[test]
-fn a_good_job_that_met_three_faulty_machines_gets_going_again() {
+fn a_job_quarantined_by_faulty_machines_completes() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..5), Vec::new(), 1_000);
-    let report_all = |scheduler: &mut Scheduler, now: u64, sequence: u64| {
+    let send_all_heartbeats = |scheduler: &mut Scheduler, now: u64, sequence: u64| {
         for i in 0..5 {
-            let runs = scheduler.machines()[&name(i)].runs.clone();
+            let runs = scheduler.machines()[&machine_name(i)].runs.clone();
             let tasks = runs.values().map(|run| {
                 let phase = match run.phase {
                     TaskPhase::Assigned if i < 3 => TaskPhase::Ended(ExitCause::Failed),
@@ -158,7 +160,7 @@
     for step in 1..400 {
         let now = 1_300 + step * 500;
         scheduler.handle(now, Event::Tick);
-        report_all(&mut scheduler, now, 1 + step);
+        send_all_heartbeats(&mut scheduler, now, 1 + step);
         if step == 4 {
             scheduler.handle(now, job(2, 2));
         }
@@ -173,11 +175,11 @@
 /// being given back: the job is tried there again, soon enough for nobody to wait 90 s where there
 /// is free capacity.
 #[test]
-fn a_job_goes_back_to_a_machine_whose_fault_has_passed() {
+fn a_job_retries_a_machine_that_has_recovered() {
     let mut scheduler = Scheduler::new(
         long_idle_timeout(),
         TERM,
-        types_out_of_stock(),
+        types_without_zones(),
         stored_set(0..1),
         Vec::new(),
         1_000,
@@ -198,7 +200,9 @@
     let mut failed_at = None;
     for now in (1_200..120_000).step_by(200) {
         let mut tasks = vec![long];
-        for run in scheduler.machines()[&name(0)].runs.values().filter(|r| r.task.job == JobId(1)) {
+        for run in
+            scheduler.machines()[&machine_name(0)].runs.values().filter(|r| r.task.job == JobId(1))
+        {
             // The first try of the other task fails, at once.
             let fails = run.is_live() && failed_at.is_none_or(|at| at == now);
             if fails {
--- a/crates/latchtrack-core/tests/gangs/main.rs
+++ b/crates/latchtrack-core/tests/gangs/main.rs
@@ -7,7 +7,7 @@
 mod reservations;
 mod team_limits;
 
-use common::site::Site;
+use common::site::Cluster;
 use common::{policy, spec};
 use latchtrack_core::job::JobSpec;
 use latchtrack_core::scheduler::Policy;
@@ -29,8 +29,8 @@
 
 /// The attempt in which all tasks of the job are, and no other.
 #[track_caller]
-fn only_attempt(site: &Site, id: u64, tasks: usize) -> u64 {
-    let live = site.live(id);
+fn only_attempt(cluster: &Cluster, id: u64, tasks: usize) -> u64 {
+    let live = cluster.live_by_attempt(id);
     assert_eq!(live.len(), 1, "{live:?}");
     let (attempt, count) = live.into_iter().next().expect("one attempt");
     assert_eq!(count, tasks);
--- a/crates/latchtrack-core/tests/gangs/team_limits.rs
+++ b/crates/latchtrack-core/tests/gangs/team_limits.rs
@@ -4,45 +4,45 @@
 use latchtrack_core::machine::{ExitCause, TaskPhase};
 use latchtrack_core::scheduler::{CompletionObjective, Due, Policy};
 
-use super::common::site::Site;
+use super::common::site::Cluster;
 use super::{array, gang, long_idle_timeout, only_attempt};
 
 #[test]
 fn a_gang_counts_whole_against_its_teams_limit() {
     let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 16.0;
-    let mut site = Site::new(4, policy);
-    site.submit(gang(1, 4));
-    site.submit(gang(2, 4));
-    site.pass(2_000);
-    let (first, second) = (site.live(1), site.live(2));
+    let mut cluster = Cluster::new(4, policy);
+    cluster.submit(gang(1, 4));
+    cluster.submit(gang(2, 4));
+    cluster.advance_time(2_000);
+    let (first, second) = (cluster.live_by_attempt(1), cluster.live_by_attempt(2));
     assert_eq!(first.len() + second.len(), 1, "{first:?} {second:?}");
     // Not before the last task of the first is gone.
     let (begun, waits) = if first.is_empty() { (2, 1) } else { (1, 2) };
-    site.set(begun, TaskPhase::Running, |_| true);
-    site.pass(1_000);
-    site.set(begun, TaskPhase::Ended(ExitCause::Done), |i| i < 3);
-    site.pass(2_000);
-    assert_eq!(site.live(waits).len(), 0);
-    site.set(begun, TaskPhase::Ended(ExitCause::Done), |_| true);
-    site.pass(2_000);
-    only_attempt(&site, waits, 4);
+    cluster.set_phase(begun, TaskPhase::Running, |_| true);
+    cluster.advance_time(1_000);
+    cluster.set_phase(begun, TaskPhase::Ended(ExitCause::Done), |i| i < 3);
+    cluster.advance_time(2_000);
+    assert_eq!(cluster.live_by_attempt(waits).len(), 0);
+    cluster.set_phase(begun, TaskPhase::Ended(ExitCause::Done), |_| true);
+    cluster.advance_time(2_000);
+    only_attempt(&cluster, waits, 4);
 }
 
 /// Found by simulation: an operator's slice of two tasks was more than the team's limit allows. Of
 /// a job that had not begun for long it was counted as used, and with it the whole limit.
 #[test]
-fn a_slice_above_its_teams_limit_holds_up_nobody() {
+fn a_slice_above_the_team_limit_does_not_block_other_jobs() {
     let mut policy = Policy { slice: 2, ..long_idle_timeout() };
     policy.teams[0].cpus_max = 4.0;
-    let mut site = Site::new(2, policy);
+    let mut cluster = Cluster::new(2, policy);
     // There is no machine for it just now.
-    site.submit(JobSpec { types: Some(vec!["h".into()]), ..array(1, 2) });
-    site.pass(200_000);
+    cluster.submit(JobSpec { types: Some(vec!["h".into()]), ..array(1, 2) });
+    cluster.advance_time(200_000);
     let demand = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
-    site.submit(JobSpec { demand, ..gang(2, 4) });
-    site.pass(2_000);
-    only_attempt(&site, 2, 4);
+    cluster.submit(JobSpec { demand, ..gang(2, 4) });
+    cluster.advance_time(2_000);
+    only_attempt(&cluster, 2, 4);
 }
 
 /// Found by simulation: a gang submitted with a mistake was to begin before all others for ever,
@@ -51,48 +51,48 @@
 fn nothing_is_reserved_for_a_quarantined_gang() {
     let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 16.0;
-    let mut site = Site::new(4, policy);
-    site.submit(gang(1, 4));
+    let mut cluster = Cluster::new(4, policy);
+    cluster.submit(gang(1, 4));
     for _ in 0..200 {
-        site.set(1, TaskPhase::Ended(ExitCause::Failed), |_| true);
-        site.pass(1_000);
+        cluster.set_phase(1, TaskPhase::Ended(ExitCause::Failed), |_| true);
+        cluster.advance_time(1_000);
     }
-    assert!(site.leader.jobs()[&JobId(1)].is_quarantined);
-    site.submit(array(2, 1));
-    site.pass(1_000);
-    site.set(2, TaskPhase::Running, |_| true);
+    assert!(cluster.leader.jobs()[&JobId(1)].is_quarantined);
+    cluster.submit(array(2, 1));
+    cluster.advance_time(1_000);
+    cluster.set_phase(2, TaskPhase::Running, |_| true);
     // It takes the rest of the limit, and the quarantined gang waits.
-    site.submit(gang(3, 3));
-    site.pass(120_000);
-    assert_eq!((site.live(2).len(), site.live(1).len()), (1, 0));
-    only_attempt(&site, 3, 3);
-    assert_eq!(site.leader.jobs()[&JobId(1)].unschedulable_since, None);
+    cluster.submit(gang(3, 3));
+    cluster.advance_time(120_000);
+    assert_eq!((cluster.live_by_attempt(2).len(), cluster.live_by_attempt(1).len()), (1, 0));
+    only_attempt(&cluster, 3, 3);
+    assert_eq!(cluster.leader.jobs()[&JobId(1)].unschedulable_since, None);
 }
 
 /// Found by simulation: a job that was to begin before all others needed a machine that was not
 /// there, and in its turn, behind the team's other jobs, their limit was used up: none was provisioned.
 #[test]
-fn a_machine_is_provisioned_for_a_starving_job_before_its_team_uses_its_limit() {
+fn a_starving_job_provisions_before_its_team_uses_its_limit() {
     let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 8.0;
     policy.completion_objectives =
         vec![CompletionObjective { class: "aimed".into(), due: Due::Within(3_600_000) }];
     // One machine, in zone a.
-    let mut site = Site::new(1, policy);
-    site.no_capacity = true;
+    let mut cluster = Cluster::new(1, policy);
+    cluster.no_capacity = true;
     let zone = |zone: &str| Some(zone.to_string());
-    site.submit(JobSpec { class: "aimed".into(), zone: zone("a"), ..array(1, 400) });
-    site.pass(1_000);
-    site.submit(JobSpec { zone: zone("b"), ..array(2, 1) });
+    cluster.submit(JobSpec { class: "aimed".into(), zone: zone("a"), ..array(1, 400) });
+    cluster.advance_time(1_000);
+    cluster.submit(JobSpec { zone: zone("b"), ..array(2, 1) });
     for _ in 0..200 {
         // One task of the two that run ends each second.
-        site.set(1, TaskPhase::Running, |_| true);
-        let running = site.tasks[&0].iter().filter(|(_, phase)| **phase == TaskPhase::Running);
+        cluster.set_phase(1, TaskPhase::Running, |_| true);
+        let running = cluster.tasks[&0].iter().filter(|(_, phase)| **phase == TaskPhase::Running);
         let first = running.map(|((task, _), _)| task.index).min();
-        site.set(1, TaskPhase::Ended(ExitCause::Done), |i| Some(i) == first);
-        let before = site.provisions.len();
-        site.pass(1_000);
-        if site.provisions[before..].iter().any(|offer| offer.zone == "b") {
+        cluster.set_phase(1, TaskPhase::Ended(ExitCause::Done), |i| Some(i) == first);
+        let before = cluster.provisions.len();
+        cluster.advance_time(1_000);
+        if cluster.provisions[before..].iter().any(|offer| offer.zone == "b") {
             return;
         }
     }
@@ -105,19 +105,19 @@
 fn a_gang_is_never_launched_in_part_under_its_teams_limit() {
     let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 16.0;
-    let mut site = Site::new(4, policy);
-    site.submit(array(1, 2));
-    site.pass(1_000);
-    site.set(1, TaskPhase::Running, |_| true);
-    site.submit(gang(2, 4));
+    let mut cluster = Cluster::new(4, policy);
+    cluster.submit(array(1, 2));
+    cluster.advance_time(1_000);
+    cluster.set_phase(1, TaskPhase::Running, |_| true);
+    cluster.submit(gang(2, 4));
     for _ in 0..60 {
-        site.pass(1_000);
-        assert_eq!(site.live(2).len(), 0);
+        cluster.advance_time(1_000);
+        assert_eq!(cluster.live_by_attempt(2).len(), 0);
     }
-    assert_eq!(site.stops, []);
-    site.set(1, TaskPhase::Ended(ExitCause::Done), |_| true);
-    site.pass(2_000);
-    only_attempt(&site, 2, 4);
+    assert_eq!(cluster.stops, []);
+    cluster.set_phase(1, TaskPhase::Ended(ExitCause::Done), |_| true);
+    cluster.advance_time(2_000);
+    only_attempt(&cluster, 2, 4);
 }
 
 /// Found by simulation: a gang had its team's limit, but while the machines for it booted the
@@ -126,15 +126,15 @@
 fn a_gang_keeps_its_teams_limit_while_its_machines_boot() {
     let mut policy = long_idle_timeout();
     policy.teams[0].cpus_max = 16.0;
-    let mut site = Site::new(2, policy);
-    site.no_capacity = true;
+    let mut cluster = Cluster::new(2, policy);
+    cluster.no_capacity = true;
     // There is no machine for it yet.
-    site.submit(JobSpec { types: Some(vec!["h".into()]), ..gang(1, 4) });
-    site.pass(31_000);
+    cluster.submit(JobSpec { types: Some(vec!["h".into()]), ..gang(1, 4) });
+    cluster.advance_time(31_000);
     let small = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
-    site.submit(JobSpec { demand: small, ..array(2, 8) });
-    site.pass(10_000);
-    assert_eq!(site.live(2).len(), 0, "its limit is kept");
-    site.pass(60_000);
-    assert_eq!(site.live(2).len(), 8, "but not for ever");
+    cluster.submit(JobSpec { demand: small, ..array(2, 8) });
+    cluster.advance_time(10_000);
+    assert_eq!(cluster.live_by_attempt(2).len(), 0, "its limit is kept");
+    cluster.advance_time(60_000);
+    assert_eq!(cluster.live_by_attempt(2).len(), 8, "but not for ever");
 }
--- a/crates/latchtrack-core/tests/load_balancing/fixtures.rs
+++ b/crates/latchtrack-core/tests/load_balancing/fixtures.rs
@@ -6,8 +6,8 @@
 use latchtrack_core::machine::{ExitCause, TaskPhase};
 use latchtrack_core::scheduler::{BalancePolicy, Event, ListedMachine, Policy};
 
-use crate::common::site::{number, zone_of, Site};
-use crate::common::{name, policy, spec};
+use crate::common::site::{machine_number, zone_of, Cluster};
+use crate::common::{machine_name, policy, spec};
 
 /// Short enough for small cases; the times are in the same order as the defaults.
 pub const LIMITS: MoveLimits = MoveLimits {
@@ -49,8 +49,8 @@
 }
 
 /// Tasks that fetch their image begin to run, and those that save their checkpoint stop.
-pub fn advance_tasks(site: &mut Site) {
-    for tasks in site.tasks.values_mut() {
+pub fn advance_tasks(cluster: &mut Cluster) {
+    for tasks in cluster.tasks.values_mut() {
         for phase in tasks.values_mut() {
             match phase {
                 TaskPhase::Fetching => *phase = TaskPhase::Running,
@@ -62,58 +62,58 @@
 }
 
 /// Passes time, and advances the tasks each second.
-pub fn run_for(site: &mut Site, ms: u64) {
+pub fn run_for(cluster: &mut Cluster, ms: u64) {
     for _ in 0..ms / 1_000 {
-        site.pass(1_000);
-        advance_tasks(site);
+        cluster.advance_time(1_000);
+        advance_tasks(cluster);
     }
 }
 
 /// Six machines, three in each zone, of which the first carries eight tasks of one CPU.
-pub fn site_with_crowded_machine(policy: Policy) -> Site {
-    let mut site = Site::new(6, policy);
-    site.submit(checkpointing_array(1, 8));
-    site.pass(400);
-    advance_tasks(&mut site);
-    assert_eq!(live_tasks_on(&site, 0), 8, "packed by rising score");
-    site
+pub fn unbalanced_cluster(policy: Policy) -> Cluster {
+    let mut cluster = Cluster::new(6, policy);
+    cluster.submit(checkpointing_array(1, 8));
+    cluster.advance_time(400);
+    advance_tasks(&mut cluster);
+    assert_eq!(live_tasks_on(&cluster, 0), 8, "packed by rising score");
+    cluster
 }
 
 /// Live tasks on a machine.
-pub fn live_tasks_on(site: &Site, machine: u64) -> usize {
-    let tasks = site.tasks.get(&machine).into_iter().flatten();
+pub fn live_tasks_on(cluster: &Cluster, machine: u64) -> usize {
+    let tasks = cluster.tasks.get(&machine).into_iter().flatten();
     tasks.filter(|(_, phase)| !matches!(phase, TaskPhase::Ended(_))).count()
 }
 
 /// The machines on which a task has not ended, by what they list.
-pub fn machines_running(site: &Site, task: TaskId) -> Vec<u64> {
+pub fn machines_running(cluster: &Cluster, task: TaskId) -> Vec<u64> {
     let on = |tasks: &std::collections::BTreeMap<(TaskId, u64), TaskPhase>| {
         tasks.iter().any(|((t, _), phase)| *t == task && !matches!(phase, TaskPhase::Ended(_)))
     };
-    site.tasks.iter().filter(|(_, tasks)| on(tasks)).map(|(i, _)| *i).collect()
+    cluster.tasks.iter().filter(|(_, tasks)| on(tasks)).map(|(i, _)| *i).collect()
 }
 
 /// Passes time in small steps until a move is in this stage; returns its task, source and target.
 #[track_caller]
-pub fn pass_until_stage(site: &mut Site, stage: MoveStage) -> (TaskId, u64, u64) {
+pub fn pass_until_stage(cluster: &mut Cluster, stage: MoveStage) -> (TaskId, u64, u64) {
     for _ in 0..200 {
-        if let Some(m) = site.leader.moves().iter().find(|m| m.stage == stage) {
+        if let Some(m) = cluster.leader.moves().iter().find(|m| m.stage == stage) {
             let task_move = &m.task_moves[0];
             let task = TaskId { job: JobId(m.unit.job), index: task_move.task };
-            return (task, number(&task_move.source), number(&task_move.target));
+            return (task, machine_number(&task_move.source), machine_number(&task_move.target));
         }
         let saving =
-            site.tasks.values().flatten().any(|(_, phase)| *phase == TaskPhase::Checkpointing);
+            cluster.tasks.values().flatten().any(|(_, phase)| *phase == TaskPhase::Checkpointing);
         if saving && stage != MoveStage::Stopping {
-            finish_checkpoints(site);
+            finish_checkpoints(cluster);
         }
-        site.pass(200);
+        cluster.advance_time(200);
     }
-    panic!("no move is {stage}: {:?}", site.notes);
+    panic!("no move is {stage}: {:?}", cluster.log_lines);
 }
 
-pub fn finish_checkpoints(site: &mut Site) {
-    for phase in site.tasks.values_mut().flat_map(|tasks| tasks.values_mut()) {
+pub fn finish_checkpoints(cluster: &mut Cluster) {
+    for phase in cluster.tasks.values_mut().flat_map(|tasks| tasks.values_mut()) {
         if *phase == TaskPhase::Checkpointing {
             *phase = TaskPhase::Ended(ExitCause::Stopped);
         }
@@ -126,39 +126,39 @@
     /// It sends no heartbeat and answers no call: partitioned, hanging, or dead.
     Silent,
     /// It sends heartbeats, and receives nothing.
-    Deaf,
+    InboundLost,
     PreemptionNotice,
     /// The cloud lists it as failed.
     Failed,
     /// Its agent epoch ended, with all that ran there.
     NewAgentEpoch,
     /// It refuses launches.
-    Refusing,
+    RejectsLaunches,
 }
 
 pub const FAULTS: [Fault; 6] = [
     Fault::Silent,
-    Fault::Deaf,
+    Fault::InboundLost,
     Fault::PreemptionNotice,
     Fault::Failed,
     Fault::NewAgentEpoch,
-    Fault::Refusing,
+    Fault::RejectsLaunches,
 ];
 
-pub fn inject_fault(site: &mut Site, machine: u64, fault: Fault) {
+pub fn inject_fault(cluster: &mut Cluster, machine: u64, fault: Fault) {
     match fault {
         Fault::Silent => {
-            site.silent.insert(machine);
+            cluster.silent.insert(machine);
         }
-        Fault::Deaf => {
-            site.deaf.insert(machine);
+        Fault::InboundLost => {
+            cluster.inbound_lost.insert(machine);
         }
         Fault::PreemptionNotice => {
-            site.notice.insert(machine, 30.0);
+            cluster.preemption_notices.insert(machine, 30.0);
         }
         Fault::Failed => {
-            let listed = site.tasks.keys().map(|i| ListedMachine {
-                name: name(*i),
+            let listed = cluster.tasks.keys().map(|i| ListedMachine {
+                name: machine_name(*i),
                 machine_type: "g".into(),
                 zone: zone_of(*i).into(),
                 spot: false,
@@ -167,38 +167,38 @@
                 age_ms: 60_000,
             });
             let listed = Event::MachinesListed(listed.collect());
-            site.drive(listed);
-            site.silent.insert(machine);
+            cluster.handle_event(listed);
+            cluster.silent.insert(machine);
         }
         Fault::NewAgentEpoch => {
-            *site.agent_epoch.entry(machine).or_default() += 1;
-            if let Some(tasks) = site.tasks.get_mut(&machine) {
+            *cluster.agent_epoch.entry(machine).or_default() += 1;
+            if let Some(tasks) = cluster.tasks.get_mut(&machine) {
                 tasks.clear();
             }
         }
-        Fault::Refusing => {
-            site.refusing.insert(machine);
+        Fault::RejectsLaunches => {
+            cluster.rejecting_launches.insert(machine);
         }
     }
 }
 
-pub fn clear_faults(site: &mut Site) {
-    site.silent.clear();
-    site.deaf.clear();
-    site.notice.clear();
-    site.refusing.clear();
+pub fn clear_faults(cluster: &mut Cluster) {
+    cluster.silent.clear();
+    cluster.inbound_lost.clear();
+    cluster.preemption_notices.clear();
+    cluster.rejecting_launches.clear();
 }
 
 /// Every task of the jobs is on one machine, and none ever ran twice.
 #[track_caller]
-pub fn assert_each_task_runs_once(site: &Site, jobs: &[(u64, u32)], what: &str) {
-    assert_eq!(site.ran_twice, Vec::<String>::new(), "{what}");
+pub fn assert_each_task_runs_once(cluster: &Cluster, jobs: &[(u64, u32)], what: &str) {
+    assert_eq!(cluster.concurrent_runs, Vec::<String>::new(), "{what}");
     for (id, tasks) in jobs {
         for index in 0..*tasks {
             let task = TaskId { job: JobId(*id), index };
-            let on = machines_running(site, task);
-            let reachable: Vec<&u64> = on.iter().filter(|i| !site.silent.contains(i)).collect();
-            assert_eq!(reachable.len(), 1, "{what}: {task} on {on:?}: {:#?}", site.notes);
+            let on = machines_running(cluster, task);
+            let reachable: Vec<&u64> = on.iter().filter(|i| !cluster.silent.contains(i)).collect();
+            assert_eq!(reachable.len(), 1, "{what}: {task} on {on:?}: {:#?}", cluster.log_lines);
         }
     }
 }
--- a/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
+++ b/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
@@ -5,20 +5,20 @@
 use latchtrack_core::machine::{ExitCause, TaskPhase};
 use latchtrack_core::scheduler::{BalancePolicy, Event, Policy, Team};
 
-use crate::common::site::Site;
+use crate::common::site::Cluster;
 use crate::fixtures::{checkpointing_array, moves_enabled, run_for, LIMITS};
 
 /// Two teams on the same machines, of which one turns hot: free capacity goes to the other first,
 /// until it has its share. Without the switch the earlier jobs of the hot team keep it out.
 #[test]
-fn a_team_within_its_share_is_not_kept_out_by_a_hot_one() {
+fn a_hot_team_does_not_starve_a_team_within_its_share() {
     let team =
         |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
-    let begun = |teams| {
+    let calm_launches = |teams| {
         let balance = BalancePolicy { teams, ..BalancePolicy::default() };
         let teams = vec![team("hot"), team("calm")];
-        let mut site = Site::new(2, Policy { balance, teams, ..moves_enabled() });
-        site.no_capacity = true;
+        let mut cluster = Cluster::new(2, Policy { balance, teams, ..moves_enabled() });
+        cluster.no_capacity = true;
         let task = |id, team: &str| JobSpec {
             team: team.into(),
             checkpoint_s: 0.0,
@@ -26,28 +26,29 @@
             ..checkpointing_array(id, 8)
         };
         for id in 1..40 {
-            site.submit(task(id, "hot"));
+            cluster.submit(task(id, "hot"));
         }
-        run_for(&mut site, 5_000);
-        site.submit(task(100, "calm"));
+        run_for(&mut cluster, 5_000);
+        cluster.submit(task(100, "calm"));
         // One task ends each second, the longest running first.
         for _ in 0..20 {
-            let oldest = site.tasks.iter().flat_map(|(i, tasks)| {
+            let oldest = cluster.tasks.iter().flat_map(|(i, tasks)| {
                 let running = tasks.iter().filter(|(_, phase)| **phase == TaskPhase::Running);
                 running.map(|(key, _)| (key.1, *i, *key))
             });
             if let Some((_, machine, key)) = oldest.min() {
-                site.tasks
+                cluster
+                    .tasks
                     .get_mut(&machine)
                     .unwrap()
                     .insert(key, TaskPhase::Ended(ExitCause::Done));
             }
-            run_for(&mut site, 1_000);
+            run_for(&mut cluster, 1_000);
         }
-        site.launches.iter().filter(|(_, t, _)| t.job == JobId(100)).count()
+        cluster.launches.iter().filter(|(_, t, _)| t.job == JobId(100)).count()
     };
-    assert_eq!(begun(false), 0);
-    assert_eq!(begun(true), 8);
+    assert_eq!(calm_launches(false), 0);
+    assert_eq!(calm_launches(true), 8);
 }
 
 /// Two teams on sixteen CPUs: the first submits `jobs` jobs, enough to turn hot or only a burst,
@@ -57,8 +58,8 @@
         |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
     let balance = BalancePolicy { teams: true, ..BalancePolicy::default() };
     let teams = vec![team("first"), team("calm")];
-    let mut site = Site::new(2, Policy { balance, teams, ..moves_enabled() });
-    site.no_capacity = true;
+    let mut cluster = Cluster::new(2, Policy { balance, teams, ..moves_enabled() });
+    cluster.no_capacity = true;
     let plain = |id, team: &str, tasks| JobSpec {
         team: team.into(),
         checkpoint_s: 0.0,
@@ -66,31 +67,31 @@
         ..checkpointing_array(id, tasks)
     };
     for id in 0..jobs {
-        site.submit(JobSpec { deadline_s, ..plain(id + 1, "first", 8) });
+        cluster.submit(JobSpec { deadline_s, ..plain(id + 1, "first", 8) });
     }
     // Many tasks with a short estimate: its team does not turn hot.
-    site.submit(JobSpec { estimate_s: 1.0, ..plain(1_000, "calm", calm_tasks) });
-    site.pass(400);
+    cluster.submit(JobSpec { estimate_s: 1.0, ..plain(1_000, "calm", calm_tasks) });
+    cluster.advance_time(400);
     let of =
-        |calm| site.launches.iter().filter(|(_, t, _)| (t.job == JobId(1_000)) == calm).count();
+        |calm| cluster.launches.iter().filter(|(_, t, _)| (t.job == JobId(1_000)) == calm).count();
     (of(false), of(true))
 }
 
 #[test]
-fn a_burst_puts_no_team_behind() {
+fn a_burst_does_not_make_a_team_hot() {
     // In the order of their names the two jobs of the burst go first, and fill the machines.
     assert_eq!(launched_in_first_cycle(2, None, 8), (16, 0));
 }
 
 #[test]
-fn a_hot_team_has_its_share_before_others() {
+fn a_hot_team_gets_its_share_before_others() {
     assert_eq!(launched_in_first_cycle(40, Some(600.0), 40), (8, 8), "half of the cluster each");
 }
 
 /// Two teams turn hot in the same second on the same machines, one of them at its limit, and cool
 /// in the same second, again and again.
 #[test]
-fn two_teams_that_turn_hot_and_cool_together_keep_limit_and_budget() {
+fn teams_that_turn_hot_together_keep_limit_and_move_budget() {
     let team = |name: &str, cpus_max| Team {
         name: name.into(),
         cpus: 0.0,
@@ -102,39 +103,39 @@
     let limits = MoveLimits { moves_per_minute: 12, ..LIMITS };
     let balance = BalancePolicy { limits, ..balance };
     let teams = vec![team("bound", 6.0), team("free", 0.0)];
-    let mut site = Site::new(12, Policy { balance, teams, ..moves_enabled() });
-    site.no_capacity = true;
+    let mut cluster = Cluster::new(12, Policy { balance, teams, ..moves_enabled() });
+    cluster.no_capacity = true;
     let mut moved: std::collections::BTreeMap<TaskId, Vec<u64>> = Default::default();
     let mut begun = Vec::new();
     for wave in 0..4u64 {
         let (bound, free) = (2 * wave + 1, 2 * wave + 2);
-        site.submit(JobSpec {
+        cluster.submit(JobSpec {
             team: "bound".into(),
             zone: Some("a".into()),
             ..checkpointing_array(bound, 12)
         });
-        site.submit(JobSpec {
+        cluster.submit(JobSpec {
             team: "free".into(),
             zone: Some("a".into()),
             ..checkpointing_array(free, 14)
         });
         for _ in 0..40 {
-            let known = site.leader.balance_summary().unwrap().counts.begun;
-            run_for(&mut site, 1_000);
-            let now = site.leader.balance_summary().unwrap().counts.begun;
-            begun.extend((known..now).map(|_| site.now));
-            let used = site.live(bound).values().sum::<usize>();
-            assert!(used <= 6, "{used} of 6 CPUs at {}", site.now);
-            for (task, _) in std::mem::take(&mut site.stops) {
-                moved.entry(task).or_default().push(site.now);
+            let known = cluster.leader.balance_summary().unwrap().counts.begun;
+            run_for(&mut cluster, 1_000);
+            let now = cluster.leader.balance_summary().unwrap().counts.begun;
+            begun.extend((known..now).map(|_| cluster.now));
+            let used = cluster.live_by_attempt(bound).values().sum::<usize>();
+            assert!(used <= 6, "{used} of 6 CPUs at {}", cluster.now);
+            for (task, _) in std::mem::take(&mut cluster.stops) {
+                moved.entry(task).or_default().push(cluster.now);
             }
         }
-        site.drive(Event::JobClosed(JobId(bound)));
-        site.drive(Event::JobClosed(JobId(free)));
-        run_for(&mut site, 5_000);
-        site.stops.clear();
+        cluster.handle_event(Event::JobClosed(JobId(bound)));
+        cluster.handle_event(Event::JobClosed(JobId(free)));
+        run_for(&mut cluster, 5_000);
+        cluster.stops.clear();
     }
-    assert_eq!(site.ran_twice, Vec::<String>::new());
+    assert_eq!(cluster.concurrent_runs, Vec::<String>::new());
     assert!(begun.len() >= 8, "{} moves begun", begun.len());
     for at in &begun {
         let in_minute = begun.iter().filter(|t| (*at..*at + 60_000).contains(*t)).count();
--- a/crates/latchtrack-core/tests/load_balancing/reservations.rs
+++ b/crates/latchtrack-core/tests/load_balancing/reservations.rs
@@ -6,49 +6,53 @@
 
 use crate::fixtures::{
     advance_tasks, checkpointing_array, finish_checkpoints, live_tasks_on, machines_running,
-    moves_enabled, pass_until_stage, site_with_crowded_machine,
+    moves_enabled, pass_until_stage, unbalanced_cluster,
 };
 
 #[test]
 fn capacity_reserved_on_a_target_is_kept_from_other_tasks() {
-    let mut site = site_with_crowded_machine(moves_enabled());
-    let (_, source, target) = pass_until_stage(&mut site, MoveStage::Stopping);
+    let mut cluster = unbalanced_cluster(moves_enabled());
+    let (_, source, target) = pass_until_stage(&mut cluster, MoveStage::Stopping);
     assert_eq!(source, 0);
     // One task more than the zone has capacity for beside the reservation.
-    site.submit(JobSpec { zone: Some("a".into()), ..checkpointing_array(2, 16) });
-    site.pass(400);
-    let others: usize = (0..6).map(|i| live_tasks_on(&site, i)).sum::<usize>() - 8;
-    assert_eq!((others, live_tasks_on(&site, target)), (15, 7), "one CPU of the zone is reserved");
-    advance_tasks(&mut site);
-    site.pass(1_000);
-    assert_eq!(live_tasks_on(&site, target), 8, "the moved task has it");
-    assert_eq!(site.ran_twice, Vec::<String>::new());
+    cluster.submit(JobSpec { zone: Some("a".into()), ..checkpointing_array(2, 16) });
+    cluster.advance_time(400);
+    let others: usize = (0..6).map(|i| live_tasks_on(&cluster, i)).sum::<usize>() - 8;
+    assert_eq!(
+        (others, live_tasks_on(&cluster, target)),
+        (15, 7),
+        "one CPU of the zone is reserved"
+    );
+    advance_tasks(&mut cluster);
+    cluster.advance_time(1_000);
+    assert_eq!(live_tasks_on(&cluster, target), 8, "the moved task has it");
+    assert_eq!(cluster.concurrent_runs, Vec::<String>::new());
 }
 
 #[test]
 fn a_reserved_target_is_not_terminated_as_idle() {
-    let mut site =
-        site_with_crowded_machine(Policy { on_demand_idle_timeout_ms: 12_000, ..moves_enabled() });
-    site.deletes = true;
-    let (_, _, target) = pass_until_stage(&mut site, MoveStage::Stopping);
+    let mut cluster =
+        unbalanced_cluster(Policy { on_demand_idle_timeout_ms: 12_000, ..moves_enabled() });
+    cluster.confirms_terminations = true;
+    let (_, _, target) = pass_until_stage(&mut cluster, MoveStage::Stopping);
     // The tasks are slow to save.
-    site.pass(15_000);
-    assert!(!site.tasks.contains_key(&1), "an empty machine of the other zone is terminated");
-    assert!(site.tasks.contains_key(&target), "the target is not");
-    advance_tasks(&mut site);
-    site.pass(1_000);
-    assert!(live_tasks_on(&site, target) > 0);
+    cluster.advance_time(15_000);
+    assert!(!cluster.tasks.contains_key(&1), "an empty machine of the other zone is terminated");
+    assert!(cluster.tasks.contains_key(&target), "the target is not");
+    advance_tasks(&mut cluster);
+    cluster.advance_time(1_000);
+    assert!(live_tasks_on(&cluster, target) > 0);
 }
 
 /// The end of a task on its source may come with a heartbeat between two ticks, and a cycle may run
 /// at once: the task goes to its target all the same.
 #[test]
 fn a_stopped_task_goes_to_its_target_and_not_into_the_queue() {
-    let mut site = site_with_crowded_machine(moves_enabled());
-    let (task, source, target) = pass_until_stage(&mut site, MoveStage::Stopping);
-    site.now += 150;
-    finish_checkpoints(&mut site);
-    site.report(source);
-    site.report(target);
-    assert_eq!(machines_running(&site, task), [target]);
+    let mut cluster = unbalanced_cluster(moves_enabled());
+    let (task, source, target) = pass_until_stage(&mut cluster, MoveStage::Stopping);
+    cluster.now += 150;
+    finish_checkpoints(&mut cluster);
+    cluster.send_heartbeat(source);
+    cluster.send_heartbeat(target);
+    assert_eq!(machines_running(&cluster, task), [target]);
 }
--- a/crates/latchtrack-core/tests/load_balancing/selection.rs
+++ b/crates/latchtrack-core/tests/load_balancing/selection.rs
@@ -7,41 +7,45 @@
 use latchtrack_core::scheduler::{BalancePolicy, Event, Policy};
 
 use crate::common::machine_type;
-use crate::common::site::{new_leader, zone_of, Site, TOKEN};
+use crate::common::site::{new_leader, zone_of, Cluster, TOKEN};
 use crate::fixtures::{
     advance_tasks, array_without_checkpoints, checkpointing_array, clear_faults, inject_fault,
-    live_tasks_on, machines_running, moves_enabled, pass_until_stage, run_for,
-    site_with_crowded_machine, Fault,
+    live_tasks_on, machines_running, moves_enabled, pass_until_stage, run_for, unbalanced_cluster,
+    Fault,
 };
 
 #[test]
-fn a_crowded_machine_gives_tasks_to_idle_ones_of_its_pool_within_the_bound() {
-    let mut site = site_with_crowded_machine(moves_enabled());
-    run_for(&mut site, 60_000);
+fn tasks_move_from_a_loaded_machine_to_idle_ones_of_its_pool() {
+    let mut cluster = unbalanced_cluster(moves_enabled());
+    run_for(&mut cluster, 60_000);
     // 8 tasks on 3 machines of 8 CPUs: 1.25 times the mean of 2.67, and one task.
-    let loads: Vec<usize> = (0..6).map(|i| live_tasks_on(&site, i)).collect();
+    let loads: Vec<usize> = (0..6).map(|i| live_tasks_on(&cluster, i)).collect();
     assert!(loads.iter().all(|n| *n <= 4), "{loads:?}");
     assert_eq!(loads.iter().sum::<usize>(), 8);
     assert_eq!((loads[1], loads[3], loads[5]), (0, 0, 0), "the other zone is another pool");
-    assert_eq!(site.ran_twice, Vec::<String>::new());
-    let summary = site.leader.balance_summary().unwrap();
+    assert_eq!(cluster.concurrent_runs, Vec::<String>::new());
+    let summary = cluster.leader.balance_summary().unwrap();
     assert_eq!(summary.counts.settled, summary.counts.begun);
     assert!(summary.counts.settled >= 4, "{summary:?}");
-    assert!(site.stops.iter().all(|(_, grace)| *grace >= 2.0), "time to save: {:?}", site.stops);
+    assert!(
+        cluster.stops.iter().all(|(_, grace)| *grace >= 2.0),
+        "time to save: {:?}",
+        cluster.stops
+    );
     // Each moved task was launched twice, no other more than once.
     let settled = summary.counts.settled as usize;
-    assert_eq!(site.launches.len(), 8 + settled);
-    run_for(&mut site, 60_000);
-    assert_eq!(site.launches.len(), 8 + settled, "within the bound nothing moves");
+    assert_eq!(cluster.launches.len(), 8 + settled);
+    run_for(&mut cluster, 60_000);
+    assert_eq!(cluster.launches.len(), 8 + settled, "within the bound nothing moves");
 }
 
 #[test]
 fn nothing_moves_while_moves_are_switched_off() {
-    let mut site =
-        site_with_crowded_machine(Policy { balance: BalancePolicy::default(), ..moves_enabled() });
-    run_for(&mut site, 60_000);
-    assert_eq!((live_tasks_on(&site, 0), site.stops.len()), (8, 0));
-    assert_eq!(site.leader.balance_summary(), None);
+    let mut cluster =
+        unbalanced_cluster(Policy { balance: BalancePolicy::default(), ..moves_enabled() });
+    run_for(&mut cluster, 60_000);
+    assert_eq!((live_tasks_on(&cluster, 0), cluster.stops.len()), (8, 0));
+    assert_eq!(cluster.leader.balance_summary(), None);
 }
 
 #[test]
@@ -50,100 +54,109 @@
         JobSpec { checkpoint_s: 0.0, ..checkpointing_array(1, 8) },
         JobSpec { estimate_s: 10.0, ..checkpointing_array(1, 8) },
     ] {
-        let mut site = Site::new(6, moves_enabled());
-        site.submit(spec);
-        site.pass(400);
-        run_for(&mut site, 30_000);
-        assert_eq!((live_tasks_on(&site, 0), site.stops.len()), (8, 0));
+        let mut cluster = Cluster::new(6, moves_enabled());
+        cluster.submit(spec);
+        cluster.advance_time(400);
+        run_for(&mut cluster, 30_000);
+        assert_eq!((live_tasks_on(&cluster, 0), cluster.stops.len()), (8, 0));
     }
 }
 
 #[test]
 fn nothing_moves_under_overload_or_right_after_a_failover() {
     // A task of eight CPUs in a zone whose machines all run tasks: it waits for one to be empty.
-    let mut site = site_with_crowded_machine(moves_enabled());
+    let mut cluster = unbalanced_cluster(moves_enabled());
     for machine in [2, 4] {
         let one = JobSpec { zone: Some("a".into()), ..checkpointing_array(10 + machine, 7) };
-        site.submit(one);
-        site.pass(400);
-        advance_tasks(&mut site);
+        cluster.submit(one);
+        cluster.advance_time(400);
+        advance_tasks(&mut cluster);
     }
     let large = Resources { cpus: 8.0, gpus: 0.0, memory_gb: 8.0 };
-    site.no_capacity = true;
-    site.submit(JobSpec { demand: large, zone: Some("a".into()), ..checkpointing_array(3, 1) });
-    run_for(&mut site, 20_000);
-    assert_eq!(site.stops, [], "overload");
+    cluster.no_capacity = true;
+    cluster.submit(JobSpec { demand: large, zone: Some("a".into()), ..checkpointing_array(3, 1) });
+    run_for(&mut cluster, 20_000);
+    assert_eq!(cluster.stops, [], "overload");
     let balance = BalancePolicy { moves_delay_ms: 30_000, ..moves_enabled().balance };
-    let mut site = site_with_crowded_machine(Policy { balance, ..moves_enabled() });
-    run_for(&mut site, 28_000);
-    assert_eq!(site.stops, [], "after a failover");
-    run_for(&mut site, 10_000);
-    assert_ne!(site.stops, []);
+    let mut cluster = unbalanced_cluster(Policy { balance, ..moves_enabled() });
+    run_for(&mut cluster, 28_000);
+    assert_eq!(cluster.stops, [], "after a failover");
+    run_for(&mut cluster, 10_000);
+    assert_ne!(cluster.stops, []);
 }
 
 /// While a machine of the earlier leader has not been heard, neither what runs there is known nor
 /// who waits.
 #[test]
 fn nothing_moves_while_a_machine_is_unreconciled() {
-    let mut site = site_with_crowded_machine(moves_enabled());
-    site.silent.insert(5);
-    site.leader = new_leader(6, TOKEN + 1, moves_enabled(), site.now);
+    let mut cluster = unbalanced_cluster(moves_enabled());
+    cluster.silent.insert(5);
+    cluster.leader = new_leader(6, TOKEN + 1, moves_enabled(), cluster.now);
     let job = Event::JobOpened {
         spec: std::sync::Arc::new(checkpointing_array(1, 8)),
         submitted_at: 1_000,
         revision: TOKEN,
         done: None,
     };
-    site.drive(job);
-    run_for(&mut site, 8_000);
-    assert_eq!(site.stops, [], "it is given up after nine seconds");
-    run_for(&mut site, 60_000);
-    assert_ne!(site.stops, []);
+    cluster.handle_event(job);
+    run_for(&mut cluster, 8_000);
+    assert_eq!(cluster.stops, [], "it is given up after nine seconds");
+    run_for(&mut cluster, 60_000);
+    assert_ne!(cluster.stops, []);
 }
 
 #[test]
 fn tasks_that_fetch_their_image_do_not_count_as_movable() {
-    let mut site = Site::new(6, moves_enabled());
-    site.submit(checkpointing_array(1, 8));
-    site.pass(10_000);
-    let over_bound = |site: &Site| site.leader.balance_summary().unwrap().over_bound;
-    assert_eq!((live_tasks_on(&site, 0), over_bound(&site)), (8, 0), "eight tasks, all fetching");
-    advance_tasks(&mut site);
-    site.pass(2_000);
-    assert_eq!(over_bound(&site), 1);
+    let mut cluster = Cluster::new(6, moves_enabled());
+    cluster.submit(checkpointing_array(1, 8));
+    cluster.advance_time(10_000);
+    let over_bound = |cluster: &Cluster| cluster.leader.balance_summary().unwrap().over_bound;
+    assert_eq!(
+        (live_tasks_on(&cluster, 0), over_bound(&cluster)),
+        (8, 0),
+        "eight tasks, all fetching"
+    );
+    advance_tasks(&mut cluster);
+    cluster.advance_time(2_000);
+    assert_eq!(over_bound(&cluster), 1);
 }
 
 /// Tasks of a cancelled job run on where the stop does not arrive: they are not to be moved.
 #[test]
 fn tasks_that_are_stopping_already_are_not_moved() {
-    let mut site = site_with_crowded_machine(moves_enabled());
-    site.pass(1_000);
-    site.deaf.insert(0);
-    site.drive(Event::JobClosed(JobId(1)));
-    site.pass(12_000);
-    assert_eq!(live_tasks_on(&site, 0), 8, "the stop has not arrived");
-    assert_eq!(site.leader.balance_summary().unwrap().counts.begun, 0, "{:?}", site.notes);
+    let mut cluster = unbalanced_cluster(moves_enabled());
+    cluster.advance_time(1_000);
+    cluster.inbound_lost.insert(0);
+    cluster.handle_event(Event::JobClosed(JobId(1)));
+    cluster.advance_time(12_000);
+    assert_eq!(live_tasks_on(&cluster, 0), 8, "the stop has not arrived");
+    assert_eq!(
+        cluster.leader.balance_summary().unwrap().counts.begun,
+        0,
+        "{:?}",
+        cluster.log_lines
+    );
 }
 
 #[test]
 fn an_unhealthy_machine_is_no_target() {
     for fault in [Fault::PreemptionNotice, Fault::Failed, Fault::Silent] {
-        let mut site = site_with_crowded_machine(moves_enabled());
+        let mut cluster = unbalanced_cluster(moves_enabled());
         // Another machine with fewer tasks than the third of the zone.
-        site.submit(array_without_checkpoints(10, 1, "a"));
-        site.pass(400);
-        inject_fault(&mut site, 2, Fault::PreemptionNotice);
-        site.report(2);
-        site.submit(array_without_checkpoints(11, 2, "a"));
-        site.pass(400);
-        assert_eq!((live_tasks_on(&site, 2), live_tasks_on(&site, 4)), (1, 2));
-        clear_faults(&mut site);
-        inject_fault(&mut site, 2, fault);
-        site.report(2);
+        cluster.submit(array_without_checkpoints(10, 1, "a"));
+        cluster.advance_time(400);
+        inject_fault(&mut cluster, 2, Fault::PreemptionNotice);
+        cluster.send_heartbeat(2);
+        cluster.submit(array_without_checkpoints(11, 2, "a"));
+        cluster.advance_time(400);
+        assert_eq!((live_tasks_on(&cluster, 2), live_tasks_on(&cluster, 4)), (1, 2));
+        clear_faults(&mut cluster);
+        inject_fault(&mut cluster, 2, fault);
+        cluster.send_heartbeat(2);
         // Longer than the heartbeat timeout for moves.
-        site.pass(5_000);
-        advance_tasks(&mut site);
-        let (.., target) = pass_until_stage(&mut site, MoveStage::Stopping);
+        cluster.advance_time(5_000);
+        advance_tasks(&mut cluster);
+        let (.., target) = pass_until_stage(&mut cluster, MoveStage::Stopping);
         assert_eq!(target, 4, "{fault:?}");
     }
 }
@@ -152,13 +165,13 @@
 /// old.
 #[test]
 fn nothing_moves_right_after_a_leader_was_paused() {
-    let mut site = site_with_crowded_machine(moves_enabled());
-    site.pass(2_000);
-    site.now += 4_000;
-    site.pass(5_000);
-    assert_eq!(site.stops, []);
-    run_for(&mut site, 6_000);
-    assert_ne!(site.stops, []);
+    let mut cluster = unbalanced_cluster(moves_enabled());
+    cluster.advance_time(2_000);
+    cluster.now += 4_000;
+    cluster.advance_time(5_000);
+    assert_eq!(cluster.stops, []);
+    run_for(&mut cluster, 6_000);
+    assert_ne!(cluster.stops, []);
 }
 
 #[test]
@@ -171,13 +184,13 @@
     ] {
         let what = format!("{spec:?}");
         let (one_zone, tasks) = (spec.one_zone, spec.tasks);
-        let mut site = Site::new(6, moves_enabled());
-        site.submit(spec);
-        site.pass(400);
-        run_for(&mut site, 40_000);
-        assert!(site.leader.balance_summary().unwrap().counts.settled > 0, "{what}");
+        let mut cluster = Cluster::new(6, moves_enabled());
+        cluster.submit(spec);
+        cluster.advance_time(400);
+        run_for(&mut cluster, 40_000);
+        assert!(cluster.leader.balance_summary().unwrap().counts.settled > 0, "{what}");
         let zone_of_task =
-            |index| zone_of(machines_running(&site, TaskId { job: JobId(1), index })[0]);
+            |index| zone_of(machines_running(&cluster, TaskId { job: JobId(1), index })[0]);
         let zones: Vec<&str> = (0..tasks).map(zone_of_task).collect();
         let different: BTreeSet<&&str> = zones.iter().collect();
         assert!(!one_zone || different.len() == 1, "{what}: {zones:?}");
@@ -188,12 +201,12 @@
 
 /// Machine types with invalid amounts are logged once, and nothing is planned with them.
 #[test]
-fn machine_types_with_invalid_amounts_are_logged_once_and_left_out() {
-    let mut site = site_with_crowded_machine(moves_enabled());
-    let mut odd = machine_type(vec!["a".into(), "b".into()]);
-    (odd.memory_gb, odd.fetch_gb_per_s) = (f64::NAN, -3.0);
-    site.drive(Event::MachineTypes(vec![odd]));
-    run_for(&mut site, 20_000);
-    assert_eq!(site.notes.iter().filter(|n| n.contains("invalid amounts")).count(), 1);
-    assert_eq!(site.stops, []);
+fn machine_types_with_invalid_amounts_are_logged_and_ignored() {
+    let mut cluster = unbalanced_cluster(moves_enabled());
+    let mut invalid_type = machine_type(vec!["a".into(), "b".into()]);
+    (invalid_type.memory_gb, invalid_type.fetch_gb_per_s) = (f64::NAN, -3.0);
+    cluster.handle_event(Event::MachineTypes(vec![invalid_type]));
+    run_for(&mut cluster, 20_000);
+    assert_eq!(cluster.log_lines.iter().filter(|n| n.contains("invalid amounts")).count(), 1);
+    assert_eq!(cluster.stops, []);
 }
--- a/crates/latchtrack-core/tests/log_events.rs
+++ b/crates/latchtrack-core/tests/log_events.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_balance_summary_is_fields_alone() {
+fn the_balance_summary_is_logged_as_fields() {
     let summary = BalanceSummary {
         spread: Spread { greatest: 0.9, mean: 0.45, machines: 4 },
         over_bound: 1,
@@ -76,13 +76,13 @@
 }
 
 #[test]
-fn a_notice_of_the_quota_keeps_its_own_words() {
+fn quota_notices_are_logged_unchanged() {
     let notice = Notice::Problem { team: "red".to_string(), problem: LedgerProblem::Missing };
     assert_eq!(LogEvent::Quota(notice.clone()).to_string(), notice.to_string());
 }
 
 #[test]
-fn each_reason_to_resign_has_its_own_words() {
+fn reasons_to_resign_have_distinct_texts() {
     let reasons = [
         ResignReason::HigherToken,
         ResignReason::NoZoneReachable,
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_largest_steps_back_when_not_all_can_be_in_time() {
+fn the_largest_job_is_deferred_when_not_all_can_be_on_time() {
     let job = |remaining_ms, cpu_ms| TimedDemand { remaining_ms, run_ms: 0.0, cpu_ms };
     let all = [job(10.0, 40.0), job(20.0, 300.0), job(25.0, 40.0), job(30.0, 40.0)];
     assert_eq!(deferred(&all, 0.0, 100.0), [false; 4], "there is capacity for all");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn fitting_tasks_is_bounded_by_the_scarcest_part() {
+fn fitting_tasks_is_bounded_by_the_scarcest_resource() {
     let d = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 15.0 };
     assert_eq!(fitting_tasks(&d, 16.0, 0.0, 64.0), 4);
     assert_eq!(fitting_tasks(&d, 16.0, 0.0, 44.0), 2);
@@ -40,7 +40,7 @@
 /// Free capacity is open to the jobs it is reserved for as a whole, and to others for what those
 /// leave.
 #[test]
-fn reserved_capacity_is_open_to_others_for_what_its_holder_leaves() {
+fn other_jobs_may_use_the_spare_part_of_reserved_capacity() {
     let amount = |cpus| Resources { cpus, gpus: 0.0, memory_gb: cpus };
     let mut capacity = FreeCapacity {
         machine: None,
--- a/crates/latchtrack-core/tests/provisioning.rs
+++ b/crates/latchtrack-core/tests/provisioning.rs
@@ -11,10 +11,10 @@
 
 /// Seen on real processes: a job that may not use spot machines waited as if one might come free.
 #[test]
-fn a_job_without_spot_machines_provisions_at_once() {
+fn a_job_that_may_not_use_spot_provisions_at_once() {
     let mut scheduler = Scheduler::new(policy(), TERM, types(), Vec::new(), Vec::new(), 1_000);
-    let ordinary = Arc::new(JobSpec { spot: false, ..(*spec(1, 2)).clone() });
-    let job = Event::JobOpened { spec: ordinary, submitted_at: 0, revision: 8, done: None };
+    let on_demand = Arc::new(JobSpec { spot: false, ..(*spec(1, 2)).clone() });
+    let job = Event::JobOpened { spec: on_demand, submitted_at: 0, revision: 8, done: None };
     scheduler.handle(1_000, job);
     let effects = scheduler.handle(1_000, Event::Tick);
     let provisions = effects
@@ -65,7 +65,7 @@
             Effect::Provision { request_id, number, .. } => {
                 let first = u64::from(self.provisioned);
                 let numbers = first..first + u64::from(number);
-                let names: Vec<String> = numbers.clone().map(name).collect();
+                let names: Vec<String> = numbers.clone().map(machine_name).collect();
                 self.boots.extend(numbers.map(|number| Boot { number, at: now }));
                 self.provisioned += number;
                 let outcome = ProvisionOutcome::Provisioned(names);
@@ -73,7 +73,7 @@
             }
             Effect::Terminate(names) => {
                 self.terminated += names.len();
-                self.boots.retain(|boot| !names.contains(&name(boot.number)));
+                self.boots.retain(|boot| !names.contains(&machine_name(boot.number)));
                 scheduler.handle(
                     now,
                     Event::TerminateFinished { names, outcome: TerminateOutcome::Terminated },
@@ -87,7 +87,7 @@
 /// Own day with boots five times as long: at four times all that booted was terminated and provisioned
 /// again, which began it anew (1,695 on-demand machines provisioned where 700 are enough).
 #[test]
-fn boots_late_for_a_whole_type_are_waited_for() {
+fn late_boots_of_a_whole_machine_type_are_awaited() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), Vec::new(), Vec::new(), 1_000);
     scheduler.handle(1_000, job_opened(1, 60, 8));
@@ -106,7 +106,7 @@
 /// A machine whose worker heartbeats before the rental is answered, as it boots within a second: it is
 /// used at once, and neither deleted as unknown nor counted twice.
 #[test]
-fn a_machine_that_is_up_before_its_request_is_answered_is_used_at_once() {
+fn a_machine_up_before_its_provision_answer_is_used_at_once() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), Vec::new(), Vec::new(), 1_000);
     scheduler.handle(1_000, job_opened(1, 2, 8));
@@ -121,7 +121,7 @@
     let effects = scheduler
         .handle(1_320, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(20) });
     assert_eq!(launches(&effects), 2);
-    let outcome = ProvisionOutcome::Provisioned(vec![name(0)]);
+    let outcome = ProvisionOutcome::Provisioned(vec![machine_name(0)]);
     scheduler.handle(
         1_400,
         Event::ProvisionFinished { request_id: request_id.expect("a request"), outcome },
@@ -136,7 +136,7 @@
 /// A run of the simulation: a job that must stay in one zone had a task there, and machines were
 /// provisioned for the rest in one zone after the other, and terminated unused.
 #[test]
-fn what_must_stay_in_one_zone_provisions_there() {
+fn a_one_zone_job_provisions_only_in_its_zone() {
     let zones = vec!["a".to_string(), "b".into(), "c".into()];
     let types = vec![MachineType { zones, ..types().remove(0) }];
     let mut scheduler =
@@ -163,7 +163,7 @@
 /// A day with team limits that bind: each job of a team provisioned for what the limit left to the whole
 /// team, so that several times the machines were provisioned, booted for nothing and were terminated.
 #[test]
-fn no_machine_is_provisioned_for_what_a_teams_limit_holds_back() {
+fn no_machine_is_provisioned_beyond_a_team_limit() {
     let mut policy = long_idle_timeout();
     // Two tasks, which one machine takes.
     policy.teams[0].cpus_max = 2.0 * spec(1, 1).demand.cpus;
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -29,11 +29,11 @@
 }
 
 #[test]
-fn absurd_numbers_from_outside_are_only_absurd() {
+fn extreme_numbers_in_input_cause_no_panic() {
     let mut scheduler = busy_fleet(2);
-    let absurd = JobSpec { deadline_s: Some(1e300), estimate_s: 1e300, ..(*spec(2, 3)).clone() };
+    let extreme = JobSpec { deadline_s: Some(1e300), estimate_s: 1e300, ..(*spec(2, 3)).clone() };
     let job = Event::JobOpened {
-        spec: Arc::new(absurd),
+        spec: Arc::new(extreme),
         submitted_at: u64::MAX,
         revision: u64::MAX,
         done: None,
@@ -43,7 +43,7 @@
     (heartbeat.agent_epoch, heartbeat.notice_s) = (u64::MAX, Some(1e300));
     scheduler.handle(2_100, Event::Heartbeat(heartbeat));
     let listed = ListedMachine {
-        name: name(9),
+        name: machine_name(9),
         machine_type: "unknown".into(),
         zone: "z".into(),
         spot: false,
@@ -61,7 +61,7 @@
 
 /// Recorded day: large jobs that can't be in time made the small ones behind them late too.
 #[test]
-fn a_large_job_that_cannot_be_in_time_lets_a_small_one_pass() {
+fn a_small_job_passes_a_large_one_that_cannot_be_on_time() {
     let mut policy = policy();
     for ms in [30_000, 100_000] {
         policy
@@ -85,7 +85,7 @@
 /// A task that is to start within a second must not land where its image takes four to come, while
 /// another machine holds it and may be free in time; after that second it takes what there is.
 #[test]
-fn a_job_with_a_start_objective_waits_for_a_machine_that_holds_its_image() {
+fn a_start_objective_job_waits_for_a_machine_with_its_image() {
     let policy = Policy {
         start_objectives: vec![StartObjective { class: "p".into(), within_ms: 1_000 }],
         ..long_idle_timeout()
@@ -97,7 +97,7 @@
     }
     let writes = scheduler.next_writes(1_000, 8);
     scheduler.handle(1_000, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(9) });
-    let start_objectives = |id, tasks, submitted_at| {
+    let job_with_start_objective = |id, tasks, submitted_at| {
         let spec = JobSpec {
             class: "p".into(),
             image: "x".into(),
@@ -106,10 +106,10 @@
         };
         Event::JobOpened { spec: Arc::new(spec), submitted_at, revision: 8, done: None }
     };
-    scheduler.handle(2_000, start_objectives(1, 1, 2_000));
+    scheduler.handle(2_000, job_with_start_objective(1, 1, 2_000));
     scheduler.handle(2_100, Event::Tick);
     let on = scheduler.jobs()[&JobId(1)].placed[&0].machine.to_string();
-    let i = u64::from(on == name(1));
+    let i = u64::from(on == machine_name(1));
     let running = scheduler.machines()[&on]
         .runs
         .values()
@@ -117,7 +117,7 @@
     let running = running.collect();
     scheduler.handle(3_000, Event::Heartbeat(heartbeat(i, 2, 7, running)));
     // One place is left beside it, two are free on the machine without the image.
-    scheduler.handle(5_000, start_objectives(2, 2, 5_000));
+    scheduler.handle(5_000, job_with_start_objective(2, 2, 5_000));
     scheduler.handle(5_100, Event::Tick);
     let placed: Vec<String> = scheduler.jobs()[&JobId(2)]
         .placed
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn images_go_in_the_order_of_their_last_use() {
+fn images_are_evicted_in_order_of_last_use() {
     let mut images = ImageCache::default();
     for (name, gb) in [("a", 2.0), ("b", 2.0), ("a", 2.0), ("c", 1.5)] {
         images.record_use(name, gb, 4.0);
@@ -143,7 +143,7 @@
 /// Recorded day inc-062e: best-effort work without any objective stood before all jobs that could not be in
 /// time, and kept a full fleet from them for minutes.
 #[test]
-fn best_effort_work_waits_for_what_is_late_and_provisions_only_spot_machines() {
+fn best_effort_jobs_yield_to_late_ones_and_provision_only_spot() {
     let mut scheduler =
         Scheduler::new(late_class_policy(), TERM, types(), stored_set(0..1), Vec::new(), 1_000);
     let best_effort =
@@ -188,7 +188,7 @@
 /// Hunted days of kolkata: six such jobs shared what was left, so that none was done by the day's
 /// end.
 #[test]
-fn best_effort_work_is_done_one_job_after_the_other() {
+fn best_effort_jobs_run_one_after_the_other() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..3), Vec::new(), 1_000);
     for id in [1, 2] {
@@ -209,7 +209,7 @@
 /// Own days: a job of 25 tasks that missed its deadline by a second stood behind hundreds that
 /// could not be in time, the largest first, and began 500 s later.
 #[test]
-fn a_small_job_past_its_deadline_is_not_left_to_the_end() {
+fn a_small_job_past_its_deadline_is_not_placed_last() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..1), Vec::new(), 100_000);
     let late = |id, tasks| {
@@ -224,8 +224,8 @@
 
 /// A machine of eight CPUs with a task of four, reserved for a task of six; when a job of this size
 /// that comes later starts there, if it does within so many ms.
-fn starts_beside(cpus: f64, within: u64) -> Option<u64> {
-    let sized = |id, cpus| {
+fn start_beside_reservation(cpus: f64, within: u64) -> Option<u64> {
+    let job_with_cpus = |id, cpus| {
         let demand = Resources { cpus, gpus: 0.0, memory_gb: 1.0 };
         let spec = Arc::new(JobSpec { demand, ..(*spec(id, 1)).clone() });
         Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None }
@@ -233,19 +233,19 @@
     let mut scheduler = Scheduler::new(
         long_idle_timeout(),
         TERM,
-        types_out_of_stock(),
+        types_without_zones(),
         stored_set(0..1),
         Vec::new(),
         1_000,
     );
-    scheduler.handle(1_000, sized(1, 4.0));
+    scheduler.handle(1_000, job_with_cpus(1, 4.0));
     let phase = TaskPhase::Running;
     let long = TaskStatus { task: "req-000001/0".parse().expect("a task id"), attempt: 5, phase };
     for now in (1_000..within).step_by(200) {
         if now == 1_200 {
-            scheduler.handle(now, sized(2, 6.0));
+            scheduler.handle(now, job_with_cpus(2, 6.0));
         } else if now == 6_000 {
-            scheduler.handle(now, sized(3, cpus));
+            scheduler.handle(now, job_with_cpus(3, cpus));
         }
         scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, vec![long])));
         scheduler.handle(now, Event::Tick);
@@ -262,8 +262,9 @@
 /// Runs of the simulation: whole machines stood empty, reserved for a job that could not use them, and
 /// others had two CPUs free of eight, reserved for tasks of six, for as long as the overload lasted.
 #[test]
-fn a_reserved_machine_is_open_to_what_its_holder_cannot_use_and_to_those_who_wait_for_long() {
-    let (small, large) = (starts_beside(2.0, 90_000), starts_beside(4.0, 90_000));
+fn a_reserved_machine_is_open_to_small_and_long_waiting_jobs() {
+    let (small, large) =
+        (start_beside_reservation(2.0, 90_000), start_beside_reservation(4.0, 90_000));
     assert!(small.is_some_and(|at| at < 7_000), "beside: {small:?}");
     assert!(large.is_some_and(|at| (60_000..80_000).contains(&at)), "instead: {large:?}");
 }
@@ -274,18 +275,19 @@
     let mut fleet = stored_set(0..2);
     fleet[0].machines.as_mut().expect("a machine set that was read")[1].zone = "b".into();
     let mut scheduler =
-        Scheduler::new(long_idle_timeout(), TERM, types_out_of_stock(), fleet, Vec::new(), 1_000);
-    let bound = JobSpec { one_zone: true, ..(*spec(1, 9)).clone() };
+        Scheduler::new(long_idle_timeout(), TERM, types_without_zones(), fleet, Vec::new(), 1_000);
+    let one_zone_job = JobSpec { one_zone: true, ..(*spec(1, 9)).clone() };
     scheduler.handle(
         1_000,
-        Event::JobOpened { spec: Arc::new(bound), submitted_at: 0, revision: 8, done: None },
+        Event::JobOpened { spec: Arc::new(one_zone_job), submitted_at: 0, revision: 8, done: None },
     );
     let in_b = |sequence| Heartbeat { zone: "b".into(), ..heartbeat(1, sequence, 7, Vec::new()) };
     for now in (1_000..20_000).step_by(200) {
-        let tasks = scheduler.machines()[&name(0)].runs.values().map(status_of).collect();
+        let tasks = scheduler.machines()[&machine_name(0)].runs.values().map(status_of).collect();
         scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, tasks)));
         if now >= 8_000 {
-            let tasks = scheduler.machines()[&name(1)].runs.values().map(status_of).collect();
+            let tasks =
+                scheduler.machines()[&machine_name(1)].runs.values().map(status_of).collect();
             scheduler.handle(now, Event::Heartbeat(Heartbeat { tasks, ..in_b(now) }));
         }
         if now == 14_000 {
@@ -312,26 +314,26 @@
 /// for up to a second, so that the team stayed below its limit for as long as jobs waited beside
 /// free capacity.
 #[test]
-fn what_an_end_leaves_of_a_limit_is_given_out_at_once() {
+fn capacity_freed_under_a_team_limit_is_reused_at_once() {
     let limit = Team { cpus_max: 4.0, ..long_idle_timeout().teams.remove(0) };
     let policy = Policy { teams: vec![limit], ..long_idle_timeout() };
     let mut scheduler = Scheduler::new(policy, TERM, types(), stored_set(0..1), Vec::new(), 1_000);
     scheduler.handle(1_000, job_opened(1, 2, 8));
     scheduler.handle(1_000, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     for now in (1_200..10_000).step_by(200) {
-        let runs = scheduler.machines()[&name(0)].runs.values();
+        let runs = scheduler.machines()[&machine_name(0)].runs.values();
         let tasks =
             runs.map(|run| TaskStatus { phase: TaskPhase::Running, ..status_of(run) }).collect();
         scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, tasks)));
         scheduler.handle(now, Event::Tick);
     }
     let runs = |scheduler: &Scheduler| {
-        scheduler.machines()[&name(0)].runs.values().filter(|run| run.is_live()).count()
+        scheduler.machines()[&machine_name(0)].runs.values().filter(|run| run.is_live()).count()
     };
     assert_eq!(runs(&scheduler), 1, "four CPUs are all that the team may use");
     // A cycle ran just now.
     scheduler.handle(10_000, Event::Tick);
-    let run = scheduler.machines()[&name(0)].runs.values().next().expect("a run");
+    let run = scheduler.machines()[&machine_name(0)].runs.values().next().expect("a run");
     let done = TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) };
     scheduler.handle(10_050, Event::Heartbeat(heartbeat(0, 10_050, 7, vec![done])));
     scheduler.handle(10_200, Event::Tick);
--- a/crates/latchtrack-core/tests/record_shards.rs
+++ b/crates/latchtrack-core/tests/record_shards.rs
@@ -8,7 +8,7 @@
 /// A store that applies writes late, twice or never, and a random run over it: whatever was
 /// written and not removed must be found by whoever reads the store next.
 #[test]
-fn no_late_write_takes_an_entry_away() {
+fn late_writes_lose_no_entries() {
     use rand::rngs::StdRng;
     use rand::{Rng, SeedableRng};
     let mut late_applied = 0;
@@ -121,7 +121,7 @@
 
 /// A value whose entries have another form now: it stays until all of them are stored anew.
 #[test]
-fn a_value_that_is_replaced_stays_until_its_entries_are_stored_elsewhere() {
+fn a_replaced_value_is_kept_until_its_entries_are_stored() {
     let mut shards: RecordShards<u32> = RecordShards::new(9, 100, 0);
     shards.load_to_replace("7-1", (0..25).map(|k| (k, 10)));
     let mut stored = BTreeSet::new();
--- a/crates/latchtrack-core/tests/refused_writes.rs
+++ b/crates/latchtrack-core/tests/refused_writes.rs
@@ -47,7 +47,7 @@
 
 /// Writes all that is to be written, to a service that takes no more than so many changes and so
 /// many bytes of a value.
-fn write_all(scheduler: &mut Scheduler, most_changes: usize, most_bytes: usize) -> Written {
+fn write_all(scheduler: &mut Scheduler, max_changes: usize, max_bytes: usize) -> Written {
     let mut machines = Vec::new();
     for cycle in 0..200 {
         let now = 10_000 + cycle * 10_000;
@@ -55,7 +55,7 @@
         if writes.is_empty() {
             return Written { machines, transactions: cycle as usize };
         }
-        let fits = writes.len() <= most_changes && writes.iter().all(|w| bytes(w) <= most_bytes);
+        let fits = writes.len() <= max_changes && writes.iter().all(|w| bytes(w) <= max_bytes);
         let outcome = if fits {
             for write in &writes {
                 let RecordWrite::MachineSet { machines: stored, .. } = write else { continue };
@@ -71,31 +71,31 @@
 }
 
 #[test]
-fn refused_writes_go_on_in_smaller_pieces() {
-    for (most_changes, most_bytes) in [(8, 1_000), (1, 100_000), (2, 300)] {
+fn rejected_writes_are_retried_in_smaller_parts() {
+    for (max_changes, max_bytes) in [(8, 1_000), (1, 100_000), (2, 300)] {
         let mut scheduler = leader();
         for i in 0..300 {
-            scheduler.handle(1_000, heartbeat_of(&name(i), name(i)));
+            scheduler.handle(1_000, heartbeat_of(&machine_name(i), machine_name(i)));
         }
         let Written { machines: mut stored, transactions } =
-            write_all(&mut scheduler, most_changes, most_bytes);
+            write_all(&mut scheduler, max_changes, max_bytes);
         stored.sort();
         stored.dedup();
-        assert_eq!(stored.len(), 300, "{most_changes} changes, {most_bytes} bytes");
+        assert_eq!(stored.len(), 300, "{max_changes} changes, {max_bytes} bytes");
         assert!(transactions < 150, "{transactions} transactions");
     }
 }
 
 #[test]
-fn a_value_that_can_not_be_stored_blocks_no_other() {
+fn a_value_that_cannot_be_stored_blocks_no_other() {
     let mut scheduler = leader();
     scheduler.handle(1_000, heartbeat_of("n-large", "x".repeat(900)));
     for i in 0..20 {
-        scheduler.handle(1_000, heartbeat_of(&name(i), name(i)));
+        scheduler.handle(1_000, heartbeat_of(&machine_name(i), machine_name(i)));
     }
     let Written { machines: mut stored, .. } = write_all(&mut scheduler, 4, 600);
     stored.sort();
     stored.dedup();
-    assert_eq!(stored, (0..20).map(name).collect::<Vec<_>>());
+    assert_eq!(stored, (0..20).map(machine_name).collect::<Vec<_>>());
     assert!(!scheduler.machines()["n-large"].persisted, "and it gets no task");
 }
--- a/crates/latchtrack-core/tests/results.rs
+++ b/crates/latchtrack-core/tests/results.rs
@@ -4,7 +4,7 @@
 use latchtrack_core::constants::{CHUNK_TASKS, FIRST_CHUNK_INDEX, LEGACY_CHUNK_TASKS, MAX_TASKS};
 
 #[test]
-fn chunks_carry_a_large_job_over() {
+fn large_chunks_round_trip() {
     let mut a = Bitmap::new(LEGACY_CHUNK_TASKS + 10);
     for i in [0, 7, 8, LEGACY_CHUNK_TASKS - 1, LEGACY_CHUNK_TASKS, LEGACY_CHUNK_TASKS + 9] {
         assert!(a.set(i));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn small_chunks_carry_every_job_over() {
+fn small_chunks_round_trip() {
     for tasks in [1, CHUNK_TASKS, CHUNK_TASKS + 1, LEGACY_CHUNK_TASKS + 10, MAX_TASKS] {
         let mut a = Bitmap::new(tasks);
         for i in (0..tasks).step_by(97).chain([tasks - 1]) {
--- a/crates/latchtrack-core/tests/rules.rs
+++ b/crates/latchtrack-core/tests/rules.rs
@@ -4,7 +4,7 @@
 use latchtrack_core::rules::{may_start, within_limit};
 
 #[test]
-fn zone_rules() {
+fn zone_type_spot_and_limit_rules() {
     let mut spec = JobSpec {
         id: JobId(1),
         class: String::new(),
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -11,12 +11,12 @@
 use latchtrack_core::scheduler::*;
 
 /// ms after which a worker lease has surely expired.
-const PAST_LEASE: u64 = LEASE + 5_000;
+const PAST_LEASE_MS: u64 = WORKER_LEASE_MS + 5_000;
 /// Machines of each of the three zones.
-const PER_ZONE: u64 = 100;
+const MACHINES_PER_ZONE: u64 = 100;
 
 /// The policy that a node derives from its settings.
-fn settings() -> Policy {
+fn derived_policy() -> Policy {
     Policy {
         on_demand_provision_delay_ms: 8_000,
         heartbeat_timeout_ms: Policy::default_heartbeat_timeout_ms(3_000),
@@ -26,12 +26,12 @@
 }
 
 /// The zone of a machine.
-fn zone(i: u64) -> String {
+fn zone_of(i: u64) -> String {
     ["a", "b", "c"][(i % 3) as usize].into()
 }
 
 /// The number of a machine with this name.
-fn index(name: &str) -> u64 {
+fn machine_number(name: &str) -> u64 {
     name.strip_prefix("n-").and_then(|number| number.parse().ok()).expect("a name as `n-000001`")
 }
 
@@ -51,9 +51,9 @@
     calls: Vec<LostCall>,
     log_events: Vec<LogEvent>,
     terminated: Vec<u64>,
-    resigned: Vec<ResignReason>,
+    resignations: Vec<ResignReason>,
     provisions: Vec<String>,
-    probes: BTreeMap<String, u32>,
+    probes_by_zone: BTreeMap<String, u32>,
     /// Machines that do not respond may be relayed by other nodes, and be given tasks.
     relays: bool,
 }
@@ -62,18 +62,19 @@
     /// A new leader of machines that an earlier one left, each running one task of a job.
     fn inherited() -> Fleet {
         let machine = |i| StoredMachine {
-            name: name(i),
+            name: machine_name(i),
             machine_type: "g".into(),
-            zone: zone(i),
+            zone: zone_of(i),
             spot: true,
-            addr: name(i),
+            addr: machine_name(i),
         };
-        let machines = Some((0..3 * PER_ZONE).map(machine).collect());
+        let machines = Some((0..3 * MACHINES_PER_ZONE).map(machine).collect());
         let stored = vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }];
-        let types = vec![machine_type((0..3).map(zone).collect())];
+        let types = vec![machine_type((0..3).map(zone_of).collect())];
         let revisions = TermRevisions { token: 7, leaderless_since: 7 };
-        let mut scheduler = Scheduler::new(settings(), revisions, types, stored, Vec::new(), 1_000);
-        let tasks = 3 * PER_ZONE as u32;
+        let mut scheduler =
+            Scheduler::new(derived_policy(), revisions, types, stored, Vec::new(), 1_000);
+        let tasks = 3 * MACHINES_PER_ZONE as u32;
         scheduler.handle(1_000, job_opened(1, tasks, 3));
         Fleet {
             scheduler,
@@ -83,9 +84,9 @@
             calls: Vec::new(),
             log_events: Vec::new(),
             terminated: Vec::new(),
-            resigned: Vec::new(),
+            resignations: Vec::new(),
             provisions: Vec::new(),
-            probes: BTreeMap::new(),
+            probes_by_zone: BTreeMap::new(),
             relays: false,
         }
     }
@@ -101,7 +102,7 @@
     fn heartbeat(&mut self, i: u64) -> Heartbeat {
         self.sequence += 1;
         let agent_epoch = *self.agent_epoch.get(&i).unwrap_or(&1);
-        let runs = self.scheduler.machines().get(&name(i)).map(|machine| &machine.runs);
+        let runs = self.scheduler.machines().get(&machine_name(i)).map(|machine| &machine.runs);
         let known = runs.into_iter().flat_map(|r| r.values());
         let mut tasks: Vec<TaskStatus> = known
             .map(|run| TaskStatus {
@@ -116,10 +117,10 @@
             tasks.push(TaskStatus { task, attempt: 5, phase: TaskPhase::Running });
         }
         Heartbeat {
-            machine: name(i),
-            addr: name(i),
+            machine: machine_name(i),
+            addr: machine_name(i),
             machine_type: "g".into(),
-            zone: zone(i),
+            zone: zone_of(i),
             spot: true,
             agent_epoch,
             sequence: self.sequence,
@@ -129,24 +130,28 @@
         }
     }
 
-    fn take(&mut self, effects: Vec<Effect>, silent: &impl Fn(u64) -> bool) {
+    fn carry_out(&mut self, effects: Vec<Effect>, silent: &impl Fn(u64) -> bool) {
         for effect in effects {
             match effect {
                 Effect::Log(t) => self.log_events.push(t),
-                Effect::Resign(why) => self.resigned.push(why),
-                Effect::Terminate(names) => self.terminated.extend(names.iter().map(|n| index(n))),
+                Effect::Resign(why) => self.resignations.push(why),
+                Effect::Terminate(names) => {
+                    self.terminated.extend(names.iter().map(|n| machine_number(n)))
+                }
                 Effect::Provision { offer, .. } => self.provisions.push(offer.zone),
-                Effect::CallWorker { machine, call, commands, .. } if silent(index(&machine)) => {
+                Effect::CallWorker { machine, call, commands, .. }
+                    if silent(machine_number(&machine)) =>
+                {
                     assert!(commands.is_empty() || self.relays, "a command into the silence");
-                    *self.probes.entry(zone(index(&machine))).or_default() += 1;
+                    *self.probes_by_zone.entry(zone_of(machine_number(&machine))).or_default() += 1;
                     let ends_at = self.now + 2_500;
                     self.calls.push(LostCall { ends_at, machine, call });
                 }
                 Effect::CallWorker { machine, call, .. } => {
-                    let outcome = CallOutcome::Executed(self.heartbeat(index(&machine)));
+                    let outcome = CallOutcome::Executed(self.heartbeat(machine_number(&machine)));
                     let event = Event::CallFinished { machine, call, outcome };
                     let effects = self.scheduler.handle(self.now, event);
-                    self.take(effects, silent);
+                    self.carry_out(effects, silent);
                 }
                 _ => {}
             }
@@ -165,50 +170,53 @@
             for LostCall { machine, call, .. } in over {
                 let event = Event::CallFinished { machine, call, outcome: CallOutcome::NoAnswer };
                 let effects = self.scheduler.handle(now, event);
-                self.take(effects, &silent);
+                self.carry_out(effects, &silent);
             }
-            for i in (0..3 * PER_ZONE).filter(|i| (now / 200 + i) % 10 == 0 && !silent(*i)) {
-                if self.scheduler.machines().contains_key(&name(i)) {
+            for i in (0..3 * MACHINES_PER_ZONE).filter(|i| (now / 200 + i) % 10 == 0 && !silent(*i))
+            {
+                if self.scheduler.machines().contains_key(&machine_name(i)) {
                     let heartbeat = self.heartbeat(i);
                     let effects = self.scheduler.handle(now, Event::Heartbeat(heartbeat));
-                    self.take(effects, &silent);
+                    self.carry_out(effects, &silent);
                 }
             }
             let effects = self.scheduler.handle(now, Event::Tick);
-            self.take(effects, &silent);
+            self.carry_out(effects, &silent);
         }
     }
 
     /// Runs on a machine, as the scheduler knows them.
     fn runs(&self, i: u64) -> usize {
-        self.scheduler.machines()[&name(i)].runs.len()
+        self.scheduler.machines()[&machine_name(i)].runs.len()
     }
 }
 
-fn in_b(i: u64) -> bool {
-    zone(i) == "b"
+fn is_in_zone_b(i: u64) -> bool {
+    zone_of(i) == "b"
 }
 
 #[test]
-fn an_unreachable_zone_is_cut_off_and_its_machines_are_there_when_the_cut_ends() {
+fn machines_of_an_unreachable_zone_are_kept_until_it_is_back() {
     let mut fleet = Fleet::reconciled();
-    fleet.run(PAST_LEASE - 2_000, in_b);
+    fleet.run(PAST_LEASE_MS - 2_000, is_in_zone_b);
     assert_eq!(fleet.terminated, Vec::<u64>::new(), "nothing is thrown away");
     assert_eq!(fleet.runs(1), 1, "its task may be running: it has its place");
-    fleet.run(8_000, in_b);
+    fleet.run(8_000, is_in_zone_b);
     assert_eq!(fleet.runs(1), 0, "the lease is over");
     assert!(fleet.scheduler.jobs()[&JobId(1)]
         .placed
         .values()
-        .all(|assignment| !in_b(index(&assignment.machine))));
-    assert_eq!((fleet.terminated.len(), fleet.resigned.len()), (0, 0));
+        .all(|assignment| !is_in_zone_b(machine_number(&assignment.machine))));
+    assert_eq!((fleet.terminated.len(), fleet.resignations.len()), (0, 0));
     let needless = fleet.provisions.iter().filter(|z| *z == "b").count();
     assert_eq!(needless, 0, "provisioned where nothing is heard: {:?}", fleet.provisions);
     // Back, in the next agent epoch.
-    fleet.agent_epoch.extend((0..3 * PER_ZONE).filter(|i| in_b(*i)).map(|i| (i, 2)));
+    fleet
+        .agent_epoch
+        .extend((0..3 * MACHINES_PER_ZONE).filter(|i| is_in_zone_b(*i)).map(|i| (i, 2)));
     fleet.run(3_000, |_| false);
     assert_eq!(fleet.terminated, Vec::<u64>::new());
-    assert_eq!(fleet.scheduler.summary(0).up, 3 * PER_ZONE as usize);
+    assert_eq!(fleet.scheduler.summary(0).up, 3 * MACHINES_PER_ZONE as usize);
     assert!(
         fleet.log_events.contains(&LogEvent::ZoneReachable { zone: "b".into() }),
         "{:?}",
@@ -218,10 +226,10 @@
 
 /// What was sent before the lease ran out and held back speaks of an agent epoch that is over.
 #[test]
-fn a_heartbeat_held_back_for_longer_than_the_lease_brings_no_run_back() {
+fn a_heartbeat_delayed_past_the_lease_restores_no_run() {
     let mut fleet = Fleet::reconciled();
     let held = fleet.heartbeat(1);
-    fleet.run(PAST_LEASE + 4_000, in_b);
+    fleet.run(PAST_LEASE_MS + 4_000, is_in_zone_b);
     let effects = fleet.scheduler.handle(fleet.now, Event::Heartbeat(held));
     assert!(!effects
         .iter()
@@ -230,67 +238,78 @@
 }
 
 #[test]
-fn a_zone_that_stays_unreachable_is_given_up_in_the_end() {
+fn a_zone_that_stays_unreachable_is_terminated() {
     let mut fleet = Fleet::reconciled();
-    fleet.run(PAST_LEASE + 70_000, in_b);
-    let mut gone = fleet.terminated.clone();
-    gone.sort_unstable();
-    gone.dedup();
-    assert_eq!(gone, (0..3 * PER_ZONE).filter(|i| in_b(*i)).collect::<Vec<_>>());
+    fleet.run(PAST_LEASE_MS + 70_000, is_in_zone_b);
+    let mut terminated = fleet.terminated.clone();
+    terminated.sort_unstable();
+    terminated.dedup();
+    assert_eq!(
+        terminated,
+        (0..3 * MACHINES_PER_ZONE).filter(|i| is_in_zone_b(*i)).collect::<Vec<_>>()
+    );
 }
 
 /// On the working sites a new leader asked each machine of a cut zone by itself, 96 at a time, or
 /// waited for their lease, by which side of one half they were; all older jobs waited meanwhile.
 #[test]
-fn a_new_leader_gives_up_an_unreachable_zone_at_once_and_the_others_go_on() {
+fn a_new_leader_terminates_an_unreachable_zone_at_once() {
     let mut fleet = Fleet::inherited();
-    fleet.run(4_400, in_b);
-    assert_eq!(fleet.terminated.len() as u64, PER_ZONE, "{:?}", fleet.log_events);
-    assert!(fleet.terminated.iter().all(|i| in_b(*i)));
-    assert!(fleet.probes["b"] <= 75, "asked {} times", fleet.probes["b"]);
+    fleet.run(4_400, is_in_zone_b);
+    assert_eq!(fleet.terminated.len() as u64, MACHINES_PER_ZONE, "{:?}", fleet.log_events);
+    assert!(fleet.terminated.iter().all(|i| is_in_zone_b(*i)));
+    assert!(fleet.probes_by_zone["b"] <= 75, "asked {} times", fleet.probes_by_zone["b"]);
 }
 
 /// With nothing heard of any zone it is rather us.
 #[test]
-fn a_leader_that_hears_no_zone_resigns_and_a_new_one_waits_for_the_lease() {
+fn a_leader_that_hears_no_zone_terminates_no_machine() {
     let mut fleet = Fleet::reconciled();
     fleet.run(12_000, |_| true);
-    assert!(fleet.resigned.contains(&ResignReason::NoZoneReachable));
+    assert!(fleet.resignations.contains(&ResignReason::NoZoneReachable));
     assert_eq!(fleet.terminated, Vec::<u64>::new());
     let mut fleet = Fleet::inherited();
-    fleet.run(LEASE, |_| true);
-    assert_eq!((fleet.resigned.len(), fleet.terminated.len()), (0, 0));
+    fleet.run(WORKER_LEASE_MS, |_| true);
+    assert_eq!((fleet.resignations.len(), fleet.terminated.len()), (0, 0));
 }
 
 #[test]
-fn scattered_machines_are_given_up_one_by_one() {
+fn silent_machines_across_zones_are_terminated_one_by_one() {
     let mut fleet = Fleet::reconciled();
     fleet.run(18_000, |i| i % 4 == 0);
     fleet.terminated.sort_unstable();
-    assert_eq!(fleet.terminated, (0..3 * PER_ZONE).filter(|i| i % 4 == 0).collect::<Vec<_>>());
+    assert_eq!(
+        fleet.terminated,
+        (0..3 * MACHINES_PER_ZONE).filter(|i| i % 4 == 0).collect::<Vec<_>>()
+    );
 }
 
 /// An outage for longer than the workers' lease: nobody listened, and on the first tick after it
 /// the whole fleet would have been deleted.
 #[test]
-fn a_leader_that_was_away_does_not_take_that_for_the_machines_silence() {
+fn a_paused_leader_does_not_terminate_its_machines() {
     let mut fleet = Fleet::reconciled();
-    fleet.now += PAST_LEASE + 20_000;
-    fleet.agent_epoch.extend((0..3 * PER_ZONE).map(|i| (i, 2)));
+    fleet.now += PAST_LEASE_MS + 20_000;
+    fleet.agent_epoch.extend((0..3 * MACHINES_PER_ZONE).map(|i| (i, 2)));
     fleet.run(3_000, |_| false);
-    assert_eq!((fleet.terminated.len(), fleet.resigned.len()), (0, 0), "{:?}", fleet.log_events);
-    assert_eq!(fleet.scheduler.summary(0).up, 3 * PER_ZONE as usize);
+    assert_eq!(
+        (fleet.terminated.len(), fleet.resignations.len()),
+        (0, 0),
+        "{:?}",
+        fleet.log_events
+    );
+    assert_eq!(fleet.scheduler.summary(0).up, 3 * MACHINES_PER_ZONE as usize);
 }
 
 /// Taken back while it booted, a machine says nothing, and counted as pending capacity for four
 /// boot times.
 #[test]
-fn a_machine_that_the_list_lost_before_it_came_up_counts_no_more() {
+fn a_booting_machine_missing_from_the_list_is_terminated() {
     let mut fleet = Fleet::reconciled();
     let listed = |n: u64| ListedMachine {
-        name: name(n),
+        name: machine_name(n),
         machine_type: "g".into(),
-        zone: zone(n),
+        zone: zone_of(n),
         spot: true,
         failed: false,
         running: false,
@@ -298,27 +317,30 @@
     };
     let all = |n: u64| Event::MachinesListed((0..n).map(listed).collect());
     let now = fleet.now;
-    fleet.scheduler.handle(now, all(3 * PER_ZONE + 1));
-    fleet.scheduler.handle(now + 5_000, all(3 * PER_ZONE));
-    assert!(!fleet.scheduler.machines()[&name(3 * PER_ZONE)].to_terminate, "lists are late");
-    fleet.scheduler.handle(now + 14_000, all(3 * PER_ZONE));
-    assert!(fleet.scheduler.machines()[&name(3 * PER_ZONE)].to_terminate);
+    fleet.scheduler.handle(now, all(3 * MACHINES_PER_ZONE + 1));
+    fleet.scheduler.handle(now + 5_000, all(3 * MACHINES_PER_ZONE));
+    assert!(
+        !fleet.scheduler.machines()[&machine_name(3 * MACHINES_PER_ZONE)].to_terminate,
+        "lists are late"
+    );
+    fleet.scheduler.handle(now + 14_000, all(3 * MACHINES_PER_ZONE));
+    assert!(fleet.scheduler.machines()[&machine_name(3 * MACHINES_PER_ZONE)].to_terminate);
 }
 
 /// Day apart of the working sites: the leader lost its workers for a minute, others relayed their
 /// heartbeats, and what was launched waited for the next of these.
 #[test]
-fn a_leader_that_machines_reach_only_by_way_of_others_resigns() {
+fn a_leader_that_hears_only_relayed_heartbeats_resigns() {
     let mut fleet = Fleet::reconciled();
     fleet.relays = true;
     for _ in 0..20 {
         fleet.run(400, |i| i != 0);
         let heartbeat = fleet.heartbeat(3);
         let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(heartbeat));
-        fleet.take(effects, &|i| i != 0);
+        fleet.carry_out(effects, &|i| i != 0);
     }
     assert_eq!(
-        fleet.resigned,
+        fleet.resignations,
         Vec::<ResignReason>::new(),
         "one speaks to it: the others are cut off"
     );
@@ -326,10 +348,10 @@
     fleet.now += 60_000;
     let heartbeat = fleet.heartbeat(3);
     let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(heartbeat));
-    fleet.take(effects, &|_| false);
+    fleet.carry_out(effects, &|_| false);
     fleet.run(2_000, |_| false);
     assert_eq!(
-        fleet.resigned,
+        fleet.resignations,
         Vec::<ResignReason>::new(),
         "one report by way of another says nothing"
     );
@@ -337,7 +359,7 @@
         fleet.run(400, |_| true);
         let heartbeat = fleet.heartbeat(3);
         let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(heartbeat));
-        fleet.take(effects, &|_| true);
+        fleet.carry_out(effects, &|_| true);
     }
-    assert!(fleet.resigned.contains(&ResignReason::HeartbeatsOnlyRelayed));
+    assert!(fleet.resignations.contains(&ResignReason::HeartbeatsOnlyRelayed));
 }
