--- a/crates/latchtrack-core/tests/common/mod.rs
+++ b/crates/latchtrack-core/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Fixtures of the small cases: policies, jobs, machines, heartbeats, and a leader with machines
-//! that run. The machines are `n-000000`, `n-000001` and so on; tests name them by their number.
+//! Fixtures for scheduler tests: policies, jobs, machines, heartbeats, and leaders with a fleet of
+//! machines. Machines are named `n-000000`, `n-000001` and so on; tests refer to them by number.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test target uses only some of the fixtures")]
 
 pub mod site;
 
@@ -12,10 +12,10 @@
 use latchtrack_core::placement::ScoreWeights;
 use latchtrack_core::scheduler::*;
 
-/// The worker lease, ms.
+/// The worker lease in ms.
 pub const WORKER_LEASE_MS: u64 = 24_000;
 
-/// A policy with one team, `t`, that has neither limit nor guarantee.
+/// Returns a policy with one team, `t`, that has neither a limit nor a guarantee.
 pub fn policy() -> Policy {
     Policy {
         weights: ScoreWeights::default(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// The machine type `g` of eight CPUs, in these zones.
+/// Returns machine type `g`, which has eight CPUs, offered in these zones.
 pub fn machine_type(zones: Vec<String>) -> MachineType {
     MachineType {
         name: "g".into(),
@@ -57,12 +57,12 @@
     }
 }
 
-/// The name of a machine.
+/// Returns the name of the machine with this number.
 pub fn machine_name(number: u64) -> String {
     format!("n-{number:06}")
 }
 
-/// A job of team `t` and class `c` whose tasks take four CPUs, half a machine.
+/// Returns a job of team `t` and class `c` whose tasks each take four CPUs, half a machine.
 pub fn spec(id: u64, tasks: u32) -> Arc<JobSpec> {
     Arc::new(JobSpec {
         id: JobId(id),
@@ -86,20 +86,21 @@
     })
 }
 
-/// The term of token 7; until then there was an earlier leader.
+/// The term with token 7, which follows the previous leader without a gap.
 pub const TERM: TermRevisions = TermRevisions { token: 7, leaderless_since: 7 };
 
-/// A job of that many tasks, submitted at time 0, opened at a revision of the state service.
+/// Returns the event for a job submitted at time 0 and stored at this revision of the state
+/// service. In [`TERM`], a revision below 7 makes it an inherited job.
 pub fn job_opened(id: u64, tasks: u32, revision: u64) -> Event {
     Event::JobOpened { spec: spec(id, tasks), submitted_at: 0, revision, done: None }
 }
 
-/// Machine type `g` in zone `a` only.
+/// Returns machine type `g`, offered in zone `a` only.
 pub fn types() -> Vec<MachineType> {
     vec![machine_type(vec!["a".into()])]
 }
 
-/// The stored machine set of these machines, in one value.
+/// Returns the stored machine set of these machines, all spot machines in zone `a`, in one value.
 pub fn stored_set(numbers: std::ops::Range<u64>) -> Vec<StoredMachineSet> {
     let machine = |number| StoredMachine {
         name: machine_name(number),
@@ -112,7 +113,7 @@
     vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
 }
 
-/// A heartbeat of a spot machine in zone `a`, in its first agent epoch.
+/// Returns a heartbeat of a spot machine in zone `a`, in its first agent epoch.
 pub fn heartbeat(number: u64, sequence: u64, token: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         machine: machine_name(number),
@@ -128,7 +129,7 @@
     }
 }
 
-/// The machines that the cloud is asked to take back.
+/// Returns the names of the machines that the cloud is asked to terminate.
 pub fn terminated(effects: &[Effect]) -> Vec<String> {
     effects
         .iter()
@@ -140,7 +141,7 @@
         .collect()
 }
 
-/// Launches in responses and direct calls.
+/// Counts the launches in heartbeat responses and direct calls.
 pub fn launches(effects: &[Effect]) -> usize {
     let counts = effects.iter().map(|effect| match effect {
         Effect::Respond(commands) | Effect::CallWorker { commands, .. } => {
@@ -151,8 +152,8 @@
     counts.sum()
 }
 
-/// A leader with so many reconciled machines, each running one task of job 1, all heard at 1,000
-/// ms.
+/// Returns a leader with this many reconciled machines, each running one task of job 1, that all
+/// sent a heartbeat at 1,000 ms.
 pub fn busy_fleet(machines: u64) -> Scheduler {
     let mut scheduler =
         Scheduler::new(policy(), TERM, types(), stored_set(0..machines), Vec::new(), 1_000);
@@ -169,23 +170,23 @@
     scheduler
 }
 
-/// A run as its machine reports it, in the phase that the scheduler knows.
+/// Returns the status that a machine reports for a run whose phase has not changed.
 pub fn status_of(run: &TaskRun) -> TaskStatus {
     TaskStatus { task: run.task, attempt: run.attempt, phase: run.phase }
 }
 
-/// ms after which direct calls end in [`tick_until`].
+/// Time in ms after which direct calls end in [`tick_until`].
 const CALL_DURATION_MS: u64 = 1_000;
 
-/// A direct call that has not ended.
+/// A direct call in flight.
 struct OpenCall {
     ends_at: u64,
     machine: String,
     call: CallId,
 }
 
-/// Ticks from one time to another, every 200 ms; every direct call ends with this outcome 1 s
-/// later, at the latest at the end.
+/// Ticks every 200 ms from `from` until before `to`, and returns all effects. Every direct call
+/// ends with `outcome` after [`CALL_DURATION_MS`], or at `to` if that is earlier.
 pub fn tick_until(
     scheduler: &mut Scheduler,
     from: u64,
@@ -221,18 +222,18 @@
     all
 }
 
-/// A policy that keeps spot machines however long they are idle.
+/// Returns a policy by which no idle spot machine is terminated during a test.
 pub fn long_idle_timeout() -> Policy {
     Policy { spot_idle_timeout_ms: 1_000_000, ..policy() }
 }
 
-/// Whether all runs on a machine have ended, as far as the scheduler knows.
+/// Whether the scheduler considers all runs on a machine as ended.
 pub fn all_runs_ended(scheduler: &Scheduler, number: u64) -> bool {
     let mut runs = scheduler.machines()[&machine_name(number)].runs.values();
     runs.all(|run| matches!(run.phase, TaskPhase::Ended(_)))
 }
 
-/// A policy by which all jobs of class `c` are late from the start.
+/// Returns a policy by which all jobs of class `c` miss their objective from the start.
 pub fn late_class_policy() -> Policy {
     let completion_objectives =
         vec![CompletionObjective { class: "c".into(), due: Due::Within(1) }];
@@ -243,8 +244,8 @@
     }
 }
 
-/// A machine type that no zone offers any more: while something can be provisioned, a job reserves
-/// no machines.
+/// Returns machine type `g`, which no zone offers, so that nothing can be provisioned: a job
+/// reserves machines only if none can be provisioned for it.
 pub fn types_without_zones() -> Vec<MachineType> {
     vec![MachineType { zones: Vec::new(), ..types().remove(0) }]
 }
--- a/crates/latchtrack-core/tests/common/site.rs
+++ b/crates/latchtrack-core/tests/common/site.rs
@@ -1,4 +1,5 @@
-//! A leader with machines that execute its commands at once, and a referee of what starts on them.
+//! A simulated cluster: a leader and machines that execute its commands immediately. It records
+//! every task that starts while it is live on another machine.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,59 +14,60 @@
 
 /// The fencing token of the first leader.
 pub const TOKEN: u64 = 7;
-/// ms of a step of [`Cluster::advance_time`].
+/// Time in ms between two steps of [`Cluster::advance_time`].
 const STEP_MS: u64 = 200;
-/// ms between two heartbeats of each machine.
+/// Time in ms between two heartbeats of each machine.
 const HEARTBEAT_MS: u64 = 1_000;
-/// Changes of a transaction.
+/// Maximum number of changes in a transaction.
 const MAX_CHANGES: usize = 8;
 
-/// A leader with machines of eight CPUs. Times are in ms; machines are named by their numbers.
+/// A leader and machines of eight CPUs each. Times are in ms; machines are identified by their
+/// numbers.
 pub struct Cluster {
-    /// The scheduler of the term.
+    /// The scheduler of the current term.
     pub leader: Scheduler,
-    /// The time.
+    /// The current time.
     pub now: u64,
-    /// The attempts on each machine.
+    /// The phase of each attempt, by machine, task and attempt number.
     pub tasks: BTreeMap<u64, BTreeMap<(TaskId, u64), TaskPhase>>,
-    /// Sequence of the last heartbeat of any machine.
+    /// Sequence number of the last heartbeat; all machines share one sequence.
     pub sequence: u64,
-    /// Stops that machines were told, with their grace in seconds.
+    /// Stop commands that reached a machine: the task and the grace period in seconds.
     pub stops: Vec<(TaskId, f64)>,
-    /// Launches that machines executed: machine, task and attempt.
+    /// Launches that machines executed or rejected: machine, task and attempt.
     pub launches: Vec<(u64, TaskId, u64)>,
-    /// Machines that responses and commands do not reach.
+    /// Machines that send heartbeats but receive neither responses nor calls.
     pub inbound_lost: BTreeSet<u64>,
-    /// Preemption notices of machines, in seconds.
+    /// Preemption notices, in seconds, by machine.
     pub preemption_notices: BTreeMap<u64, f64>,
-    /// All writes of the leader.
+    /// All records that the leader has written.
     pub writes: Vec<RecordWrite>,
-    /// Offers that machines were asked for.
+    /// Offers for which the leader has requested machines.
     pub provisions: Vec<Offer>,
-    /// The cloud answers that it has no capacity; otherwise it does not answer.
+    /// Whether the cloud answers provision requests with "no capacity"; otherwise it never answers.
     pub no_capacity: bool,
-    /// Machines that neither heartbeat nor respond.
+    /// Machines that neither send heartbeats nor answer calls.
     pub silent: BTreeSet<u64>,
     /// The agent epoch of each machine.
     pub agent_epoch: BTreeMap<u64, u64>,
-    /// When the last heartbeat of each machine that got its response was sent.
+    /// When the lease of each machine was last renewed by an answered heartbeat, or expired.
     pub lease_renewed_at: BTreeMap<u64, u64>,
-    /// Terminations are executed and confirmed.
+    /// Whether the cloud executes and confirms terminations; otherwise it ignores them.
     pub confirms_terminations: bool,
-    /// Machines that reject every launch for insufficient resources.
+    /// Machines that reject every launch because of insufficient resources.
     pub rejecting_launches: BTreeSet<u64>,
-    /// Times at which a task started on one machine while it was on another.
+    /// Descriptions of task starts on one machine while the task was live on another.
     pub concurrent_runs: Vec<String>,
-    /// Log lines of the leader.
+    /// Log lines of all leaders so far.
     pub log_lines: Vec<String>,
 }
 
-/// Even machines are in zone a, odd ones in zone b.
+/// Returns the zone of a machine: `a` if its number is even, `b` if it is odd.
 pub fn zone_of(machine: u64) -> &'static str {
     ["a", "b"][(machine % 2) as usize]
 }
 
-/// The stored set of on-demand machines with numbers below this.
+/// Returns the stored machine set of this many on-demand machines.
 fn stored_on_demand_set(machines: u64) -> Vec<StoredMachineSet> {
     let machine = |i| StoredMachine {
         name: machine_name(i),
@@ -78,7 +80,7 @@
     vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
 }
 
-/// A leader that inherits so many machines.
+/// Returns a new leader that inherits this many machines.
 pub fn new_leader(machines: u64, token: u64, policy: Policy, now: u64) -> Scheduler {
     let types = vec![machine_type(vec!["a".into(), "b".into()])];
     let revisions = TermRevisions { token, leaderless_since: token };
@@ -86,7 +88,7 @@
 }
 
 impl Cluster {
-    /// So many machines, all up and reconciled.
+    /// Creates a cluster of this many machines, all up and reconciled.
     pub fn new(machines: u64, policy: Policy) -> Cluster {
         let mut cluster = Cluster {
             leader: new_leader(machines, TOKEN, policy, 1_000),
@@ -112,7 +114,7 @@
         cluster
     }
 
-    /// A job is opened now.
+    /// Submits a job at the current time.
     pub fn submit(&mut self, spec: JobSpec) {
         let event = Event::JobOpened {
             spec: Arc::new(spec),
@@ -123,7 +125,7 @@
         self.handle_event(event);
     }
 
-    /// Hands an event to the leader and carries out its effects.
+    /// Passes an event to the leader and carries out the effects.
     pub fn handle_event(&mut self, event: Event) {
         let reporting = match &event {
             Event::Heartbeat(report) => Some(report.machine.clone()),
@@ -132,7 +134,7 @@
         for effect in self.leader.handle(self.now, event) {
             match effect {
                 Effect::Respond(commands) => {
-                    let machine = reporting.clone().expect("a response only to a heartbeat");
+                    let machine = reporting.clone().expect("only heartbeats are responded to");
                     self.execute(&machine, &commands);
                 }
                 Effect::CallWorker { machine, call, commands, .. } => {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// A machine executes commands; returns whether they reached it.
+    /// Executes commands on a machine, unless it is unreachable; returns whether they reached it.
     pub fn execute(&mut self, machine: &str, commands: &[Command]) -> bool {
         let i = machine_number(machine);
         if self.inbound_lost.contains(&i) || self.silent.contains(&i) {
@@ -207,7 +209,7 @@
         true
     }
 
-    /// The next heartbeat of a machine.
+    /// Returns the next heartbeat of a machine.
     pub fn next_heartbeat(&mut self, i: u64) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks[&i].iter().map(|((task, attempt), phase)| TaskStatus {
@@ -229,7 +231,7 @@
         }
     }
 
-    /// A machine heartbeats, unless it is silent.
+    /// Sends a heartbeat of a machine, unless the machine is silent or no longer exists.
     pub fn send_heartbeat(&mut self, i: u64) {
         if self.silent.contains(&i) || !self.tasks.contains_key(&i) {
             return;
@@ -241,7 +243,7 @@
         }
     }
 
-    /// The referee: no task starts while it is on another machine.
+    /// Records launches of tasks that are live on another machine.
     fn record_concurrent_runs(&mut self, machine: u64, commands: &[Command]) {
         for command in commands {
             let Command::Launch { task, attempt } = command else { continue };
@@ -257,7 +259,7 @@
         }
     }
 
-    /// Machines whose lease has expired lose what they run.
+    /// Kills all tasks on machines whose lease has expired, and advances their agent epochs.
     fn expire_leases(&mut self) {
         for (i, from) in self.lease_renewed_at.clone() {
             if self.now > from + WORKER_LEASE_MS {
@@ -270,14 +272,14 @@
         }
     }
 
-    /// All machines heartbeat.
+    /// Sends a heartbeat of every machine that is not silent.
     pub fn send_all_heartbeats(&mut self) {
         for i in self.tasks.keys().copied().collect::<Vec<_>>() {
             self.send_heartbeat(i);
         }
     }
 
-    /// Lets time pass, with heartbeats and writes.
+    /// Advances the time in steps, with ticks, heartbeats and writes, all of which are committed.
     pub fn advance_time(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -296,7 +298,7 @@
         }
     }
 
-    /// Sets the phase of a job's live tasks, all of them or some.
+    /// Sets the phase of those live tasks of a job whose index `which` selects.
     pub fn set_phase(&mut self, id: u64, phase: TaskPhase, which: impl Fn(u32) -> bool) {
         for tasks in self.tasks.values_mut() {
             for ((task, _), p) in tasks.iter_mut() {
@@ -308,7 +310,7 @@
         }
     }
 
-    /// Number of live tasks of a job on the machines, by attempt.
+    /// Returns the number of live tasks of a job on all machines, by attempt number.
     pub fn live_by_attempt(&self, id: u64) -> BTreeMap<u64, usize> {
         let mut live = BTreeMap::new();
         for ((task, attempt), phase) in self.tasks.values().flatten() {
@@ -319,13 +321,13 @@
         live
     }
 
-    /// The state of a gang's attempt, as the leader has it.
+    /// Returns the state of a gang's attempt, as known to the leader.
     pub fn attempt_state(&self, id: u64) -> AttemptState {
         self.leader.attempt_state(&self.leader.jobs()[&JobId(id)])
     }
 }
 
-/// The number of a machine with this name.
+/// Returns the number of the machine with this name.
 pub fn machine_number(machine: &str) -> u64 {
-    machine[2..].parse().expect("a name as `n-000001`")
+    machine[2..].parse().expect("a machine name like `n-000001`")
 }
--- a/crates/latchtrack-core/tests/gangs/attempts.rs
+++ b/crates/latchtrack-core/tests/gangs/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts of gangs: they start whole, end whole, and follow one another.
+//! Attempts of gangs: all tasks of an attempt start together and end together, and an attempt
+//! starts only after the previous one has ended.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,7 +16,7 @@
     let mut cluster = Cluster::new(2, long_idle_timeout());
     cluster.submit(gang(1, 5));
     cluster.advance_time(1_000);
-    assert_eq!(cluster.launches, [], "five do not fit");
+    assert_eq!(cluster.launches, [], "only four of five tasks fit");
     cluster.submit(gang(2, 4));
     cluster.advance_time(400);
     only_attempt(&cluster, 2, 4);
@@ -41,7 +42,7 @@
     only_attempt(&cluster, 1, 4);
     let zones: BTreeSet<&str> = cluster.launches.iter().map(|(i, ..)| zone_of(*i)).collect();
     assert_eq!(zones.len(), 1);
-    // Half of one that is to be apart, rounded up.
+    // A spread gang has at most half of its tasks, rounded up, in one zone.
     let mut cluster = Cluster::new(4, long_idle_timeout());
     cluster.submit(JobSpec { spread: true, ..gang(1, 5) });
     cluster.advance_time(400);
@@ -50,8 +51,8 @@
     assert!((2..=3).contains(&in_a), "{in_a} in zone a");
 }
 
-/// Whatever the stage and the cause, the other tasks are told to go when one has, and the next
-/// attempt waits until all of them have.
+/// Whenever and for whatever cause a task ends, the others are told to stop, and the next attempt
+/// waits until all of them have ended.
 #[test]
 fn an_attempt_starts_after_all_tasks_of_the_previous_one_ended() {
     for stage in [TaskPhase::Fetching, TaskPhase::Waiting, TaskPhase::Running] {
@@ -68,7 +69,7 @@
             let first = only_attempt(&cluster, 1, 4);
             cluster.set_phase(1, stage, |_| true);
             cluster.advance_time(1_000);
-            // One machine hears nothing from here on: its tasks stay.
+            // Machine 1 receives no more commands, so its tasks stay.
             cluster.inbound_lost.insert(1);
             cluster.set_phase(1, TaskPhase::Ended(cause), |i| i == 0);
             cluster.send_heartbeat(0);
@@ -81,7 +82,7 @@
                 "{stage:?} {cause:?}"
             );
             cluster.inbound_lost.clear();
-            // A machine that failed is avoided for a while.
+            // For 45 s, the job avoids a machine on which it failed.
             cluster.advance_time(60_000);
             let second = only_attempt(&cluster, 1, 4);
             assert!(second > first, "{stage:?} {cause:?}");
@@ -89,7 +90,8 @@
     }
 }
 
-/// The fetch would begin anew with the next attempt, and time be short again.
+/// An aborted fetch would start over with the next attempt, which would not be complete in time
+/// either.
 #[test]
 fn a_slow_fetch_continues_before_the_next_attempt_starts() {
     let mut cluster = Cluster::new(2, long_idle_timeout());
@@ -103,12 +105,12 @@
         cluster.tasks.values().flatten().filter(|(_, phase)| **phase == TaskPhase::Fetching).count()
     };
     assert_eq!((fetching(&cluster), cluster.attempt_state(1)), (2, AttemptState::Stopping));
-    // It has it now.
+    // The fetch completes.
     cluster.set_phase(1, TaskPhase::Waiting, |_| true);
     cluster.advance_time(3_000);
     only_attempt(&cluster, 1, 4);
     assert_eq!((cluster.launches.len(), cluster.attempt_state(1)), (8, AttemptState::Starting));
-    // One that never comes to an end holds up nobody for ever.
+    // A fetch that never completes delays the next attempt only for a limited time.
     cluster.set_phase(1, TaskPhase::Ended(ExitCause::GangIncomplete), |i| i < 2);
     cluster.advance_time(60_000);
     assert!(cluster.launches.len() >= 12, "{}", cluster.launches.len());
@@ -125,11 +127,11 @@
     cluster.advance_time(1_000);
     let done = RecordWrite::JobDone { job: JobId(1), revision: TOKEN + 1, tasks: 4 };
     assert!(cluster.writes.contains(&done), "{:?}", cluster.writes);
-    assert_eq!(cluster.stops, [], "the others complete with it");
+    assert_eq!(cluster.stops, [], "the other tasks complete with it");
     assert!(cluster.leader.jobs().is_empty());
 }
 
-/// What an earlier version, which knew no gangs, stored of one.
+/// Earlier versions without gang support stored results of single tasks.
 #[test]
 fn a_stored_result_of_one_task_means_that_the_gang_is_done() {
     let mut cluster = Cluster::new(2, long_idle_timeout());
@@ -163,7 +165,8 @@
     }
 }
 
-/// A machine is to be taken: all tasks save, or none is told to.
+/// If a machine is about to be preempted, either all tasks of the gang are told to save a
+/// checkpoint or none is.
 #[test]
 fn a_gang_that_can_save_is_stopped_whole_with_enough_grace() {
     let saving = JobSpec { checkpoint_s: 20.0, save_s: 3.0, ..gang(1, 4) };
@@ -178,7 +181,7 @@
     let told: BTreeSet<TaskId> = cluster.stops.iter().map(|(task, _)| *task).collect();
     assert_eq!((told.len(), cluster.stops.len()), (4, 4));
     assert!(cluster.stops.iter().all(|(_, grace_s)| *grace_s >= 3.0), "{:?}", cluster.stops);
-    // One saved: the progress of all is safe, and nobody need wait.
+    // Once one task has saved, the progress of the gang is safe, and the others stop immediately.
     cluster.set_phase(1, TaskPhase::Ended(ExitCause::Stopped), |i| i == 0);
     cluster.send_all_heartbeats();
     cluster.handle_event(Event::Tick);
@@ -193,8 +196,8 @@
     assert_eq!(cluster.stops, []);
 }
 
-/// One attempt is one observation: a gang whose tasks all fail at once is not quarantined yet, and
-/// no machine but the first counts the failure.
+/// All failures of an attempt count as one: a gang whose tasks all fail at once is not quarantined,
+/// and only the first machine counts the failure.
 #[test]
 fn the_failures_of_one_attempt_count_once() {
     let mut cluster = Cluster::new(4, long_idle_timeout());
@@ -216,8 +219,8 @@
     assert_eq!(blamed, 1);
 }
 
-/// The launch of one task was never answered, and may be executed later: the attempt stays until
-/// that machine is known not to run it.
+/// An unanswered launch may be executed later, so the attempt is not over until that machine is
+/// known not to run the task.
 #[test]
 fn an_unanswered_launch_delays_the_next_attempt() {
     let mut cluster = Cluster::new(2, long_idle_timeout());
@@ -229,7 +232,8 @@
     cluster.advance_time(3_000);
     assert_eq!(cluster.live_by_attempt(1).len(), 0);
     assert_eq!(cluster.attempt_state(1), AttemptState::Stopping);
-    // It hears again: it is told of the attempt and that it is over, in one answer.
+    // Once the machine receives messages again, one response tells it to launch and to stop the
+    // tasks of the old attempt.
     cluster.inbound_lost.clear();
     cluster.advance_time(6_000);
     let late =
--- a/crates/latchtrack-core/tests/gangs/failover.rs
+++ b/crates/latchtrack-core/tests/gangs/failover.rs
@@ -1,4 +1,4 @@
-//! What a new leader makes of the attempts that it finds.
+//! How a new leader treats the attempts of gangs that are in progress.
 
 use std::sync::Arc;
 
@@ -9,7 +9,8 @@
 use super::common::site::{new_leader, Cluster, TOKEN};
 use super::{gang, long_idle_timeout, only_attempt};
 
-/// The next leader finds an attempt at some stage.
+/// Returns a cluster with a gang of four tasks in these phases after a failover. One task's machine
+/// may have no record of it.
 fn after_failover(phase_of: impl Fn(u32) -> TaskPhase, forgotten: Option<u32>) -> Cluster {
     let mut cluster = Cluster::new(2, long_idle_timeout());
     cluster.submit(gang(1, 4));
@@ -54,7 +55,7 @@
     }
 }
 
-/// A line of an older attempt that was not forgotten yet says nothing of the one that runs.
+/// Ended tasks of an older attempt that machines still report do not affect the running attempt.
 #[test]
 fn an_ended_task_of_an_older_attempt_does_not_end_the_next() {
     let mut cluster = after_failover(|_| TaskPhase::Running, None);
--- a/crates/latchtrack-core/tests/gangs/main.rs
+++ b/crates/latchtrack-core/tests/gangs/main.rs
@@ -1,4 +1,4 @@
-//! Gangs, each rule as a small case of its own. The simulation has them in all its faults.
+//! Tests of gang scheduling, one rule per test. The simulation covers gangs under faults.
 
 mod attempts;
 #[path = "../common/mod.rs"]
@@ -12,22 +12,22 @@
 use latchtrack_core::job::JobSpec;
 use latchtrack_core::scheduler::Policy;
 
-/// A policy that terminates no idle machine while a case lasts.
+/// Returns a policy by which no idle on-demand machine is terminated during a test.
 fn long_idle_timeout() -> Policy {
     Policy { on_demand_idle_timeout_ms: 600_000, ..policy() }
 }
 
-/// A gang of tasks of four CPUs, two to a machine.
+/// Returns a gang whose tasks take four CPUs each, so that two fit on a machine.
 fn gang(id: u64, tasks: u32) -> JobSpec {
     JobSpec { gang: true, spot: false, ..(*spec(id, tasks)).clone() }
 }
 
-/// An array of tasks of four CPUs, on on-demand machines.
+/// Returns an array job whose tasks take four CPUs each, on on-demand machines.
 fn array(id: u64, tasks: u32) -> JobSpec {
     JobSpec { spot: false, ..(*spec(id, tasks)).clone() }
 }
 
-/// The attempt in which all tasks of the job are, and no other.
+/// Returns the only live attempt of a job, after asserting that all its tasks are in it.
 #[track_caller]
 fn only_attempt(cluster: &Cluster, id: u64, tasks: usize) -> u64 {
     let live = cluster.live_by_attempt(id);
--- a/crates/latchtrack-core/tests/gangs/reservations.rs
+++ b/crates/latchtrack-core/tests/gangs/reservations.rs
@@ -1,4 +1,4 @@
-//! Capacity that is reserved for gangs, that wait or are to come.
+//! Capacity reserved for waiting gangs and for future ones.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 use super::common::site::{new_leader, Cluster, TOKEN};
 use super::{array, gang, long_idle_timeout, only_attempt};
 
-/// Two gangs that each could hold half: capacity comes free for one task after the other, and an array
-/// is there to take it.
+/// Capacity becomes free task by task while two gangs and an array job wait for it. Divided between
+/// the gangs, or taken by the array, it would never suffice for either gang.
 #[test]
 fn capacity_is_reserved_for_one_gang_after_the_other() {
     let mut cluster = Cluster::new(2, long_idle_timeout());
@@ -21,7 +21,7 @@
     cluster.submit(gang(2, 4));
     cluster.submit(gang(3, 4));
     cluster.advance_time(4_000);
-    // Behind the gangs by its demand.
+    // Its demand is smaller than that of the gangs, so it is behind them in the queue.
     cluster.submit(array(4, 3));
     for index in 0..4 {
         cluster.set_phase(1, TaskPhase::Ended(ExitCause::Done), |i| i == index);
@@ -36,7 +36,7 @@
     }
 }
 
-/// A gang far down the queue, with no aim, all the same begins soon.
+/// A gang without an objective starts within a minute, although hundreds of tasks are ahead of it.
 #[test]
 fn a_gang_behind_a_long_queue_starts() {
     let mut policy = long_idle_timeout();
@@ -64,16 +64,16 @@
             break;
         }
     }
-    assert!(begun.is_some_and(|s| s < 60), "begun after {begun:?} s");
+    assert!(begun.is_some_and(|s| s < 60), "started after {begun:?} s");
     only_attempt(&cluster, 2, 3);
 }
 
-/// Found by simulation: the machines of a gang that needs several came up one after the other, and
-/// each was given back as idle before the next was there.
+/// The machines of a gang that needs several came up one after the other, and each was terminated
+/// as idle before the next one was up.
 #[test]
 fn machines_waiting_for_the_rest_of_a_gang_are_not_idle() {
     let mut cluster = Cluster::new(3, Policy { on_demand_idle_timeout_ms: 4_000, ..policy() });
-    // One machine is not there yet.
+    // Machine 2 is not up yet.
     cluster.tasks.remove(&2);
     cluster.leader =
         new_leader(2, TOKEN, Policy { on_demand_idle_timeout_ms: 4_000, ..policy() }, 1_000);
@@ -86,13 +86,13 @@
     only_attempt(&cluster, 1, 6);
 }
 
-/// A policy with a class of gangs that are to start within a second.
+/// Returns a policy with a class of gangs, `prompt`, that should start within a second.
 fn start_objective_policy() -> Policy {
     let objective = StartObjective { class: "prompt".into(), within_ms: 1_000 };
     Policy { start_objectives: vec![objective], ..long_idle_timeout() }
 }
 
-/// A gang of that class.
+/// Returns a gang of class `prompt`.
 fn gang_with_start_objective(id: u64, tasks: u32) -> JobSpec {
     JobSpec { class: "prompt".into(), ..gang(id, tasks) }
 }
@@ -106,7 +106,7 @@
         cluster.set_phase(id, TaskPhase::Ended(ExitCause::Done), |_| true);
         cluster.advance_time(1_000);
     }
-    // Eight tasks fit on four machines: all but three are for it.
+    // Eight tasks fit on four machines; capacity for three is reserved.
     cluster.submit(array(3, 100));
     cluster.advance_time(3_000);
     assert_eq!(cluster.live_by_attempt(3).len(), 5);
@@ -114,14 +114,14 @@
     cluster.submit(gang_with_start_objective(4, 3));
     cluster.advance_time(400);
     only_attempt(&cluster, 4, 3);
-    // What comes free is for the next, before the array.
+    // Freed capacity is reserved for the next gang rather than given to the array.
     cluster.set_phase(3, TaskPhase::Ended(ExitCause::Done), |i| i < 3);
     cluster.advance_time(2_000);
     assert_eq!(cluster.live_by_attempt(3).len(), 2);
     cluster.submit(gang_with_start_objective(5, 3));
     cluster.advance_time(400);
     only_attempt(&cluster, 5, 3);
-    // None came for long: nothing is kept any more.
+    // After 120 s without such a gang, nothing is reserved any more.
     for id in [4, 5] {
         cluster.set_phase(id, TaskPhase::Ended(ExitCause::Done), |_| true);
     }
@@ -139,19 +139,20 @@
     let to_terminate =
         |cluster: &Cluster| cluster.leader.machines().values().filter(|m| m.to_terminate).count();
     cluster.advance_time(60_000);
-    assert_eq!(to_terminate(&cluster), 1, "one of two is kept");
+    assert_eq!(to_terminate(&cluster), 1, "one of two machines is kept");
     cluster.advance_time(70_000);
     assert_eq!(to_terminate(&cluster), 2);
 }
 
-/// Nothing that is up could ever hold it: it is provisioned before the next one comes.
+/// The machines that are up are too few for a gang of the class, so the missing ones are
+/// provisioned before the next such gang arrives.
 #[test]
 fn missing_capacity_for_future_gangs_is_provisioned() {
     let mut cluster = Cluster::new(1, start_objective_policy());
     cluster.no_capacity = true;
     cluster.submit(gang_with_start_objective(1, 4));
     cluster.advance_time(400);
-    // For the gang itself; called off, it leaves nothing to provision for but the next.
+    // These are for the gang itself. After it is cancelled, only future gangs need machines.
     let before = cluster.provisions.len();
     assert!(before >= 1);
     cluster.handle_event(Event::JobClosed(JobId(1)));
