--- a/crates/latchtrack-core/tests/load_balancing/faults.rs
+++ b/crates/latchtrack-core/tests/load_balancing/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of machines, leaders and messages while a move is under way: each task runs once.
+//! Faults of machines, leaders and messages during a move. Each task must run on one machine only.
 
 use latchtrack_balance::moves::MoveStage;
 use latchtrack_core::job::{JobId, JobSpec, TaskId};
@@ -13,8 +13,8 @@
     unbalanced_cluster, FAULTS,
 };
 
-/// While the source is silent the outcome of the stop is unknown; the target is not reserved
-/// meanwhile.
+/// While the source is silent, the outcome of the stop is unknown, so the target's capacity is no
+/// longer reserved.
 #[test]
 fn a_silent_source_ends_the_move_before_the_stop_times_out() {
     let mut cluster = unbalanced_cluster(moves_enabled());
@@ -54,7 +54,7 @@
                         .moves()
                         .iter()
                         .all(|m| m.unit.task != Some(task.index) || m.since + 60_000 > cluster.now),
-                    "{what}: the move of {task} is over, {done:?}"
+                    "{what}: the move of {task} has not ended, {done:?}"
                 );
             }
         }
@@ -89,16 +89,17 @@
         assert_eq!(
             (0..6).map(|i| live_tasks_on(&cluster, i)).sum::<usize>(),
             0,
-            "all of it is stopped"
+            "all tasks are stopped"
         );
-        // What was reserved is free again.
+        // The reserved capacity is free again.
         cluster.submit(JobSpec { zone: Some("a".into()), ..checkpointing_array(2, 24) });
         cluster.advance_time(400);
         assert_eq!((0..6).map(|i| live_tasks_on(&cluster, i)).sum::<usize>(), 24);
     }
 }
 
-/// The leader changes at each stage, to one with moves or to one without, and back.
+/// The leader changes during a move, to one with or without moves enabled, and then to one with the
+/// opposite setting.
 #[test]
 fn a_failover_at_any_stage_only_requeues_the_task() {
     for stage in [MoveStage::Stopping, MoveStage::Launching] {
@@ -110,7 +111,7 @@
                 let balance = BalancePolicy { moves, ..moves_enabled().balance };
                 let policy = Policy { balance, ..moves_enabled() };
                 cluster.leader = new_leader(6, token, policy, cluster.now);
-                // Accepted under an earlier leader.
+                // The job was accepted in an earlier term.
                 let job = Event::JobOpened {
                     spec: std::sync::Arc::new(checkpointing_array(1, 8)),
                     submitted_at: 1_000,
@@ -129,7 +130,7 @@
     }
 }
 
-/// No task is on two machines.
+/// Asserts that no task of job 1 is, or ever was, live on two machines at once.
 #[track_caller]
 fn assert_no_task_runs_twice(cluster: &Cluster, what: &str) {
     assert_eq!(cluster.concurrent_runs, Vec::<String>::new(), "{what}");
@@ -143,7 +144,7 @@
 fn a_stop_that_times_out_abandons_the_move_and_frees_the_target() {
     let mut cluster = unbalanced_cluster(moves_enabled());
     let (task, source, target) = pass_until_stage(&mut cluster, MoveStage::Stopping);
-    // The checkpoint takes 40 s.
+    // The checkpoint is not complete after 40 s.
     for _ in 0..40 {
         cluster.advance_time(1_000);
         for phase in cluster.tasks.values_mut().flat_map(|tasks| tasks.values_mut()) {
@@ -153,13 +154,13 @@
         }
     }
     assert!(cluster.log_lines.iter().any(|n| n.contains("stop late")), "{:?}", cluster.log_lines);
-    assert_eq!(machines_running(&cluster, task), [source], "still there, and nowhere else");
+    assert_eq!(machines_running(&cluster, task), [source], "the task is only on its source");
     cluster.submit(JobSpec { zone: Some("a".into()), ..checkpointing_array(2, 16) });
     cluster.advance_time(400);
     assert_eq!(
         live_tasks_on(&cluster, target),
         8,
-        "nothing is reserved any longer: {:#?}",
+        "the capacity is no longer reserved: {:#?}",
         cluster.log_lines
     );
     finish_checkpoints(&mut cluster);
@@ -167,7 +168,8 @@
     assert_eq!(cluster.concurrent_runs, Vec::<String>::new());
 }
 
-/// A heartbeat from before the stop arrives once more, when the task already runs on its target.
+/// A duplicate of a heartbeat from before the stop arrives after the task was launched on its
+/// target.
 #[test]
 fn a_late_duplicate_heartbeat_of_the_source_is_ignored() {
     let mut cluster = unbalanced_cluster(moves_enabled());
--- a/crates/latchtrack-core/tests/load_balancing/fixtures.rs
+++ b/crates/latchtrack-core/tests/load_balancing/fixtures.rs
@@ -1,4 +1,4 @@
-//! Fixtures that the tests of load balancing share: sites, policies, and faults of machines.
+//! Fixtures for the load balancing tests: clusters, policies, and machine faults.
 
 use latchtrack_balance::balancer::MoveLimits;
 use latchtrack_balance::moves::MoveStage;
@@ -9,7 +9,7 @@
 use crate::common::site::{machine_number, zone_of, Cluster};
 use crate::common::{machine_name, policy, spec};
 
-/// Short enough for small cases; the times are in the same order as the defaults.
+/// Limits on moves that are shorter than the defaults but ordered by length in the same way.
 pub const LIMITS: MoveLimits = MoveLimits {
     over_bound_ms: 2_000,
     min_run_ms: 3_000,
@@ -20,6 +20,7 @@
     worth_factor: 3.0,
 };
 
+/// Returns a policy with moves enabled, by which no idle machine is terminated during a test.
 pub fn moves_enabled() -> Policy {
     let balance = BalancePolicy {
         moves: true,
@@ -30,7 +31,7 @@
     Policy { on_demand_idle_timeout_ms: 600_000, balance, ..policy() }
 }
 
-/// An array of tasks of one CPU with checkpoints, with ten minutes to run.
+/// Returns an array job of one-CPU tasks that save checkpoints and run for ten minutes.
 pub fn checkpointing_array(id: u64, tasks: u32) -> JobSpec {
     JobSpec {
         spot: false,
@@ -43,12 +44,12 @@
     }
 }
 
-/// An array of tasks of one CPU without checkpoints, in a zone.
+/// Returns an array job of one-CPU tasks without checkpoints, bound to a zone.
 pub fn array_without_checkpoints(id: u64, tasks: u32, zone: &str) -> JobSpec {
     JobSpec { checkpoint_s: 0.0, zone: Some(zone.into()), ..checkpointing_array(id, tasks) }
 }
 
-/// Tasks that fetch their image begin to run, and those that save their checkpoint stop.
+/// Completes all image fetches, so that the tasks run, and all checkpoints, so that they stop.
 pub fn advance_tasks(cluster: &mut Cluster) {
     for tasks in cluster.tasks.values_mut() {
         for phase in tasks.values_mut() {
@@ -61,7 +62,7 @@
     }
 }
 
-/// Passes time, and advances the tasks each second.
+/// Advances the time, and the tasks once a second. The time is rounded down to whole seconds.
 pub fn run_for(cluster: &mut Cluster, ms: u64) {
     for _ in 0..ms / 1_000 {
         cluster.advance_time(1_000);
@@ -69,23 +70,24 @@
     }
 }
 
-/// Six machines, three in each zone, of which the first carries eight tasks of one CPU.
+/// Returns a cluster of six machines, three in each zone, that runs eight one-CPU tasks, all on
+/// machine 0.
 pub fn unbalanced_cluster(policy: Policy) -> Cluster {
     let mut cluster = Cluster::new(6, policy);
     cluster.submit(checkpointing_array(1, 8));
     cluster.advance_time(400);
     advance_tasks(&mut cluster);
-    assert_eq!(live_tasks_on(&cluster, 0), 8, "packed by rising score");
+    assert_eq!(live_tasks_on(&cluster, 0), 8, "all tasks are packed on one machine");
     cluster
 }
 
-/// Live tasks on a machine.
+/// Returns the number of live tasks on a machine.
 pub fn live_tasks_on(cluster: &Cluster, machine: u64) -> usize {
     let tasks = cluster.tasks.get(&machine).into_iter().flatten();
     tasks.filter(|(_, phase)| !matches!(phase, TaskPhase::Ended(_))).count()
 }
 
-/// The machines on which a task has not ended, by what they list.
+/// Returns the machines on which a task is live.
 pub fn machines_running(cluster: &Cluster, task: TaskId) -> Vec<u64> {
     let on = |tasks: &std::collections::BTreeMap<(TaskId, u64), TaskPhase>| {
         tasks.iter().any(|((t, _), phase)| *t == task && !matches!(phase, TaskPhase::Ended(_)))
@@ -93,7 +95,8 @@
     cluster.tasks.iter().filter(|(_, tasks)| on(tasks)).map(|(i, _)| *i).collect()
 }
 
-/// Passes time in small steps until a move is in this stage; returns its task, source and target.
+/// Advances the time until a move is in this stage, and returns its task, source and target.
+/// Checkpoints complete meanwhile, except when waiting for [`MoveStage::Stopping`].
 #[track_caller]
 pub fn pass_until_stage(cluster: &mut Cluster, stage: MoveStage) -> (TaskId, u64, u64) {
     for _ in 0..200 {
@@ -109,9 +112,10 @@
         }
         cluster.advance_time(200);
     }
-    panic!("no move is {stage}: {:?}", cluster.log_lines);
+    panic!("no move reached stage {stage}: {:?}", cluster.log_lines);
 }
 
+/// Completes all checkpoints, so that the tasks stop. Image fetches continue.
 pub fn finish_checkpoints(cluster: &mut Cluster) {
     for phase in cluster.tasks.values_mut().flat_map(|tasks| tasks.values_mut()) {
         if *phase == TaskPhase::Checkpointing {
@@ -120,19 +124,20 @@
     }
 }
 
-/// A fault of a machine.
+/// A machine fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It sends no heartbeat and answers no call: partitioned, hanging, or dead.
+    /// It sends no heartbeats and answers no calls: partitioned, hanging, or dead.
     Silent,
-    /// It sends heartbeats, and receives nothing.
+    /// It sends heartbeats but receives nothing.
     InboundLost,
+    /// It reports a preemption notice of 30 s.
     PreemptionNotice,
-    /// The cloud lists it as failed.
+    /// The cloud lists it as failed, and it is silent.
     Failed,
-    /// Its agent epoch ended, with all that ran there.
+    /// Its agent epoch advanced, and all its tasks were killed.
     NewAgentEpoch,
-    /// It refuses launches.
+    /// It rejects all launches.
     RejectsLaunches,
 }
 
@@ -189,7 +194,8 @@
     cluster.rejecting_launches.clear();
 }
 
-/// Every task of the jobs is on one machine, and none ever ran twice.
+/// Asserts that every task of the jobs is live on one reachable machine, and that no task ever ran
+/// on two machines at once.
 #[track_caller]
 pub fn assert_each_task_runs_once(cluster: &Cluster, jobs: &[(u64, u32)], what: &str) {
     assert_eq!(cluster.concurrent_runs, Vec::<String>::new(), "{what}");
--- a/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
+++ b/crates/latchtrack-core/tests/load_balancing/hot_teams.rs
@@ -1,4 +1,5 @@
-//! The order among teams of which some are hot.
+//! Scheduling order of teams while some of them are hot: work arrives faster than their fair share
+//! of the cluster can complete it.
 
 use latchtrack_balance::balancer::MoveLimits;
 use latchtrack_core::job::{JobId, JobSpec, TaskId};
@@ -8,8 +9,8 @@
 use crate::common::site::Cluster;
 use crate::fixtures::{checkpointing_array, moves_enabled, run_for, LIMITS};
 
-/// Two teams on the same machines, of which one turns hot: free capacity goes to the other first,
-/// until it has its share. Without the switch the earlier jobs of the hot team keep it out.
+/// While one of two teams is hot, free capacity goes to the other first, up to its share. With
+/// `BalancePolicy::teams` disabled, the earlier jobs of the hot team take all of it.
 #[test]
 fn a_hot_team_does_not_starve_a_team_within_its_share() {
     let team =
@@ -30,7 +31,7 @@
         }
         run_for(&mut cluster, 5_000);
         cluster.submit(task(100, "calm"));
-        // One task ends each second, the longest running first.
+        // One task ends each second, the oldest first.
         for _ in 0..20 {
             let oldest = cluster.tasks.iter().flat_map(|(i, tasks)| {
                 let running = tasks.iter().filter(|(_, phase)| **phase == TaskPhase::Running);
@@ -51,8 +52,8 @@
     assert_eq!(calm_launches(true), 8);
 }
 
-/// Two teams on sixteen CPUs: the first submits `jobs` jobs, enough to turn hot or only a burst,
-/// then the other submits one. Returns the tasks of each that were launched in the first cycle.
+/// Two teams share sixteen CPUs. Team `first` submits `jobs` jobs, few (a burst) or enough to turn
+/// hot, then team `calm` submits one. Returns how many tasks of each the first cycle launches.
 fn launched_in_first_cycle(jobs: u64, deadline_s: Option<f64>, calm_tasks: u32) -> (usize, usize) {
     let team =
         |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
@@ -69,7 +70,7 @@
     for id in 0..jobs {
         cluster.submit(JobSpec { deadline_s, ..plain(id + 1, "first", 8) });
     }
-    // Many tasks with a short estimate: its team does not turn hot.
+    // With a short estimate, even many tasks do not make their team hot.
     cluster.submit(JobSpec { estimate_s: 1.0, ..plain(1_000, "calm", calm_tasks) });
     cluster.advance_time(400);
     let of =
@@ -79,17 +80,17 @@
 
 #[test]
 fn a_burst_does_not_make_a_team_hot() {
-    // In the order of their names the two jobs of the burst go first, and fill the machines.
+    // The two jobs of the burst have lower ids, so they go first and fill the machines.
     assert_eq!(launched_in_first_cycle(2, None, 8), (16, 0));
 }
 
 #[test]
 fn a_hot_team_gets_its_share_before_others() {
-    assert_eq!(launched_in_first_cycle(40, Some(600.0), 40), (8, 8), "half of the cluster each");
+    assert_eq!(launched_in_first_cycle(40, Some(600.0), 40), (8, 8), "each gets half the cluster");
 }
 
-/// Two teams turn hot in the same second on the same machines, one of them at its limit, and cool
-/// in the same second, again and again.
+/// Two teams turn hot in the same second on the same machines, one of them at its limit, and stop
+/// being hot in the same second, several times. Limits on team usage and on moves hold throughout.
 #[test]
 fn teams_that_turn_hot_together_keep_limit_and_move_budget() {
     let team = |name: &str, cpus_max| Team {
--- a/crates/latchtrack-core/tests/load_balancing/launch_checks.rs
+++ b/crates/latchtrack-core/tests/load_balancing/launch_checks.rs
@@ -1,4 +1,4 @@
-//! The launch on the target is checked like any other launch.
+//! A moved task is launched on its target only if all checks for ordinary launches pass.
 
 use latchtrack_balance::moves::MoveStage;
 use latchtrack_core::job::{JobId, JobSpec, Resources, TaskId};
@@ -11,7 +11,7 @@
     live_tasks_on, machines_running, moves_enabled, pass_until_stage, run_for, unbalanced_cluster,
 };
 
-/// An unknown task run brings the team to its limit while a task moves.
+/// A run that the leader did not know of brings the team to its limit during the move.
 #[test]
 fn a_moved_task_is_not_launched_beyond_its_teams_limit() {
     let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 8.0, gpus: 0.0, gpus_max: 0.0 };
@@ -26,7 +26,7 @@
     assert_eq!(
         machines_running(&cluster, task),
         Vec::<u64>::new(),
-        "the unknown run has its part of the limit"
+        "the unknown run counts against the limit"
     );
     assert!(
         cluster.log_lines.iter().any(|n| n.contains("team at its limit")),
@@ -37,7 +37,8 @@
     assert!(running <= 8, "{running} CPUs of 8");
 }
 
-/// An unknown task run is the last that a spread job may have in its zone.
+/// With a run that the leader did not know of, a spread job has as many tasks in the zone as it
+/// may.
 #[test]
 fn a_moved_task_is_not_launched_against_its_zone_constraints() {
     let mut cluster = Cluster::new(6, moves_enabled());
@@ -52,7 +53,7 @@
     assert_eq!(
         (live_tasks_on(&cluster, 0), cluster.live_by_attempt(1).len()),
         (8, 2),
-        "two of four in zone a, none in b"
+        "two of four tasks run, both in zone a"
     );
     let (task, ..) = pass_until_stage(&mut cluster, MoveStage::Stopping);
     let unknown_run = (TaskId { job: JobId(1), index: 3 }, 1);
@@ -66,7 +67,7 @@
     assert_eq!(in_zone_a.count(), 2, "{task} waits: {:?}", cluster.log_lines);
 }
 
-/// An unknown task run takes the capacity that was reserved.
+/// A run that the leader did not know of takes the capacity reserved on the target.
 #[test]
 fn a_moved_task_is_not_launched_on_a_target_that_is_full() {
     let mut cluster = Cluster::new(14, moves_enabled());
@@ -94,7 +95,7 @@
     assert_ne!(machines_running(&cluster, task), [target]);
 }
 
-/// On a silent machine the task would wait until that is given up.
+/// On a silent target the task would wait until the machine is terminated.
 #[test]
 fn a_moved_task_is_not_launched_on_a_target_that_is_silent() {
     let mut cluster = unbalanced_cluster(moves_enabled());
@@ -105,18 +106,18 @@
     cluster.advance_time(1_000);
     assert!(cluster.log_lines.iter().any(|n| n.contains("target lost")), "{:?}", cluster.log_lines);
     let on = machines_running(&cluster, task);
-    assert!(on.len() == 1 && on != [target], "placed elsewhere at once: {on:?}");
+    assert!(on.len() == 1 && on != [target], "launched elsewhere immediately: {on:?}");
 }
 
-/// A job avoids a machine on which it failed for longer than the probation of that machine.
+/// For 45 s, longer than the machine's probation, a job avoids a machine on which it failed.
 #[test]
 fn a_moved_task_is_not_launched_where_its_job_failed_recently() {
     let mut cluster = unbalanced_cluster(moves_enabled());
-    // The third machine of the zone has little free capacity.
+    // The third machine of the zone gets little free capacity, so that it is not the target.
     cluster.submit(array_without_checkpoints(10, 6, "a"));
     cluster.advance_time(400);
     let (task, _, target) = pass_until_stage(&mut cluster, MoveStage::Launching);
-    assert_eq!(live_tasks_on(&cluster, target), 1, "the one that was empty");
+    assert_eq!(live_tasks_on(&cluster, target), 1, "the target was empty");
     advance_tasks(&mut cluster);
     cluster.advance_time(1_000);
     for ((t, _), phase) in cluster.tasks.get_mut(&target).unwrap().iter_mut() {
@@ -142,7 +143,7 @@
     assert!(cluster.log_lines.iter().any(|n| n.contains("not allowed")), "{:?}", cluster.log_lines);
 }
 
-/// Other tasks of the team take up its limit between the stop and the launch.
+/// Other tasks of the team use up its limit between the stop and the launch of a moved task.
 #[test]
 fn a_team_at_its_limit_launches_no_moved_task_beyond_it() {
     let team = Team { name: "t".into(), cpus: 0.0, cpus_max: 8.0, gpus: 0.0, gpus_max: 0.0 };
--- a/crates/latchtrack-core/tests/load_balancing/main.rs
+++ b/crates/latchtrack-core/tests/load_balancing/main.rs
@@ -1,5 +1,5 @@
-//! Load balancing by the scheduler: the hard cases of moves, placement between locality and
-//! balance, and the order among teams.
+//! Tests of load balancing by the scheduler: moves and their faults, balanced placement, and the
+//! scheduling order of teams.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/latchtrack-core/tests/load_balancing/placement.rs
+++ b/crates/latchtrack-core/tests/load_balancing/placement.rs
@@ -1,12 +1,12 @@
-//! Placement weighs the fetch of an image against a crowded machine.
+//! Balanced placement: weighs the time to fetch an image against the load of machines that hold it.
 
 use latchtrack_core::scheduler::{BalancePolicy, Policy};
 
 use crate::common::site::Cluster;
 use crate::fixtures::{advance_tasks, checkpointing_array, live_tasks_on, moves_enabled};
 
-/// One machine holds the image. By default all tasks go there; with balanced placement it is
-/// preferred until it is crowded by more than the fetch is worth.
+/// One machine holds the image, and by default all tasks go there. With balanced placement it is
+/// preferred only until its load costs more than a fetch on another machine.
 #[test]
 fn balanced_placement_fetches_an_image_to_spread_the_load() {
     let loads = |placement| {
@@ -16,7 +16,7 @@
         cluster.advance_time(400);
         advance_tasks(&mut cluster);
         cluster.advance_time(2_000);
-        // One after the other, as users submit them.
+        // Jobs arrive one by one, so each is placed by the loads at its time.
         for id in 2..9 {
             cluster.submit(checkpointing_array(id, 1));
             cluster.advance_time(1_000);
--- a/crates/latchtrack-core/tests/load_balancing/selection.rs
+++ b/crates/latchtrack-core/tests/load_balancing/selection.rs
@@ -1,4 +1,4 @@
-//! Which tasks move, from which machines to which, and when none do.
+//! Selection of moves: which tasks move, between which machines, and when none do.
 
 use std::collections::BTreeSet;
 
@@ -18,25 +18,25 @@
 fn tasks_move_from_a_loaded_machine_to_idle_ones_of_its_pool() {
     let mut cluster = unbalanced_cluster(moves_enabled());
     run_for(&mut cluster, 60_000);
-    // 8 tasks on 3 machines of 8 CPUs: 1.25 times the mean of 2.67, and one task.
+    // 8 tasks on 3 machines of 8 CPUs: the bound is 1.25 times the mean of 2.67, plus one task.
     let loads: Vec<usize> = (0..6).map(|i| live_tasks_on(&cluster, i)).collect();
     assert!(loads.iter().all(|n| *n <= 4), "{loads:?}");
     assert_eq!(loads.iter().sum::<usize>(), 8);
-    assert_eq!((loads[1], loads[3], loads[5]), (0, 0, 0), "the other zone is another pool");
+    assert_eq!((loads[1], loads[3], loads[5]), (0, 0, 0), "zone b is a different pool");
     assert_eq!(cluster.concurrent_runs, Vec::<String>::new());
     let summary = cluster.leader.balance_summary().unwrap();
     assert_eq!(summary.counts.settled, summary.counts.begun);
     assert!(summary.counts.settled >= 4, "{summary:?}");
     assert!(
         cluster.stops.iter().all(|(_, grace)| *grace >= 2.0),
-        "time to save: {:?}",
+        "each stop leaves time to save: {:?}",
         cluster.stops
     );
-    // Each moved task was launched twice, no other more than once.
+    // Each move adds one launch to the first launch of each task.
     let settled = summary.counts.settled as usize;
     assert_eq!(cluster.launches.len(), 8 + settled);
     run_for(&mut cluster, 60_000);
-    assert_eq!(cluster.launches.len(), 8 + settled, "within the bound nothing moves");
+    assert_eq!(cluster.launches.len(), 8 + settled, "nothing moves within the bound");
 }
 
 #[test]
@@ -64,7 +64,7 @@
 
 #[test]
 fn nothing_moves_under_overload_or_right_after_a_failover() {
-    // A task of eight CPUs in a zone whose machines all run tasks: it waits for one to be empty.
+    // Overload: a task that needs all eight CPUs of a machine, in a zone where no machine is empty.
     let mut cluster = unbalanced_cluster(moves_enabled());
     for machine in [2, 4] {
         let one = JobSpec { zone: Some("a".into()), ..checkpointing_array(10 + machine, 7) };
@@ -76,17 +76,17 @@
     cluster.no_capacity = true;
     cluster.submit(JobSpec { demand: large, zone: Some("a".into()), ..checkpointing_array(3, 1) });
     run_for(&mut cluster, 20_000);
-    assert_eq!(cluster.stops, [], "overload");
+    assert_eq!(cluster.stops, [], "under overload");
     let balance = BalancePolicy { moves_delay_ms: 30_000, ..moves_enabled().balance };
     let mut cluster = unbalanced_cluster(Policy { balance, ..moves_enabled() });
     run_for(&mut cluster, 28_000);
-    assert_eq!(cluster.stops, [], "after a failover");
+    assert_eq!(cluster.stops, [], "within 30 s of a failover");
     run_for(&mut cluster, 10_000);
     assert_ne!(cluster.stops, []);
 }
 
-/// While a machine of the earlier leader has not been heard, neither what runs there is known nor
-/// who waits.
+/// While an inherited machine is unreconciled, the leader knows neither what runs there nor which
+/// tasks are waiting.
 #[test]
 fn nothing_moves_while_a_machine_is_unreconciled() {
     let mut cluster = unbalanced_cluster(moves_enabled());
@@ -100,7 +100,7 @@
     };
     cluster.handle_event(job);
     run_for(&mut cluster, 8_000);
-    assert_eq!(cluster.stops, [], "it is given up after nine seconds");
+    assert_eq!(cluster.stops, [], "the silent machine is terminated only after 9 s");
     run_for(&mut cluster, 60_000);
     assert_ne!(cluster.stops, []);
 }
@@ -114,14 +114,14 @@
     assert_eq!(
         (live_tasks_on(&cluster, 0), over_bound(&cluster)),
         (8, 0),
-        "eight tasks, all fetching"
+        "all tasks are fetching"
     );
     advance_tasks(&mut cluster);
     cluster.advance_time(2_000);
     assert_eq!(over_bound(&cluster), 1);
 }
 
-/// Tasks of a cancelled job run on where the stop does not arrive: they are not to be moved.
+/// Tasks of a cancelled job continue to run where the stop does not arrive. They must not be moved.
 #[test]
 fn tasks_that_are_stopping_already_are_not_moved() {
     let mut cluster = unbalanced_cluster(moves_enabled());
@@ -142,7 +142,7 @@
 fn an_unhealthy_machine_is_no_target() {
     for fault in [Fault::PreemptionNotice, Fault::Failed, Fault::Silent] {
         let mut cluster = unbalanced_cluster(moves_enabled());
-        // Another machine with fewer tasks than the third of the zone.
+        // Machine 2 gets one task and machine 4 two, so that machine 2 would be the target.
         cluster.submit(array_without_checkpoints(10, 1, "a"));
         cluster.advance_time(400);
         inject_fault(&mut cluster, 2, Fault::PreemptionNotice);
@@ -161,8 +161,7 @@
     }
 }
 
-/// A leader that was paused has received no heartbeats meanwhile: what it knows of the machines is
-/// old.
+/// A leader that was paused has missed heartbeats, so that its view of the machines is outdated.
 #[test]
 fn nothing_moves_right_after_a_leader_was_paused() {
     let mut cluster = unbalanced_cluster(moves_enabled());
@@ -176,7 +175,7 @@
 
 #[test]
 fn moves_respect_zone_constraints() {
-    // One zone, spread, and a given zone: each with tasks in zone a on a crowded machine.
+    // A one-zone job, a spread job, and a job bound to zone a. Each loads a machine in zone a.
     for spec in [
         JobSpec { one_zone: true, ..checkpointing_array(1, 8) },
         JobSpec { spread: true, ..checkpointing_array(1, 16) },
@@ -199,7 +198,7 @@
     }
 }
 
-/// Machine types with invalid amounts are logged once, and nothing is planned with them.
+/// Machine types with invalid amounts are logged once, and no moves are planned for their machines.
 #[test]
 fn machine_types_with_invalid_amounts_are_logged_and_ignored() {
     let mut cluster = unbalanced_cluster(moves_enabled());
