--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -1,5 +1,5 @@
-//! What a new leader may do before it knows its machines, and what it learns from them: each
-//! failure that was found as a small case.
+//! Failover: what a new leader may do before its machines are reconciled, and what their heartbeats
+//! tell it.
 
 mod common;
 
@@ -18,24 +18,24 @@
     scheduler.handle(1_000, job(1, 3));
     let mut count =
         launches(&scheduler.handle(1_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new()))));
-    // An older token proves nothing.
+    // A heartbeat with an older token does not reconcile its machine.
     count += launches(&scheduler.handle(1_200, Event::Heartbeat(heartbeat(1, 1, 6, Vec::new()))));
     count += launches(&scheduler.handle(1_500, Event::Tick));
     assert_eq!(count, 0);
-    // A job accepted in this term need not wait.
+    // A job accepted in this term does not wait.
     scheduler.handle(1_600, job(2, 8));
     assert_eq!(launches(&scheduler.handle(1_700, Event::Tick)), 2);
     let mut count =
         launches(&scheduler.handle(2_000, Event::Heartbeat(heartbeat(1, 2, 7, Vec::new()))));
     count += launches(&scheduler.handle(2_200, Event::Tick));
-    assert_eq!(count, 2, "reconciled now");
+    assert_eq!(count, 2, "all machines are reconciled");
 }
 
 #[test]
 fn a_result_is_forgotten_only_after_it_is_stored() {
     let mut scheduler =
         Scheduler::new(policy(), TERM, types(), stored_set(0..1), Vec::new(), 1_000);
-    // As many as are forgotten without another command to go with.
+    // Eight ended attempts are enough to be forgotten without another command to send along.
     let demand = Resources { cpus: 1.0, gpus: 0.0, memory_gb: 1.0 };
     let spec = Arc::new(JobSpec { demand, ..(*spec(1, 8)).clone() });
     scheduler.handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None });
@@ -70,8 +70,9 @@
     assert!(forgets(&scheduler.handle(6_200, Event::Heartbeat(heartbeat(0, 4, 7, tasks)))));
 }
 
-/// Hunted day: after a failover the runs of the earlier leader seemed short, and eleven machines
-/// of forty were returned as slow though one was.
+/// After a failover, run times counted from when the new leader adopted the runs. They seemed
+/// short, so that later runs seemed slow: eleven of forty machines were terminated, of which one
+/// was slow.
 #[test]
 fn runs_of_an_earlier_leader_do_not_make_machines_look_slow() {
     let mut scheduler = busy_fleet(4);
@@ -80,7 +81,7 @@
         runs.map(|run| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) })
             .collect()
     };
-    // Adopted at 1 s, they end at 2 s: they have run for longer than that.
+    // Adopted at 1 s, these end at 2 s, but have really run for longer than 1 s.
     for i in 0..3 {
         let tasks = end(&scheduler, i);
         scheduler.handle(2_000, Event::Heartbeat(heartbeat(i, 2, 7, tasks)));
@@ -91,8 +92,8 @@
     assert_eq!(scheduler.machines()[&machine_name(3)].consecutive_slow_tasks, 0);
 }
 
-/// Found in review: a new leader counted deadlines from when it first saw a job, not from when the
-/// user submitted it, so that after a failover the oldest looked as good as new.
+/// A new leader counted deadlines from when it first saw a job, not from when the user submitted
+/// it, so that after a failover the oldest jobs had as much time left as new ones.
 #[test]
 fn deadlines_count_from_submission_after_a_failover() {
     let mut scheduler =
@@ -105,11 +106,11 @@
     scheduler.handle(100_000, job_with_deadline(2, 90.0, 20_000));
     scheduler.handle(100_100, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     let placed = |id| scheduler.jobs()[&JobId(id)].placed.len();
-    assert_eq!((placed(1), placed(2)), (0, 2), "due at 159 s and at 110 s");
+    assert_eq!((placed(1), placed(2)), (0, 2), "deadlines at 159 s and 110 s");
 }
 
-/// A value of the machine set that can't be read may hold any machine: what an earlier leader may
-/// have launched waits until every lease of then has run out.
+/// An unreadable value of the machine set may name any machine, so inherited jobs wait until every
+/// worker lease from before the term has expired.
 #[test]
 fn an_unreadable_machine_set_blocks_inherited_jobs_for_a_lease() {
     let mut stored = stored_set(0..1);
@@ -133,10 +134,11 @@
         RecordWrite::MachineSet { shard, machines } => shard.name == "3-2" && machines.is_empty(),
         _ => false,
     };
-    assert!(writes.iter().any(drops), "dropped then: {writes:?}");
+    assert!(writes.iter().any(drops), "the unreadable value is deleted: {writes:?}");
 }
 
-/// What was accepted while nobody led can't have been launched, and need not wait for the fleet.
+/// No leader can have launched a job that was accepted while there was none, so it does not wait
+/// for reconciliation.
 #[test]
 fn a_job_accepted_without_a_leader_starts_before_reconciliation() {
     let revisions = TermRevisions { token: 7, leaderless_since: 5 };
@@ -156,9 +158,8 @@
     assert_eq!((count, scheduler.jobs()[&JobId(2)].placed.len()), (1, 1));
 }
 
-/// Found in review: a probe without an answer marked every run of the machine as perhaps
-/// launched again, none of which was then ever forgotten; after a cut the heartbeats of a machine grew
-/// without end.
+/// An unanswered probe marked every run on the machine as possibly launched again, and such runs
+/// are never forgotten. After a network partition the machine's heartbeats grew without bound.
 #[test]
 fn unanswered_probes_do_not_keep_runs_from_being_forgotten() {
     let forgets = |commands: bool| {
@@ -174,7 +175,8 @@
         if commands {
             scheduler.handle(1_200, job);
         }
-        // Launched by the answer or by a direct call; in either case the next call is lost.
+        // The tasks are launched by a heartbeat response or by direct calls, and all direct calls
+        // go unanswered.
         let running = |scheduler: &Scheduler, phase| -> Vec<TaskStatus> {
             let runs = scheduler.machines()[&machine_name(0)].runs.values();
             runs.map(|run| TaskStatus { phase, ..status_of(run) }).collect()
@@ -191,6 +193,6 @@
         let Some(Effect::Respond(answer)) = effects.first() else { panic!("{effects:?}") };
         answer.iter().filter(|command| matches!(command, Command::Forget { .. })).count()
     };
-    assert_eq!(forgets(false), 8, "only probes were lost");
-    assert_eq!(forgets(true), 0, "a launch may come late");
+    assert_eq!(forgets(false), 8, "only probes went unanswered");
+    assert_eq!(forgets(true), 0, "an unanswered launch may still be executed");
 }
--- a/crates/latchtrack-core/tests/failure_detection.rs
+++ b/crates/latchtrack-core/tests/failure_detection.rs
@@ -1,5 +1,4 @@
-//! Machines that fall silent, take no commands, or are taken back: each failure that was found as a
-//! small case.
+//! Failure detection for individual machines: silence, ignored commands, and preemption.
 
 mod common;
 
@@ -8,15 +7,15 @@
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
-/// Recorded day: sixteen of twenty-two machines fell silent within two seconds. Each passed the
-/// limit at a time when few others had, so that the guard against cuts saw no cut.
+/// Sixteen of twenty-two machines fell silent within two seconds. Each exceeded the heartbeat
+/// timeout when few others had, so that the failure detector saw no network partition.
 #[test]
 fn machines_falling_silent_in_turn_count_as_a_partition() {
     let mut scheduler = busy_fleet(22);
     for step in 1..150 {
         let now = 1_000 + step * 200;
         let mut effects = scheduler.handle(now, Event::Tick);
-        // Six go on; the others' last heartbeats were 100 ms apart.
+        // Six machines continue to send heartbeats; the last ones of the others are 100 ms apart.
         for i in 0..22 {
             let last = 1_000 + if i < 6 { 1_000_000 } else { i * 100 };
             if now <= last && (step % 10 == 0 || i >= 6) {
@@ -54,15 +53,15 @@
     };
     let running: Vec<TaskStatus> =
         scheduler.machines()[&machine_name(0)].runs.values().map(status_of).collect();
-    // Heard lately: an old list proves nothing.
+    // Machine 0 has sent a heartbeat recently, so its absence from an old list means nothing.
     scheduler.handle(17_000, Event::Heartbeat(heartbeat(0, 2, 7, running)));
     scheduler.handle(18_000, listed(&[2, 3]));
     let terminated_names = terminated(&scheduler.handle(18_100, Event::Tick));
-    assert_eq!(terminated_names, [machine_name(1)], "silent and not listed any more");
+    assert_eq!(terminated_names, [machine_name(1)], "silent and no longer listed");
 }
 
-/// Found by simulation: with all inherited machines dead, each new leader resigned before the time
-/// after which it may delete them, and the next began to wait again.
+/// With all inherited machines dead, each new leader resigned before it was allowed to terminate
+/// them, and the next one started to wait anew.
 #[test]
 fn a_leader_that_never_heard_a_machine_terminates_them_all() {
     let mut scheduler =
@@ -76,14 +75,14 @@
     assert_eq!(terminated_names.len(), 4);
 }
 
-/// It named 2,000 at most: the workers of a larger fleet that reach another node were not relayed.
+/// The list used to have at most 2,000 names, so that in a larger fleet, heartbeats of the other
+/// overdue machines were not relayed by the nodes that received them.
 #[test]
 fn all_overdue_machines_of_a_large_fleet_are_listed() {
     let machines = 6_000;
     let scheduler = busy_fleet(machines);
     assert_eq!(scheduler.overdue_machines(60_000).len(), machines as usize);
-    // Names of a length that no cloud has are bounded by their bytes, so that the frame goes
-    // through.
+    // The total size of the names is limited, so that they fit a frame however long they are.
     let long = |i: u64| StoredMachine {
         name: format!("{i:0200}"),
         machine_type: "g".into(),
@@ -99,14 +98,15 @@
     assert!(overdue.len() > 500 && bytes <= 128 * 1024, "{} names, {bytes} bytes", overdue.len());
 }
 
-/// Hunted day: a cut between two zones lasted longer than machines may be silent, though a third
-/// node could reach both; the leader must name them before it gives them up.
+/// A network partition between two zones lasted longer than the heartbeat timeout, though a third
+/// node could reach both zones. The leader must list machines as overdue, so that others relay
+/// their heartbeats, before it terminates them.
 #[test]
 fn overdue_machines_are_listed_before_they_are_terminated() {
     let mut scheduler = busy_fleet(6);
     assert_eq!(scheduler.overdue_machines(4_000), Vec::<String>::new(), "between two heartbeats");
     assert_eq!(scheduler.overdue_machines(5_300).len(), 6);
-    // One is relayed in time and stays; the others are given up only after the limit.
+    // Machine 0 is relayed in time and kept; the others are terminated only after the timeout.
     for step in 1..80 {
         let now = 5_000 + step * 200;
         if step % 15 == 1 {
@@ -123,8 +123,8 @@
     }
 }
 
-/// Users' check: a machine's heartbeats arrive, responses and commands don't reach it. Unreconciled, it
-/// would hold up all inherited jobs for as long as it heartbeats.
+/// A machine whose heartbeats arrive, but which no response or command reaches, is never
+/// reconciled. All inherited jobs would wait for as long as it sends heartbeats.
 #[test]
 fn a_machine_that_keeps_an_old_token_is_terminated() {
     let mut scheduler =
@@ -149,8 +149,8 @@
     assert_eq!(terminated_names[..1], [machine_name(0)]);
 }
 
-/// Users' check, the same for a machine that was reconciled: it heartbeats and never starts what it is
-/// given.
+/// A reconciled machine that sends heartbeats but never starts the tasks launched on it is
+/// terminated, and its tasks are queued again.
 #[test]
 fn a_machine_that_executes_no_launch_is_terminated() {
     let mut scheduler =
@@ -170,7 +170,7 @@
             &CallOutcome::NoAnswer,
         )));
     }
-    assert!(launched >= 4, "repeated with each answer: {launched}");
+    assert!(launched >= 4, "each response repeats the launches: {launched}");
     assert_eq!(terminated_names, [machine_name(0)]);
     scheduler.handle(
         30_000,
@@ -179,29 +179,29 @@
     assert_eq!(scheduler.jobs()[&JobId(1)].waiting(), 2);
 }
 
-/// Users' check: copies of heartbeats come late, from before the term, of machines that an earlier
-/// leader has deleted. A copy brings back nothing, reconciles nothing and refreshes nothing.
+/// Duplicates of heartbeats may arrive late, also from earlier terms and from terminated machines.
+/// They neither add nor reconcile a machine, and do not end its silence.
 #[test]
 fn late_duplicates_of_heartbeats_are_ignored() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), stored_set(0..2), Vec::new(), 1_000);
     scheduler.handle(1_000, job_opened(1, 4, 8));
     let known = scheduler.machines().len();
-    // Of a machine unknown to us, and of one that has not yet spoken in this term.
+    // From an unknown machine, and from one not yet heard in this term.
     let mut effects = scheduler.handle(1_100, Event::Heartbeat(heartbeat(9, 40, 6, Vec::new())));
     effects.extend(scheduler.handle(1_200, Event::Heartbeat(heartbeat(1, 40, 6, Vec::new()))));
     effects.extend(scheduler.handle(1_400, Event::Tick));
     assert_eq!((scheduler.machines().len(), launches(&effects)), (known, 0));
     assert_eq!(scheduler.machines()[&machine_name(1)].last_heartbeat_at, None);
-    assert!(scheduler.next_writes(1_500, 8).is_empty(), "nothing is stored for it");
-    // Reconciled; then a copy of an earlier heartbeat, from within the term, refreshes nothing.
+    assert!(scheduler.next_writes(1_500, 8).is_empty(), "unknown machines are not stored");
+    // After machine 0 is reconciled, a duplicate of an earlier heartbeat of this term is ignored.
     scheduler.handle(2_000, Event::Heartbeat(heartbeat(0, 50, 7, Vec::new())));
     let effects = scheduler.handle(9_000, Event::Heartbeat(heartbeat(0, 49, 7, Vec::new())));
     assert_eq!(
         (scheduler.machines()[&machine_name(0)].last_heartbeat_at, launches(&effects)),
         (Some(2_000), 0)
     );
-    // Deleted in this term: not brought back, whatever token the copy shows.
+    // A machine terminated in this term is not added again, whatever token the duplicate carries.
     scheduler.handle(
         9_100,
         Event::TerminateFinished {
@@ -211,13 +211,14 @@
     );
     scheduler.handle(80_000, Event::Heartbeat(heartbeat(0, 51, 7, Vec::new())));
     assert!(!scheduler.machines().contains_key(&machine_name(0)));
-    // A request carried out late shows our token half a second after it first hears it.
+    // A machine from a provision request that was executed late carries this term's token once it
+    // has had a response.
     scheduler.handle(80_100, Event::Heartbeat(heartbeat(9, 41, 7, Vec::new())));
     assert!(scheduler.machines().contains_key(&machine_name(9)));
 }
 
-/// A node that is late itself hears late: while its probes are still open, a silent machine is
-/// not given up before its lease has run out.
+/// A slow leader processes heartbeats late. While its probes of a silent machine are open, the
+/// machine is not terminated before its lease has expired.
 #[test]
 fn a_slow_leader_terminates_no_machine_with_open_probes() {
     let run = |answered: bool| {
@@ -226,7 +227,7 @@
         let mut terminated_at = None;
         for step in 0..40u64 {
             let now = 1_100 + step * 1_000;
-            // The first never speaks.
+            // Machine 0 never sends a heartbeat.
             for i in 1..5 {
                 scheduler.handle(now, Event::Heartbeat(heartbeat(i, 1 + step, 7, Vec::new())));
             }
@@ -239,14 +240,14 @@
                 terminated_at.get_or_insert(now);
             }
         }
-        terminated_at.expect("the silent machine is given up")
+        terminated_at.expect("the silent machine is terminated")
     };
-    assert!(run(true) < 1_000 + WORKER_LEASE_MS, "two probes without a response");
-    assert!(run(false) > 1_000 + WORKER_LEASE_MS, "none came to an end");
+    assert!(run(true) < 1_000 + WORKER_LEASE_MS, "two probes have failed");
+    assert!(run(false) > 1_000 + WORKER_LEASE_MS, "no probe has ended");
 }
 
-/// With the cloud down no delete is answered; past its lease a machine that nobody can have
-/// answered holds nothing any more, and the inherited jobs start.
+/// While the cloud is down, no termination is confirmed. An unreconciled machine has killed its
+/// tasks once its lease has expired, so inherited jobs then start without the confirmation.
 #[test]
 fn machines_past_their_lease_do_not_block_inherited_jobs() {
     let mut scheduler =
@@ -276,5 +277,5 @@
         );
         launched += launches(&tick_until(&mut scheduler, now, now + 3_000, &CallOutcome::NoAnswer));
     }
-    assert!(launched >= 2, "started after the lease: {launched}");
+    assert!(launched >= 2, "started after the lease expired: {launched}");
 }
--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -1,5 +1,4 @@
-//! Whose fault a failure is, the job's or the machine's: each failure that was found as a small
-//! case.
+//! Failure attribution: whether a failed task counts against its job or its machine.
 
 mod common;
 
@@ -8,9 +7,9 @@
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
-/// Seen in the design for a few machines, where three of them failing a job spoke against the job:
-/// a large array meets three faulty machines of a large fleet at once, and was then held back for
-/// up to a minute while the faulty machines kept their names.
+/// Failures on three machines used to quarantine any job. A large array runs into three faulty
+/// machines of a large fleet at once; it was then delayed by up to a minute, and the failures did
+/// not count against the machines.
 #[test]
 fn a_large_job_on_a_few_faulty_machines_is_not_quarantined() {
     let phases = |scheduler: &Scheduler, i: u64, phase| -> Vec<TaskStatus> {
@@ -32,7 +31,7 @@
         let job = job_opened(1, tasks, 8);
         scheduler.handle(1_100, job);
         scheduler.handle(1_300, Event::Tick);
-        // All its tasks on three of its machines fail.
+        // All tasks on three of the job's machines fail.
         let on: Vec<u64> = (0..20)
             .filter(|i| !scheduler.machines()[&machine_name(*i)].runs.is_empty())
             .take(3)
@@ -44,7 +43,7 @@
         scheduler
     };
     let mut large = run(30);
-    // Three failures say nothing once others are seen to run for longer.
+    // Three failures don't count against the job while its other tasks run for longer.
     let rest: Vec<u64> = (0..20).filter(|i| !all_runs_ended(&large, *i)).collect();
     for (sequence, now) in [(3, 2_500), (4, 6_000)] {
         for i in &rest {
@@ -54,14 +53,14 @@
     }
     large.handle(6_200, Event::Tick);
     assert!(!large.jobs()[&JobId(1)].is_quarantined);
-    assert_eq!(large.jobs()[&JobId(1)].waiting(), 0, "its tasks have gone elsewhere");
+    assert_eq!(large.jobs()[&JobId(1)].waiting(), 0, "its failed tasks run elsewhere");
     let small = run(6);
-    assert!(small.jobs()[&JobId(1)].is_quarantined, "it has failed wherever it was");
+    assert!(small.jobs()[&JobId(1)].is_quarantined, "it has failed on all its machines");
 }
 
-/// Own days with broken jobs (28,000 failed starts in one): two arrays submitted with a mistake
-/// met on the same machines, which then counted as faulty and went back with what else ran there;
-/// and every minute all their tasks were launched again.
+/// Two broken arrays ran on the same machines, which therefore counted as faulty and were
+/// terminated with the other tasks on them. All tasks of the arrays were launched again every
+/// minute, which led to 28,000 failed starts in a day.
 #[test]
 fn two_failing_arrays_do_not_mark_sound_machines_as_faulty() {
     let machines = 20u64;
@@ -121,14 +120,14 @@
             }
         }
     }
-    assert_eq!(marked_faulty, Vec::<String>::new(), "sound machines went back");
-    // Those on their way when the third machine failed, then one a minute at most.
+    assert_eq!(marked_faulty, Vec::<String>::new(), "sound machines count as faulty");
+    // Launches in flight when the third machine failed the job, then at most one a minute.
     assert!(failed < 2 * 40 + 2 * 20, "{failed} failed starts");
     assert!(good_done >= 8 * 28, "{good_done} tasks of good jobs done");
 }
 
-/// A good job whose first tasks all met faulty machines is tried where others succeed, and then
-/// goes on whole; what it suffered speaks against those machines.
+/// A sound job whose first tasks all fail on faulty machines is quarantined, tried on machines
+/// where other jobs succeed, and restored; its failures then count against the faulty machines.
 #[test]
 fn a_job_quarantined_by_faulty_machines_completes() {
     let mut scheduler =
@@ -152,7 +151,7 @@
     for i in 0..5 {
         scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
-    // Others have the sound machines; then the job starts on the faulty ones.
+    // Machines 0 to 2 are faulty. Job 2 arrives 2 s after job 1.
     let job = |id, tasks| job_opened(id, tasks, 8);
     scheduler.handle(1_100, job(1, 6));
     scheduler.handle(1_300, Event::Tick);
@@ -171,9 +170,8 @@
     assert_eq!(done, 6);
 }
 
-/// A machine that was faulty for a while is all that a job fits, and another job keeps it from
-/// being given back: the job is tried there again, soon enough for nobody to wait 90 s where there
-/// is free capacity.
+/// A job fits only one machine, which was faulty for a while and is kept because it runs another
+/// job. The job is tried there again soon enough that no job waits 90 s while there is capacity.
 #[test]
 fn a_job_retries_a_machine_that_has_recovered() {
     let mut scheduler = Scheduler::new(
@@ -203,7 +201,7 @@
         for run in
             scheduler.machines()[&machine_name(0)].runs.values().filter(|r| r.task.job == JobId(1))
         {
-            // The first try of the other task fails, at once.
+            // The first attempt of task 1 fails immediately.
             let fails = run.is_live() && failed_at.is_none_or(|at| at == now);
             if fails {
                 failed_at = Some(now);
@@ -222,5 +220,5 @@
         scheduler.handle(now, Event::Heartbeat(heartbeat(0, now, 7, tasks)));
         scheduler.handle(now, Event::Tick);
     }
-    panic!("never tried again, failed at {failed_at:?}");
+    panic!("the job was not tried again after its failure at {failed_at:?}");
 }
--- a/crates/latchtrack-core/tests/job.rs
+++ b/crates/latchtrack-core/tests/job.rs
@@ -1,4 +1,4 @@
-//! The texts of ids.
+//! The text form of job and task ids.
 
 use latchtrack_core::job::{JobId, ParseIdError, TaskId};
 
--- a/crates/latchtrack-core/tests/log_events.rs
+++ b/crates/latchtrack-core/tests/log_events.rs
@@ -1,4 +1,4 @@
-//! Log events and reasons to resign as operators read them: a message, then the values as fields.
+//! The text of log events and of reasons to resign: a constant message, then the values as fields.
 
 use latchtrack_balance::balancer::MoveCounts;
 use latchtrack_balance::moves::{AbandonReason, MoveStage};
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -1,12 +1,13 @@
-//! The scores, what fits, and who is deferred.
+//! Placement basics: scores, fitting tasks, reservations, and the choice of deferred jobs.
 
 use latchtrack_core::job::{ClassId, Resources};
 use latchtrack_core::machine::fitting_tasks;
 use latchtrack_core::placement::*;
 
-/// Worked by hand. Eqs 6 and 7: two machines of 16 CPUs/64 GB and one of 32/64 make 64 CPUs
-/// and 192 GB. Eq. 8 for a machine with 4 CPUs and 16 GB free: 4/64*0.8 + 16/192*0.2
-/// = 0.05 + 0.016666...; Eq. 9 for 5 tasks of 4 CPUs and 12 GB: (0.05 + 0.0125) * 5.
+/// Calculated by hand. Eqs. 6 and 7: two machines of 16 CPUs and 64 GB and one of 32 CPUs and 64 GB
+/// make 64 CPUs and 192 GB. Eq. 8 for a machine with 4 CPUs and 16 GB free:
+/// 4/64 * 0.8 + 16/192 * 0.2 = 0.05 + 1/60. Eq. 9 for 5 tasks of 4 CPUs and 12 GB:
+/// (0.05 + 0.0125) * 5 = 0.3125.
 #[test]
 fn scores_follow_the_papers_equations() {
     let weights = ScoreWeights::default();
@@ -15,7 +16,7 @@
     assert!((score(&free, &total, &weights) - (0.05 + 1.0 / 60.0)).abs() < 1e-12);
     let task = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 12.0 };
     assert!((job_demand(&task, 5, &total, &weights) - 0.3125).abs() < 1e-12);
-    assert_eq!(score(&free, &Resources::default(), &weights), 0.0, "no machine runs");
+    assert_eq!(score(&free, &Resources::default(), &weights), 0.0, "no machine is up");
 }
 
 #[test]
@@ -25,7 +26,7 @@
     assert_eq!(deferred(&all, 0.0, 100.0), [false; 4], "there is capacity for all");
     assert_eq!(deferred(&all, 0.0, 10.0), [false, true, false, false]);
     assert_eq!(deferred(&all, 60.0, 10.0), [false, true, false, false]);
-    assert_eq!(deferred(&all, 0.0, 0.0), [false; 4], "nothing known of the capacity");
+    assert_eq!(deferred(&all, 0.0, 0.0), [false; 4], "the capacity is unknown");
 }
 
 #[test]
@@ -37,8 +38,8 @@
     assert_eq!(fitting_tasks(&d, -1.0, 0.0, 64.0), 0);
 }
 
-/// Free capacity is open to the jobs it is reserved for as a whole, and to others for what those
-/// leave.
+/// Jobs of the class that a machine is reserved for may use all its free capacity; other jobs may
+/// use the spare part.
 #[test]
 fn other_jobs_may_use_the_spare_part_of_reserved_capacity() {
     let amount = |cpus| Resources { cpus, gpus: 0.0, memory_gb: cpus };
--- a/crates/latchtrack-core/tests/provisioning.rs
+++ b/crates/latchtrack-core/tests/provisioning.rs
@@ -1,4 +1,4 @@
-//! What is provisioned, and pending capacity: each failure that was found as a small case.
+//! Provisioning: which machines are requested and when, and the capacity of booting machines.
 
 mod common;
 
@@ -9,7 +9,8 @@
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
-/// Seen on real processes: a job that may not use spot machines waited as if one might come free.
+/// A job that may not use spot machines waited out the delay before on-demand machines are
+/// provisioned, which is meant for jobs that may get a spot machine instead.
 #[test]
 fn a_job_that_may_not_use_spot_provisions_at_once() {
     let mut scheduler = Scheduler::new(policy(), TERM, types(), Vec::new(), Vec::new(), 1_000);
@@ -23,15 +24,15 @@
     assert!(provisions, "{effects:?}");
 }
 
-/// ms that a boot takes which should take 10 s.
+/// Duration of a boot in ms; the type's nominal boot time is 10 s.
 const SLOW_BOOT_MS: u64 = 65_000;
-/// ms between two ticks.
+/// Time in ms between two ticks.
 const TICK_MS: u64 = 200;
 
-/// A machine that boots.
+/// A machine that was provisioned.
 struct Boot {
     number: u64,
-    /// When it was provisioned, ms.
+    /// When it was provisioned, in ms.
     at: u64,
 }
 
@@ -39,14 +40,15 @@
 #[derive(Default)]
 struct SlowCloud {
     boots: Vec<Boot>,
-    /// Machines provisioned so far.
+    /// Number of machines provisioned so far.
     provisioned: u32,
-    /// Machines terminated so far.
+    /// Number of machines terminated so far.
     terminated: usize,
 }
 
 impl SlowCloud {
-    /// Lets time pass, and carries out what the scheduler asks for.
+    /// Ticks the scheduler from `from` until before `to`, carries out its effects, and sends the
+    /// first heartbeat of each machine that has booted.
     fn run(&mut self, scheduler: &mut Scheduler, from: u64, to: u64) {
         for now in (from..to).step_by(TICK_MS as usize) {
             for effect in scheduler.handle(now, Event::Tick) {
@@ -84,8 +86,9 @@
     }
 }
 
-/// Own day with boots five times as long: at four times all that booted was terminated and provisioned
-/// again, which began it anew (1,695 on-demand machines provisioned where 700 are enough).
+/// When boots took five times as long as usual, all booting machines were terminated at four times
+/// the usual time and provisioned again, which restarted their boots: 1,695 on-demand machines were
+/// provisioned where 700 are enough.
 #[test]
 fn late_boots_of_a_whole_machine_type_are_awaited() {
     let mut scheduler =
@@ -93,8 +96,9 @@
     scheduler.handle(1_000, job_opened(1, 60, 8));
     let mut cloud = SlowCloud::default();
     cloud.run(&mut scheduler, 1_200, 63_000);
-    // Thirty are needed, and provisioned once more when the first seem late, before all do; then a
-    // few are tried now and then, and as many terminated.
+    // Thirty machines are needed, and thirty more are provisioned when some boots are late but most
+    // are not yet. After that, a few are provisioned periodically as trials, and as many
+    // terminated.
     let SlowCloud { provisioned, terminated, .. } = cloud;
     assert!((30..=70).contains(&provisioned), "{provisioned} provisioned");
     assert!(terminated <= 8, "{terminated} terminated");
@@ -103,8 +107,8 @@
     assert!(up >= 24, "{up} up");
 }
 
-/// A machine whose worker heartbeats before the rental is answered, as it boots within a second: it is
-/// used at once, and neither deleted as unknown nor counted twice.
+/// A machine may boot within a second and send a heartbeat before the provision request is
+/// answered. It is used immediately, and neither terminated as unknown nor counted twice.
 #[test]
 fn a_machine_up_before_its_provision_answer_is_used_at_once() {
     let mut scheduler =
@@ -117,7 +121,7 @@
     });
     scheduler.handle(1_300, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     let writes = scheduler.next_writes(1_310, 8);
-    assert!(!writes.is_empty(), "it is stored before anything starts on it");
+    assert!(!writes.is_empty(), "a machine is stored before tasks start on it");
     let effects = scheduler
         .handle(1_320, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(20) });
     assert_eq!(launches(&effects), 2);
@@ -133,8 +137,8 @@
     assert!(!more && scheduler.machines().len() == 1, "{effects:?}");
 }
 
-/// A run of the simulation: a job that must stay in one zone had a task there, and machines were
-/// provisioned for the rest in one zone after the other, and terminated unused.
+/// A one-zone job had tasks in one zone, but machines for its other tasks were provisioned in one
+/// zone after the other, and terminated unused.
 #[test]
 fn a_one_zone_job_provisions_only_in_its_zone() {
     let zones = vec!["a".to_string(), "b".into(), "c".into()];
@@ -160,12 +164,12 @@
     assert_eq!(scheduler.jobs()[&JobId(1)].placed.len(), 2);
 }
 
-/// A day with team limits that bind: each job of a team provisioned for what the limit left to the whole
-/// team, so that several times the machines were provisioned, booted for nothing and were terminated.
+/// Each job of a team provisioned as many machines as the team's limit left for all its jobs
+/// together. Several times the machines needed were provisioned, booted, and terminated unused.
 #[test]
 fn no_machine_is_provisioned_beyond_a_team_limit() {
     let mut policy = long_idle_timeout();
-    // Two tasks, which one machine takes.
+    // The limit allows two tasks, which fit on one machine.
     policy.teams[0].cpus_max = 2.0 * spec(1, 1).demand.cpus;
     let mut scheduler = Scheduler::new(policy, TERM, types(), Vec::new(), Vec::new(), 1_000);
     for id in 1..=5 {
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Who is placed when and where: each failure that was found as a small case.
+//! The job queue: which jobs are placed, in which order, and on which machines.
 
 mod common;
 
@@ -22,7 +22,7 @@
             .handle(1_000, Event::JobOpened { spec, submitted_at: 0, revision: 8, done: None });
     }
     scheduler.handle(2_000, Event::Tick);
-    // Two tasks to a machine are placed, and no job holds more than its bits.
+    // Two tasks fit on each machine. No job keeps a list of its waiting tasks.
     let placed: usize =
         scheduler.jobs().values().map(|job| job.placed.len() + job.requeued.len()).sum();
     assert_eq!(placed, 60);
@@ -55,11 +55,11 @@
     for step in 0..50 {
         scheduler.handle(3_000 + step * 200, Event::Tick);
     }
-    // The machine moved to another agent epoch without its task, which waits again.
+    // The machine's new agent epoch ended its task, which waits again.
     assert_eq!(scheduler.jobs()[&JobId(1)].placed.len(), 1);
 }
 
-/// Recorded day: large jobs that can't be in time made the small ones behind them late too.
+/// Large jobs that could not meet their objective made the small ones behind them late too.
 #[test]
 fn a_small_job_passes_a_large_one_that_cannot_be_on_time() {
     let mut policy = policy();
@@ -69,7 +69,7 @@
             .push(CompletionObjective { class: "c".into(), due: Due::Within(ms) });
     }
     let mut scheduler = Scheduler::new(policy, TERM, types(), stored_set(0..1), Vec::new(), 1_000);
-    // Nobody is placed before the machine has spoken; 8 tasks of 20 s need 80 s of its 8 CPUs.
+    // No job is placed before the machine is up. The 8 tasks of 20 s need 80 s of its 8 CPUs.
     for (id, tasks) in [(1, 8), (2, 1)] {
         let spec = spec(id, tasks);
         scheduler.handle(
@@ -82,8 +82,9 @@
     assert_eq!((placed(1), placed(2)), (1, 1));
 }
 
-/// A task that is to start within a second must not land where its image takes four to come, while
-/// another machine holds it and may be free in time; after that second it takes what there is.
+/// A task that should start within a second must not be placed where the fetch of its image takes
+/// four, while another machine holds the image and may be free in time. After that second it uses
+/// any machine.
 #[test]
 fn a_start_objective_job_waits_for_a_machine_with_its_image() {
     let policy = Policy {
@@ -91,7 +92,7 @@
         ..long_idle_timeout()
     };
     let mut scheduler = Scheduler::new(policy, TERM, types(), Vec::new(), Vec::new(), 1_000);
-    // Two machines of this term; the first has run the image.
+    // Two machines of this term; one of them runs the first job and so holds the image.
     for i in 0..2 {
         scheduler.handle(1_000, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
@@ -116,7 +117,7 @@
         .map(|run| TaskStatus { phase: TaskPhase::Running, ..status_of(run) });
     let running = running.collect();
     scheduler.handle(3_000, Event::Heartbeat(heartbeat(i, 2, 7, running)));
-    // One place is left beside it, two are free on the machine without the image.
+    // One more task fits on that machine, and two on the machine without the image.
     scheduler.handle(5_000, job_with_start_objective(2, 2, 5_000));
     scheduler.handle(5_100, Event::Tick);
     let placed: Vec<String> = scheduler.jobs()[&JobId(2)]
@@ -137,11 +138,11 @@
     }
     assert!(images.contains("a") && images.contains("c") && !images.contains("b"));
     images.record_use("huge", 9.0, 4.0);
-    assert!(images.contains("huge") && !images.contains("a"), "it runs, so it is there");
+    assert!(images.contains("huge") && !images.contains("a"), "an image in use is always cached");
 }
 
-/// Recorded day inc-062e: best-effort work without any objective stood before all jobs that could not be in
-/// time, and kept a full fleet from them for minutes.
+/// Best-effort jobs without an objective went before all jobs that could not meet theirs, and kept
+/// a whole fleet from them for minutes.
 #[test]
 fn best_effort_jobs_yield_to_late_ones_and_provision_only_spot() {
     let mut scheduler =
@@ -153,7 +154,7 @@
     scheduler.handle(1_000, job(spec(2, 2)));
     scheduler.handle(2_000, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     let placed = |scheduler: &Scheduler, id| scheduler.jobs()[&JobId(id)].placed.len();
-    assert_eq!((placed(&scheduler, 1), placed(&scheduler, 2)), (0, 2), "the late one goes first");
+    assert_eq!((placed(&scheduler, 1), placed(&scheduler, 2)), (0, 2), "the late job goes first");
     let mut provisioned_spot = Vec::new();
     for now in (2_200..60_000).step_by(200) {
         for effect in scheduler.handle(now, Event::Tick) {
@@ -170,7 +171,7 @@
         "{provisioned_spot:?}"
     );
 
-    // Behind others that are late for ever it has its share all the same.
+    // While other jobs are always late, it still gets a quarter of the cluster.
     let mut scheduler =
         Scheduler::new(late_class_policy(), TERM, types(), stored_set(0..40), Vec::new(), 200_000);
     scheduler.handle(200_000, job(Arc::new(best_effort)));
@@ -180,13 +181,13 @@
         scheduler.handle(now, Event::Tick);
         scheduler.handle(now, Event::Heartbeat(heartbeat(i, 1, 7, Vec::new())));
     }
-    // Of eighty places in all.
+    // Eighty tasks fit in all.
     assert!((15..=20).contains(&placed(&scheduler, 1)), "{}", placed(&scheduler, 1));
     assert_eq!(placed(&scheduler, 1) + placed(&scheduler, 2), 80);
 }
 
-/// Hunted days of kolkata: six such jobs shared what was left, so that none was done by the day's
-/// end.
+/// Six best-effort jobs shared the remaining capacity, so that none was complete by the end of the
+/// day.
 #[test]
 fn best_effort_jobs_run_one_after_the_other() {
     let mut scheduler =
@@ -206,8 +207,8 @@
     assert_eq!((placed(1), placed(2)), (5, 1));
 }
 
-/// Own days: a job of 25 tasks that missed its deadline by a second stood behind hundreds that
-/// could not be in time, the largest first, and began 500 s later.
+/// A job of 25 tasks that missed its deadline by a second was queued, largest jobs first, behind
+/// hundreds that could not meet theirs, and started 500 s later.
 #[test]
 fn a_small_job_past_its_deadline_is_not_placed_last() {
     let mut scheduler =
@@ -219,11 +220,11 @@
     scheduler.handle(100_000, late(1, 50));
     scheduler.handle(100_000, late(2, 2));
     scheduler.handle(100_000, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
-    assert_eq!(scheduler.jobs()[&JobId(2)].placed.len(), 2, "the least work first");
+    assert_eq!(scheduler.jobs()[&JobId(2)].placed.len(), 2, "the smallest job goes first");
 }
 
-/// A machine of eight CPUs with a task of four, reserved for a task of six; when a job of this size
-/// that comes later starts there, if it does within so many ms.
+/// A machine of eight CPUs runs a task of four CPUs and is reserved for a task of six. Returns the
+/// time in ms at which a later one-task job of `cpus` CPUs starts there, if it is before `within`.
 fn start_beside_reservation(cpus: f64, within: u64) -> Option<u64> {
     let job_with_cpus = |id, cpus| {
         let demand = Resources { cpus, gpus: 0.0, memory_gb: 1.0 };
@@ -251,7 +252,7 @@
         scheduler.handle(now, Event::Tick);
         let placed =
             |id| scheduler.jobs().get(&JobId(id)).is_some_and(|job| !job.placed.is_empty());
-        assert!(!placed(2), "six CPUs are not free");
+        assert!(!placed(2), "only four CPUs are free");
         if placed(3) {
             return Some(now);
         }
@@ -259,17 +260,18 @@
     None
 }
 
-/// Runs of the simulation: whole machines stood empty, reserved for a job that could not use them, and
-/// others had two CPUs free of eight, reserved for tasks of six, for as long as the overload lasted.
+/// During an overload, whole machines stayed empty because they were reserved for a job that could
+/// not use them, and others kept two of eight CPUs free because they were reserved for tasks of
+/// six.
 #[test]
 fn a_reserved_machine_is_open_to_small_and_long_waiting_jobs() {
     let (small, large) =
         (start_beside_reservation(2.0, 90_000), start_beside_reservation(4.0, 90_000));
-    assert!(small.is_some_and(|at| at < 7_000), "beside: {small:?}");
-    assert!(large.is_some_and(|at| (60_000..80_000).contains(&at)), "instead: {large:?}");
+    assert!(small.is_some_and(|at| at < 7_000), "beside the reservation: {small:?}");
+    assert!(large.is_some_and(|at| (60_000..80_000).contains(&at)), "in its place: {large:?}");
 }
 
-/// One whose tasks must stay in another zone reserves nothing here.
+/// A one-zone job whose tasks run in one zone reserves no machines in another.
 #[test]
 fn a_job_that_may_not_use_a_machine_does_not_reserve_it() {
     let mut fleet = stored_set(0..2);
@@ -301,18 +303,17 @@
     assert_eq!(
         scheduler.jobs()[&JobId(1)].placed.len(),
         2,
-        "as many as go into the machine in its zone"
+        "as many tasks as fit on the machine in its zone"
     );
     assert_eq!(
         scheduler.jobs()[&JobId(2)].placed.len(),
         1,
-        "the machine in the other zone is empty"
+        "the machine in the other zone is not reserved"
     );
 }
 
-/// An own day with a team at its limit: what each end left of the limit waited for the next cycle,
-/// for up to a second, so that the team stayed below its limit for as long as jobs waited beside
-/// free capacity.
+/// When a task of a team at its limit ended, the quota it freed was used only in the next cycle, up
+/// to a second later. The team stayed below its limit while its jobs waited and capacity was free.
 #[test]
 fn capacity_freed_under_a_team_limit_is_reused_at_once() {
     let limit = Team { cpus_max: 4.0, ..long_idle_timeout().teams.remove(0) };
@@ -330,12 +331,12 @@
     let runs = |scheduler: &Scheduler| {
         scheduler.machines()[&machine_name(0)].runs.values().filter(|run| run.is_live()).count()
     };
-    assert_eq!(runs(&scheduler), 1, "four CPUs are all that the team may use");
-    // A cycle ran just now.
+    assert_eq!(runs(&scheduler), 1, "the team's limit is four CPUs");
+    // A cycle has just run, so the next one may not be due for up to a second.
     scheduler.handle(10_000, Event::Tick);
     let run = scheduler.machines()[&machine_name(0)].runs.values().next().expect("a run");
     let done = TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) };
     scheduler.handle(10_050, Event::Heartbeat(heartbeat(0, 10_050, 7, vec![done])));
     scheduler.handle(10_200, Event::Tick);
-    assert_eq!(runs(&scheduler), 1, "the other task has its place");
+    assert_eq!(runs(&scheduler), 1, "the other task has started");
 }
--- a/crates/latchtrack-core/tests/record_shards.rs
+++ b/crates/latchtrack-core/tests/record_shards.rs
@@ -1,12 +1,12 @@
-//! Entries that share stored values: late writes, few writes, and values of an earlier, higher
-//! limit.
+//! Record shards, whose entries share stored values: writes that are applied late, the number of
+//! writes, and values that exceed a lowered size limit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use latchtrack_core::record_shards::*;
 
-/// A store that applies writes late, twice or never, and a random run over it: whatever was
-/// written and not removed must be found by whoever reads the store next.
+/// Random changes on a store that applies some writes late or never. After every step, each entry
+/// that was stored and not removed since must be found in the store.
 #[test]
 fn late_writes_lose_no_entries() {
     use rand::rngs::StdRng;
@@ -86,8 +86,8 @@
     assert!(!shards.has_due_write(0));
 }
 
-/// Values written under a higher limit are read, and split when they are next written: no value
-/// above today's limit is written any more, and no entry is ever missing.
+/// Values written under a higher size limit can still be read, and are split when they are next
+/// written. No written value exceeds the current limit, and no entry is ever missing.
 #[test]
 fn values_above_a_lowered_limit_are_split_on_their_next_write() {
     let mut store: BTreeMap<String, Vec<u32>> = BTreeMap::new();
@@ -98,7 +98,7 @@
         shards.load(&name, u64::from(value) + 1, entries.iter().map(|k| (*k, 10)));
         store.insert(name, entries);
     }
-    assert!(!shards.has_due_write(0), "what is only read is not written");
+    assert!(!shards.has_due_write(0), "reading a value causes no write");
     for value in 0..5u32 {
         shards.remove(&(value * 30));
     }
@@ -119,7 +119,7 @@
     assert!(store.keys().all(|name| name.starts_with("9-")), "{:?}", store.keys());
 }
 
-/// A value whose entries have another form now: it stays until all of them are stored anew.
+/// A value whose entries are stored in a new form is deleted only after all of them are stored.
 #[test]
 fn a_replaced_value_is_kept_until_its_entries_are_stored() {
     let mut shards: RecordShards<u32> = RecordShards::new(9, 100, 0);
@@ -129,7 +129,7 @@
     while let Some(write) = shards.next_write(0) {
         if write.name == "7-1" {
             assert!(write.entries.is_empty());
-            assert_eq!(stored.len(), 25, "dropped before all were stored");
+            assert_eq!(stored.len(), 25, "deleted before all entries were stored");
             dropped = true;
         }
         stored.extend(write.entries.iter().copied());
--- a/crates/latchtrack-core/tests/refused_writes.rs
+++ b/crates/latchtrack-core/tests/refused_writes.rs
@@ -1,5 +1,5 @@
-//! The state service refuses what is above its limits, whatever the settings say: a leader that
-//! meets that goes on in smaller pieces, and one value that can't be stored blocks no other.
+//! The state service rejects writes above its limits, which may be lower than the settings say. The
+//! leader then writes smaller batches, and a value that can't be stored blocks no other.
 
 mod common;
 
@@ -7,14 +7,14 @@
 use latchtrack_core::machine::Heartbeat;
 use latchtrack_core::scheduler::*;
 
-/// A leader without machines.
+/// Returns a leader without machines.
 fn leader() -> Scheduler {
     let types = vec![machine_type(vec!["a".into()])];
     let revisions = TermRevisions { token: 7, leaderless_since: 7 };
     Scheduler::new(policy(), revisions, types, Vec::new(), Vec::new(), 1_000)
 }
 
-/// The first heartbeat of a machine.
+/// Returns the first heartbeat of a machine.
 fn heartbeat_of(name: &str, addr: String) -> Event {
     Event::Heartbeat(Heartbeat {
         machine: name.into(),
@@ -30,7 +30,7 @@
     })
 }
 
-/// Bytes of the machines in a write, as the state service would count about.
+/// Returns the approximate size in bytes of a written machine set, as the state service counts it.
 fn bytes(write: &RecordWrite) -> usize {
     match write {
         RecordWrite::MachineSet { machines, .. } => machines.iter().map(StoredMachine::bytes).sum(),
@@ -38,15 +38,15 @@
     }
 }
 
-/// What a leader has written.
+/// The successful writes of a leader.
 struct Written {
-    /// The machines stored, some of them more than once.
+    /// Names of the stored machines, possibly with duplicates.
     machines: Vec<String>,
     transactions: usize,
 }
 
-/// Writes all that is to be written, to a service that takes no more than so many changes and so
-/// many bytes of a value.
+/// Writes until nothing is left to write, to a state service that rejects transactions with more
+/// changes or larger values than these.
 fn write_all(scheduler: &mut Scheduler, max_changes: usize, max_bytes: usize) -> Written {
     let mut machines = Vec::new();
     for cycle in 0..200 {
@@ -67,7 +67,7 @@
         };
         scheduler.handle(now, Event::WritesFinished { writes, outcome });
     }
-    panic!("expected all to be written within 200 transactions");
+    panic!("expected everything to be written within 200 transactions");
 }
 
 #[test]
@@ -97,5 +97,5 @@
     stored.sort();
     stored.dedup();
     assert_eq!(stored, (0..20).map(machine_name).collect::<Vec<_>>());
-    assert!(!scheduler.machines()["n-large"].persisted, "and it gets no task");
+    assert!(!scheduler.machines()["n-large"].persisted, "so no task is launched on it");
 }
--- a/crates/latchtrack-core/tests/results.rs
+++ b/crates/latchtrack-core/tests/results.rs
@@ -1,4 +1,5 @@
-//! Stored results: bits of done tasks in chunks, of the size written now and of the earlier one.
+//! Stored results: bitmaps of done tasks, split into chunks of the current size or of the larger
+//! legacy size.
 
 use latchtrack_core::bitmap::*;
 use latchtrack_core::constants::{CHUNK_TASKS, FIRST_CHUNK_INDEX, LEGACY_CHUNK_TASKS, MAX_TASKS};
@@ -40,7 +41,7 @@
     }
 }
 
-/// What an earlier version stored in large chunks is the same in small ones.
+/// Large chunks stored by an earlier version are rewritten as small ones with the same bits.
 #[test]
 fn a_large_chunk_is_split_into_the_same_bits() {
     let mut a = Bitmap::new(MAX_TASKS);
@@ -57,8 +58,8 @@
     assert_eq!(a, b);
 }
 
-/// The rule by which the version in production reads a chunk, restated: none of its bits may be set
-/// by a small chunk, nor may it fail on one.
+/// The version in production counts every chunk index in legacy chunks. A small chunk must lie past
+/// the last task by that count, and its offset must not overflow, so that it is ignored.
 #[test]
 fn the_production_version_ignores_small_chunks() {
     for chunk in all_chunks().filter(|chunk| *chunk >= FIRST_CHUNK_INDEX) {
--- a/crates/latchtrack-core/tests/rules.rs
+++ b/crates/latchtrack-core/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The checks behind the protocol's rules.
+//! The protocol's rules on where tasks may start and on team limits.
 
 use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::rules::{may_start, within_limit};
@@ -37,5 +37,5 @@
     spec.zone = Some("b".into());
     assert!(!may_start(&spec, "g", "a", false, none()), "zone");
     assert!(within_limit(3.0, 1.0, 4.0) && !within_limit(3.5, 1.0, 4.0));
-    assert!(within_limit(1e9, 1.0, 0.0), "0 is no limit");
+    assert!(within_limit(1e9, 1.0, 0.0), "a limit of 0 means no limit");
 }
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -1,5 +1,5 @@
-//! Failure detection: what is made of the silence of single machines, of a zone, of the whole
-//! fleet, and of a leader that was away itself.
+//! Failure detection across zones: silence of single machines, of a zone and of the whole fleet,
+//! and a leader that was paused itself.
 
 mod common;
 
@@ -10,12 +10,12 @@
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
-/// ms after which a worker lease has surely expired.
+/// Time in ms without an answered heartbeat after which a worker lease has surely expired.
 const PAST_LEASE_MS: u64 = WORKER_LEASE_MS + 5_000;
-/// Machines of each of the three zones.
+/// Number of machines in each of the three zones.
 const MACHINES_PER_ZONE: u64 = 100;
 
-/// The policy that a node derives from its settings.
+/// Returns the policy that a node derives from its settings.
 fn derived_policy() -> Policy {
     Policy {
         on_demand_provision_delay_ms: 8_000,
@@ -25,24 +25,27 @@
     }
 }
 
-/// The zone of a machine.
+/// Returns the zone of a machine.
 fn zone_of(i: u64) -> String {
     ["a", "b", "c"][(i % 3) as usize].into()
 }
 
-/// The number of a machine with this name.
+/// Returns the number of the machine with this name.
 fn machine_number(name: &str) -> u64 {
-    name.strip_prefix("n-").and_then(|number| number.parse().ok()).expect("a name as `n-000001`")
+    name.strip_prefix("n-")
+        .and_then(|number| number.parse().ok())
+        .expect("a machine name like `n-000001`")
 }
 
-/// A direct call to a silent machine.
+/// A direct call to a silent machine, which will not be answered.
 struct LostCall {
     ends_at: u64,
     machine: String,
     call: CallId,
 }
 
-/// A fleet over three zones, in which some machines neither heartbeat nor respond. Times are in ms.
+/// A leader and a fleet in three zones, of which some machines neither send heartbeats nor answer
+/// calls. Times are in ms.
 struct Fleet {
     scheduler: Scheduler,
     now: u64,
@@ -54,12 +57,13 @@
     resignations: Vec<ResignReason>,
     provisions: Vec<String>,
     probes_by_zone: BTreeMap<String, u32>,
-    /// Machines that do not respond may be relayed by other nodes, and be given tasks.
+    /// Whether other nodes relay heartbeats of machines that answer no calls. The leader may then
+    /// launch tasks on such machines.
     relays: bool,
 }
 
 impl Fleet {
-    /// A new leader of machines that an earlier one left, each running one task of a job.
+    /// Returns a new leader with inherited machines, each running one task of job 1.
     fn inherited() -> Fleet {
         let machine = |i| StoredMachine {
             name: machine_name(i),
@@ -91,7 +95,7 @@
         }
     }
 
-    /// The same once all machines are reconciled.
+    /// Returns the same fleet after all machines are reconciled.
     fn reconciled() -> Fleet {
         let mut fleet = Fleet::inherited();
         fleet.run(3_000, |_| false);
@@ -111,7 +115,7 @@
                 phase: TaskPhase::Running,
             })
             .collect();
-        // What the earlier leader has launched.
+        // The task that the earlier leader launched.
         if tasks.is_empty() && agent_epoch == 1 {
             let task = format!("req-000001/{i}").parse().expect("a task id");
             tasks.push(TaskStatus { task, attempt: 5, phase: TaskPhase::Running });
@@ -142,7 +146,7 @@
                 Effect::CallWorker { machine, call, commands, .. }
                     if silent(machine_number(&machine)) =>
                 {
-                    assert!(commands.is_empty() || self.relays, "a command into the silence");
+                    assert!(commands.is_empty() || self.relays, "a command to a silent machine");
                     *self.probes_by_zone.entry(zone_of(machine_number(&machine))).or_default() += 1;
                     let ends_at = self.now + 2_500;
                     self.calls.push(LostCall { ends_at, machine, call });
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Lets so many ms pass, in which the machines that are not silent heartbeat every 2 s.
+    /// Advances the time. Machines that are not silent send a heartbeat every 2 s.
     fn run(&mut self, ms: u64, silent: impl Fn(u64) -> bool) {
         let end = self.now + ms;
         while self.now < end {
@@ -185,7 +189,7 @@
         }
     }
 
-    /// Runs on a machine, as the scheduler knows them.
+    /// Returns the number of runs on a machine that the scheduler knows.
     fn runs(&self, i: u64) -> usize {
         self.scheduler.machines()[&machine_name(i)].runs.len()
     }
@@ -199,18 +203,18 @@
 fn machines_of_an_unreachable_zone_are_kept_until_it_is_back() {
     let mut fleet = Fleet::reconciled();
     fleet.run(PAST_LEASE_MS - 2_000, is_in_zone_b);
-    assert_eq!(fleet.terminated, Vec::<u64>::new(), "nothing is thrown away");
-    assert_eq!(fleet.runs(1), 1, "its task may be running: it has its place");
+    assert_eq!(fleet.terminated, Vec::<u64>::new(), "no machine is terminated");
+    assert_eq!(fleet.runs(1), 1, "its task may still run and keeps its assignment");
     fleet.run(8_000, is_in_zone_b);
-    assert_eq!(fleet.runs(1), 0, "the lease is over");
+    assert_eq!(fleet.runs(1), 0, "the lease has expired");
     assert!(fleet.scheduler.jobs()[&JobId(1)]
         .placed
         .values()
         .all(|assignment| !is_in_zone_b(machine_number(&assignment.machine))));
     assert_eq!((fleet.terminated.len(), fleet.resignations.len()), (0, 0));
     let needless = fleet.provisions.iter().filter(|z| *z == "b").count();
-    assert_eq!(needless, 0, "provisioned where nothing is heard: {:?}", fleet.provisions);
-    // Back, in the next agent epoch.
+    assert_eq!(needless, 0, "provisioned in the unreachable zone: {:?}", fleet.provisions);
+    // The zone recovers, its machines in the next agent epoch.
     fleet
         .agent_epoch
         .extend((0..3 * MACHINES_PER_ZONE).filter(|i| is_in_zone_b(*i)).map(|i| (i, 2)));
@@ -224,7 +228,8 @@
     );
 }
 
-/// What was sent before the lease ran out and held back speaks of an agent epoch that is over.
+/// A heartbeat that was sent before the lease expired, and is delivered after that, belongs to an
+/// expired agent epoch.
 #[test]
 fn a_heartbeat_delayed_past_the_lease_restores_no_run() {
     let mut fleet = Fleet::reconciled();
@@ -250,18 +255,20 @@
     );
 }
 
-/// On the working sites a new leader asked each machine of a cut zone by itself, 96 at a time, or
-/// waited for their lease, by which side of one half they were; all older jobs waited meanwhile.
+/// A new leader used to probe each machine of an unreachable zone, 96 at a time, or to wait for
+/// their leases, depending on whether they were more than half of its machines. All inherited jobs
+/// waited meanwhile.
 #[test]
 fn a_new_leader_terminates_an_unreachable_zone_at_once() {
     let mut fleet = Fleet::inherited();
     fleet.run(4_400, is_in_zone_b);
     assert_eq!(fleet.terminated.len() as u64, MACHINES_PER_ZONE, "{:?}", fleet.log_events);
     assert!(fleet.terminated.iter().all(|i| is_in_zone_b(*i)));
-    assert!(fleet.probes_by_zone["b"] <= 75, "asked {} times", fleet.probes_by_zone["b"]);
+    assert!(fleet.probes_by_zone["b"] <= 75, "probed {} times", fleet.probes_by_zone["b"]);
 }
 
-/// With nothing heard of any zone it is rather us.
+/// If no zone is reachable, the fault is more likely this node's. An established leader resigns; a
+/// new one, which has heard no machine, waits for the worker leases to expire.
 #[test]
 fn a_leader_that_hears_no_zone_terminates_no_machine() {
     let mut fleet = Fleet::reconciled();
@@ -284,8 +291,8 @@
     );
 }
 
-/// An outage for longer than the workers' lease: nobody listened, and on the first tick after it
-/// the whole fleet would have been deleted.
+/// A leader that was paused for longer than the worker lease received no heartbeats, and would have
+/// terminated the whole fleet on its first tick afterwards.
 #[test]
 fn a_paused_leader_does_not_terminate_its_machines() {
     let mut fleet = Fleet::reconciled();
@@ -301,8 +308,8 @@
     assert_eq!(fleet.scheduler.summary(0).up, 3 * MACHINES_PER_ZONE as usize);
 }
 
-/// Taken back while it booted, a machine says nothing, and counted as pending capacity for four
-/// boot times.
+/// A machine preempted while it booted never sends a heartbeat, and counted as pending capacity for
+/// four times its boot time.
 #[test]
 fn a_booting_machine_missing_from_the_list_is_terminated() {
     let mut fleet = Fleet::reconciled();
@@ -321,14 +328,14 @@
     fleet.scheduler.handle(now + 5_000, all(3 * MACHINES_PER_ZONE));
     assert!(
         !fleet.scheduler.machines()[&machine_name(3 * MACHINES_PER_ZONE)].to_terminate,
-        "lists are late"
+        "lists may be outdated"
     );
     fleet.scheduler.handle(now + 14_000, all(3 * MACHINES_PER_ZONE));
     assert!(fleet.scheduler.machines()[&machine_name(3 * MACHINES_PER_ZONE)].to_terminate);
 }
 
-/// Day apart of the working sites: the leader lost its workers for a minute, others relayed their
-/// heartbeats, and what was launched waited for the next of these.
+/// The workers could not reach the leader for a minute. Other nodes relayed their heartbeats, and
+/// each launch had to wait for the next relayed heartbeat.
 #[test]
 fn a_leader_that_hears_only_relayed_heartbeats_resigns() {
     let mut fleet = Fleet::reconciled();
@@ -342,9 +349,9 @@
     assert_eq!(
         fleet.resignations,
         Vec::<ResignReason>::new(),
-        "one speaks to it: the others are cut off"
+        "one machine still reaches it directly"
     );
-    // Recorded day inc-16b6: nobody had spoken for a minute, then one by way of another node.
+    // No heartbeat has arrived for a minute, then a single relayed one.
     fleet.now += 60_000;
     let heartbeat = fleet.heartbeat(3);
     let effects = fleet.scheduler.handle(fleet.now, Event::RelayedHeartbeat(heartbeat));
@@ -353,7 +360,7 @@
     assert_eq!(
         fleet.resignations,
         Vec::<ResignReason>::new(),
-        "one report by way of another says nothing"
+        "a single relayed heartbeat is no reason to resign"
     );
     for _ in 0..20 {
         fleet.run(400, |_| true);
