--- a/crates/latchtrack-core/tests/failover.rs
+++ b/crates/latchtrack-core/tests/failover.rs
@@ -81,7 +81,7 @@
         runs.map(|run| TaskStatus { phase: TaskPhase::Ended(ExitCause::Done), ..status_of(run) })
             .collect()
     };
-    // Adopted at 1 s, these end at 2 s, but have really run for longer than 1 s.
+    // The leader adopted these runs at 1 s and they end at 2 s, but they started before 1 s.
     for i in 0..3 {
         let tasks = end(&scheduler, i);
         scheduler.handle(2_000, Event::Heartbeat(heartbeat(i, 2, 7, tasks)));
--- a/crates/latchtrack-core/tests/gangs/attempts.rs
+++ b/crates/latchtrack-core/tests/gangs/attempts.rs
@@ -51,8 +51,8 @@
     assert!((2..=3).contains(&in_a), "{in_a} in zone a");
 }
 
-/// Whenever and for whatever cause a task ends, the others are told to stop, and the next attempt
-/// waits until all of them have ended.
+/// When a task ends without a result, at any stage and for any cause, the others are told to stop,
+/// and the next attempt waits until all of them have ended.
 #[test]
 fn an_attempt_starts_after_all_tasks_of_the_previous_one_ended() {
     for stage in [TaskPhase::Fetching, TaskPhase::Waiting, TaskPhase::Running] {
--- a/crates/latchtrack-core/tests/load_balancing/launch_checks.rs
+++ b/crates/latchtrack-core/tests/load_balancing/launch_checks.rs
@@ -37,8 +37,8 @@
     assert!(running <= 8, "{running} CPUs of 8");
 }
 
-/// With a run that the leader did not know of, a spread job has as many tasks in the zone as it
-/// may.
+/// A run that the leader did not know of brings a spread job to its maximum number of tasks in the
+/// zone.
 #[test]
 fn a_moved_task_is_not_launched_against_its_zone_constraints() {
     let mut cluster = Cluster::new(6, moves_enabled());
--- a/crates/latchtrack-core/tests/queue.rs
+++ b/crates/latchtrack-core/tests/queue.rs
@@ -69,7 +69,8 @@
             .push(CompletionObjective { class: "c".into(), due: Due::Within(ms) });
     }
     let mut scheduler = Scheduler::new(policy, TERM, types(), stored_set(0..1), Vec::new(), 1_000);
-    // No job is placed before the machine is up. The 8 tasks of 20 s need 80 s of its 8 CPUs.
+    // No job is placed before the machine is up. Job 1 takes 80 s on it: 8 tasks of 20 s, two at a
+    // time.
     for (id, tasks) in [(1, 8), (2, 1)] {
         let spec = spec(id, tasks);
         scheduler.handle(
--- a/crates/latchtrack-core/tests/zones.rs
+++ b/crates/latchtrack-core/tests/zones.rs
@@ -44,8 +44,8 @@
     call: CallId,
 }
 
-/// A leader and a fleet in three zones, of which some machines neither send heartbeats nor answer
-/// calls. Times are in ms.
+/// A leader and its fleet in three zones. Silent machines neither send heartbeats nor answer calls.
+/// Times are in ms.
 struct Fleet {
     scheduler: Scheduler,
     now: u64,
