--- a/crates/latchtrack-core/tests/common/site.rs
+++ b/crates/latchtrack-core/tests/common/site.rs
@@ -1,4 +1,5 @@
-//! A leader with machines that execute its commands at once, and a referee of what starts on them.
+//! A simulated cluster: a leader and machines that execute its commands immediately. It records
+//! every task that starts while it is live on another machine.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,106 +14,107 @@
 
 /// The fencing token of the first leader.
 pub const TOKEN: u64 = 7;
-/// ms of a step of [`Site::pass`].
+/// Time in ms between two steps of [`Cluster::advance_time`].
 const STEP_MS: u64 = 200;
-/// ms between two heartbeats of each machine.
+/// Time in ms between two heartbeats of each machine.
 const HEARTBEAT_MS: u64 = 1_000;
-/// Changes of a transaction.
+/// Maximum number of changes in a transaction.
 const MAX_CHANGES: usize = 8;
 
-/// A leader with machines of eight CPUs. Times are in ms; machines are named by their numbers.
-pub struct Site {
-    /// The scheduler of the term.
+/// A leader and machines of eight CPUs each. Times are in ms; machines are identified by their
+/// numbers.
+pub struct Cluster {
+    /// The scheduler of the current term.
     pub leader: Scheduler,
-    /// The time.
+    /// The current time.
     pub now: u64,
-    /// The attempts on each machine.
+    /// The phase of each attempt, by machine, task and attempt number.
     pub tasks: BTreeMap<u64, BTreeMap<(TaskId, u64), TaskPhase>>,
-    /// Sequence of the last heartbeat of any machine.
+    /// Sequence number of the last heartbeat; all machines share one sequence.
     pub sequence: u64,
-    /// Stops that machines were told, with their grace in seconds.
+    /// Stop commands that reached a machine: the task and the grace period in seconds.
     pub stops: Vec<(TaskId, f64)>,
-    /// Launches that machines executed: machine, task and attempt.
+    /// Launches that machines executed or rejected: machine, task and attempt.
     pub launches: Vec<(u64, TaskId, u64)>,
-    /// Machines that responses and commands do not reach.
-    pub deaf: BTreeSet<u64>,
-    /// Preemption notices of machines, in seconds.
-    pub notice: BTreeMap<u64, f64>,
-    /// All writes of the leader.
+    /// Machines that send heartbeats but receive neither responses nor calls.
+    pub inbound_lost: BTreeSet<u64>,
+    /// Preemption notices, in seconds, by machine.
+    pub preemption_notices: BTreeMap<u64, f64>,
+    /// All records that the leader has written.
     pub writes: Vec<RecordWrite>,
-    /// Offers that machines were asked for.
+    /// Offers for which the leader has requested machines.
     pub provisions: Vec<Offer>,
-    /// The cloud answers that it has no capacity; otherwise it does not answer.
+    /// Whether the cloud answers provision requests with "no capacity"; otherwise it never answers.
     pub no_capacity: bool,
-    /// Machines that neither heartbeat nor respond.
+    /// Machines that neither send heartbeats nor answer calls.
     pub silent: BTreeSet<u64>,
     /// The agent epoch of each machine.
     pub agent_epoch: BTreeMap<u64, u64>,
-    /// When the last heartbeat of each machine that got its response was sent.
-    pub lease_from: BTreeMap<u64, u64>,
-    /// Terminations are executed and confirmed.
-    pub deletes: bool,
-    /// Machines that reject every launch for insufficient resources.
-    pub refusing: BTreeSet<u64>,
-    /// Times at which a task started on one machine while it was on another.
-    pub ran_twice: Vec<String>,
-    /// Log lines of the leader.
-    pub notes: Vec<String>,
+    /// When the lease of each machine was last renewed by an answered heartbeat, or expired.
+    pub lease_renewed_at: BTreeMap<u64, u64>,
+    /// Whether the cloud executes and confirms terminations; otherwise it ignores them.
+    pub confirms_terminations: bool,
+    /// Machines that reject every launch because of insufficient resources.
+    pub rejecting_launches: BTreeSet<u64>,
+    /// Descriptions of task starts on one machine while the task was live on another.
+    pub concurrent_runs: Vec<String>,
+    /// Log lines of all leaders so far.
+    pub log_lines: Vec<String>,
 }
 
-/// Even machines are in zone a, odd ones in zone b.
+/// Returns the zone of a machine: `a` if its number is even, `b` if it is odd.
 pub fn zone_of(machine: u64) -> &'static str {
     ["a", "b"][(machine % 2) as usize]
 }
 
-/// The stored set of on-demand machines with numbers below this.
-fn stored(machines: u64) -> Vec<StoredMachineSet> {
+/// Returns the stored machine set of this many on-demand machines.
+fn stored_on_demand_set(machines: u64) -> Vec<StoredMachineSet> {
     let machine = |i| StoredMachine {
-        name: name(i),
+        name: machine_name(i),
         machine_type: "g".into(),
         zone: zone_of(i).into(),
         spot: false,
-        addr: name(i),
+        addr: machine_name(i),
     };
     let machines = Some((0..machines).map(machine).collect());
     vec![StoredMachineSet { name: "3-1".into(), revision: 4, machines }]
 }
 
-/// A leader that inherits so many machines.
+/// Returns a new leader that inherits this many machines.
 pub fn new_leader(machines: u64, token: u64, policy: Policy, now: u64) -> Scheduler {
     let types = vec![machine_type(vec!["a".into(), "b".into()])];
     let revisions = TermRevisions { token, leaderless_since: token };
-    Scheduler::new(policy, revisions, types, stored(machines), Vec::new(), now)
+    Scheduler::new(policy, revisions, types, stored_on_demand_set(machines), Vec::new(), now)
 }
 
-impl Site {
-    /// So many machines, all up and reconciled.
-    pub fn new(machines: u64, policy: Policy) -> Site {
-        let mut site = Site {
+impl Cluster {
+    /// Creates a cluster of this many machines, all up and reconciled.
+    pub fn new(machines: u64, policy: Policy) -> Cluster {
+        let mut cluster = Cluster {
             leader: new_leader(machines, TOKEN, policy, 1_000),
             now: 1_000,
             tasks: (0..machines).map(|i| (i, BTreeMap::new())).collect(),
             sequence: 0,
             stops: Vec::new(),
             launches: Vec::new(),
-            deaf: BTreeSet::new(),
-            notice: BTreeMap::new(),
+            inbound_lost: BTreeSet::new(),
+            preemption_notices: BTreeMap::new(),
             writes: Vec::new(),
             provisions: Vec::new(),
             no_capacity: false,
             silent: BTreeSet::new(),
             agent_epoch: (0..machines).map(|i| (i, 1)).collect(),
-            lease_from: (0..machines).map(|i| (i, 1_000)).collect(),
-            deletes: false,
-            refusing: BTreeSet::new(),
-            ran_twice: Vec::new(),
-            notes: Vec::new(),
+            lease_renewed_at: (0..machines).map(|i| (i, 1_000)).collect(),
+            confirms_terminations: false,
+            rejecting_launches: BTreeSet::new(),
+            concurrent_runs: Vec::new(),
+            log_lines: Vec::new(),
         };
-        site.report_all();
-        site
+        cluster.send_all_heartbeats();
+        cluster
     }
 
-    /// A job is opened now.
+    /// Submits a job at the current time.
     pub fn submit(&mut self, spec: JobSpec) {
         let event = Event::JobOpened {
             spec: Arc::new(spec),
@@ -120,11 +122,11 @@
             revision: self.leader.token() + 1,
             done: None,
         };
-        self.drive(event);
+        self.handle_event(event);
     }
 
-    /// Hands an event to the leader and carries out its effects.
-    pub fn drive(&mut self, event: Event) {
+    /// Passes an event to the leader and carries out the effects.
+    pub fn handle_event(&mut self, event: Event) {
         let reporting = match &event {
             Event::Heartbeat(report) => Some(report.machine.clone()),
             _ => None,
@@ -132,49 +134,49 @@
         for effect in self.leader.handle(self.now, event) {
             match effect {
                 Effect::Respond(commands) => {
-                    let machine = reporting.clone().expect("a response only to a heartbeat");
+                    let machine = reporting.clone().expect("only heartbeats are responded to");
                     self.execute(&machine, &commands);
                 }
                 Effect::CallWorker { machine, call, commands, .. } => {
                     let outcome = if self.execute(&machine, &commands) {
-                        CallOutcome::Executed(self.report_of(number(&machine)))
+                        CallOutcome::Executed(self.next_heartbeat(machine_number(&machine)))
                     } else {
                         CallOutcome::NoAnswer
                     };
-                    self.drive(Event::CallFinished { machine, call, outcome });
+                    self.handle_event(Event::CallFinished { machine, call, outcome });
                 }
                 Effect::Provision { request_id, offer, .. } => {
                     self.provisions.push(offer);
                     if self.no_capacity {
-                        self.drive(Event::ProvisionFinished {
+                        self.handle_event(Event::ProvisionFinished {
                             request_id,
                             outcome: ProvisionOutcome::NoCapacity,
                         });
                     }
                 }
-                Effect::Terminate(names) if self.deletes => {
+                Effect::Terminate(names) if self.confirms_terminations => {
                     for name in &names {
-                        self.tasks.remove(&number(name));
+                        self.tasks.remove(&machine_number(name));
                     }
-                    self.drive(Event::TerminateFinished {
+                    self.handle_event(Event::TerminateFinished {
                         names,
                         outcome: TerminateOutcome::Terminated,
                     });
                 }
-                Effect::Log(event) => self.notes.push(event.to_string()),
+                Effect::Log(event) => self.log_lines.push(event.to_string()),
                 _ => {}
             }
         }
     }
 
-    /// A machine executes commands; returns whether they reached it.
+    /// Executes commands on a machine, unless it is unreachable; returns whether they reached it.
     pub fn execute(&mut self, machine: &str, commands: &[Command]) -> bool {
-        let i = number(machine);
-        if self.deaf.contains(&i) || self.silent.contains(&i) {
+        let i = machine_number(machine);
+        if self.inbound_lost.contains(&i) || self.silent.contains(&i) {
             return false;
         }
-        self.check_starts(i, commands);
-        let rejects = self.refusing.contains(&i);
+        self.record_concurrent_runs(i, commands);
+        let rejects = self.rejecting_launches.contains(&i);
         let Some(tasks) = self.tasks.get_mut(&i) else { return false };
         for command in commands {
             match *command {
@@ -207,8 +209,8 @@
         true
     }
 
-    /// The next heartbeat of a machine.
-    pub fn report_of(&mut self, i: u64) -> Heartbeat {
+    /// Returns the next heartbeat of a machine.
+    pub fn next_heartbeat(&mut self, i: u64) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks[&i].iter().map(|((task, attempt), phase)| TaskStatus {
             task: *task,
@@ -216,33 +218,33 @@
             phase: *phase,
         });
         Heartbeat {
-            machine: name(i),
-            addr: name(i),
+            machine: machine_name(i),
+            addr: machine_name(i),
             machine_type: "g".into(),
             zone: zone_of(i).into(),
             spot: false,
             agent_epoch: self.agent_epoch[&i],
             sequence: self.sequence,
             token: self.leader.token(),
-            notice_s: self.notice.get(&i).copied(),
+            notice_s: self.preemption_notices.get(&i).copied(),
             tasks: tasks.collect(),
         }
     }
 
-    /// A machine heartbeats, unless it is silent.
-    pub fn report(&mut self, i: u64) {
+    /// Sends a heartbeat of a machine, unless the machine is silent or no longer exists.
+    pub fn send_heartbeat(&mut self, i: u64) {
         if self.silent.contains(&i) || !self.tasks.contains_key(&i) {
             return;
         }
-        let heartbeat = self.report_of(i);
-        self.drive(Event::Heartbeat(heartbeat));
-        if !self.deaf.contains(&i) {
-            self.lease_from.insert(i, self.now);
+        let heartbeat = self.next_heartbeat(i);
+        self.handle_event(Event::Heartbeat(heartbeat));
+        if !self.inbound_lost.contains(&i) {
+            self.lease_renewed_at.insert(i, self.now);
         }
     }
 
-    /// The referee: no task starts while it is on another machine.
-    fn check_starts(&mut self, machine: u64, commands: &[Command]) {
+    /// Records launches of tasks that are live on another machine.
+    fn record_concurrent_runs(&mut self, machine: u64, commands: &[Command]) {
         for command in commands {
             let Command::Launch { task, attempt } = command else { continue };
             let is_new = !self.tasks[&machine].contains_key(&(*task, *attempt));
@@ -252,16 +254,16 @@
             });
             if let (true, Some((other, _))) = (is_new, elsewhere) {
                 let text = format!("{task} on {other} and {machine} at {}", self.now);
-                self.ran_twice.push(text);
+                self.concurrent_runs.push(text);
             }
         }
     }
 
-    /// Machines whose lease has expired lose what they run.
-    fn end_leases(&mut self) {
-        for (i, from) in self.lease_from.clone() {
-            if self.now > from + LEASE {
-                self.lease_from.insert(i, self.now);
+    /// Kills all tasks on machines whose lease has expired, and advances their agent epochs.
+    fn expire_leases(&mut self) {
+        for (i, from) in self.lease_renewed_at.clone() {
+            if self.now > from + WORKER_LEASE_MS {
+                self.lease_renewed_at.insert(i, self.now);
                 *self.agent_epoch.entry(i).or_default() += 1;
                 if let Some(tasks) = self.tasks.get_mut(&i) {
                     tasks.clear();
@@ -270,34 +272,34 @@
         }
     }
 
-    /// All machines heartbeat.
-    pub fn report_all(&mut self) {
+    /// Sends a heartbeat of every machine that is not silent.
+    pub fn send_all_heartbeats(&mut self) {
         for i in self.tasks.keys().copied().collect::<Vec<_>>() {
-            self.report(i);
+            self.send_heartbeat(i);
         }
     }
 
-    /// Lets time pass, with heartbeats and writes.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the time in steps, with ticks, heartbeats and writes, all of which are committed.
+    pub fn advance_time(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += STEP_MS;
-            self.end_leases();
-            self.drive(Event::Tick);
+            self.expire_leases();
+            self.handle_event(Event::Tick);
             if self.now % HEARTBEAT_MS == 0 {
-                self.report_all();
+                self.send_all_heartbeats();
             }
             let writes = self.leader.next_writes(self.now, MAX_CHANGES);
             if !writes.is_empty() {
                 self.writes.extend(writes.clone());
                 let outcome = BatchOutcome::Committed(self.now);
-                self.drive(Event::WritesFinished { writes, outcome });
+                self.handle_event(Event::WritesFinished { writes, outcome });
             }
         }
     }
 
-    /// Sets the phase of a job's live tasks, all of them or some.
-    pub fn set(&mut self, id: u64, phase: TaskPhase, which: impl Fn(u32) -> bool) {
+    /// Sets the phase of those live tasks of a job whose index `which` selects.
+    pub fn set_phase(&mut self, id: u64, phase: TaskPhase, which: impl Fn(u32) -> bool) {
         for tasks in self.tasks.values_mut() {
             for ((task, _), p) in tasks.iter_mut() {
                 let live = !matches!(p, TaskPhase::Ended(_));
@@ -308,8 +310,8 @@
         }
     }
 
-    /// Number of live tasks of a job on the machines, by attempt.
-    pub fn live(&self, id: u64) -> BTreeMap<u64, usize> {
+    /// Returns the number of live tasks of a job on all machines, by attempt number.
+    pub fn live_by_attempt(&self, id: u64) -> BTreeMap<u64, usize> {
         let mut live = BTreeMap::new();
         for ((task, attempt), phase) in self.tasks.values().flatten() {
             if task.job == JobId(id) && !matches!(phase, TaskPhase::Ended(_)) {
@@ -319,13 +321,13 @@
         live
     }
 
-    /// The state of a gang's attempt, as the leader has it.
-    pub fn state(&self, id: u64) -> AttemptState {
+    /// Returns the state of a gang's attempt, as known to the leader.
+    pub fn attempt_state(&self, id: u64) -> AttemptState {
         self.leader.attempt_state(&self.leader.jobs()[&JobId(id)])
     }
 }
 
-/// The number of a machine with this name.
-pub fn number(machine: &str) -> u64 {
-    machine[2..].parse().expect("a name as `n-000001`")
+/// Returns the number of the machine with this name.
+pub fn machine_number(machine: &str) -> u64 {
+    machine[2..].parse().expect("a machine name like `n-000001`")
 }
--- a/crates/latchtrack-core/tests/provisioning.rs
+++ b/crates/latchtrack-core/tests/provisioning.rs
@@ -1,4 +1,4 @@
-//! What is provisioned, and pending capacity: each failure that was found as a small case.
+//! Provisioning: which machines are requested and when, and the capacity of booting machines.
 
 mod common;
 
@@ -9,12 +9,13 @@
 use latchtrack_core::machine::*;
 use latchtrack_core::scheduler::*;
 
-/// Seen on real processes: a job that may not use spot machines waited as if one might come free.
+/// A job that may not use spot machines waited out the delay before on-demand machines are
+/// provisioned, which is meant for jobs that may get a spot machine instead.
 #[test]
-fn a_job_without_spot_machines_provisions_at_once() {
+fn a_job_that_may_not_use_spot_provisions_at_once() {
     let mut scheduler = Scheduler::new(policy(), TERM, types(), Vec::new(), Vec::new(), 1_000);
-    let ordinary = Arc::new(JobSpec { spot: false, ..(*spec(1, 2)).clone() });
-    let job = Event::JobOpened { spec: ordinary, submitted_at: 0, revision: 8, done: None };
+    let on_demand = Arc::new(JobSpec { spot: false, ..(*spec(1, 2)).clone() });
+    let job = Event::JobOpened { spec: on_demand, submitted_at: 0, revision: 8, done: None };
     scheduler.handle(1_000, job);
     let effects = scheduler.handle(1_000, Event::Tick);
     let provisions = effects
@@ -23,15 +24,15 @@
     assert!(provisions, "{effects:?}");
 }
 
-/// ms that a boot takes which should take 10 s.
+/// Duration of a boot in ms; the type's nominal boot time is 10 s.
 const SLOW_BOOT_MS: u64 = 65_000;
-/// ms between two ticks.
+/// Time in ms between two ticks.
 const TICK_MS: u64 = 200;
 
-/// A machine that boots.
+/// A machine that was provisioned.
 struct Boot {
     number: u64,
-    /// When it was provisioned, ms.
+    /// When it was provisioned, in ms.
     at: u64,
 }
 
@@ -39,14 +40,15 @@
 #[derive(Default)]
 struct SlowCloud {
     boots: Vec<Boot>,
-    /// Machines provisioned so far.
+    /// Number of machines provisioned so far.
     provisioned: u32,
-    /// Machines terminated so far.
+    /// Number of machines terminated so far.
     terminated: usize,
 }
 
 impl SlowCloud {
-    /// Lets time pass, and carries out what the scheduler asks for.
+    /// Ticks the scheduler from `from` until before `to`, carries out its effects, and sends the
+    /// first heartbeat of each machine that has booted.
     fn run(&mut self, scheduler: &mut Scheduler, from: u64, to: u64) {
         for now in (from..to).step_by(TICK_MS as usize) {
             for effect in scheduler.handle(now, Event::Tick) {
@@ -65,7 +67,7 @@
             Effect::Provision { request_id, number, .. } => {
                 let first = u64::from(self.provisioned);
                 let numbers = first..first + u64::from(number);
-                let names: Vec<String> = numbers.clone().map(name).collect();
+                let names: Vec<String> = numbers.clone().map(machine_name).collect();
                 self.boots.extend(numbers.map(|number| Boot { number, at: now }));
                 self.provisioned += number;
                 let outcome = ProvisionOutcome::Provisioned(names);
@@ -73,7 +75,7 @@
             }
             Effect::Terminate(names) => {
                 self.terminated += names.len();
-                self.boots.retain(|boot| !names.contains(&name(boot.number)));
+                self.boots.retain(|boot| !names.contains(&machine_name(boot.number)));
                 scheduler.handle(
                     now,
                     Event::TerminateFinished { names, outcome: TerminateOutcome::Terminated },
@@ -84,17 +86,19 @@
     }
 }
 
-/// Own day with boots five times as long: at four times all that booted was terminated and provisioned
-/// again, which began it anew (1,695 on-demand machines provisioned where 700 are enough).
+/// When boots took five times as long as usual, all booting machines were terminated at four times
+/// the usual time and provisioned again, which restarted their boots: 1,695 on-demand machines were
+/// provisioned where 700 are enough.
 #[test]
-fn boots_late_for_a_whole_type_are_waited_for() {
+fn late_boots_of_a_whole_machine_type_are_awaited() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), Vec::new(), Vec::new(), 1_000);
     scheduler.handle(1_000, job_opened(1, 60, 8));
     let mut cloud = SlowCloud::default();
     cloud.run(&mut scheduler, 1_200, 63_000);
-    // Thirty are needed, and provisioned once more when the first seem late, before all do; then a
-    // few are tried now and then, and as many terminated.
+    // Thirty machines are needed, and thirty more are provisioned when some boots are late but most
+    // are not yet. After that, a few are provisioned periodically as trials, and as many
+    // terminated.
     let SlowCloud { provisioned, terminated, .. } = cloud;
     assert!((30..=70).contains(&provisioned), "{provisioned} provisioned");
     assert!(terminated <= 8, "{terminated} terminated");
@@ -103,10 +107,10 @@
     assert!(up >= 24, "{up} up");
 }
 
-/// A machine whose worker heartbeats before the rental is answered, as it boots within a second: it is
-/// used at once, and neither deleted as unknown nor counted twice.
+/// A machine may boot within a second and send a heartbeat before the provision request is
+/// answered. It is used immediately, and neither terminated as unknown nor counted twice.
 #[test]
-fn a_machine_that_is_up_before_its_request_is_answered_is_used_at_once() {
+fn a_machine_up_before_its_provision_answer_is_used_at_once() {
     let mut scheduler =
         Scheduler::new(long_idle_timeout(), TERM, types(), Vec::new(), Vec::new(), 1_000);
     scheduler.handle(1_000, job_opened(1, 2, 8));
@@ -117,11 +121,11 @@
     });
     scheduler.handle(1_300, Event::Heartbeat(heartbeat(0, 1, 7, Vec::new())));
     let writes = scheduler.next_writes(1_310, 8);
-    assert!(!writes.is_empty(), "it is stored before anything starts on it");
+    assert!(!writes.is_empty(), "a machine is stored before tasks start on it");
     let effects = scheduler
         .handle(1_320, Event::WritesFinished { writes, outcome: BatchOutcome::Committed(20) });
     assert_eq!(launches(&effects), 2);
-    let outcome = ProvisionOutcome::Provisioned(vec![name(0)]);
+    let outcome = ProvisionOutcome::Provisioned(vec![machine_name(0)]);
     scheduler.handle(
         1_400,
         Event::ProvisionFinished { request_id: request_id.expect("a request"), outcome },
@@ -133,10 +137,10 @@
     assert!(!more && scheduler.machines().len() == 1, "{effects:?}");
 }
 
-/// A run of the simulation: a job that must stay in one zone had a task there, and machines were
-/// provisioned for the rest in one zone after the other, and terminated unused.
+/// A one-zone job had tasks in one zone, but machines for its other tasks were provisioned in one
+/// zone after the other, and terminated unused.
 #[test]
-fn what_must_stay_in_one_zone_provisions_there() {
+fn a_one_zone_job_provisions_only_in_its_zone() {
     let zones = vec!["a".to_string(), "b".into(), "c".into()];
     let types = vec![MachineType { zones, ..types().remove(0) }];
     let mut scheduler =
@@ -160,12 +164,12 @@
     assert_eq!(scheduler.jobs()[&JobId(1)].placed.len(), 2);
 }
 
-/// A day with team limits that bind: each job of a team provisioned for what the limit left to the whole
-/// team, so that several times the machines were provisioned, booted for nothing and were terminated.
+/// Each job of a team provisioned as many machines as the team's limit left for all its jobs
+/// together. Several times the machines needed were provisioned, booted, and terminated unused.
 #[test]
-fn no_machine_is_provisioned_for_what_a_teams_limit_holds_back() {
+fn no_machine_is_provisioned_beyond_a_team_limit() {
     let mut policy = long_idle_timeout();
-    // Two tasks, which one machine takes.
+    // The limit allows two tasks, which fit on one machine.
     policy.teams[0].cpus_max = 2.0 * spec(1, 1).demand.cpus;
     let mut scheduler = Scheduler::new(policy, TERM, types(), Vec::new(), Vec::new(), 1_000);
     for id in 1..=5 {
--- a/crates/latchtrack-core/tests/results.rs
+++ b/crates/latchtrack-core/tests/results.rs
@@ -1,10 +1,11 @@
-//! Stored results: bits of done tasks in chunks, of the size written now and of the earlier one.
+//! Stored results: bitmaps of done tasks, split into chunks of the current size or of the larger
+//! legacy size.
 
 use latchtrack_core::bitmap::*;
 use latchtrack_core::constants::{CHUNK_TASKS, FIRST_CHUNK_INDEX, LEGACY_CHUNK_TASKS, MAX_TASKS};
 
 #[test]
-fn chunks_carry_a_large_job_over() {
+fn large_chunks_round_trip() {
     let mut a = Bitmap::new(LEGACY_CHUNK_TASKS + 10);
     for i in [0, 7, 8, LEGACY_CHUNK_TASKS - 1, LEGACY_CHUNK_TASKS, LEGACY_CHUNK_TASKS + 9] {
         assert!(a.set(i));
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn small_chunks_carry_every_job_over() {
+fn small_chunks_round_trip() {
     for tasks in [1, CHUNK_TASKS, CHUNK_TASKS + 1, LEGACY_CHUNK_TASKS + 10, MAX_TASKS] {
         let mut a = Bitmap::new(tasks);
         for i in (0..tasks).step_by(97).chain([tasks - 1]) {
@@ -40,7 +41,7 @@
     }
 }
 
-/// What an earlier version stored in large chunks is the same in small ones.
+/// Large chunks stored by an earlier version are rewritten as small ones with the same bits.
 #[test]
 fn a_large_chunk_is_split_into_the_same_bits() {
     let mut a = Bitmap::new(MAX_TASKS);
@@ -57,8 +58,8 @@
     assert_eq!(a, b);
 }
 
-/// The rule by which the version in production reads a chunk, restated: none of its bits may be set
-/// by a small chunk, nor may it fail on one.
+/// The version in production counts every chunk index in legacy chunks. A small chunk must lie past
+/// the last task by that count, and its offset must not overflow, so that it is ignored.
 #[test]
 fn the_production_version_ignores_small_chunks() {
     for chunk in all_chunks().filter(|chunk| *chunk >= FIRST_CHUNK_INDEX) {
