--- a/crates/latchtrack-core/tests/simulation/balance.rs
+++ b/crates/latchtrack-core/tests/simulation/balance.rs
@@ -18,12 +18,12 @@
 
 /// Moves that end on their target, and that are abandoned, in a set of runs.
 #[derive(Default)]
-struct Moves {
+struct MoveTotals {
     settled: u64,
     abandoned: u64,
 }
 
-impl Moves {
+impl MoveTotals {
     #[track_caller]
     fn run(&mut self, what: &str, mut world: World, seed: u64) {
         world.run();
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn the_rules_hold_and_the_work_gets_done_while_tasks_move() {
-    let mut moves = Moves::default();
+fn rules_hold_and_all_jobs_finish_while_tasks_move() {
+    let mut moves = MoveTotals::default();
     // Machines that a team's limit leaves idle are not provisioned any more, and each run has fewer
     // to move to.
     for seed in 1_000..1_080 {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn moves_meet_each_planned_fault() {
+fn moves_survive_each_planned_fault() {
     let plans: [(&str, &[(u64, PlannedFault)]); 6] = [
         (
             "machines hang",
@@ -78,9 +78,9 @@
         ),
     ];
     for (what, plan) in plans {
-        let mut moves = Moves::default();
+        let mut moves = MoveTotals::default();
         for seed in 0..16 {
-            let world = World::sized(seed, DisabledGuard::None, MOVING).planned(plan);
+            let world = World::sized(seed, DisabledGuard::None, MOVING).with_planned_faults(plan);
             moves.run(what, world, seed);
         }
         assert!(moves.settled > 10, "{what}: {} settled", moves.settled);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn moves_meet_a_cut_zone_a_new_leader_and_a_lost_state_service_at_once() {
+fn moves_survive_a_partition_a_failover_and_an_outage() {
     let plan = [
         (20_000, PartitionOtherZone(25_000)),
         (24_000, CrashAllNodes),
@@ -103,7 +103,7 @@
 }
 
 /// Runs seeds until the checker speaks up; panics if it never does.
-fn caught(guard: DisabledGuard, rule: &str) {
+fn assert_violation(guard: DisabledGuard, rule: &str) {
     let caught = (0..300).any(|seed| {
         let mut world = World::sized(seed, guard, MOVING);
         world.run();
@@ -114,18 +114,18 @@
 
 /// Tasks that save are on their machine until they have ended.
 #[test]
-fn taking_a_task_that_saves_for_gone_is_caught() {
-    caught(DisabledGuard::CheckpointingTaskStatus, "ran_twice");
+fn treating_a_checkpointing_task_as_gone_is_caught() {
+    assert_violation(DisabledGuard::CheckpointingTaskStatus, "ran_twice");
 }
 
 #[test]
 fn ignoring_a_team_limit_while_tasks_move_is_caught() {
-    caught(DisabledGuard::TeamLimit, "quota");
+    assert_violation(DisabledGuard::TeamLimit, "quota");
 }
 
 /// Over a thousand machines: the rules hold, and it takes a bounded number of cycles and calls.
 #[test]
-fn a_fleet_with_moves_is_led_at_a_bounded_number_of_operations() {
+fn a_fleet_with_moves_takes_a_bounded_number_of_operations() {
     let size = Size {
         max_task_cpus: 2,
         checkpoint_probability: 0.8,
@@ -138,13 +138,13 @@
         (60_000, CrashAllNodes),
         (80_000, StateServiceOutage(10_000)),
     ];
-    let mut world = World::sized(5, DisabledGuard::None, size).planned(&plan);
+    let mut world = World::sized(5, DisabledGuard::None, size).with_planned_faults(&plan);
     world.run();
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<String>::new());
     assert!(world.stats.moves.settled > 50, "{:?}", world.stats.moves);
     // A call stops a task, another may launch it; one probes each machine in each term.
     let tasks = world.tasks_done() as u64 + 2 * world.stats.moves.begun;
-    let most = tasks + world.stats.terms * world.stats.most_up as u64;
-    assert!(world.stats.calls < most, "{} calls, {most} at most", world.stats.calls);
+    let max_calls = tasks + world.stats.terms * world.stats.max_machines_up as u64;
+    assert!(world.stats.calls < max_calls, "{} calls, {max_calls} at most", world.stats.calls);
 }
--- a/crates/latchtrack-core/tests/simulation/checks.rs
+++ b/crates/latchtrack-core/tests/simulation/checks.rs
@@ -23,12 +23,12 @@
     size: Size,
     seeds: std::ops::Range<u64>,
     plan: &[(u64, PlannedFault)],
-    least: &[(&str, u64)],
+    min_occurrences: &[(&str, u64)],
 ) -> u64 {
     let mut terms = 0;
     let mut occurrences = std::collections::BTreeMap::new();
     for seed in seeds {
-        let mut world = World::sized(seed, DisabledGuard::None, size).planned(plan);
+        let mut world = World::sized(seed, DisabledGuard::None, size).with_planned_faults(plan);
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "{what}, seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "{what}, seed {seed}");
@@ -38,9 +38,9 @@
             *occurrences.entry(name).or_insert(0) += times;
         }
     }
-    for (name, least) in least {
+    for (name, min_times) in min_occurrences {
         let times = occurrences.get(name).copied().unwrap_or(0);
-        assert!(times >= *least, "{what}: {name} {times} times, {least} at least");
+        assert!(times >= *min_times, "{what}: {name} {times} times, {min_times} at least");
     }
     terms
 }
--- a/crates/latchtrack-core/tests/simulation/decision_trace.rs
+++ b/crates/latchtrack-core/tests/simulation/decision_trace.rs
@@ -95,7 +95,7 @@
 
 fn load() -> Vec<Scenario> {
     let guests = Size { fault_probability: 0.004, limited_team_cpus: 1e6, ..BUSY };
-    let guest_jobs = [(20_000, SubmitGuestJobs), (60_000, CrashAllNodes)];
+    let guest_jobs = [(20_000, SubmitBestEffortJobs), (60_000, CrashAllNodes)];
     vec![
         scenario("guests", guests, 0..2, &guest_jobs),
         scenario("overload", OVERLOAD, 0..1, &[]),
@@ -123,7 +123,8 @@
 fn main() {
     for Scenario { name, size, seeds, plan } in scenarios() {
         for seed in seeds {
-            let mut world = World::sized(seed, DisabledGuard::None, size).planned(&plan);
+            let mut world =
+                World::sized(seed, DisabledGuard::None, size).with_planned_faults(&plan);
             world.trace = Some(DecisionTrace::default());
             world.run();
             print_line(name, seed, world.trace.as_ref().expect("set above"));
--- a/crates/latchtrack-core/tests/simulation/disabled_guards.rs
+++ b/crates/latchtrack-core/tests/simulation/disabled_guards.rs
@@ -5,7 +5,7 @@
 use super::world::World;
 
 /// Runs seeds until the checker speaks up; panics if it never does.
-fn caught(guard: DisabledGuard, rule: &str) {
+fn assert_violation(guard: DisabledGuard, rule: &str) {
     for seed in 0..300 {
         let mut world = World::new(seed, guard);
         world.run();
@@ -18,12 +18,12 @@
 
 #[test]
 fn launching_before_the_machines_are_reconciled_is_caught() {
-    caught(DisabledGuard::Reconciliation, "ran_twice");
+    assert_violation(DisabledGuard::Reconciliation, "ran_twice");
 }
 
 #[test]
-fn taking_silence_for_death_is_caught() {
-    caught(DisabledGuard::ConfirmedTermination, "ran_twice");
+fn treating_unconfirmed_terminations_as_done_is_caught() {
+    assert_violation(DisabledGuard::ConfirmedTermination, "ran_twice");
 }
 
 #[test]
@@ -52,57 +52,57 @@
 
 #[test]
 fn launching_before_the_machine_is_stored_is_caught() {
-    caught(DisabledGuard::MachineRecords, "ran_twice");
+    assert_violation(DisabledGuard::MachineRecords, "ran_twice");
 }
 
 #[test]
-fn forgetting_while_a_command_is_open_is_caught() {
-    caught(DisabledGuard::ForgetAfterCalls, "ran_twice");
+fn forgetting_a_run_with_an_open_call_is_caught() {
+    assert_violation(DisabledGuard::ForgetAfterCalls, "ran_twice");
 }
 
 #[test]
-fn writing_without_a_fence_is_caught() {
-    caught(DisabledGuard::WriteFence, "went_back");
+fn writing_without_a_fencing_token_is_caught() {
+    assert_violation(DisabledGuard::WriteFence, "went_back");
 }
 
 #[test]
 fn ignoring_cancellations_is_caught() {
-    caught(DisabledGuard::Cancellation, "ran_cancelled");
+    assert_violation(DisabledGuard::Cancellation, "ran_cancelled");
 }
 
 #[test]
-fn freeing_the_tasks_of_a_silent_machine_too_early_is_caught() {
-    caught(DisabledGuard::WorkerLease, "ran_twice");
+fn replacing_tasks_before_the_worker_lease_ends_is_caught() {
+    assert_violation(DisabledGuard::WorkerLease, "ran_twice");
 }
 
 #[test]
 fn ignoring_a_team_limit_is_caught() {
-    caught(DisabledGuard::TeamLimit, "quota");
+    assert_violation(DisabledGuard::TeamLimit, "quota");
 }
 
 #[test]
-fn ignoring_where_a_job_may_run_is_caught() {
-    caught(DisabledGuard::PlacementConstraints, "wrong_place");
+fn ignoring_placement_constraints_is_caught() {
+    assert_violation(DisabledGuard::PlacementConstraints, "wrong_place");
 }
 
 #[test]
-fn starting_a_gang_beside_its_last_attempt_is_caught() {
-    caught(DisabledGuard::WaitingTaskStatus, "two_attempts");
+fn starting_a_gang_beside_its_previous_attempt_is_caught() {
+    assert_violation(DisabledGuard::WaitingTaskStatus, "two_attempts");
 }
 
 /// The tasks of a gang that are not in one attempt never find each other.
 #[test]
-fn running_a_gang_task_by_task_is_caught() {
-    caught(DisabledGuard::GangAtomicity, "two_attempts");
+fn running_gang_tasks_independently_is_caught() {
+    assert_violation(DisabledGuard::GangAtomicity, "two_attempts");
 }
 
 #[test]
-fn calling_a_job_done_too_early_is_caught() {
-    caught(DisabledGuard::TaskCompletion, "not_done");
+fn marking_a_job_done_too_early_is_caught() {
+    assert_violation(DisabledGuard::TaskCompletion, "not_done");
 }
 
 #[test]
-fn taking_late_copies_for_news_is_caught() {
+fn accepting_late_heartbeat_copies_is_caught() {
     // Its window is short, between a failover and the answer to a first probe: many copies.
     let size = Size { duplicate_probability: 0.5, ..SMALL };
     let caught = (0..300).any(|seed| {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn writing_shards_without_their_revision_is_caught() {
+fn writing_shards_without_a_revision_check_is_caught() {
     // Its window is short too: a machine that is missing in the set must be out of reach as well.
     // Without gangs, as it was found.
     let size = Size {
@@ -134,6 +134,6 @@
 }
 
 #[test]
-fn taking_all_jobs_for_never_launched_is_caught() {
-    caught(DisabledGuard::LeaderlessSince, "ran_twice");
+fn assuming_jobs_were_never_launched_is_caught() {
+    assert_violation(DisabledGuard::LeaderlessSince, "ran_twice");
 }
--- a/crates/latchtrack-core/tests/simulation/fault_interactions.rs
+++ b/crates/latchtrack-core/tests/simulation/fault_interactions.rs
@@ -17,48 +17,48 @@
     Size { initial_jobs: 15, submit_probability: 0.015, limited_team_cpus: 16.0, ..BUSY };
 
 /// The world's `cancel_s` is 25 s, its workers' lease 15 s, its leaders' 3 s.
-const BEYOND_CANCEL: u64 = 32_000;
+const LONG_OUTAGE_MS: u64 = 32_000;
 
 /// A day of cancellations between the refusal of the leader and an outage, as far apart as these
 /// say.
-fn gap(cancelled_after: u64, outage_after: u64) -> Vec<(u64, PlannedFault)> {
+fn refusal_then_outage(cancelled_after: u64, outage_after: u64) -> Vec<(u64, PlannedFault)> {
     let once = |at: u64| {
         [
             (at, StateServiceRefusesLeader(7_000)),
             (at + cancelled_after, CancelRunning(12, 0)),
-            (at + outage_after, StateServiceOutage(BEYOND_CANCEL)),
+            (at + outage_after, StateServiceOutage(LONG_OUTAGE_MS)),
         ]
     };
     [20_000, 90_000].into_iter().flat_map(once).collect()
 }
 
 #[test]
-fn cancelled_while_the_leader_is_refused_alone_before_a_long_outage() {
+fn cancellation_while_the_leader_is_refused_before_an_outage() {
     // An outage before the leader's lease has run out, at its end, and after a second leader has
     // won and, with luck, not read the stored state yet.
     for outage_after in [1_000, 2_000, 2_900, 3_100, 3_400, 4_500] {
-        let plan = gap(700, outage_after);
+        let plan = refusal_then_outage(700, outage_after);
         check_runs_with("gap", CROWDED, 0..6, &plan, &[("cancelled while running", 30)]);
     }
 }
 
 #[test]
-fn cancelled_at_the_very_moment_at_which_the_leader_is_refused() {
+fn cancellation_at_the_time_the_leader_is_refused() {
     for outage_after in [100, 1_000] {
-        let plan = gap(0, outage_after);
+        let plan = refusal_then_outage(0, outage_after);
         check_runs_with("at the moment", CROWDED, 0..6, &plan, &[("cancelled while running", 30)]);
     }
 }
 
 #[test]
-fn cancelled_jobs_whose_machines_hang_before_a_long_outage() {
-    let mut plan = gap(600, 1_500);
+fn cancellation_with_hung_machines_before_a_long_outage() {
+    let mut plan = refusal_then_outage(600, 1_500);
     plan.extend([(21_500, CancelRunning(8, 14_000)), (91_000, CancelRunning(8, 30_000))]);
     check_runs_with("hanging", CROWDED, 0..12, &plan, &[("cancelled while running", 100)]);
 }
 
 #[test]
-fn machines_that_are_up_at_once_get_work_while_writes_lag_and_the_leader_ends() {
+fn fast_boots_with_late_writes_and_leader_crashes() {
     let plan = [
         (1_500, SlowBoots(0.1, 0.0, 150_000)),
         (2_000, LateWrites(0.5, 140_000)),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_write_whose_answer_is_lost_or_that_comes_late_after_newer_ones() {
+fn writes_with_lost_responses_or_late_commits() {
     let plan = [
         (5_000, LostWriteResponses(0.4, 60_000)),
         (30_000, CrashAllNodes),
@@ -83,12 +83,12 @@
         (72_000, LostWriteResponses(0.3, 60_000)),
         (90_000, RollingRestart(5_000)),
     ];
-    let least = [("late write", 100), ("response lost", 300)];
-    check_runs_with("lost answers", CROWDED, 0..12, &plan, &least);
+    let min_occurrences = [("late write", 100), ("response lost", 300)];
+    check_runs_with("lost answers", CROWDED, 0..12, &plan, &min_occurrences);
 }
 
 #[test]
-fn old_heartbeats_reach_every_node_as_a_new_leader_begins() {
+fn old_heartbeats_reach_every_node_at_a_failover() {
     let plan = [
         (2_000, ReplayToNextLeader(0.3, 130_000)),
         (20_000, CrashNodes(1, 3_000)),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn old_heartbeats_of_earlier_epochs_and_attempts_arrive_after_newer_ones() {
+fn heartbeats_of_earlier_epochs_and_attempts_arrive_late() {
     let size = Size { duplicate_probability: 0.4, ..CROWDED };
     let plan = [
         (15_000, HangMachines(0.5, 17_000)),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn workers_that_reach_no_node_are_reached_by_commands_alone() {
+fn workers_with_lost_heartbeats_get_direct_calls() {
     let plan = [
         (15_000, LoseOutbound(0.5, 40_000)),
         (22_000, CancelRunning(6, 5_000)),
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn the_leader_ends_while_machines_with_long_tasks_hear_nothing() {
+fn leader_crashes_while_workers_receive_nothing() {
     let plan = [
         (15_000, LoseInbound(0.4, 40_000)),
         (16_000, CancelRunning(6, 12_000)),
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn leaders_change_ten_times_in_two_minutes_also_in_an_outage() {
+fn ten_leader_changes_in_two_minutes_with_outages() {
     let mut plan: Vec<_> = (0..10).map(|i| (10_000 + i * 12_000, CrashNodes(1, 900))).collect();
     plan.extend([
         (31_000, StateServiceOutage(10_000)),
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn teams_at_their_limit_lose_jobs_whose_machines_cannot_be_reached_as_the_leader_changes() {
+fn cancellation_at_the_team_limit_with_unreachable_machines() {
     let plan = [
         (20_000, PartitionMachines(0.4, 25_000)),
         (21_000, CancelRunning(10, 12_000)),
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn cancelled_in_the_seconds_in_which_work_changes_hands() {
+fn cancellation_during_leader_changes() {
     let plan: Vec<_> = [20_000, 50_000, 80_000, 110_000]
         .into_iter()
         .flat_map(|at| {
@@ -194,18 +194,18 @@
 }
 
 #[test]
-fn a_cancellation_meets_the_end_of_the_last_task() {
+fn cancellation_as_the_last_task_completes() {
     let plan = [
         (2_000, CancelAtCompletion(0.5, 140_000)),
         (40_000, CrashAllNodes),
         (90_000, CrashNodes(1, 900)),
     ];
-    let least = [("cancelled at completion", 100)];
-    check_runs_with("at the end", CROWDED, 0..12, &plan, &least);
+    let min_occurrences = [("cancelled at completion", 100)];
+    check_runs_with("at the end", CROWDED, 0..12, &plan, &min_occurrences);
 }
 
 #[test]
-fn small_jobs_four_a_second_for_minutes_a_quarter_of_them_cancelled() {
+fn stream_of_small_jobs_with_a_quarter_cancelled() {
     // The puts of one leader among five, at 15 a second for all.
     let size = Size { write_interval_ms: 800, fault_period_ms: 240_000, end_ms: 900_000, ..BUSY };
     let plan = [
@@ -214,12 +214,12 @@
         (120_000, LostWriteResponses(0.3, 20_000)),
         (180_000, StateServiceRefusesLeader(8_000)),
     ];
-    let least = [("small job", 1_500), ("small job cancelled", 300)];
-    check_runs_with("small jobs", size, 0..3, &plan, &least);
+    let min_occurrences = [("small job", 1_500), ("small job cancelled", 300)];
+    check_runs_with("small jobs", size, 0..3, &plan, &min_occurrences);
 }
 
 #[test]
-fn jobs_of_one_zone_lose_their_machines() {
+fn single_zone_jobs_lose_their_machines() {
     let plan = [
         (15_000, LoseZoneMachines(0.7)),
         (16_000, PartitionLeaderZone(20_000)),
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_leader_cut_from_the_state_service_hears_its_workers_while_jobs_are_cancelled_elsewhere() {
+fn cancellation_while_the_state_service_refuses_the_leader() {
     let plan: Vec<_> = [20_000, 60_000, 100_000]
         .into_iter()
         .flat_map(|at| {
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn all_nodes_end_and_one_returns_within_a_second_over_and_over() {
+fn all_nodes_crash_and_one_restarts_within_a_second() {
     let plan: Vec<_> = (0..8)
         .flat_map(|i| {
             let at = 10_000 + i * 15_000;
@@ -262,9 +262,10 @@
 
 /// All of it at once, beside what chance brings.
 #[test]
-fn any_two_meetings_at_once() {
+fn all_fault_interactions_at_once() {
     let size = Size { fault_probability: 0.01, duplicate_probability: 0.1, ..CROWDED };
-    let least = [("late write", 50), ("heartbeat replayed", 500), ("heartbeat lost", 500)];
+    let min_occurrences =
+        [("late write", 50), ("heartbeat replayed", 500), ("heartbeat lost", 500)];
     let plan = [
         (2_000, LateWrites(0.2, 140_000)),
         (2_000, ReplayToNextLeader(0.1, 140_000)),
@@ -280,12 +281,12 @@
         (101_000, CancelRunning(6, 0)),
         (104_000, CrashAllNodes),
     ];
-    check_runs_with("all at once", size, 0..40, &plan, &least);
+    check_runs_with("all at once", size, 0..40, &plan, &min_occurrences);
 }
 
 /// Over a fleet, with half as many machines again as the largest in use.
 #[test]
-fn a_fleet_meets_the_gap_and_the_rest() {
+fn fault_interactions_in_a_fleet() {
     let plan = [
         (30_000, StateServiceRefusesLeader(7_000)),
         (30_500, CancelRunning(40, 0)),
@@ -300,9 +301,9 @@
 }
 
 /// The referee tells when a guard is missing, for some seed of a meeting.
-fn caught(guard: DisabledGuard, rule: &str, size: Size, plan: &[(u64, PlannedFault)]) {
+fn assert_violation(guard: DisabledGuard, rule: &str, size: Size, plan: &[(u64, PlannedFault)]) {
     let speaks = |seed| {
-        let mut world = World::sized(seed, guard, size).planned(plan);
+        let mut world = World::sized(seed, guard, size).with_planned_faults(plan);
         world.run();
         world.violations.iter().any(|v| v.starts_with(rule))
     };
@@ -310,14 +311,14 @@
 }
 
 #[test]
-fn a_limit_that_cancelled_tasks_do_not_count_against_is_caught() {
+fn not_counting_cancelled_tasks_against_a_limit_is_caught() {
     let plan = [(20_000, PartitionMachines(0.4, 25_000)), (21_000, CancelRunning(10, 12_000))];
-    caught(DisabledGuard::CancelledTaskUsage, "quota", AT_LIMIT, &plan);
+    assert_violation(DisabledGuard::CancelledTaskUsage, "quota", AT_LIMIT, &plan);
 }
 
 #[test]
-fn a_cancelled_job_called_done_is_caught() {
-    caught(
+fn marking_a_cancelled_job_done_is_caught() {
+    assert_violation(
         DisabledGuard::JobRevision,
         "went_back",
         CROWDED,
@@ -326,7 +327,7 @@
 }
 
 #[test]
-fn a_job_left_waiting_with_room_is_caught() {
+fn leaving_a_job_waiting_despite_free_capacity_is_caught() {
     // Work must go on for long after the faults, or there is no machine with room.
     let size = Size {
         initial_jobs: 40,
@@ -335,5 +336,5 @@
         limited_team_cpus: 1e6,
         ..BUSY
     };
-    caught(DisabledGuard::JobRecovery, "waited", size, &[(20_000, CrashAllNodes)]);
+    assert_violation(DisabledGuard::JobRecovery, "waited", size, &[(20_000, CrashAllNodes)]);
 }
--- a/crates/latchtrack-core/tests/simulation/fleets.rs
+++ b/crates/latchtrack-core/tests/simulation/fleets.rs
@@ -10,40 +10,52 @@
 /// Over a thousand machines, five nodes, and the puts that one leader has among them: the rules
 /// hold, all gets done, and it takes a bounded number of puts and calls.
 #[test]
-fn a_fleet_is_led_at_a_bounded_number_of_operations() {
+fn a_fleet_takes_a_bounded_number_of_operations() {
     let mut terms = 0;
-    for (seed, size, least) in [(0, FLEET, 1_000), (1, LARGE, 2_000)] {
+    for (seed, size, min_machines) in [(0, FLEET, 1_000), (1, LARGE, 2_000)] {
         let mut world = World::sized(seed, DisabledGuard::None, size);
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.poorly_served(), Vec::<String>::new(), "seed {seed}");
         let (done, tasks) = (world.jobs_done() as u64, world.tasks_done() as u64);
-        assert!(world.stats.most_up > least, "{} machines up", world.stats.most_up);
+        assert!(
+            world.stats.max_machines_up > min_machines,
+            "{} machines up",
+            world.stats.max_machines_up
+        );
         terms += world.stats.terms;
         assert!(done > 200 && tasks > 5_000, "{done} jobs, {tasks} tasks");
         // One for a job's end, few for its results and for the machines of all jobs. A leader with
         // a put for each machine would need over a thousand more for every boot of this fleet.
         assert!(world.stats.puts < 5 * done, "{} puts", world.stats.puts);
         // One to start a task on an idle machine, one to probe each machine in each term.
-        let most = tasks + world.stats.terms * world.stats.most_up as u64;
-        assert!(world.stats.calls < most, "{} calls, {most} at most", world.stats.calls);
+        let max_calls = tasks + world.stats.terms * world.stats.max_machines_up as u64;
+        assert!(world.stats.calls < max_calls, "{} calls, {max_calls} at most", world.stats.calls);
         // One a step at most, however many heartbeats come in it; of a leader, and of one that does
         // not know yet that it is none any more.
-        let most = 2 * size.end_ms / size.step_ms;
-        assert!(world.stats.cycles < most, "{} cycles, {most} at most", world.stats.cycles);
+        let max_cycles = 2 * size.end_ms / size.step_ms;
+        assert!(
+            world.stats.cycles < max_cycles,
+            "{} cycles, {max_cycles} at most",
+            world.stats.cycles
+        );
         // The leader knows what is there: machines of at most eight CPUs with the runs on them and
         // a few that have ended, and the open jobs.
-        let most = 12 * world.stats.most_up;
-        assert!(world.stats.most_runs < most, "{} runs, {most} at most", world.stats.most_runs);
-        let JobCounts { known, open } = world.stats.most_jobs;
+        let max_runs = 12 * world.stats.max_machines_up;
+        assert!(
+            world.stats.max_task_runs < max_runs,
+            "{} runs, {max_runs} at most",
+            world.stats.max_task_runs
+        );
+        let JobCounts { known, open } = world.stats.max_jobs;
         assert!(known <= open + 50, "{known} jobs known to the leader, {open} open");
     }
     assert!(terms > 5, "{terms} terms");
 }
 
 /// A failover, a cut zone and a lost state service, with so many machines up.
-fn huge_fleet(size: Size, least: usize) {
+fn check_huge_fleet(size: Size, min_machines: usize) {
     use PlannedFault::*;
     let plan = [
         (30_000, CrashAllNodes),
@@ -51,31 +63,39 @@
         (50_000, CrashNodes(1, 5_000)),
         (75_000, StateServiceOutage(20_000)),
     ];
-    let mut world = World::sized(1, DisabledGuard::None, size).planned(&plan);
+    let mut world = World::sized(1, DisabledGuard::None, size).with_planned_faults(&plan);
     world.run();
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<String>::new());
     assert_eq!(world.poorly_served(), Vec::<String>::new());
-    assert!(world.stats.most_up > least, "{} machines up", world.stats.most_up);
+    assert!(
+        world.stats.max_machines_up > min_machines,
+        "{} machines up",
+        world.stats.max_machines_up
+    );
     // At least a zone of three.
-    assert!(world.stats.most_overdue * 3 > least, "{} overdue at once", world.stats.most_overdue);
+    assert!(
+        world.stats.max_machines_overdue * 3 > min_machines,
+        "{} overdue at once",
+        world.stats.max_machines_overdue
+    );
 }
 
 #[test]
-fn four_thousand_machines_outlive_a_failover_a_cut_zone_and_an_outage() {
-    huge_fleet(HUGE, 4_000);
+fn faults_in_a_fleet_of_four_thousand_machines() {
+    check_huge_fleet(HUGE, 4_000);
 }
 
 /// Takes minutes: cargo test -p latchtrack-core --release --test simulation -- --ignored
 #[test]
 #[ignore = "a long run, not for CI"]
-fn nearly_six_thousand_machines_outlive_a_failover_a_cut_zone_and_an_outage() {
-    huge_fleet(HUGEST, 5_800);
+fn faults_in_a_fleet_of_nearly_six_thousand_machines() {
+    check_huge_fleet(HUGEST, 5_800);
 }
 
 /// The same over a fleet, with chance faults beside.
 #[test]
-fn a_fleet_outlives_a_cut_zone_a_standstill_and_an_outage() {
+fn a_fleet_survives_a_partition_a_pause_and_an_outage() {
     use PlannedFault::*;
     let plan = [
         (30_000, PartitionLeaderZone(30_000)),
--- a/crates/latchtrack-core/tests/simulation/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/gangs.rs
@@ -17,60 +17,65 @@
 };
 
 /// A fault again and again, so that it meets attempts at every stage.
-fn again(first: u64, every: u64, times: u64, fault: PlannedFault) -> Vec<(u64, PlannedFault)> {
+fn repeat_fault(
+    first: u64,
+    every: u64,
+    times: u64,
+    fault: PlannedFault,
+) -> Vec<(u64, PlannedFault)> {
     (0..times).map(|n| (first + n * every, fault)).collect()
 }
 
 #[test]
 fn leaders_change_at_every_stage_of_a_gang() {
-    let mut plan = again(10_000, 1_700, 30, CrashNodes(1, 150));
-    plan.extend(again(70_000, 4_100, 12, PauseLeader(5_000)));
-    plan.extend(again(125_000, 5_300, 4, CrashAllNodes));
-    let least = [("gang done", 150), ("gang started", 200)];
-    let terms = check_runs_with("leaders change", GANGS, 0..8, &plan, &least);
+    let mut plan = repeat_fault(10_000, 1_700, 30, CrashNodes(1, 150));
+    plan.extend(repeat_fault(70_000, 4_100, 12, PauseLeader(5_000)));
+    plan.extend(repeat_fault(125_000, 5_300, 4, CrashAllNodes));
+    let min_occurrences = [("gang done", 150), ("gang started", 200)];
+    let terms = check_runs_with("leaders change", GANGS, 0..8, &plan, &min_occurrences);
     assert!(terms > 8 * 20, "{terms} terms");
 }
 
 #[test]
-fn machines_of_gangs_die_hang_or_are_cut_off_at_every_stage() {
+fn gang_machines_die_hang_or_are_partitioned_at_every_stage() {
     for (what, fault) in [
         ("hang within the lease", HangMachines(0.2, 6_000)),
         ("hang beyond it", HangMachines(0.15, 20_000)),
         ("cut", PartitionMachines(0.2, 12_000)),
         ("die", LoseZoneMachines(0.3)),
     ] {
-        let plan = again(15_000, 9_000, 14, fault);
-        let least = [("gang done", 50), ("gang lost a task", 10)];
-        check_runs_with(what, GANGS, 0..4, &plan, &least);
+        let plan = repeat_fault(15_000, 9_000, 14, fault);
+        let min_occurrences = [("gang done", 50), ("gang lost a task", 10)];
+        check_runs_with(what, GANGS, 0..4, &plan, &min_occurrences);
     }
 }
 
 #[test]
-fn machines_of_gangs_are_cut_off_one_way_or_fail_at_every_stage() {
+fn gang_machines_lose_messages_or_fail_tasks_at_every_stage() {
     for (what, fault) in [
         ("inbound lost", LoseInbound(0.2, 10_000)),
         ("outbound lost", LoseOutbound(0.25, 12_000)),
         ("failing tasks", FailTasksOnMachines(0.05)),
     ] {
-        let plan = again(15_000, 11_000, 12, fault);
+        let plan = repeat_fault(15_000, 11_000, 12, fault);
         check_runs_with(what, GANGS, 0..4, &plan, &[("gang done", 50)]);
     }
 }
 
 #[test]
-fn gangs_are_cancelled_at_every_stage_while_machines_hang_and_leaders_change() {
-    let mut plan = again(15_000, 6_000, 20, CancelRunning(4, 9_000));
-    plan.extend(again(17_000, 13_000, 9, CrashNodes(1, 200)));
+fn gangs_are_cancelled_with_hung_machines_and_leader_changes() {
+    let mut plan = repeat_fault(15_000, 6_000, 20, CancelRunning(4, 9_000));
+    plan.extend(repeat_fault(17_000, 13_000, 9, CrashNodes(1, 200)));
     plan.push((40_000, CancelAtCompletion(0.8, 130_000)));
-    let least =
+    let min_occurrences =
         [("gang done", 40), ("cancelled while running", 100), ("cancelled at completion", 10)];
-    check_runs_with("cancelled", GANGS, 0..8, &plan, &least);
+    check_runs_with("cancelled", GANGS, 0..8, &plan, &min_occurrences);
 }
 
 /// A gang that fits one zone only waits for that zone, and loses nothing of what it may still run
 /// in.
 #[test]
-fn the_zone_of_a_gang_is_cut_off_beyond_a_lease() {
+fn a_gangs_zone_is_partitioned_beyond_a_lease() {
     let plan = [
         (20_000, PartitionOtherZone(25_000)),
         (60_000, PartitionLeaderZone(30_000)),
@@ -88,7 +93,7 @@
 }
 
 #[test]
-fn commands_writes_and_heartbeats_of_an_earlier_attempt_come_late() {
+fn messages_of_an_earlier_gang_attempt_arrive_late() {
     let plan = [
         (5_000, LateWrites(0.3, 130_000)),
         (10_000, ReplayToNextLeader(0.5, 130_000)),
@@ -99,8 +104,8 @@
         (120_000, StateServiceOutage(26_000)),
     ];
     let size = Size { duplicate_probability: 0.2, ..GANGS };
-    let least = [("gang done", 100), ("heartbeat replayed", 100), ("late write", 100)];
-    check_runs_with("late", size, 0..8, &plan, &least);
+    let min_occurrences = [("gang done", 100), ("heartbeat replayed", 100), ("late write", 100)];
+    check_runs_with("late", size, 0..8, &plan, &min_occurrences);
 }
 
 /// All gangs are as large as their team's limit, nearly.
@@ -119,7 +124,7 @@
 /// The limits of the state service are lowered in the middle of it all: leaders that were told of
 /// it before are refused nothing, and what earlier ones stored larger is split.
 #[test]
-fn limits_are_lowered_while_values_are_retired_and_leaders_change() {
+fn write_limits_are_lowered_while_leaders_change() {
     let size = Size {
         gang_probability: 0.2,
         machines_per_offer: 8,
@@ -140,7 +145,7 @@
     ];
     let mut refused = 0;
     for seed in 0..8 {
-        let mut world = World::sized(seed, DisabledGuard::None, size).planned(&told);
+        let mut world = World::sized(seed, DisabledGuard::None, size).with_planned_faults(&told);
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
--- a/crates/latchtrack-core/tests/simulation/main.rs
+++ b/crates/latchtrack-core/tests/simulation/main.rs
@@ -30,14 +30,14 @@
     /// Commands executed after their call was given up.
     late_commands: u64,
     /// Copies of heartbeats.
-    copies: u64,
+    duplicate_heartbeats: u64,
     gangs_done: u64,
     /// Times a task of a running gang was missing.
     gangs_interrupted: u64,
 }
 
 #[test]
-fn the_rules_hold_and_the_work_gets_done() {
+fn rules_hold_and_all_jobs_finish() {
     let mut total = Totals::default();
     for seed in SEEDS {
         let mut world = World::new(seed, DisabledGuard::None);
@@ -48,7 +48,7 @@
         total.jobs_done += world.jobs_done();
         total.terms += world.stats.terms;
         total.late_commands += world.stats.late_commands;
-        total.copies += world.stats.copies;
+        total.duplicate_heartbeats += world.stats.duplicate_heartbeats;
         total.gangs_done += times("gang done");
         total.gangs_interrupted += times("gang lost a task");
     }
@@ -56,14 +56,14 @@
     assert!(total.jobs_done > 600, "{total:?}");
     assert!(total.terms > 120, "{total:?}");
     assert!(total.late_commands > 100, "{total:?}");
-    assert!(total.copies > 400, "{total:?}");
+    assert!(total.duplicate_heartbeats > 400, "{total:?}");
     assert!(total.gangs_done > 150, "{total:?}");
     assert!(total.gangs_interrupted > 50, "{total:?}");
 }
 
 /// Otherwise the decisions of two versions could not be compared: see `decision_trace.rs`.
 #[test]
-fn a_seeded_run_decides_the_same_twice() {
+fn a_seeded_run_is_deterministic() {
     let digest = |seed| {
         let mut world = World::new(seed, DisabledGuard::None);
         world.trace = Some(DecisionTrace::default());
--- a/crates/latchtrack-core/tests/simulation/planned_faults.rs
+++ b/crates/latchtrack-core/tests/simulation/planned_faults.rs
@@ -7,7 +7,7 @@
 use super::world::World;
 
 #[test]
-fn a_node_that_stands_still_beyond_its_lease_leading_or_following_does_no_harm() {
+fn pauses_beyond_a_lease_do_no_harm() {
     use PlannedFault::*;
     let plan = [
         (20_000, PauseLeader(30_000)),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_zone_cut_beyond_a_lease_with_the_leader_in_it_or_without_does_no_harm() {
+fn zone_partitions_beyond_a_lease_do_no_harm() {
     use PlannedFault::*;
     let plan = [
         (20_000, PartitionLeaderZone(40_000)),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn all_nodes_ending_in_an_outage_and_again_in_a_roll_lose_nothing() {
+fn crashes_in_an_outage_and_a_rolling_restart_lose_nothing() {
     use PlannedFault::*;
     let plan = [
         (20_000, StateServiceOutage(12_000)),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn machines_that_hang_beyond_their_lease_and_go_on_run_nothing_twice() {
+fn machines_that_hang_beyond_their_lease_run_nothing_twice() {
     use PlannedFault::*;
     let plan = [
         (20_000, HangMachines(0.4, 18_000)),
@@ -67,7 +67,7 @@
 /// All nodes away for twice the workers' lease while machines boot late or never, and again all but
 /// one: all work is lost with the agent epochs, and starts again on the machines that are there.
 #[test]
-fn nodes_away_beyond_a_lease_while_boots_are_late_lose_no_job() {
+fn nodes_down_beyond_a_lease_during_slow_boots_lose_no_job() {
     use PlannedFault::*;
     let plan = [
         (2_000, SlowBoots(5.0, 0.2, 40_000)),
@@ -89,7 +89,7 @@
 /// Many jobs submitted with a mistake, and then faulty machines beside: good jobs are done, and
 /// what the broken ones cost is bounded, through changes of leader too.
 #[test]
-fn broken_jobs_cost_little_and_hold_up_nobody() {
+fn broken_jobs_cost_little_and_delay_no_other_job() {
     use PlannedFault::*;
     let plan = [
         (10_000, SubmitBrokenJobs(12)),
@@ -99,24 +99,29 @@
         (90_000, CrashNodes(1, 20_000)),
     ];
     for seed in 0..6 {
-        let mut world = World::sized(seed, DisabledGuard::None, BUSY).planned(&plan);
+        let mut world = World::sized(seed, DisabledGuard::None, BUSY).with_planned_faults(&plan);
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.poorly_served(), Vec::<String>::new(), "seed {seed}");
         // 18 of up to six tasks, which start together once in each term at most, and then one a
         // minute.
-        let most = (18 + 30) * u64::from(BUSY.max_tasks) + 200;
-        assert!(world.stats.failures < most, "{} failures, {most} at most", world.stats.failures);
+        let max_failures = (18 + 30) * u64::from(BUSY.max_tasks) + 200;
+        assert!(
+            world.stats.failures < max_failures,
+            "{} failures, {max_failures} at most",
+            world.stats.failures
+        );
     }
 }
 
 /// A guest without a guarantee brings more than the machines can do for minutes, of three kinds,
 /// and takes nothing from the others for long, nor is left waiting.
 #[test]
-fn guests_are_served_and_push_nobody_out() {
+fn best_effort_jobs_run_without_displacing_others() {
     use PlannedFault::*;
     let size = Size { fault_probability: 0.004, limited_team_cpus: 1e6, ..BUSY };
-    let plan = [(20_000, SubmitGuestJobs), (60_000, CrashAllNodes), (90_000, SubmitGuestJobs)];
+    let plan =
+        [(20_000, SubmitBestEffortJobs), (60_000, CrashAllNodes), (90_000, SubmitBestEffortJobs)];
     check_runs("guests", size, 0..6, &plan);
 }
--- a/crates/latchtrack-core/tests/simulation/quota.rs
+++ b/crates/latchtrack-core/tests/simulation/quota.rs
@@ -12,7 +12,7 @@
 const TIGHT: Size =
     Size { limited_team_cpus: 14.0, submit_probability: 0.006, end_ms: 420_000, ..CELL };
 /// No faults by chance, and no jobs.
-const CALM: Size = Size {
+const IDLE: Size = Size {
     fault_probability: 0.0,
     submit_probability: 0.0,
     cancel_probability: 0.0,
@@ -21,7 +21,7 @@
 };
 const CELLS: usize = 3;
 /// Few faults by chance beside those that are planned.
-const PLANNED: Size = Size { fault_probability: 0.004, ..CELL };
+const FEW_CHANCE_FAULTS: Size = Size { fault_probability: 0.004, ..CELL };
 const SEEDS: Range<u64> = 0..25;
 /// Many small jobs of the limited team on every controller at once.
 const BURST: [(u64, PlannedFault); 2] = [
@@ -31,16 +31,16 @@
 
 /// What some seeds came to together.
 #[derive(Default)]
-struct Tally {
+struct Totals {
     done: usize,
     occurrences: BTreeMap<&'static str, u64>,
-    most_used: f64,
+    max_used_cpus: f64,
 }
 
-impl Tally {
+impl Totals {
     fn add(&mut self, federation: &Federation) {
         self.done += federation.jobs_done();
-        self.most_used = self.most_used.max(federation.most_used);
+        self.max_used_cpus = self.max_used_cpus.max(federation.max_used_cpus);
         for (what, times) in &federation.occurrences {
             *self.occurrences.entry(what).or_default() += times;
         }
@@ -58,39 +58,39 @@
     cells: &[usize],
     plan: &[(u64, PlannedFault)],
     seeds: Range<u64>,
-) -> Tally {
-    let mut tally = Tally::default();
+) -> Totals {
+    let mut totals = Totals::default();
     for seed in seeds {
         let federation = Federation::new(seed, CELLS, size, IgnoredCondition::Nothing);
-        let mut federation = federation.planned(cells, plan);
+        let mut federation = federation.with_planned_faults(cells, plan);
         federation.run();
         assert_eq!(federation.violations, Vec::<String>::new(), "{name}, seed {seed}");
         assert_eq!(federation.unfinished(), Vec::<String>::new(), "{name}, seed {seed}");
-        tally.add(&federation);
+        totals.add(&federation);
     }
-    tally
+    totals
 }
 
 #[test]
 fn three_cells_under_chance_faults_share_a_limit() {
-    let tally = check_federations("chance", CELL, &[], &[], SEEDS);
-    assert!(tally.done > 500, "{} jobs done", tally.done);
-    assert!(tally.most_used > 36.0, "at most {} CPUs in use", tally.most_used);
+    let totals = check_federations("chance", CELL, &[], &[], SEEDS);
+    assert!(totals.done > 500, "{} jobs done", totals.done);
+    assert!(totals.max_used_cpus > 36.0, "at most {} CPUs in use", totals.max_used_cpus);
     for what in ["watch skipped", "late write", "response lost", "stale write refused"] {
-        assert!(tally.times(what) > 20, "{what}: {:?}", tally.occurrences);
+        assert!(totals.times(what) > 20, "{what}: {:?}", totals.occurrences);
     }
 }
 
 /// Tasks and gangs of up to the whole limit, asked for everywhere at once.
 #[test]
-fn allotments_too_small_for_one_task_in_every_cell_pass_no_limit_and_starve_no_cell() {
+fn allotments_below_one_task_keep_the_limit_and_starve_no_cell() {
     let (mut begun, mut all) = (0, 0);
     for seed in SEEDS {
         let mut federation = Federation::new(seed, CELLS, TIGHT, IgnoredCondition::Nothing);
         federation.run();
         assert_eq!(federation.violations, Vec::<String>::new(), "seed {seed}");
         for cell in 0..CELLS {
-            let (begun_here, all_here) = federation.begun(cell);
+            let (begun_here, all_here) = federation.begun_jobs(cell);
             assert!(begun_here > 0 || all_here == 0, "seed {seed}: none of {all_here} begun");
             (begun, all) = (begun + begun_here, all + all_here);
         }
@@ -100,109 +100,112 @@
 
 #[test]
 fn a_burst_on_every_controller_in_the_same_second() {
-    let tally = check_federations("burst", CELL, &[0, 1, 2], &BURST, 0..10);
-    assert!(tally.times("burst cancelled") > 100, "{:?}", tally.occurrences);
-    assert!(tally.most_used > 38.0, "at most {} CPUs in use", tally.most_used);
+    let totals = check_federations("burst", CELL, &[0, 1, 2], &BURST, 0..10);
+    assert!(totals.times("burst cancelled") > 100, "{:?}", totals.occurrences);
+    assert!(totals.max_used_cpus > 38.0, "at most {} CPUs in use", totals.max_used_cpus);
 }
 
 /// Two cells of three fail at the same time, in one way, while the third takes what it can.
-fn two_cells_fail(name: &str, faults: &[(u64, PlannedFault)]) -> Tally {
+fn check_two_failing_cells(name: &str, faults: &[(u64, PlannedFault)]) -> Totals {
     let mut plan = faults.to_vec();
     plan.extend(BURST);
-    let tally = check_federations(name, PLANNED, &[0, 1], &plan, 0..6);
-    assert!(tally.done > 200, "{name}: {} jobs done", tally.done);
-    tally
+    let totals = check_federations(name, FEW_CHANCE_FAULTS, &[0, 1], &plan, 0..6);
+    assert!(totals.done > 200, "{name}: {} jobs done", totals.done);
+    totals
 }
 
 #[test]
-fn two_cells_whose_controllers_all_die_pass_no_limit() {
-    let tally = two_cells_fail("all die", &[(40_000, PlannedFault::CrashNodes(2, 60_000))]);
-    assert!(tally.times("reclaimed") > 5, "{:?}", tally.occurrences);
+fn two_cells_without_controllers_keep_the_limit() {
+    let totals =
+        check_two_failing_cells("all die", &[(40_000, PlannedFault::CrashNodes(2, 60_000))]);
+    assert!(totals.times("reclaimed") > 5, "{:?}", totals.occurrences);
 }
 
 #[test]
-fn two_cells_that_lose_the_state_service_alone_pass_no_limit() {
-    let tally =
-        two_cells_fail("refused", &[(40_000, PlannedFault::StateServiceRefusesAll(60_000))]);
-    assert!(tally.times("reclaimed") > 5, "{:?}", tally.occurrences);
+fn two_cells_that_lose_the_state_service_keep_the_limit() {
+    let totals = check_two_failing_cells(
+        "refused",
+        &[(40_000, PlannedFault::StateServiceRefusesAll(60_000))],
+    );
+    assert!(totals.times("reclaimed") > 5, "{:?}", totals.occurrences);
 }
 
 #[test]
-fn two_cells_that_lose_their_workers_alone_pass_no_limit() {
-    two_cells_fail("cut", &[(40_000, PlannedFault::PartitionMachines(1.0, 45_000))]);
-    two_cells_fail("inbound lost", &[(40_000, PlannedFault::LoseInbound(1.0, 45_000))]);
-    two_cells_fail("outbound lost", &[(40_000, PlannedFault::LoseOutbound(1.0, 45_000))]);
+fn two_cells_that_lose_their_workers_keep_the_limit() {
+    check_two_failing_cells("cut", &[(40_000, PlannedFault::PartitionMachines(1.0, 45_000))]);
+    check_two_failing_cells("inbound lost", &[(40_000, PlannedFault::LoseInbound(1.0, 45_000))]);
+    check_two_failing_cells("outbound lost", &[(40_000, PlannedFault::LoseOutbound(1.0, 45_000))]);
 }
 
 #[test]
-fn two_cells_whose_machines_hang_within_their_lease_pass_no_limit() {
-    two_cells_fail("hang", &[(40_000, PlannedFault::HangMachines(1.0, 12_000))]);
+fn two_cells_with_hung_machines_keep_the_limit() {
+    check_two_failing_cells("hang", &[(40_000, PlannedFault::HangMachines(1.0, 12_000))]);
 }
 
 #[test]
-fn two_cells_whose_leaders_flap_pass_no_limit() {
+fn two_cells_in_rolling_restarts_keep_the_limit() {
     let rolls: Vec<(u64, PlannedFault)> =
         (0..8).map(|i| (40_000 + i * 8_000, PlannedFault::RollingRestart(4_000))).collect();
-    two_cells_fail("flap", &rolls);
+    check_two_failing_cells("flap", &rolls);
 }
 
 #[test]
-fn two_cells_whose_leaders_stand_still_beyond_their_lease_pass_no_limit() {
+fn two_cells_with_paused_leaders_keep_the_limit() {
     let frozen =
         [(40_000, PlannedFault::PauseLeader(9_000)), (55_000, PlannedFault::PauseLeader(9_000))];
-    two_cells_fail("frozen", &frozen);
+    check_two_failing_cells("frozen", &frozen);
 }
 
 #[test]
-fn two_leaders_within_one_worker_lease_pass_no_limit() {
+fn two_leaders_within_one_worker_lease_keep_the_limit() {
     let faults = [
         (38_000, PlannedFault::LateWrites(0.5, 40_000)),
         (40_000, PlannedFault::StateServiceRefusesLeader(20_000)),
         (45_000, PlannedFault::StateServiceRefusesLeader(20_000)),
     ];
-    two_cells_fail("two leaders", &faults);
+    check_two_failing_cells("two leaders", &faults);
 }
 
 #[test]
-fn a_state_service_that_is_down_beyond_every_lease_passes_no_limit() {
+fn an_outage_beyond_every_lease_keeps_the_limit() {
     let plan = [(40_000, PlannedFault::StateServiceOutage(50_000)), BURST[0], BURST[1]];
-    let tally = check_federations("down", PLANNED, &[0, 1, 2], &plan, 0..8);
-    assert!(tally.done > 400, "{} jobs done", tally.done);
+    let totals = check_federations("down", FEW_CHANCE_FAULTS, &[0, 1, 2], &plan, 0..8);
+    assert!(totals.done > 400, "{} jobs done", totals.done);
 }
 
 /// Dead cells come back at about the time at which what they hold is reclaimed.
 #[test]
-fn holders_that_return_in_the_second_of_their_reclaim_pass_no_limit() {
-    let mut met = 0;
+fn cells_that_return_as_they_are_reclaimed_keep_the_limit() {
+    let mut reclaims = 0;
     for step in 0..12 {
         // Leases and margin are 20 s and a little, counted from the end of the leader's lease.
         let down = 20_500 + step * 300;
         let plan = [(40_000, PlannedFault::CrashNodes(2, down)), BURST[0], BURST[1]];
-        let tally = check_federations("return", PLANNED, &[0, 1], &plan, step..step + 2);
-        met += tally.times("reclaimed") + tally.times("reclaim refused");
+        let totals = check_federations("return", FEW_CHANCE_FAULTS, &[0, 1], &plan, step..step + 2);
+        reclaims += totals.times("reclaimed") + totals.times("reclaim refused");
     }
-    assert!(met > 3, "{met} reclaims");
+    assert!(reclaims > 3, "{reclaims} reclaims");
 }
 
 /// The first overshoot of some seeds with a condition of the state service left out.
-fn overshoot(ignored: IgnoredCondition, plan: &[(u64, PlannedFault)]) -> Option<String> {
+fn find_overshoot(ignored: IgnoredCondition, plan: &[(u64, PlannedFault)]) -> Option<String> {
     (0..120).find_map(|seed| {
         let federation = Federation::new(seed, CELLS, TIGHT, ignored);
-        let mut federation = federation.planned(&[0, 1], plan);
+        let mut federation = federation.with_planned_faults(&[0, 1], plan);
         federation.run();
         federation.violations.into_iter().find(|violation| violation.starts_with("quota"))
     })
 }
 
 #[test]
-fn writing_whatever_revision_the_value_has_is_caught() {
-    assert!(overshoot(IgnoredCondition::Revision, &BURST).is_some());
+fn writing_a_ledger_without_a_revision_check_is_caught() {
+    assert!(find_overshoot(IgnoredCondition::Revision, &BURST).is_some());
 }
 
 #[test]
-fn reclaiming_before_the_leases_are_over_is_caught() {
+fn reclaiming_before_the_leases_expire_is_caught() {
     let plan = [(40_000, PlannedFault::CrashNodes(2, 60_000)), BURST[0], BURST[1]];
-    assert!(overshoot(IgnoredCondition::Leases, &plan).is_some());
+    assert!(find_overshoot(IgnoredCondition::Leases, &plan).is_some());
 }
 
 /// Over 4,000 machines in two cells that share one limit, one of which dies whole for a while.
@@ -218,15 +221,19 @@
     };
     let plan = [(30_000, PlannedFault::CrashNodes(3, 45_000))];
     let mut federation =
-        Federation::new(1, 2, size, IgnoredCondition::Nothing).planned(&[0], &plan);
+        Federation::new(1, 2, size, IgnoredCondition::Nothing).with_planned_faults(&[0], &plan);
     for cell in &mut federation.cells {
         cell.submit_many(450);
     }
     federation.run();
     assert_eq!(federation.violations, Vec::<String>::new());
-    let up: usize = federation.cells.iter().map(|cell| cell.stats.most_up).sum();
+    let up: usize = federation.cells.iter().map(|cell| cell.stats.max_machines_up).sum();
     assert!(up > 4_000, "{up} machines up");
-    assert!(federation.most_used > 0.7 * size.limited_team_cpus, "{} in use", federation.most_used);
+    assert!(
+        federation.max_used_cpus > 0.7 * size.limited_team_cpus,
+        "{} in use",
+        federation.max_used_cpus
+    );
     println!("{up} machines, {} jobs done, {} writes", federation.jobs_done(), federation.writes);
 }
 
@@ -243,14 +250,14 @@
     federation.ledger().map_or(0, |ledger| ledger.allotted_to(cell).millicpus)
 }
 
-fn calm(seed: u64) -> Federation {
-    Federation::new(seed, CELLS, CALM, IgnoredCondition::Nothing)
+fn idle_federation(seed: u64) -> Federation {
+    Federation::new(seed, CELLS, IDLE, IgnoredCondition::Nothing)
 }
 
 #[test]
-fn what_another_cell_holds_idle_is_had_within_three_seconds() {
+fn idle_allotments_move_to_another_cell_within_three_seconds() {
     for seed in 0..10 {
-        let mut federation = calm(seed);
+        let mut federation = idle_federation(seed);
         run_until(&mut federation, 8_000);
         federation.cells[0].submit_limited(40, 1.0);
         run_until(&mut federation, 11_000);
@@ -261,7 +268,11 @@
         while allotted(&federation, "cell-1") < 10_000 {
             let next = federation.now() + 50;
             run_until(&mut federation, next);
-            assert!(federation.now() <= asked + 3_000, "seed {seed}: {:?}", federation.value());
+            assert!(
+                federation.now() <= asked + 3_000,
+                "seed {seed}: {:?}",
+                federation.stored_text()
+            );
         }
     }
 }
@@ -271,11 +282,11 @@
 #[test]
 fn a_guarantee_is_met_as_tasks_of_other_cells_end() {
     for seed in 0..6 {
-        let mut federation = calm(seed);
+        let mut federation = idle_federation(seed);
         run_until(&mut federation, 8_000);
         federation.cells[0].submit_limited(400, 1.0);
         run_until(&mut federation, 40_000);
-        assert!(federation.used(0) > 15.0, "{} in use", federation.used(0));
+        assert!(federation.used_cpus(0) > 15.0, "{} in use", federation.used_cpus(0));
         federation.cells[2].submit_limited(400, 1.0);
         federation.cells[1].submit_limited(4, 1.0);
         let asked = federation.now();
@@ -286,7 +297,7 @@
             assert!(
                 federation.now() < asked + 3_000 + 5_000,
                 "seed {seed}: {:?}",
-                federation.value()
+                federation.stored_text()
             );
         }
     }
@@ -296,7 +307,7 @@
 #[test]
 fn two_gangs_as_large_as_the_limit_run_one_after_the_other() {
     for seed in 0..6 {
-        let size = Size { limited_team_cpus: 16.0, ..CALM };
+        let size = Size { limited_team_cpus: 16.0, ..IDLE };
         let mut federation = Federation::new(seed, CELLS, size, IgnoredCondition::Nothing);
         run_until(&mut federation, 8_000);
         federation.cells[2].submit_limited(12, 1.0);
@@ -305,18 +316,18 @@
         while !federation.unfinished().is_empty() {
             let next = federation.now() + 1_000;
             run_until(&mut federation, next);
-            assert!(federation.now() < 300_000, "seed {seed}: {:?}", federation.value());
+            assert!(federation.now() < 300_000, "seed {seed}: {:?}", federation.stored_text());
         }
     }
 }
 
 #[test]
-fn a_value_that_is_lost_is_made_anew_from_what_runs() {
+fn a_lost_ledger_is_rebuilt_from_running_tasks() {
     for seed in 0..10 {
         let federation = Federation::new(seed, CELLS, CELL, IgnoredCondition::Nothing);
-        let mut federation = federation.planned(&[0, 1, 2], &BURST);
+        let mut federation = federation.with_planned_faults(&[0, 1, 2], &BURST);
         run_until(&mut federation, 60_000);
-        federation.lose_value();
+        federation.delete_stored_ledger();
         federation.run();
         assert_eq!(federation.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(federation.unfinished(), Vec::<String>::new(), "seed {seed}");
@@ -327,19 +338,19 @@
 /// Nothing is launched and nothing overwritten where the value can't be used; the other team goes
 /// on.
 #[test]
-fn a_value_that_cannot_be_used_stops_its_team_alone() {
+fn an_unusable_ledger_stops_only_its_team() {
     let newer = r#"{"version":9,"limit":{"millicpus":40000},"how":"unknown"}"#;
     let negative = r#"{"version":1,"limit":{"millicpus":-4}}"#;
     for text in ["{}", "[1]", newer, r#""""#, negative] {
-        let mut federation = calm(3).with_stored_ledger(text);
+        let mut federation = idle_federation(3).with_stored_ledger(text);
         for cell in 0..CELLS {
             federation.cells[cell].submit_limited(4, 1.0);
             federation.cells[cell].submit_free(4, 1.0);
         }
         run_until(&mut federation, 60_000);
-        assert_eq!(federation.value(), Some(text), "not overwritten");
+        assert_eq!(federation.stored_text(), Some(text), "not overwritten");
         for cell in 0..CELLS {
-            assert_eq!(federation.begun(cell), (0, 1), "{text}");
+            assert_eq!(federation.begun_jobs(cell), (0, 1), "{text}");
             assert_eq!(federation.cells[cell].jobs_done(), 1, "{text}");
         }
     }
@@ -347,11 +358,11 @@
 
 /// More is allotted than the limit: nothing new starts, and what is given back brings it in order.
 #[test]
-fn a_value_whose_sum_passes_its_limit_is_brought_in_order_by_its_cells() {
+fn an_overallotted_ledger_is_corrected_by_its_cells() {
     let text = r#"{"version":1,"limit":{"millicpus":40000},"complete":true,"cells":{
         "cell-0":{"allotted":{"millicpus":30000},"term":1},
         "cell-1":{"allotted":{"millicpus":30000},"term":1}}}"#;
-    let mut federation = calm(3).with_stored_ledger(text);
+    let mut federation = idle_federation(3).with_stored_ledger(text);
     federation.cells[2].submit_limited(4, 1.0);
     run_until(&mut federation, 30_000);
     let ledger = federation.ledger().expect("a value");
@@ -361,19 +372,19 @@
 }
 
 #[test]
-fn a_lowered_limit_holds_as_running_work_ends_and_a_raised_one_at_once() {
-    let mut federation = calm(5);
+fn lowered_limits_apply_as_tasks_end_and_raised_ones_at_once() {
+    let mut federation = idle_federation(5);
     run_until(&mut federation, 8_000);
     for cell in 0..CELLS {
         federation.cells[cell].submit_limited(400, 1.0);
     }
     run_until(&mut federation, 40_000);
-    assert!(federation.most_used > 30.0, "{} in use", federation.most_used);
+    assert!(federation.max_used_cpus > 30.0, "{} in use", federation.max_used_cpus);
     federation.set_limit(10.0);
     // Every task ends within 45 s; the fetch of one that was launched before takes 2 s.
     run_until(&mut federation, 90_000);
-    assert!(federation.total_used() <= 10.0, "{} in use", federation.total_used());
+    assert!(federation.total_used_cpus() <= 10.0, "{} in use", federation.total_used_cpus());
     federation.set_limit(40.0);
     run_until(&mut federation, 120_000);
-    assert!(federation.total_used() > 20.0, "{} in use", federation.total_used());
+    assert!(federation.total_used_cpus() > 20.0, "{} in use", federation.total_used_cpus());
 }
--- a/crates/latchtrack-core/tests/simulation/world/chance_faults.rs
+++ b/crates/latchtrack-core/tests/simulation/world/chance_faults.rs
@@ -71,6 +71,6 @@
         self.nodes[n].crash();
         // Now and then within a fraction of a second, also in mid-election.
         let back_ms = if self.rng.random_bool(0.4) { 150 } else { 2_000 };
-        self.nodes[n].back_at = self.now + back_ms;
+        self.nodes[n].restarts_at = self.now + back_ms;
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/cloud.rs
+++ b/crates/latchtrack-core/tests/simulation/world/cloud.rs
@@ -10,7 +10,7 @@
 /// ms for which a new machine is missing in the list.
 const LIST_LAG_MS: u64 = 3_000;
 /// Share of the boots that never end, without a fault.
-const NEVER_BOOTS: f64 = 0.03;
+const NEVER_BOOTS_PROBABILITY: f64 = 0.03;
 /// When a machine is up that never boots.
 const NEVER: u64 = u64::MAX / 4;
 
@@ -51,8 +51,11 @@
         let name = format!("n-{:06}", self.next_machine);
         let boots = self.faults.boots;
         let is_faulty = self.now < boots.until;
-        let (slowdown, never) =
-            if is_faulty { (boots.slowdown, boots.never) } else { (1.0, NEVER_BOOTS) };
+        let (slowdown, never) = if is_faulty {
+            (boots.slowdown, boots.stuck_share)
+        } else {
+            (1.0, NEVER_BOOTS_PROBABILITY)
+        };
         let never_boots = self.chance(never);
         let boot_ms = (self.rng.random_range(500..9_000) as f64 * slowdown) as u64;
         let worker = Worker {
--- a/crates/latchtrack-core/tests/simulation/world/effects.rs
+++ b/crates/latchtrack-core/tests/simulation/world/effects.rs
@@ -26,10 +26,10 @@
 impl World {
     /// Hands an event to a node's scheduler and has its effects carried out; returns the commands
     /// of the response, if it was a heartbeat that is responded to.
-    pub(super) fn drive(&mut self, n: usize, event: Event) -> Option<Vec<Command>> {
+    pub(super) fn process_event(&mut self, n: usize, event: Event) -> Option<Vec<Command>> {
         let node = &self.nodes[n];
-        let origin = Origin { node: n, run: node.run, token: node.token };
-        let effects = self.handle(n, event)?;
+        let origin = Origin { node: n, restarts: node.restarts, token: node.token };
+        let effects = self.run_scheduler(n, event)?;
         let mut response = None;
         for effect in effects {
             match effect {
@@ -71,7 +71,7 @@
     }
 
     /// Has the scheduler handle an event, and keeps the statistics.
-    fn handle(&mut self, n: usize, event: Event) -> Option<Vec<Effect>> {
+    fn run_scheduler(&mut self, n: usize, event: Event) -> Option<Vec<Effect>> {
         let now = self.clock(n);
         let scheduler = self.nodes[n].scheduler.as_mut()?;
         let (cycles, moves) = (scheduler.cycles(), move_counts(scheduler));
@@ -88,11 +88,12 @@
         stats.moves.abandoned += counts.abandoned - moves.abandoned;
         if is_tick {
             let runs = scheduler.machines().values().map(|machine| machine.runs.len()).sum();
-            stats.most_runs = stats.most_runs.max(runs);
-            stats.most_overdue = stats.most_overdue.max(scheduler.overdue_machines(now).len());
+            stats.max_task_runs = stats.max_task_runs.max(runs);
+            stats.max_machines_overdue =
+                stats.max_machines_overdue.max(scheduler.overdue_machines(now).len());
             let open = self.jobs.values().filter(|job| job.is_open()).count();
             let known = scheduler.jobs().len();
-            stats.most_jobs = stats.most_jobs.max(super::JobCounts { known, open });
+            stats.max_jobs = stats.max_jobs.max(super::JobCounts { known, open });
         }
         Some(effects)
     }
@@ -125,11 +126,11 @@
         let response = Response::lost_if(self.chance(0.05));
         if self.has_chance_faults() && self.chance(0.1) {
             // A request that was carried out comes once more, late.
-            let again = self.rng.random_range(3_000..40_000);
+            let resend_delay = self.rng.random_range(3_000..40_000);
             let (request_id, offer) = (request_id.clone(), offer.clone());
             let response = Response::Lost;
             let message = Message::Provision { origin, request_id, offer, number, response };
-            self.post(again, message);
+            self.post(resend_delay, message);
         }
         self.post(delay, Message::Provision { origin, request_id, offer, number, response });
     }
@@ -160,7 +161,7 @@
         if node.write_in_flight || now < node.next_write_at {
             return;
         }
-        let origin = Origin { node: n, run: node.run, token: node.token };
+        let origin = Origin { node: n, restarts: node.restarts, token: node.token };
         let Some(scheduler) = node.scheduler.as_mut() else { return };
         let writes = scheduler.next_writes(now, self.leader_write_limits.changes);
         if let Some(trace) = &mut self.trace {
@@ -176,11 +177,11 @@
         if self.applies(self.faults.late_writes) {
             delay = self.rng.random_range(2_000..12_000);
             response = Response::Lost;
-            self.record("late write");
+            self.record_occurrence("late write");
         }
         if self.applies(self.faults.lost_write_responses) {
             response = Response::Lost;
-            self.record("response lost");
+            self.record_occurrence("response lost");
         }
         if delay > WRITE_TIMEOUT_MS || response == Response::Lost {
             // Unknown to the node, and perhaps applied late.
@@ -188,9 +189,9 @@
             self.post(WRITE_TIMEOUT_MS, Message::WriteFinished { origin, writes, outcome });
         }
         if self.has_chance_faults() && self.chance(0.1) {
-            let again = self.rng.random_range(3_000..40_000);
+            let resend_delay = self.rng.random_range(3_000..40_000);
             let writes = writes.clone();
-            self.post(again, Message::Write { origin, writes, response: Response::Lost });
+            self.post(resend_delay, Message::Write { origin, writes, response: Response::Lost });
         }
         if delay > WRITE_TIMEOUT_MS {
             response = Response::Lost;
--- a/crates/latchtrack-core/tests/simulation/world/faults.rs
+++ b/crates/latchtrack-core/tests/simulation/world/faults.rs
@@ -28,7 +28,7 @@
     /// This share of the machines hangs for this time.
     HangMachines(f64, u64),
     /// A guest submits all that it has.
-    SubmitGuestJobs,
+    SubmitBestEffortJobs,
     /// So many nodes, the leader first, end and do not come back for this time.
     CrashNodes(usize, u64),
     /// For this time (last), boots take so many times as long, and this share of them never ends.
@@ -91,7 +91,7 @@
     /// Times the usual boot.
     pub slowdown: f64,
     /// Share of the boots that never end.
-    pub never: f64,
+    pub stuck_share: f64,
     pub until: u64,
 }
 
@@ -133,18 +133,18 @@
         let active = &mut self.faults;
         match fault {
             Fault::CrashAllNodes => (0..nodes).for_each(|n| self.crash(n)),
-            Fault::RollingRestart(gap) => self.begin_rolling_restart(leader, gap),
+            Fault::RollingRestart(interval_ms) => self.begin_rolling_restart(leader, interval_ms),
             Fault::StateServiceOutage(ms) => active.store_down_until = now + ms,
             Fault::PauseLeader(ms) => self.nodes[leader].paused_until = now + ms,
             Fault::PauseFollower(ms) => self.nodes[(leader + 1) % nodes].paused_until = now + ms,
             Fault::PartitionLeaderZone(ms) => active.zone_partition = zone_partition(leader, ms),
             Fault::PartitionOtherZone(ms) => active.zone_partition = zone_partition(leader + 1, ms),
-            Fault::SubmitGuestJobs => self.submit_guest_jobs(),
+            Fault::SubmitBestEffortJobs => self.submit_best_effort_jobs(),
             Fault::CrashNodes(count, ms) => self.crash_nodes(leader, count, ms),
-            Fault::SlowBoots(slowdown, never, ms) => {
-                active.boots = BootFault { slowdown, never, until: now + ms };
+            Fault::SlowBoots(slowdown, stuck_share, ms) => {
+                active.boots = BootFault { slowdown, stuck_share, until: now + ms };
             }
-            Fault::SubmitBrokenJobs(count) => (0..count).for_each(|_| self.submit_with(1.0)),
+            Fault::SubmitBrokenJobs(count) => (0..count).for_each(|_| self.submit_random_job(1.0)),
             Fault::FailTasksOnMachines(share) => self.on_machines(share, |w| w.fails_tasks = true),
             Fault::HangMachines(share, ms) => self.on_machines(share, |w| w.hung_until = now + ms),
             Fault::StateServiceRefusesAll(ms) => {
@@ -184,12 +184,12 @@
     }
 
     /// Restarts the leader of now, and the leader of each later time.
-    fn begin_rolling_restart(&mut self, leader: usize, gap: u64) {
+    fn begin_rolling_restart(&mut self, leader: usize, interval_ms: u64) {
         self.crash(leader);
-        if gap > 0 {
+        if interval_ms > 0 {
             let now = self.now;
             let more = (1..self.size.nodes as u64)
-                .map(|i| (now + i * gap, PlannedFault::RollingRestart(0)));
+                .map(|i| (now + i * interval_ms, PlannedFault::RollingRestart(0)));
             self.plan.extend(more);
         }
     }
@@ -198,7 +198,7 @@
         for i in 0..count {
             let n = (first + i) % self.size.nodes;
             self.crash(n);
-            self.nodes[n].back_at = self.now + ms;
+            self.nodes[n].restarts_at = self.now + ms;
         }
     }
 
@@ -242,7 +242,7 @@
         let mut hanging = MAX_HANGING;
         for id in running {
             self.cancel(id);
-            self.record("cancelled while running");
+            self.record_occurrence("cancelled while running");
             let until = self.now + hang_ms;
             let runs_it =
                 |worker: &&mut Worker| worker.tasks.keys().any(|(task, _)| task.job == id);
--- a/crates/latchtrack-core/tests/simulation/world/federation.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation.rs
@@ -19,7 +19,7 @@
 use super::{World, CPU_TOLERANCE};
 
 /// ms between two reads of what is shared, by a leader.
-const READ_MS: u64 = 250;
+const READ_INTERVAL_MS: u64 = 250;
 /// ms after which a write without a response is given up.
 const WRITE_TIMEOUT_MS: u64 = 2_000;
 /// The team with a limit that all cells share.
@@ -63,7 +63,7 @@
     /// How often faults and what they were to bring about came about.
     pub occurrences: BTreeMap<&'static str, u64>,
     /// Most CPUs of the shared limit in use at a time.
-    pub most_used: f64,
+    pub max_used_cpus: f64,
     /// Writes of what is shared that committed.
     pub writes: u64,
     rng: StdRng,
@@ -79,11 +79,11 @@
     /// When the leader of each cell reads next, ms.
     next_read: Vec<u64>,
     /// What any cell read last, which a watch that skips changes shows again.
-    last_view: LedgerSnapshot,
+    last_snapshot: LedgerSnapshot,
 }
 
 /// The name of a cell.
-fn name_of(cell: usize) -> String {
+fn cell_name(cell: usize) -> String {
     format!("cell-{cell}")
 }
 
@@ -92,14 +92,14 @@
     pub fn new(seed: u64, cells: usize, size: Size, ignored: IgnoredCondition) -> Federation {
         let world = |i: usize| {
             let mut world = World::sized(seed * 31 + i as u64, DisabledGuard::None, size);
-            world.cell = Some(name_of(i));
+            world.cell = Some(cell_name(i));
             world
         };
         Federation {
             cells: (0..cells).map(world).collect(),
             violations: Vec::new(),
             occurrences: BTreeMap::new(),
-            most_used: 0.0,
+            max_used_cpus: 0.0,
             writes: 0,
             rng: StdRng::seed_from_u64(seed),
             ignored,
@@ -110,12 +110,16 @@
             queue: BTreeMap::new(),
             next_id: 0,
             next_read: vec![0; cells],
-            last_view: LedgerSnapshot::default(),
+            last_snapshot: LedgerSnapshot::default(),
         }
     }
 
     /// With faults at set times in some cells.
-    pub fn planned(mut self, cells: &[usize], plan: &[(u64, PlannedFault)]) -> Federation {
+    pub fn with_planned_faults(
+        mut self,
+        cells: &[usize],
+        plan: &[(u64, PlannedFault)],
+    ) -> Federation {
         for cell in cells {
             self.cells[*cell].plan.extend_from_slice(plan);
         }
@@ -129,15 +133,15 @@
     }
 
     /// The stored text of the shared team's value.
-    pub fn value(&self) -> Option<&str> {
+    pub fn stored_text(&self) -> Option<&str> {
         self.teams.get(TEAM).map(|(_, text)| text.as_str())
     }
 
     /// The stored value disappears.
-    pub fn lose_value(&mut self) {
+    pub fn delete_stored_ledger(&mut self) {
         self.teams.remove(TEAM);
         self.revision += 1;
-        self.record("value lost");
+        self.record_occurrence("value lost");
     }
 
     /// An operator changes the stored limit.
@@ -149,7 +153,7 @@
 
     /// The stored value.
     pub fn ledger(&self) -> Option<TeamLedger> {
-        TeamLedger::parse(self.value()?).ok()
+        TeamLedger::parse(self.stored_text()?).ok()
     }
 
     /// ms since the beginning.
@@ -170,7 +174,7 @@
     /// Open jobs of all cells.
     pub fn unfinished(&self) -> Vec<String> {
         let of = |(i, cell): (usize, &World)| {
-            let named = move |id: String| format!("{}: {id}", name_of(i));
+            let named = move |id: String| format!("{}: {id}", cell_name(i));
             cell.unfinished().into_iter().map(named).collect::<Vec<_>>()
         };
         self.cells.iter().enumerate().flat_map(of).collect()
@@ -182,26 +186,26 @@
     }
 
     /// How many jobs of a cell's limited team have begun, of how many.
-    pub fn begun(&self, cell: usize) -> (usize, usize) {
+    pub fn begun_jobs(&self, cell: usize) -> (usize, usize) {
         let counted = |j: &&StoredJob| {
             j.spec.team == TEAM && !j.always_fails && !matches!(j.state, JobState::Cancelled)
         };
         let jobs: Vec<&StoredJob> = self.cells[cell].jobs.values().filter(counted).collect();
-        let begun = |j: &&&StoredJob| j.begun.is_some() || matches!(j.state, JobState::Done);
+        let begun = |j: &&&StoredJob| j.begun_at.is_some() || matches!(j.state, JobState::Done);
         (jobs.iter().filter(begun).count(), jobs.len())
     }
 
     /// CPUs of the shared team in use in all cells.
-    pub fn total_used(&self) -> f64 {
-        (0..self.cells.len()).map(|cell| self.used(cell)).sum()
+    pub fn total_used_cpus(&self) -> f64 {
+        (0..self.cells.len()).map(|cell| self.used_cpus(cell)).sum()
     }
 
-    fn record(&mut self, what: &'static str) {
+    fn record_occurrence(&mut self, what: &'static str) {
         *self.occurrences.entry(what).or_default() += 1;
     }
 
     /// CPUs of the shared team that are in use in a cell.
-    pub fn used(&self, cell: usize) -> f64 {
+    pub fn used_cpus(&self, cell: usize) -> f64 {
         self.cpus_of(cell, is_started)
     }
 
@@ -219,7 +223,7 @@
         for i in 0..self.cells.len() {
             let elsewhere = || (0..self.cells.len()).filter(|other| *other != i);
             let is_live = |phase| !matches!(phase, TaskPhase::Ended(_));
-            let used_elsewhere = elsewhere().map(|other| self.used(other)).sum();
+            let used_elsewhere = elsewhere().map(|other| self.used_cpus(other)).sum();
             let claimed_elsewhere = elsewhere().map(|other| self.cpus_of(other, is_live)).sum();
             let cell = &mut self.cells[i];
             (cell.used_elsewhere, cell.claimed_elsewhere) = (used_elsewhere, claimed_elsewhere);
@@ -234,17 +238,17 @@
             for shared in std::mem::take(&mut self.cells[i].shared_writes) {
                 self.send(i, shared);
             }
-            self.read_shared(i);
+            self.read_ledgers(i);
         }
         self.deliver_due();
         self.check_limit();
     }
 
     fn check_limit(&mut self) {
-        let used = self.total_used();
-        self.most_used = self.most_used.max(used);
+        let used = self.total_used_cpus();
+        self.max_used_cpus = self.max_used_cpus.max(used);
         if used > self.size.limited_team_cpus + CPU_TOLERANCE {
-            let each: Vec<f64> = (0..self.cells.len()).map(|cell| self.used(cell)).collect();
+            let each: Vec<f64> = (0..self.cells.len()).map(|cell| self.used_cpus(cell)).collect();
             self.violations.push(format!("quota: {each:?} in use at {}", self.now));
         }
     }
@@ -275,27 +279,27 @@
     }
 
     /// A leader reads what is shared; now and then its watch has skipped what changed lately.
-    fn read_shared(&mut self, cell: usize) {
+    fn read_ledgers(&mut self, cell: usize) {
         if self.now < self.next_read[cell] {
             return;
         }
-        self.next_read[cell] = self.now + READ_MS;
-        let mut view = self.view();
+        self.next_read[cell] = self.now + READ_INTERVAL_MS;
+        let mut snapshot = self.snapshot();
         let has_faults = self.size.fault_probability > 0.0 && self.now < self.size.fault_period_ms;
         if has_faults && self.rng.random_bool(0.05) {
-            view = LedgerSnapshot { revision: view.revision, ..self.last_view.clone() };
-            self.record("watch skipped");
+            snapshot = LedgerSnapshot { revision: snapshot.revision, ..self.last_snapshot.clone() };
+            self.record_occurrence("watch skipped");
         } else {
-            self.last_view = view.clone();
+            self.last_snapshot = snapshot.clone();
         }
         let world = &self.cells[cell];
         for n in 0..world.nodes.len() {
             let node = &world.nodes[n];
-            if node.scheduler.is_none() || !world.awake(n) || !world.reaches_store(n) {
+            if node.scheduler.is_none() || !world.is_executing(n) || !world.reaches_store(n) {
                 continue;
             }
-            let origin = Origin { node: n, run: node.run, token: node.token };
-            let event = Box::new(Event::QuotaObserved(view.clone()));
+            let origin = Origin { node: n, restarts: node.restarts, token: node.token };
+            let event = Box::new(Event::QuotaObserved(snapshot.clone()));
             let slow = self.rng.random_bool(0.05);
             let delay = self.rng.random_range(1..if slow { 1_200 } else { 60 });
             self.post(delay, SharedMessage::Event { cell, origin, event });
--- a/crates/latchtrack-core/tests/simulation/world/federation/shared_store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation/shared_store.rs
@@ -10,31 +10,33 @@
 
 use super::super::messages::Response;
 use super::super::{LEADER_LEASE_MS, WORKER_LEASE_MS};
-use super::{name_of, Federation, IgnoredCondition, SharedMessage, SharedWrite, WRITE_TIMEOUT_MS};
+use super::{
+    cell_name, Federation, IgnoredCondition, SharedMessage, SharedWrite, WRITE_TIMEOUT_MS,
+};
 
 impl Federation {
     /// What the cells share, as it is stored.
-    pub(super) fn view(&self) -> LedgerSnapshot {
-        let mut view = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
+    pub(super) fn snapshot(&self) -> LedgerSnapshot {
+        let mut snapshot = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
         for (team, (revision, text)) in &self.teams {
             let seen = StoredLedger { revision: *revision, ledger: TeamLedger::parse(text) };
-            view.teams.insert(team.clone(), seen);
+            snapshot.teams.insert(team.clone(), seen);
         }
         for (i, world) in self.cells.iter().enumerate().filter(|(_, w)| w.last_token > 0) {
             let lease = |ms: u64| if self.ignored == IgnoredCondition::Leases { 0 } else { ms };
             let record = CellRecord {
-                cloud: name_of(i),
+                cloud: cell_name(i),
                 leader_lease_ms: lease(LEADER_LEASE_MS),
                 worker_lease_ms: lease(WORKER_LEASE_MS),
             };
-            let presence = CellStatus {
+            let status = CellStatus {
                 has_leader: world.leader.is_some(),
                 term_revision: world.last_token,
                 record: Some(record),
             };
-            view.cells.insert(name_of(i), presence);
+            snapshot.cells.insert(cell_name(i), status);
         }
-        view
+        snapshot
     }
 
     /// A write leaves a node: it may be slow, late, or lose its response.
@@ -57,7 +59,7 @@
         if is_late || is_lost {
             let unknown = outcome(WriteOutcome::Unknown);
             self.post(WRITE_TIMEOUT_MS, unknown);
-            self.record(if is_late { "late write" } else { "response lost" });
+            self.record_occurrence(if is_late { "late write" } else { "response lost" });
         }
         let delay = self.rng.random_range(if is_late { 2_000..20_000 } else { 1..60 });
         let response = Response::lost_if(is_late || is_lost);
@@ -96,12 +98,16 @@
     /// Counts what a write changes for its cell.
     fn record_change(&mut self, cell: usize, write: &LedgerWrite) {
         if !write.dead.is_empty() {
-            self.record("reclaimed");
+            self.record_occurrence("reclaimed");
         }
-        let before = self.ledger().map_or(0, |l| l.allotted_to(&name_of(cell)).millicpus);
-        let after = write.ledger.allotted_to(&name_of(cell)).millicpus;
+        let before = self.ledger().map_or(0, |l| l.allotted_to(&cell_name(cell)).millicpus);
+        let after = write.ledger.allotted_to(&cell_name(cell)).millicpus;
         if before != after {
-            self.record(if after > before { "allotment raised" } else { "allotment returned" });
+            self.record_occurrence(if after > before {
+                "allotment raised"
+            } else {
+                "allotment returned"
+            });
         }
     }
 
@@ -109,25 +115,25 @@
     fn may_store(&mut self, cell: usize, token: u64, write: &LedgerWrite) -> bool {
         let revision = self.teams.get(&write.team).map_or(0, |(revision, _)| *revision);
         if revision != write.expected_revision {
-            self.record("stale write refused");
+            self.record_occurrence("stale write refused");
             if self.ignored != IgnoredCondition::Revision {
                 return false;
             }
         }
         if self.cells[cell].leader.map(|leader| leader.token) != Some(token) {
-            self.record("deposed writer refused");
+            self.record_occurrence("deposed writer refused");
             if self.ignored != IgnoredCondition::Fence {
                 return false;
             }
         }
         let is_dead = |dead: &DeadCell| {
-            let found = (0..self.cells.len()).find(|i| name_of(*i) == dead.cell);
+            let found = (0..self.cells.len()).find(|i| cell_name(*i) == dead.cell);
             let world = found.map(|i| &self.cells[i]);
             world.is_some_and(|w| w.leader.is_none() && w.last_token == dead.term_revision)
         };
         let are_dead = write.dead.iter().all(is_dead);
         if !are_dead {
-            self.record("reclaim refused");
+            self.record_occurrence("reclaim refused");
         }
         are_dead || self.ignored == IgnoredCondition::DeadCells
     }
--- a/crates/latchtrack-core/tests/simulation/world/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/world/gangs.rs
@@ -8,7 +8,7 @@
 use latchtrack_core::rules;
 use rand::Rng;
 
-use super::messages::SOON_MS;
+use super::messages::EARLY_HEARTBEAT_MS;
 use super::state::{is_started, AttemptKey, Worker, WorkerTask};
 use super::{World, CPU_TOLERANCE};
 
@@ -23,13 +23,13 @@
 /// An attempt of which all tasks have run.
 pub(super) struct GangRun {
     /// When its tasks complete.
-    until: u64,
+    completes_at: u64,
     /// Since when a task of it has been missing.
     incomplete_since: Option<u64>,
 }
 
 /// Where a task of an attempt is, and whether its machine executes it.
-struct Member {
+struct GangMember {
     worker: String,
     key: AttemptKey,
     phase: TaskPhase,
@@ -42,15 +42,15 @@
     }
 
     /// The tasks that wait, run or save, by attempt.
-    fn members(&self) -> BTreeMap<GangAttempt, Vec<Member>> {
-        let mut attempts: BTreeMap<GangAttempt, Vec<Member>> = BTreeMap::new();
+    fn gang_members(&self) -> BTreeMap<GangAttempt, Vec<GangMember>> {
+        let mut attempts: BTreeMap<GangAttempt, Vec<GangMember>> = BTreeMap::new();
         for (name, worker) in self.workers.iter().filter(|(_, worker)| worker.alive) {
             for (key, task) in worker.tasks.iter().filter(|(_, task)| task.is_started()) {
                 let (TaskId { job, .. }, attempt) = *key;
                 if !self.is_gang(job) {
                     continue;
                 }
-                attempts.entry((job, attempt)).or_default().push(Member {
+                attempts.entry((job, attempt)).or_default().push(GangMember {
                     worker: name.clone(),
                     key: *key,
                     phase: task.phase,
@@ -61,48 +61,49 @@
         attempts
     }
 
-    fn set_phase(&mut self, member: &Member, phase: TaskPhase) {
+    fn set_phase(&mut self, member: &GangMember, phase: TaskPhase) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&member.worker) else { return };
         if let Some(task) = worker.tasks.get_mut(&member.key) {
-            (task.phase, task.until) = (phase, u64::MAX);
+            (task.phase, task.phase_ends_at) = (phase, u64::MAX);
         }
-        worker.heartbeat_by(now + SOON_MS);
+        worker.heartbeat_by(now + EARLY_HEARTBEAT_MS);
     }
 
     /// Starts the attempts that are complete, and ends those that are over.
     pub(super) fn step_gangs(&mut self) {
-        let attempts = self.members();
+        let attempts = self.gang_members();
         self.gang_runs.retain(|attempt, _| attempts.contains_key(attempt));
         for (attempt, members) in attempts {
             let tasks = self.jobs[&attempt.0].spec.tasks as usize;
-            let all = members.len() == tasks && members.iter().all(|member| member.executes);
+            let is_complete =
+                members.len() == tasks && members.iter().all(|member| member.executes);
             match self.gang_runs.get(&attempt) {
-                None if all => self.start_gang(attempt, &members),
+                None if is_complete => self.start_gang(attempt, &members),
                 None => {}
                 Some(_) => {
-                    let runs =
-                        all && members.iter().all(|member| member.phase == TaskPhase::Running);
+                    let runs = is_complete
+                        && members.iter().all(|member| member.phase == TaskPhase::Running);
                     self.step_running_gang(attempt, &members, runs);
                 }
             }
         }
     }
 
-    fn start_gang(&mut self, attempt: GangAttempt, members: &[Member]) {
+    fn start_gang(&mut self, attempt: GangAttempt, members: &[GangMember]) {
         let run_ms = self.rng.random_range(1_500..20_000);
         for member in members {
             self.set_phase(member, TaskPhase::Running);
         }
-        self.record("gang started");
+        self.record_occurrence("gang started");
         if let Some(job) = self.jobs.get_mut(&attempt.0) {
-            job.begun.get_or_insert(self.now);
+            job.begun_at.get_or_insert(self.now);
         }
         self.gang_runs
-            .insert(attempt, GangRun { until: self.now + run_ms, incomplete_since: None });
+            .insert(attempt, GangRun { completes_at: self.now + run_ms, incomplete_since: None });
     }
 
-    fn step_running_gang(&mut self, attempt: GangAttempt, members: &[Member], runs: bool) {
+    fn step_running_gang(&mut self, attempt: GangAttempt, members: &[GangMember], runs: bool) {
         let now = self.now;
         let Some(run) = self.gang_runs.get_mut(&attempt) else { return };
         if !runs {
@@ -110,35 +111,35 @@
         }
         if let Some(at) = run.incomplete_since {
             if now >= at + GANG_PEER_MS {
-                self.record("gang lost a task");
+                self.record_occurrence("gang lost a task");
                 let notices =
-                    |member: &&Member| member.executes && member.phase == TaskPhase::Running;
+                    |member: &&GangMember| member.executes && member.phase == TaskPhase::Running;
                 for member in members.iter().filter(notices) {
                     self.set_phase(member, TaskPhase::Ended(ExitCause::GangPeerLost));
                 }
             }
             return;
         }
-        if now < run.until {
+        if now < run.completes_at {
             return;
         }
         let always_fails = self.jobs[&attempt.0].always_fails;
-        let fails = |member: &&Member| always_fails || self.workers[&member.worker].fails_tasks;
+        let fails = |member: &&GangMember| always_fails || self.workers[&member.worker].fails_tasks;
         if let Some(member) = members.iter().find(fails) {
             self.stats.failures += 1;
             self.set_phase(member, TaskPhase::Ended(ExitCause::Failed));
             return;
         }
-        self.record("gang done");
+        self.record_occurrence("gang done");
         for member in members {
             self.set_phase(member, TaskPhase::Ended(ExitCause::Done));
             self.complete(&member.worker, member.key.0);
         }
-        self.perhaps_cancel_completed(attempt.0);
+        self.maybe_cancel_completed(attempt.0);
     }
 
     /// The referee: while a task of one attempt is on a machine, none of another starts.
-    pub(super) fn check_attempt(&mut self, name: &str, key: AttemptKey) {
+    pub(super) fn check_gang_attempt(&mut self, name: &str, key: AttemptKey) {
         let other = |((task, attempt), state): (&AttemptKey, &WorkerTask)| {
             task.job == key.0.job && *attempt != key.1 && is_started(state.phase)
         };
@@ -149,7 +150,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         if !beside.is_empty() {
-            self.violate("two_attempts", format!("{} on {name} beside {beside:?}", key.0));
+            self.report_violation("two_attempts", format!("{} on {name} beside {beside:?}", key.0));
         }
     }
 
--- a/crates/latchtrack-core/tests/simulation/world/leadership.rs
+++ b/crates/latchtrack-core/tests/simulation/world/leadership.rs
@@ -133,7 +133,7 @@
             for node in 0..self.size.nodes {
                 let (worker, heartbeat) = (worker.clone(), heartbeat.clone());
                 let delay = self.rng.random_range(1..1_500);
-                self.record("heartbeat replayed");
+                self.record_occurrence("heartbeat replayed");
                 let copy = SentHeartbeat { node, worker, heartbeat, id: 0, sent_at: self.now };
                 self.post(delay, Message::Heartbeat(copy));
             }
@@ -144,16 +144,16 @@
     pub(super) fn read_jobs(&mut self, n: usize) {
         let seen = self.nodes[n].seen_revision;
         let changed = self.jobs.iter().filter(|(_, job)| job.revision > seen);
-        let events: Vec<Event> = changed.filter_map(|(id, job)| self.event_of(*id, job)).collect();
+        let events: Vec<Event> = changed.filter_map(|(id, job)| self.job_event(*id, job)).collect();
         self.nodes[n].seen_revision = self.revision;
         self.nodes[n].cache_fresh_at = self.clock(n);
         for event in events {
-            self.drive(n, event);
+            self.process_event(n, event);
         }
     }
 
     /// What a scheduler is told of a job that changed.
-    fn event_of(&self, id: JobId, job: &StoredJob) -> Option<Event> {
+    fn job_event(&self, id: JobId, job: &StoredJob) -> Option<Event> {
         let is_disabled = |guard| self.disabled_guard == guard;
         let JobState::Open { stored_at } = job.state else {
             let is_told = !is_disabled(DisabledGuard::Cancellation);
--- a/crates/latchtrack-core/tests/simulation/world/messages.rs
+++ b/crates/latchtrack-core/tests/simulation/world/messages.rs
@@ -15,13 +15,13 @@
 pub(super) const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 /// ms until a worker heartbeats again after it has met a new leader or was redirected, and until it
 /// reports a change.
-pub(super) const SOON_MS: u64 = 500;
+pub(super) const EARLY_HEARTBEAT_MS: u64 = 500;
 /// ms that a node takes to redirect a worker, and the state service to answer a write.
-const FAST_MS: u64 = 5;
+const FAST_RESPONSE_MS: u64 = 5;
 /// ms until a write that was not committed is answered.
 const REJECTED_WRITE_MS: u64 = 250;
 /// ms until the cloud answers a request that it carried out, and one that it did not.
-const CLOUD_MS: u64 = 50;
+const CLOUD_RESPONSE_MS: u64 = 50;
 const CLOUD_FAILURE_MS: u64 = 800;
 
 /// The process and the term that a node's message belongs to.
@@ -29,7 +29,7 @@
 pub(super) struct Origin {
     pub node: usize,
     /// Counts the restarts of the node.
-    pub run: u64,
+    pub restarts: u64,
     pub token: u64,
 }
 
@@ -168,7 +168,7 @@
             }
             Message::WriteFinished { origin, writes, outcome } => {
                 let node = &mut self.nodes[origin.node];
-                if node.run == origin.run && node.token == origin.token {
+                if node.restarts == origin.restarts && node.token == origin.token {
                     node.write_in_flight = false;
                     self.deliver_event(origin, Event::WritesFinished { writes, outcome });
                 }
@@ -198,19 +198,20 @@
     }
 
     fn deliver_heartbeat(&mut self, mut sent: SentHeartbeat) {
-        self.stats.copies += u64::from(sent.id == 0);
+        self.stats.duplicate_heartbeats += u64::from(sent.id == 0);
         self.apply_disabled_guard(&mut sent);
         let SentHeartbeat { node, worker, heartbeat, id, sent_at } = sent;
-        if !self.awake(node) || self.now < self.nodes[node].partitioned_until {
+        if !self.is_executing(node) || self.now < self.nodes[node].partitioned_until {
             return;
         }
         if !self.may_act(node) {
-            self.post(FAST_MS, Message::Redirect { worker, id });
+            self.post(FAST_RESPONSE_MS, Message::Redirect { worker, id });
             return;
         }
         let (token, agent_epoch) = (self.nodes[node].token, heartbeat.agent_epoch);
-        let Some(mut commands) = self.drive(node, Event::Heartbeat(heartbeat.clone())) else {
-            self.post(FAST_MS, Message::Redirect { worker, id });
+        let Some(mut commands) = self.process_event(node, Event::Heartbeat(heartbeat.clone()))
+        else {
+            self.post(FAST_RESPONSE_MS, Message::Redirect { worker, id });
             return;
         };
         if self.disabled_guard == DisabledGuard::ForgetAfterCalls {
@@ -244,7 +245,7 @@
             return;
         }
         if token > worker.token {
-            worker.next_heartbeat = now + SOON_MS;
+            worker.next_heartbeat = now + EARLY_HEARTBEAT_MS;
         }
         worker.token = token;
         worker.lease_from = worker.lease_from.max(sent_at);
@@ -260,7 +261,7 @@
             worker.pending_heartbeat = None;
             let next = (worker.node + 1) % self.size.nodes;
             worker.node = leader.filter(|leader| *leader != worker.node).unwrap_or(next);
-            worker.next_heartbeat = now + SOON_MS;
+            worker.next_heartbeat = now + EARLY_HEARTBEAT_MS;
         }
     }
 
@@ -314,7 +315,7 @@
         };
         let is_done = matches!(outcome, ProvisionOutcome::Provisioned(_));
         let event = Event::ProvisionFinished { request_id, outcome };
-        let wait = if is_done { CLOUD_MS } else { CLOUD_FAILURE_MS };
+        let wait = if is_done { CLOUD_RESPONSE_MS } else { CLOUD_FAILURE_MS };
         self.post(wait, Message::Event { origin, event });
     }
 
@@ -328,7 +329,7 @@
         let ok = is_up && response == Response::Arrives;
         let outcome = if ok { TerminateOutcome::Terminated } else { TerminateOutcome::Failed };
         let event = Event::TerminateFinished { names, outcome };
-        let wait = if ok { CLOUD_MS } else { CLOUD_FAILURE_MS };
+        let wait = if ok { CLOUD_RESPONSE_MS } else { CLOUD_FAILURE_MS };
         self.post(wait, Message::Event { origin, event });
     }
 
@@ -336,7 +337,7 @@
         let outcome = self.write(origin.token, &writes);
         if response == Response::Arrives {
             let is_committed = matches!(outcome, BatchOutcome::Committed(_));
-            let wait = if is_committed { FAST_MS } else { REJECTED_WRITE_MS };
+            let wait = if is_committed { FAST_RESPONSE_MS } else { REJECTED_WRITE_MS };
             self.post(wait, Message::WriteFinished { origin, writes, outcome });
         }
     }
@@ -344,14 +345,14 @@
     /// An event reaches the scheduler of its term; a paused node gets it when it goes on.
     pub(super) fn deliver_event(&mut self, origin: Origin, event: Event) {
         let node = &self.nodes[origin.node];
-        if node.run != origin.run || node.token != origin.token || !node.up {
+        if node.restarts != origin.restarts || node.token != origin.token || !node.up {
             return;
         }
         if self.now < node.paused_until {
             let wait = node.paused_until - self.now + 1;
             self.post(wait, Message::Event { origin, event });
         } else {
-            self.drive(origin.node, event);
+            self.process_event(origin.node, event);
         }
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -202,7 +202,7 @@
     }
 
     /// With faults at set times beside those that chance brings.
-    pub fn planned(mut self, plan: &[(u64, PlannedFault)]) -> Self {
+    pub fn with_planned_faults(mut self, plan: &[(u64, PlannedFault)]) -> Self {
         self.plan = plan.to_vec();
         self
     }
@@ -246,7 +246,7 @@
             self.begin_chance_fault();
             self.step_users();
         }
-        self.tell_users();
+        self.check_user_view();
         self.deliver_due();
         self.step_store();
         self.step_workers();
@@ -259,7 +259,7 @@
     }
 
     /// Counts that something came about.
-    fn record(&mut self, what: &'static str) {
+    fn record_occurrence(&mut self, what: &'static str) {
         *self.occurrences.entry(what).or_default() += 1;
     }
 
--- a/crates/latchtrack-core/tests/simulation/world/nodes.rs
+++ b/crates/latchtrack-core/tests/simulation/world/nodes.rs
@@ -7,7 +7,7 @@
 use super::{World, LEADER_LEASE_MS, LEASE_MARGIN_MS};
 
 /// ms between two renewals of a lease, by the node's clock.
-const RENEW_MS: u64 = 300;
+const RENEW_INTERVAL_MS: u64 = 300;
 /// When the first node of a world without successors does not reach the state service, ms.
 const REFUSED_WITHOUT_SUCCESSORS: std::ops::Range<u64> = 40_000..110_000;
 
@@ -30,7 +30,7 @@
     }
 
     /// Whether a node executes anything.
-    pub(super) fn awake(&self, n: usize) -> bool {
+    pub(super) fn is_executing(&self, n: usize) -> bool {
         self.nodes[n].up && self.now >= self.nodes[n].paused_until
     }
 
@@ -44,14 +44,14 @@
 
     /// Lets a node do what is due.
     pub(super) fn step_node(&mut self, n: usize) {
-        if !self.nodes[n].up && self.now >= self.nodes[n].back_at {
+        if !self.nodes[n].up && self.now >= self.nodes[n].restarts_at {
             self.nodes[n].up = true;
         }
-        if !self.awake(n) {
+        if !self.is_executing(n) {
             return;
         }
         let now = self.clock(n);
-        if self.reaches_store(n) && now >= self.nodes[n].last_renew + RENEW_MS {
+        if self.reaches_store(n) && now >= self.nodes[n].last_renew + RENEW_INTERVAL_MS {
             self.nodes[n].last_renew = now;
             self.step_leadership(n);
             let keeps_to_lease = self.disabled_guard != DisabledGuard::LeaderLease;
@@ -60,7 +60,7 @@
             }
         }
         if self.may_act(n) {
-            self.drive(n, Event::Tick);
+            self.process_event(n, Event::Tick);
         }
     }
 
--- a/crates/latchtrack-core/tests/simulation/world/referee.rs
+++ b/crates/latchtrack-core/tests/simulation/world/referee.rs
@@ -13,11 +13,11 @@
 /// ms that a job may wait though a machine has free capacity.
 const MAX_WAIT_MS: u64 = 90_000;
 /// ms between two checks of what waits.
-const WAIT_CHECK_MS: u64 = 1_000;
+const WAIT_CHECK_INTERVAL_MS: u64 = 1_000;
 /// ms within which the largest jobs of a class are to begin.
 const MAX_START_MS: u64 = 240_000;
 /// Of the jobs of a class, one in so many counts as a largest one.
-const LARGEST_PART: usize = 10;
+const LARGEST_JOBS_DIVISOR: usize = 10;
 /// The team with a limit.
 const LIMITED_TEAM: &str = "limited";
 
@@ -30,7 +30,7 @@
 
 /// What is free and what is in use, of all machines.
 struct Capacity<'a> {
-    /// CPUs that are free on each machine that is well.
+    /// CPUs that are free on each machine that is healthy.
     free: Vec<(&'a Worker, f64)>,
     live: Vec<LiveTask>,
     /// CPUs that the limited team has in use, in all cells.
@@ -39,7 +39,7 @@
 
 impl World {
     /// Notes that a rule is broken.
-    pub(super) fn violate(&mut self, rule: &str, what: String) {
+    pub(super) fn report_violation(&mut self, rule: &str, what: String) {
         self.violations.push(format!("{rule}: {what} at {}", self.now));
     }
 
@@ -74,7 +74,8 @@
             let Some(all) = groups.get(&format!("class {class}")) else { continue };
             let largest = largest_jobs(all);
             for job in &largest {
-                let (begun, due) = (job.begun.unwrap_or(u64::MAX), job.submitted_at + MAX_START_MS);
+                let (begun, due) =
+                    (job.begun_at.unwrap_or(u64::MAX), job.submitted_at + MAX_START_MS);
                 if begun > due && self.now > due {
                     failures.push(format!("{} has not begun in time", job.spec.id));
                 }
@@ -91,7 +92,7 @@
     }
 
     /// Users read the records, as any node would show them.
-    pub(super) fn tell_users(&mut self) {
+    pub(super) fn check_user_view(&mut self) {
         let mut broken = Vec::new();
         for (id, job) in &mut self.jobs {
             match job.state {
@@ -115,7 +116,7 @@
             }
         }
         for (rule, what) in broken {
-            self.violate(rule, what);
+            self.report_violation(rule, what);
         }
     }
 
@@ -124,7 +125,7 @@
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if !job.spec.gang {
-            job.begun.get_or_insert(now);
+            job.begun_at.get_or_insert(now);
         }
         let spec = job.spec.clone();
         let mut zones = Vec::new();
@@ -155,7 +156,7 @@
             broken.push(("quota", format!("{task}: {used} in use")));
         }
         for (rule, what) in broken {
-            self.violate(rule, what);
+            self.report_violation(rule, what);
         }
     }
 
@@ -174,7 +175,7 @@
             }
         }
         for what in broken {
-            self.violate("ran_cancelled", what);
+            self.report_violation("ran_cancelled", what);
         }
     }
 
@@ -182,7 +183,7 @@
     /// and its team is under its limit: what leaves people waiting for nothing.
     pub(super) fn check_waiting(&mut self) {
         let faults_over_at = self.size.fault_period_ms + FAULTS_OVER_MS;
-        if self.now < faults_over_at || self.now % WAIT_CHECK_MS != 0 {
+        if self.now < faults_over_at || self.now % WAIT_CHECK_INTERVAL_MS != 0 {
             return;
         }
         let capacity = self.capacity();
@@ -202,19 +203,19 @@
             }
         }
         for what in broken {
-            self.violate("waited", what);
+            self.report_violation("waited", what);
         }
     }
 
     fn capacity(&self) -> Capacity<'_> {
-        let is_well = |worker: &&Worker| {
+        let is_healthy = |worker: &&Worker| {
             worker.alive
                 && worker.agent_epoch > 0
                 && !worker.fails_tasks
                 && self.now >= worker.hung_until
         };
-        let well = self.workers.values().filter(is_well);
-        let free = well.map(|worker| (worker, self.free_cpus(worker))).collect();
+        let healthy = self.workers.values().filter(is_healthy);
+        let free = healthy.map(|worker| (worker, self.free_cpus(worker))).collect();
         let tasks = self
             .workers
             .values()
@@ -270,6 +271,6 @@
 fn largest_jobs<'a>(jobs: &[&'a StoredJob]) -> Vec<&'a StoredJob> {
     let mut largest = jobs.to_vec();
     largest.sort_by_key(|job| std::cmp::Reverse(job.spec.tasks));
-    largest.truncate(largest.len().div_ceil(LARGEST_PART));
+    largest.truncate(largest.len().div_ceil(LARGEST_JOBS_DIVISOR));
     largest
 }
--- a/crates/latchtrack-core/tests/simulation/world/state.rs
+++ b/crates/latchtrack-core/tests/simulation/world/state.rs
@@ -48,7 +48,7 @@
     pub always_fails: bool,
     pub submitted_at: u64,
     /// When its first task started.
-    pub begun: Option<u64>,
+    pub begun_at: Option<u64>,
     /// Since when a task of it has waited though a machine that fits had free capacity.
     pub unschedulable_since: Option<u64>,
 }
@@ -67,7 +67,7 @@
 pub(super) struct WorkerTask {
     pub phase: TaskPhase,
     /// When the phase ends.
-    pub until: u64,
+    pub phase_ends_at: u64,
 }
 
 impl WorkerTask {
@@ -155,7 +155,7 @@
 #[derive(Default)]
 pub(super) struct Node {
     pub up: bool,
-    pub back_at: u64,
+    pub restarts_at: u64,
     pub paused_until: u64,
     pub partitioned_until: u64,
     /// Until then the state service refuses it, and it alone.
@@ -177,7 +177,7 @@
     /// When it may write again, by its own clock.
     pub next_write_at: u64,
     /// Counts its restarts.
-    pub run: u64,
+    pub restarts: u64,
 }
 
 impl Node {
@@ -192,6 +192,6 @@
         self.scheduler = None;
         self.token = 0;
         self.write_in_flight = false;
-        self.run += 1;
+        self.restarts += 1;
     }
 }
--- a/crates/latchtrack-core/tests/simulation/world/stats.rs
+++ b/crates/latchtrack-core/tests/simulation/world/stats.rs
@@ -19,7 +19,7 @@
     /// Direct calls with commands that were executed after their node had given them up.
     pub late_commands: u64,
     /// Copies of heartbeats that reached a node.
-    pub copies: u64,
+    pub duplicate_heartbeats: u64,
     /// Changes that leaders asked the state service for.
     pub puts: u64,
     /// Direct calls.
@@ -29,15 +29,15 @@
     /// Tasks that failed.
     pub failures: u64,
     /// Most machines that were up.
-    pub most_up: usize,
+    pub max_machines_up: usize,
     /// Most machines that a leader named as overdue.
-    pub most_overdue: usize,
+    pub max_machines_overdue: usize,
     /// Scheduling cycles.
     pub cycles: u64,
     /// Most task runs known to a leader.
-    pub most_runs: usize,
+    pub max_task_runs: usize,
     /// Most jobs known to a leader, and the open ones at that time.
-    pub most_jobs: JobCounts,
+    pub max_jobs: JobCounts,
     /// Moves of running tasks.
     pub moves: MoveCounts,
 }
--- a/crates/latchtrack-core/tests/simulation/world/store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/store.rs
@@ -69,11 +69,11 @@
         let max_bytes = writes.iter().map(value_bytes).max().unwrap_or(0);
         let limits = self.store_write_limits;
         if writes.len() > limits.changes || max_bytes > limits.value_bytes {
-            self.record("write refused");
+            self.record_occurrence("write refused");
             return BatchOutcome::Rejected;
         }
         if max_bytes > self.leader_write_limits.value_bytes {
-            self.record("value above the leader's limit");
+            self.record_occurrence("value above the leader's limit");
         }
         self.stats.puts += writes.len() as u64;
         if self.disabled_guard != DisabledGuard::WriteFence {
--- a/crates/latchtrack-core/tests/simulation/world/users.rs
+++ b/crates/latchtrack-core/tests/simulation/world/users.rs
@@ -11,7 +11,7 @@
 /// Probability that a job fails on every machine.
 const BROKEN_PROBABILITY: f64 = 0.08;
 /// ms between two jobs of a stream of small jobs.
-const SMALL_JOB_MS: f64 = 250.0;
+const SMALL_JOB_INTERVAL_MS: f64 = 250.0;
 /// Largest gang, in tasks and in CPUs of a task: it has to fit the machines of one zone.
 const MAX_GANG_TASKS: u32 = 4;
 const MAX_GANG_CPUS: f64 = 4.0;
@@ -70,7 +70,7 @@
     }
 
     /// Some users cancel at the very moment at which the last task ends.
-    pub(super) fn perhaps_cancel_completed(&mut self, id: JobId) {
+    pub(super) fn maybe_cancel_completed(&mut self, id: JobId) {
         let fault = self.faults.cancelled_at_completion;
         if self.now >= fault.until || self.now < self.faults.store_down_until {
             return;
@@ -80,7 +80,7 @@
         let is_complete = job.is_open() && tasks.all(|task| self.completed.contains(&task));
         if is_complete && self.chance(fault.share) {
             self.cancel(id);
-            self.record("cancelled at completion");
+            self.record_occurrence("cancelled at completion");
         }
     }
 
@@ -104,7 +104,7 @@
             }
         }
         let is_streaming = self.now < self.faults.small_jobs_until;
-        if is_streaming && self.chance(self.size.step_ms as f64 / SMALL_JOB_MS) {
+        if is_streaming && self.chance(self.size.step_ms as f64 / SMALL_JOB_INTERVAL_MS) {
             self.submit_small_job();
         }
     }
@@ -112,14 +112,14 @@
     /// One of many small jobs; a quarter of them is cancelled, some at once.
     fn submit_small_job(&mut self) {
         self.submit_spec(best_effort_job("swarm", 1, 0.25, 5.0));
-        self.record("small job");
+        self.record_occurrence("small job");
         // One that came a while ago, so that some wait, some run and some are just done.
         let ago = self.rng.random_range(0..60);
         let earlier = JobId(self.last_job.saturating_sub(ago));
         let is_open = self.jobs.get(&earlier).is_some_and(StoredJob::is_open);
         if is_open && self.chance(0.4) {
             self.cancel(earlier);
-            self.record("small job cancelled");
+            self.record_occurrence("small job cancelled");
         }
     }
 
@@ -133,7 +133,7 @@
             self.submit_limited(1, 1.0);
             if i % 4 == 0 {
                 self.cancel(JobId(self.last_job));
-                self.record("burst cancelled");
+                self.record_occurrence("burst cancelled");
             }
         }
     }
@@ -164,7 +164,7 @@
 
     /// What a guest brings: best-effort jobs of long tasks, an array of very many, single small
     /// tasks.
-    pub(super) fn submit_guest_jobs(&mut self) {
+    pub(super) fn submit_best_effort_jobs(&mut self) {
         let count = 4 * self.size.max_tasks;
         for _ in 0..3 {
             self.submit_spec(best_effort_job("idle", count, 2.0, 60.0));
@@ -177,11 +177,11 @@
 
     /// A random job.
     pub(super) fn submit(&mut self) {
-        self.submit_with(BROKEN_PROBABILITY);
+        self.submit_random_job(BROKEN_PROBABILITY);
     }
 
     /// A random job, which with this probability fails on every machine.
-    pub(super) fn submit_with(&mut self, broken_probability: f64) {
+    pub(super) fn submit_random_job(&mut self, broken_probability: f64) {
         let id = self.next_job_id();
         let size = self.size;
         let rng = &mut self.rng;
@@ -214,13 +214,13 @@
         if size.gang_probability > 0.0 && self.chance(size.gang_probability) {
             make_gang(&mut spec, size.limited_team_cpus);
         }
-        self.accept(spec, broken_probability);
+        self.store_job(spec, broken_probability);
     }
 
     /// A job of a given form, which can complete.
     fn submit_spec(&mut self, spec: JobSpec) {
         let id = self.next_job_id();
-        self.accept(JobSpec { id, ..spec }, 0.0);
+        self.store_job(JobSpec { id, ..spec }, 0.0);
     }
 
     fn next_job_id(&mut self) -> JobId {
@@ -229,7 +229,7 @@
     }
 
     /// Stores a job, which with this probability fails on every machine.
-    fn accept(&mut self, spec: JobSpec, broken_probability: f64) {
+    fn store_job(&mut self, spec: JobSpec, broken_probability: f64) {
         let id = spec.id;
         let always_fails = self.rng.random_bool(broken_probability);
         self.revision += 1;
@@ -243,7 +243,7 @@
                 done_confirmed: false,
                 always_fails,
                 submitted_at: self.now,
-                begun: None,
+                begun_at: None,
                 unschedulable_since: None,
             },
         );
--- a/crates/latchtrack-core/tests/simulation/world/workers.rs
+++ b/crates/latchtrack-core/tests/simulation/world/workers.rs
@@ -5,14 +5,14 @@
 use rand::Rng;
 
 use super::gangs::GANG_WAIT_MS;
-use super::messages::{Message, SentHeartbeat, HEARTBEAT_TIMEOUT_MS, SOON_MS};
+use super::messages::{Message, SentHeartbeat, EARLY_HEARTBEAT_MS, HEARTBEAT_TIMEOUT_MS};
 use super::state::{AttemptKey, PendingHeartbeat, Worker, WorkerTask};
 use super::{machine_types, World, CPU_TOLERANCE, WORKER_LEASE_MS};
 
 /// Of this many ms of its lease, a slow clock of a worker misses one.
 const CLOCK_DRIFT_DIVISOR: u64 = 2_000;
 /// ms until a worker that got no response heartbeats to the next node.
-const NEXT_NODE_MS: u64 = 1_000;
+const NEXT_NODE_DELAY_MS: u64 = 1_000;
 /// ms that a checkpoint takes.
 const CHECKPOINT_MS: u64 = 1_000;
 /// A phase that ends by no time of its own.
@@ -53,7 +53,7 @@
         let names: Vec<String> = self.workers.keys().cloned().collect();
         let is_up = |worker: &&Worker| worker.alive && worker.up_at <= self.now;
         let up = self.workers.values().filter(is_up).count();
-        self.stats.most_up = self.stats.most_up.max(up);
+        self.stats.max_machines_up = self.stats.max_machines_up.max(up);
         for name in names {
             if self.step_lease(&name) {
                 self.run_tasks(&name);
@@ -93,15 +93,15 @@
         if worker.pending_heartbeat.is_some_and(|sent| now > sent.sent_at + HEARTBEAT_TIMEOUT_MS) {
             worker.pending_heartbeat = None;
             worker.node = next_node;
-            worker.next_heartbeat = now + NEXT_NODE_MS;
+            worker.next_heartbeat = now + NEXT_NODE_DELAY_MS;
         }
         if worker.pending_heartbeat.is_some() || now < worker.next_heartbeat {
             return;
         }
         if now < worker.outbound_lost_until {
             worker.node = (worker.node + 1) % self.size.nodes;
-            worker.next_heartbeat = now + NEXT_NODE_MS;
-            self.record("heartbeat lost");
+            worker.next_heartbeat = now + NEXT_NODE_DELAY_MS;
+            self.record_occurrence("heartbeat lost");
             return;
         }
         self.send_heartbeat(name);
@@ -145,16 +145,16 @@
     fn run_tasks(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get(name) else { return };
-        let is_due = |(_, task): &(&AttemptKey, &WorkerTask)| task.until <= now;
+        let is_due = |(_, task): &(&AttemptKey, &WorkerTask)| task.phase_ends_at <= now;
         let due: Vec<AttemptKey> =
             worker.tasks.iter().filter(is_due).map(|(key, _)| *key).collect();
         for key in due {
             let Some(next) = self.end_phase(name, key) else { continue };
             let Some(worker) = self.workers.get_mut(name) else { return };
             if let Some(task) = worker.tasks.get_mut(&key) {
-                (task.phase, task.until) = next;
+                (task.phase, task.phase_ends_at) = next;
             }
-            worker.heartbeat_by(now + SOON_MS);
+            worker.heartbeat_by(now + EARLY_HEARTBEAT_MS);
         }
     }
 
@@ -173,13 +173,13 @@
             TaskPhase::Fetching => {
                 self.check_start(name, task);
                 if self.is_gang(task.job) {
-                    self.check_attempt(name, key);
+                    self.check_gang_attempt(name, key);
                     return Some((TaskPhase::Waiting, self.now + GANG_WAIT_MS));
                 }
                 Some((TaskPhase::Running, self.now + run_ms))
             }
             TaskPhase::Waiting => {
-                self.record("gang incomplete");
+                self.record_occurrence("gang incomplete");
                 Some(ended(ExitCause::GangIncomplete))
             }
             // Ends with its gang.
@@ -190,7 +190,7 @@
             }
             TaskPhase::Running => {
                 self.complete(name, task);
-                self.perhaps_cancel_completed(task.job);
+                self.maybe_cancel_completed(task.job);
                 Some(ended(ExitCause::Done))
             }
             TaskPhase::Checkpointing => Some(ended(ExitCause::Stopped)),
@@ -231,7 +231,7 @@
             }
             let now = self.now;
             let Some(worker) = self.workers.get_mut(name) else { return };
-            worker.heartbeat_by(now + SOON_MS);
+            worker.heartbeat_by(now + EARLY_HEARTBEAT_MS);
         }
     }
 
@@ -254,7 +254,7 @@
         } else {
             TaskPhase::Fetching
         };
-        worker.tasks.insert(key, WorkerTask { phase, until: now + fetch_ms });
+        worker.tasks.insert(key, WorkerTask { phase, phase_ends_at: now + fetch_ms });
         true
     }
 
@@ -270,7 +270,7 @@
         let saves = spec.is_some_and(|spec| spec.checkpoint_s > 0.0 && grace_s >= spec.save_s);
         match task.phase {
             TaskPhase::Running if saves => {
-                (task.phase, task.until) = (TaskPhase::Checkpointing, now + CHECKPOINT_MS);
+                (task.phase, task.phase_ends_at) = (TaskPhase::Checkpointing, now + CHECKPOINT_MS);
             }
             TaskPhase::Ended(_) => {}
             TaskPhase::Checkpointing if grace_s > 0.0 => {}
