--- a/crates/latchtrack-core/tests/simulation/balance.rs
+++ b/crates/latchtrack-core/tests/simulation/balance.rs
@@ -1,5 +1,5 @@
-//! Moves of running tasks in all faults. Two leaders of three balance the load, so that versions
-//! with and without it lead in turn, and each takes over moves that the other knows nothing of.
+//! Moves of running tasks under all faults. Two of three leaders balance the load, so that versions
+//! with and without balancing alternate, and each inherits moves that another leader began.
 
 use super::checks::check_runs;
 use super::world::faults::PlannedFault;
@@ -16,7 +16,7 @@
     ..BUSY
 };
 
-/// Moves that end on their target, and that are abandoned, in a set of runs.
+/// Settled and abandoned moves, summed over a set of runs.
 #[derive(Default)]
 struct MoveTotals {
     settled: u64,
@@ -39,10 +39,10 @@
 #[test]
 fn rules_hold_and_all_jobs_finish_while_tasks_move() {
     let mut moves = MoveTotals::default();
-    // Machines that a team's limit leaves idle are not provisioned any more, and each run has fewer
-    // to move to.
+    // Machines that a team's limit would leave idle are not provisioned, so each run has few
+    // targets and many runs are needed.
     for seed in 1_000..1_080 {
-        moves.run("chance faults", World::sized(seed, DisabledGuard::None, MOVING), seed);
+        moves.run("random faults", World::sized(seed, DisabledGuard::None, MOVING), seed);
     }
     assert!(moves.settled > 100, "{} settled", moves.settled);
     assert!(moves.abandoned > 30, "{} abandoned", moves.abandoned);
@@ -61,7 +61,7 @@
             &[(15_000, LoseOutbound(0.3, 12_000)), (45_000, LoseOutbound(0.4, 30_000))],
         ),
         (
-            "machines are cut off",
+            "machines are partitioned",
             &[(15_000, PartitionMachines(0.3, 12_000)), (45_000, PartitionMachines(0.5, 30_000))],
         ),
         (
@@ -102,7 +102,7 @@
     check_runs("several at once", BUSY_MOVING, 0..10, &plan);
 }
 
-/// Runs seeds until the checker speaks up; panics if it never does.
+/// Runs seeds until `rule` is reported as broken. Panics if it never is.
 fn assert_violation(guard: DisabledGuard, rule: &str) {
     let caught = (0..300).any(|seed| {
         let mut world = World::sized(seed, guard, MOVING);
@@ -112,7 +112,7 @@
     assert!(caught, "{guard:?} was never caught as {rule}");
 }
 
-/// Tasks that save are on their machine until they have ended.
+/// A task that writes a checkpoint occupies its machine until it has ended.
 #[test]
 fn treating_a_checkpointing_task_as_gone_is_caught() {
     assert_violation(DisabledGuard::CheckpointingTaskStatus, "ran_twice");
@@ -123,7 +123,7 @@
     assert_violation(DisabledGuard::TeamLimit, "quota");
 }
 
-/// Over a thousand machines: the rules hold, and it takes a bounded number of cycles and calls.
+/// Over a thousand machines: the rules hold, and the number of direct calls is bounded.
 #[test]
 fn a_fleet_with_moves_takes_a_bounded_number_of_operations() {
     let size = Size {
@@ -143,7 +143,7 @@
     assert_eq!(world.violations, Vec::<String>::new());
     assert_eq!(world.unfinished(), Vec::<String>::new());
     assert!(world.stats.moves.settled > 50, "{:?}", world.stats.moves);
-    // A call stops a task, another may launch it; one probes each machine in each term.
+    // At most one call per task, two more per move, and one probe per machine and term.
     let tasks = world.tasks_done() as u64 + 2 * world.stats.moves.begun;
     let max_calls = tasks + world.stats.terms * world.stats.max_machines_up as u64;
     assert!(world.stats.calls < max_calls, "{} calls, {max_calls} at most", world.stats.calls);
--- a/crates/latchtrack-core/tests/simulation/checks.rs
+++ b/crates/latchtrack-core/tests/simulation/checks.rs
@@ -1,12 +1,12 @@
-//! Runs of worlds with planned faults, and what is expected of each.
+//! Runs worlds with planned faults and asserts what every such run must satisfy.
 
 use super::world::faults::PlannedFault;
 use super::world::guards::DisabledGuard;
 use super::world::size::Size;
 use super::world::World;
 
-/// Runs worlds with faults at set times: each run ends with every rule kept, every job done and
-/// every class, team and largest job served. Returns the terms of all runs.
+/// Runs one world per seed with the faults of `plan`. Asserts that no rule was broken, every job
+/// finished, and no class, team or large job was starved. Returns the number of terms of all runs.
 pub fn check_runs(
     what: &str,
     size: Size,
@@ -16,8 +16,8 @@
     check_runs_with(what, size, seeds, plan, &[])
 }
 
-/// Like [`check_runs`]; besides, what the faults were to bring about came about at least so often,
-/// in all seeds together.
+/// Like [`check_runs`], but also asserts that each of `min_occurrences` was counted at least that
+/// often, summed over all seeds.
 pub fn check_runs_with(
     what: &str,
     size: Size,
--- a/crates/latchtrack-core/tests/simulation/decision_trace.rs
+++ b/crates/latchtrack-core/tests/simulation/decision_trace.rs
@@ -1,9 +1,9 @@
-//! Prints one line for each of its seeded runs: a digest of all that their leaders decided.
-//! Two versions of the sources that decide alike print the same.
+//! Prints one line per seeded run, with a digest of all decisions of its leaders.
+//! Two versions of the sources that decide alike print the same lines.
 //!
 //!     cargo run --release -p latchtrack-core --example decision_trace
 
-#[allow(dead_code, reason = "the simulation's tests use the rest")]
+#[allow(dead_code, reason = "the simulation tests use the rest")]
 mod world;
 
 use std::ops::Range;
@@ -16,10 +16,10 @@
 use world::World;
 use PlannedFault::*;
 
-/// Cells that share a limit.
+/// Number of cells that share a limit.
 const CELLS: usize = 3;
 
-/// Runs of a world over some seeds, with faults at set times.
+/// Runs of a world of one size over a range of seeds, with planned faults.
 struct Scenario {
     name: &'static str,
     size: Size,
@@ -36,7 +36,7 @@
     Scenario { name, size, seeds, plan: plan.to_vec() }
 }
 
-fn chance_faults_and_moves() -> Vec<Scenario> {
+fn random_faults_and_moves() -> Vec<Scenario> {
     let hang = [(15_000, HangMachines(0.3, 10_000)), (40_000, CrashAllNodes)];
     vec![
         scenario("chance", SMALL, 0..16, &[]),
@@ -103,10 +103,10 @@
     ]
 }
 
-/// All scenarios; the order, names and seeds are part of what is compared.
+/// All scenarios. Their order, names and seeds are part of the compared output.
 fn scenarios() -> impl Iterator<Item = Scenario> {
     let groups = [
-        chance_faults_and_moves(),
+        random_faults_and_moves(),
         node_faults(),
         machine_and_job_faults(),
         message_faults(),
--- a/crates/latchtrack-core/tests/simulation/disabled_guards.rs
+++ b/crates/latchtrack-core/tests/simulation/disabled_guards.rs
@@ -1,10 +1,10 @@
-//! Each guard is disabled once, from outside the core, to show that the referee would tell.
+//! Each guard is disabled once, from outside the core, to show that the rule checks detect it.
 
 use super::world::guards::DisabledGuard;
 use super::world::size::{Size, SMALL};
 use super::world::World;
 
-/// Runs seeds until the checker speaks up; panics if it never does.
+/// Runs seeds until `rule` is reported as broken. Panics if it never is.
 fn assert_violation(guard: DisabledGuard, rule: &str) {
     for seed in 0..300 {
         let mut world = World::new(seed, guard);
@@ -28,8 +28,8 @@
 
 #[test]
 fn acting_without_a_valid_lease_is_caught() {
-    // Tokens protect the machines as long as a successor speaks to the machines; alone, the lease
-    // must.
+    // Once a successor has contacted the machines, its higher token protects them. Without a
+    // successor only the lease does.
     let without_successors = |seed, guard| {
         let mut world = World::new(seed, guard).without_successors();
         world.run();
@@ -90,7 +90,7 @@
     assert_violation(DisabledGuard::WaitingTaskStatus, "two_attempts");
 }
 
-/// The tasks of a gang that are not in one attempt never find each other.
+/// Tasks of a gang that are launched in different attempts never find each other.
 #[test]
 fn running_gang_tasks_independently_is_caught() {
     assert_violation(DisabledGuard::GangAtomicity, "two_attempts");
@@ -103,7 +103,8 @@
 
 #[test]
 fn accepting_late_heartbeat_copies_is_caught() {
-    // Its window is short, between a failover and the answer to a first probe: many copies.
+    // Only a copy between a failover and the response to the first probe does harm, so many are
+    // sent.
     let size = Size { duplicate_probability: 0.5, ..SMALL };
     let caught = (0..300).any(|seed| {
         let mut world = World::sized(seed, DisabledGuard::HeartbeatFreshness, size);
@@ -115,8 +116,8 @@
 
 #[test]
 fn writing_shards_without_a_revision_check_is_caught() {
-    // Its window is short too: a machine that is missing in the set must be out of reach as well.
-    // Without gangs, as it was found.
+    // Also rare: a machine that is missing in the stored set must also be unreachable. No gangs,
+    // as in the run that first showed the fault.
     let size = Size {
         fault_probability: 0.09,
         submit_probability: 0.04,
--- a/crates/latchtrack-core/tests/simulation/fault_interactions.rs
+++ b/crates/latchtrack-core/tests/simulation/fault_interactions.rs
@@ -1,5 +1,5 @@
-//! Two faults at once: a test for each meeting that has broken rules, or might. The table in
-//! docs/fault-interactions.md names them; what users are answered is tested over real sockets.
+//! Two faults at once: a test for each combination that has broken rules, or might. They are listed
+//! in docs/fault-interactions.md. Responses to users are tested over real sockets instead.
 
 use super::checks::check_runs_with;
 use super::world::faults::PlannedFault;
@@ -8,19 +8,19 @@
 use super::world::World;
 use PlannedFault::*;
 
-/// More of everything that runs long, so that faults find tasks at work.
+/// Enough jobs that tasks are running whenever a fault begins.
 const CROWDED: Size =
     Size { initial_jobs: 25, submit_probability: 0.03, limited_team_cpus: 60.0, ..BUSY };
 
-/// The limited team is at its limit, at nearly all times.
+/// The limited team is at its limit nearly all the time.
 const AT_LIMIT: Size =
     Size { initial_jobs: 15, submit_probability: 0.015, limited_team_cpus: 16.0, ..BUSY };
 
-/// The world's `cancel_s` is 25 s, its workers' lease 15 s, its leaders' 3 s.
+/// An outage longer than `cancel_s` (25 s), the worker lease (15 s) and the leader lease (3 s).
 const LONG_OUTAGE_MS: u64 = 32_000;
 
-/// A day of cancellations between the refusal of the leader and an outage, as far apart as these
-/// say.
+/// Twice: the state service refuses the leader, users cancel jobs, and a long outage begins. The
+/// offsets are in ms from the refusal.
 fn refusal_then_outage(cancelled_after: u64, outage_after: u64) -> Vec<(u64, PlannedFault)> {
     let once = |at: u64| {
         [
@@ -34,11 +34,17 @@
 
 #[test]
 fn cancellation_while_the_leader_is_refused_before_an_outage() {
-    // An outage before the leader's lease has run out, at its end, and after a second leader has
-    // won and, with luck, not read the stored state yet.
+    // The outage begins before the leader's lease expires, as it expires, or once a second leader
+    // is elected that may not have read the stored state yet.
     for outage_after in [1_000, 2_000, 2_900, 3_100, 3_400, 4_500] {
         let plan = refusal_then_outage(700, outage_after);
-        check_runs_with("gap", CROWDED, 0..6, &plan, &[("cancelled while running", 30)]);
+        check_runs_with(
+            "refusal, then outage",
+            CROWDED,
+            0..6,
+            &plan,
+            &[("cancelled while running", 30)],
+        );
     }
 }
 
@@ -46,7 +52,13 @@
 fn cancellation_at_the_time_the_leader_is_refused() {
     for outage_after in [100, 1_000] {
         let plan = refusal_then_outage(0, outage_after);
-        check_runs_with("at the moment", CROWDED, 0..6, &plan, &[("cancelled while running", 30)]);
+        check_runs_with(
+            "at the same time",
+            CROWDED,
+            0..6,
+            &plan,
+            &[("cancelled while running", 30)],
+        );
     }
 }
 
@@ -54,7 +66,7 @@
 fn cancellation_with_hung_machines_before_a_long_outage() {
     let mut plan = refusal_then_outage(600, 1_500);
     plan.extend([(21_500, CancelRunning(8, 14_000)), (91_000, CancelRunning(8, 30_000))]);
-    check_runs_with("hanging", CROWDED, 0..12, &plan, &[("cancelled while running", 100)]);
+    check_runs_with("hung machines", CROWDED, 0..12, &plan, &[("cancelled while running", 100)]);
 }
 
 #[test]
@@ -84,7 +96,7 @@
         (90_000, RollingRestart(5_000)),
     ];
     let min_occurrences = [("late write", 100), ("response lost", 300)];
-    check_runs_with("lost answers", CROWDED, 0..12, &plan, &min_occurrences);
+    check_runs_with("lost responses", CROWDED, 0..12, &plan, &min_occurrences);
 }
 
 #[test]
@@ -190,7 +202,7 @@
             ])
         })
         .collect();
-    check_runs_with("changing hands", CROWDED, 0..12, &plan, &[("cancelled while running", 150)]);
+    check_runs_with("leader changes", CROWDED, 0..12, &plan, &[("cancelled while running", 150)]);
 }
 
 #[test]
@@ -206,7 +218,7 @@
 
 #[test]
 fn stream_of_small_jobs_with_a_quarter_cancelled() {
-    // The puts of one leader among five, at 15 a second for all.
+    // The write interval of one leader among five nodes that share 15 puts a second.
     let size = Size { write_interval_ms: 800, fault_period_ms: 240_000, end_ms: 900_000, ..BUSY };
     let plan = [
         (2_000, SmallJobStream(238_000)),
@@ -244,7 +256,7 @@
             ])
         })
         .collect();
-    check_runs_with("apart", CROWDED, 0..12, &plan, &[("cancelled while running", 150)]);
+    check_runs_with("leader refused", CROWDED, 0..12, &plan, &[("cancelled while running", 150)]);
 }
 
 #[test]
@@ -260,7 +272,7 @@
     assert!(terms >= 8 * 8, "{terms} terms");
 }
 
-/// All of it at once, beside what chance brings.
+/// All faults of this file at once, with random faults beside them.
 #[test]
 fn all_fault_interactions_at_once() {
     let size = Size { fault_probability: 0.01, duplicate_probability: 0.1, ..CROWDED };
@@ -284,7 +296,7 @@
     check_runs_with("all at once", size, 0..40, &plan, &min_occurrences);
 }
 
-/// Over a fleet, with half as many machines again as the largest in use.
+/// Faults of this file in a fleet of over a thousand machines.
 #[test]
 fn fault_interactions_in_a_fleet() {
     let plan = [
@@ -300,14 +312,14 @@
     check_runs_with("fleet", FLEET, 0..1, &plan, &[("cancelled while running", 40)]);
 }
 
-/// The referee tells when a guard is missing, for some seed of a meeting.
+/// Asserts that, for some seed, `rule` is reported as broken with the guard disabled.
 fn assert_violation(guard: DisabledGuard, rule: &str, size: Size, plan: &[(u64, PlannedFault)]) {
-    let speaks = |seed| {
+    let is_violated = |seed| {
         let mut world = World::sized(seed, guard, size).with_planned_faults(plan);
         world.run();
         world.violations.iter().any(|v| v.starts_with(rule))
     };
-    assert!((0..60).any(speaks), "{guard:?} was never caught as {rule}");
+    assert!((0..60).any(is_violated), "{guard:?} was never caught as {rule}");
 }
 
 #[test]
@@ -328,7 +340,7 @@
 
 #[test]
 fn leaving_a_job_waiting_despite_free_capacity_is_caught() {
-    // Work must go on for long after the faults, or there is no machine with room.
+    // There must be work long after the faults, or no machine with free capacity is left.
     let size = Size {
         initial_jobs: 40,
         submit_probability: 0.02,
--- a/crates/latchtrack-core/tests/simulation/fleets.rs
+++ b/crates/latchtrack-core/tests/simulation/fleets.rs
@@ -7,8 +7,8 @@
 use super::world::stats::JobCounts;
 use super::world::World;
 
-/// Over a thousand machines, five nodes, and the puts that one leader has among them: the rules
-/// hold, all gets done, and it takes a bounded number of puts and calls.
+/// Over a thousand machines, and the write rate of one leader among five nodes: the rules hold, all
+/// jobs finish, and the numbers of puts, direct calls and scheduling cycles are bounded.
 #[test]
 fn a_fleet_takes_a_bounded_number_of_operations() {
     let mut terms = 0;
@@ -26,22 +26,23 @@
         );
         terms += world.stats.terms;
         assert!(done > 200 && tasks > 5_000, "{done} jobs, {tasks} tasks");
-        // One for a job's end, few for its results and for the machines of all jobs. A leader with
-        // a put for each machine would need over a thousand more for every boot of this fleet.
+        // One put for a job's end and a few for its results and the machine sets. A leader that put
+        // each machine by itself would need over a thousand more whenever this fleet boots.
         assert!(world.stats.puts < 5 * done, "{} puts", world.stats.puts);
-        // One to start a task on an idle machine, one to probe each machine in each term.
+        // At most one call per task, to start it on an idle machine, and one probe per machine and
+        // term.
         let max_calls = tasks + world.stats.terms * world.stats.max_machines_up as u64;
         assert!(world.stats.calls < max_calls, "{} calls, {max_calls} at most", world.stats.calls);
-        // One a step at most, however many heartbeats come in it; of a leader, and of one that does
-        // not know yet that it is none any more.
+        // At most one cycle per step, however many heartbeats arrive in it; twice that, as a
+        // deposed leader may not know yet that it no longer leads.
         let max_cycles = 2 * size.end_ms / size.step_ms;
         assert!(
             world.stats.cycles < max_cycles,
             "{} cycles, {max_cycles} at most",
             world.stats.cycles
         );
-        // The leader knows what is there: machines of at most eight CPUs with the runs on them and
-        // a few that have ended, and the open jobs.
+        // The leader keeps only what exists: the runs on machines of at most eight CPUs, a few that
+        // have ended, and the open jobs.
         let max_runs = 12 * world.stats.max_machines_up;
         assert!(
             world.stats.max_task_runs < max_runs,
@@ -54,7 +55,7 @@
     assert!(terms > 5, "{terms} terms");
 }
 
-/// A failover, a cut zone and a lost state service, with so many machines up.
+/// Failovers, a zone partition and an outage, with at least `min_machines` machines up.
 fn check_huge_fleet(size: Size, min_machines: usize) {
     use PlannedFault::*;
     let plan = [
@@ -73,7 +74,7 @@
         "{} machines up",
         world.stats.max_machines_up
     );
-    // At least a zone of three.
+    // At least the machines of one of the three zones.
     assert!(
         world.stats.max_machines_overdue * 3 > min_machines,
         "{} overdue at once",
@@ -93,7 +94,7 @@
     check_huge_fleet(HUGEST, 5_800);
 }
 
-/// The same over a fleet, with chance faults beside.
+/// Planned and random faults in a fleet.
 #[test]
 fn a_fleet_survives_a_partition_a_pause_and_an_outage() {
     use PlannedFault::*;
--- a/crates/latchtrack-core/tests/simulation/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs in each fault that may meet them at each stage: starting, waiting, running, stopping.
+//! Gangs under each fault that can hit them while they start, wait, run or stop.
 
 use super::checks::check_runs_with;
 use super::world::faults::PlannedFault;
@@ -7,7 +7,7 @@
 use super::world::World;
 use PlannedFault::*;
 
-/// Most jobs are gangs, half of them of a team that a few of them bring to its limit.
+/// Most jobs are gangs, half of them of a team whose limit a few of them reach.
 const GANGS: Size = Size {
     gang_probability: 0.8,
     initial_jobs: 15,
@@ -16,7 +16,7 @@
     ..BUSY
 };
 
-/// A fault again and again, so that it meets attempts at every stage.
+/// A fault at regular intervals, in ms, so that it hits attempts at every stage.
 fn repeat_fault(
     first: u64,
     every: u64,
@@ -41,7 +41,7 @@
     for (what, fault) in [
         ("hang within the lease", HangMachines(0.2, 6_000)),
         ("hang beyond it", HangMachines(0.15, 20_000)),
-        ("cut", PartitionMachines(0.2, 12_000)),
+        ("partitioned", PartitionMachines(0.2, 12_000)),
         ("die", LoseZoneMachines(0.3)),
     ] {
         let plan = repeat_fault(15_000, 9_000, 14, fault);
@@ -72,8 +72,8 @@
     check_runs_with("cancelled", GANGS, 0..8, &plan, &min_occurrences);
 }
 
-/// A gang that fits one zone only waits for that zone, and loses nothing of what it may still run
-/// in.
+/// A zone is partitioned for longer than the worker lease. A gang that fits only that zone waits
+/// for it, and keeps the machines that it may still use.
 #[test]
 fn a_gangs_zone_is_partitioned_beyond_a_lease() {
     let plan = [
@@ -108,10 +108,10 @@
     check_runs_with("late", size, 0..8, &plan, &min_occurrences);
 }
 
-/// All gangs are as large as their team's limit, nearly.
+/// Nearly all gangs are as large as their team's limit.
 #[test]
 fn gangs_as_large_as_their_teams_limit_take_turns() {
-    // Few enough that the team can do them one after the other.
+    // Few enough to run one after the other within the limit.
     let size = Size { limited_team_cpus: 8.0, initial_jobs: 8, submit_probability: 0.005, ..GANGS };
     let plan = [
         (30_000, CrashAllNodes),
@@ -121,8 +121,8 @@
     check_runs_with("at the limit", size, 0..8, &plan, &[("gang done", 60)]);
 }
 
-/// The limits of the state service are lowered in the middle of it all: leaders that were told of
-/// it before are refused nothing, and what earlier ones stored larger is split.
+/// The state service's limits are lowered during the run. Leaders whose own limits were lowered
+/// before are refused nothing, and split the larger values of earlier leaders.
 #[test]
 fn write_limits_are_lowered_while_leaders_change() {
     let size = Size {
@@ -133,7 +133,7 @@
         limited_team_cpus: 60.0,
         ..BUSY
     };
-    let told = [
+    let lowered_for_leaders = [
         (0, LeaderWriteLimits(900, 8)),
         (15_000, LateWrites(0.3, 100_000)),
         (30_000, LeaderWriteLimits(300, 4)),
@@ -145,19 +145,26 @@
     ];
     let mut refused = 0;
     for seed in 0..8 {
-        let mut world = World::sized(seed, DisabledGuard::None, size).with_planned_faults(&told);
+        let mut world =
+            World::sized(seed, DisabledGuard::None, size).with_planned_faults(&lowered_for_leaders);
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
-        // A copy of an earlier leader's write may come late, and is refused in any case.
+        // Only late copies of an earlier leader's writes are refused.
         refused += world.occurrences.get("write refused").copied().unwrap_or(0);
     }
     assert!(refused < 8 * 5, "{refused} refused");
-    // Nobody told the leaders: what is refused goes on in smaller pieces, and the work gets done.
-    let untold = [
+    // The leaders' limits stay: they split what is refused, and all jobs finish.
+    let lowered_for_store_only = [
         (0, LeaderWriteLimits(900, 8)),
         (40_000, StoreWriteLimits(300, 2)),
         (80_000, CrashAllNodes),
     ];
-    check_runs_with("untold", size, 0..4, &untold, &[("write refused", 10)]);
+    check_runs_with(
+        "lowered for the store only",
+        size,
+        0..4,
+        &lowered_for_store_only,
+        &[("write refused", 10)],
+    );
 }
--- a/crates/latchtrack-core/tests/simulation/main.rs
+++ b/crates/latchtrack-core/tests/simulation/main.rs
@@ -1,8 +1,8 @@
-//! Seeded runs of the core in a small world that loses, delays, repeats and reorders messages as
-//! the protocol allows, with nodes that crash, pause and drift, machines that die, hang and are
-//! cut off, and outages of the state service and the cloud. After each step every rule is checked
-//! against what really runs. Each guard is disabled once on purpose, from outside the core, to
-//! show that the checks would tell.
+//! Seeded runs of the core in a simulated world that loses, delays, repeats and reorders messages
+//! as the protocol allows. Nodes crash, pause and have drifting clocks; machines die, hang and are
+//! partitioned; the state service and the cloud have outages. Every rule is checked against the
+//! tasks that actually run. Each guard is disabled once, from outside the core, to show that the
+//! checks detect it.
 
 mod balance;
 mod checks;
@@ -19,17 +19,17 @@
 use world::trace::DecisionTrace;
 use world::World;
 
-/// Seeds of the runs with chance faults.
+/// Seeds of the runs with random faults.
 const SEEDS: std::ops::Range<u64> = 0..60;
 
-/// What all seeds came to together.
+/// Sums over all seeds.
 #[derive(Debug, Default)]
 struct Totals {
     jobs_done: usize,
     terms: u64,
-    /// Commands executed after their call was given up.
+    /// Direct calls whose commands were executed after the node had given up on the call.
     late_commands: u64,
-    /// Copies of heartbeats.
+    /// Duplicates of heartbeats that reached a node.
     duplicate_heartbeats: u64,
     gangs_done: u64,
     /// Times a task of a running gang was missing.
@@ -52,7 +52,7 @@
         total.gangs_done += times("gang done");
         total.gangs_interrupted += times("gang lost a task");
     }
-    // The runs must have been disturbed enough to mean something.
+    // The faults must have happened often enough for the runs to be a test.
     assert!(total.jobs_done > 600, "{total:?}");
     assert!(total.terms > 120, "{total:?}");
     assert!(total.late_commands > 100, "{total:?}");
@@ -61,7 +61,7 @@
     assert!(total.gangs_interrupted > 50, "{total:?}");
 }
 
-/// Otherwise the decisions of two versions could not be compared: see `decision_trace.rs`.
+/// Comparing two versions relies on this: see `decision_trace.rs`.
 #[test]
 fn a_seeded_run_is_deterministic() {
     let digest = |seed| {
@@ -74,8 +74,8 @@
     assert_ne!(digest(0), digest(1));
 }
 
-/// What fails a day in the users' eyes, in overload: a class, a team or a class's largest jobs of
-/// which less than half is served, or a largest job that has not begun within four minutes.
+/// In overload, at least half the jobs of each class, of each team and of the largest jobs of a
+/// class finish, and each largest job starts within four minutes.
 #[test]
 fn in_overload_all_classes_teams_and_largest_jobs_are_served() {
     for seed in 0..4 {
--- a/crates/latchtrack-core/tests/simulation/planned_faults.rs
+++ b/crates/latchtrack-core/tests/simulation/planned_faults.rs
@@ -1,4 +1,4 @@
-//! Faults at set times in a small world, each kind by itself.
+//! Planned faults in a small world, one kind per test.
 
 use super::checks::check_runs;
 use super::world::faults::PlannedFault;
@@ -13,11 +13,11 @@
         (20_000, PauseLeader(30_000)),
         (60_000, PauseFollower(30_000)),
         (65_000, PauseLeader(20_000)),
-        // Standing still through an outage, after which its lease has its full time again.
+        // Paused through an outage, after which its lease has its full duration again.
         (100_000, PauseLeader(25_000)),
         (101_000, StateServiceOutage(26_000)),
     ];
-    let terms = check_runs("standing still", BUSY, 0..12, &plan);
+    let terms = check_runs("pauses", BUSY, 0..12, &plan);
     assert!(terms >= 12 * 3, "{terms} terms");
 }
 
@@ -31,7 +31,7 @@
         (125_000, PartitionOtherZone(8_000)),
         (128_000, PauseLeader(16_000)),
     ];
-    let terms = check_runs("zone cut", BUSY, 0..12, &plan);
+    let terms = check_runs("zone partition", BUSY, 0..12, &plan);
     assert!(terms >= 12 * 3, "{terms} terms");
 }
 
@@ -47,7 +47,7 @@
         (80_000, StateServiceOutage(40_000)),
         (110_000, CrashAllNodes),
     ];
-    let terms = check_runs("everything at once", BUSY, 0..12, &plan);
+    let terms = check_runs("crashes and outages", BUSY, 0..12, &plan);
     assert!(terms >= 12 * 5, "{terms} terms");
 }
 
@@ -61,11 +61,11 @@
         (80_000, HangMachines(1.0, 22_000)),
         (120_000, HangMachines(0.3, 60_000)),
     ];
-    check_runs("hanging", BUSY, 0..12, &plan);
+    check_runs("hung machines", BUSY, 0..12, &plan);
 }
 
-/// All nodes away for twice the workers' lease while machines boot late or never, and again all but
-/// one: all work is lost with the agent epochs, and starts again on the machines that are there.
+/// All nodes, and later all but one, are down for twice the worker lease while machines boot late
+/// or never. All tasks are lost as the leases expire, and start again on the machines that are up.
 #[test]
 fn nodes_down_beyond_a_lease_during_slow_boots_lose_no_job() {
     use PlannedFault::*;
@@ -76,18 +76,18 @@
         (80_000, SlowBoots(0.01, 0.0, 30_000)),
         (112_000, CrashNodes(1, 25_000)),
     ];
-    let terms = check_runs("nodes away", BUSY, 0..8, &plan);
+    let terms = check_runs("nodes down", BUSY, 0..8, &plan);
     assert!(terms >= 8 * 3, "{terms} terms");
     let plan = [
         (1_500, SlowBoots(5.0, 0.2, 30_000)),
         (15_000, CrashNodes(5, 30_000)),
         (60_000, PauseLeader(12_000)),
     ];
-    check_runs("fleet, nodes away", FLEET, 1..2, &plan);
+    check_runs("fleet, nodes down", FLEET, 1..2, &plan);
 }
 
-/// Many jobs submitted with a mistake, and then faulty machines beside: good jobs are done, and
-/// what the broken ones cost is bounded, through changes of leader too.
+/// Jobs that fail on every machine, and later machines that fail every task: all other jobs finish,
+/// and the number of failures is bounded, also across leader changes.
 #[test]
 fn broken_jobs_cost_little_and_delay_no_other_job() {
     use PlannedFault::*;
@@ -104,8 +104,8 @@
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.poorly_served(), Vec::<String>::new(), "seed {seed}");
-        // 18 of up to six tasks, which start together once in each term at most, and then one a
-        // minute.
+        // 18 broken jobs of up to six tasks, which all start at most once in each term; after that
+        // one task a minute is tried.
         let max_failures = (18 + 30) * u64::from(BUSY.max_tasks) + 200;
         assert!(
             world.stats.failures < max_failures,
@@ -115,13 +115,13 @@
     }
 }
 
-/// A guest without a guarantee brings more than the machines can do for minutes, of three kinds,
-/// and takes nothing from the others for long, nor is left waiting.
+/// Best-effort jobs of three kinds keep all machines busy for minutes. They neither displace other
+/// jobs for long nor starve.
 #[test]
 fn best_effort_jobs_run_without_displacing_others() {
     use PlannedFault::*;
     let size = Size { fault_probability: 0.004, limited_team_cpus: 1e6, ..BUSY };
     let plan =
         [(20_000, SubmitBestEffortJobs), (60_000, CrashAllNodes), (90_000, SubmitBestEffortJobs)];
-    check_runs("guests", size, 0..6, &plan);
+    check_runs("best effort", size, 0..6, &plan);
 }
--- a/crates/latchtrack-core/tests/simulation/quota.rs
+++ b/crates/latchtrack-core/tests/simulation/quota.rs
@@ -1,4 +1,4 @@
-//! Cells that share a team's limit, of which several fail at the same time.
+//! Cells that share a team's limit while several of them fail at the same time.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -7,11 +7,11 @@
 use super::world::federation::{Federation, IgnoredCondition};
 use super::world::size::{Size, CELL, LARGE};
 
-/// The same with a limit that is less than one large gang in each cell, and more work than it
-/// allows.
+/// Like [`CELL`], with a limit below what one large gang in each cell would use, and more work than
+/// it allows.
 const TIGHT: Size =
     Size { limited_team_cpus: 14.0, submit_probability: 0.006, end_ms: 420_000, ..CELL };
-/// No faults by chance, and no jobs.
+/// No random faults, and no jobs but those that a test submits.
 const IDLE: Size = Size {
     fault_probability: 0.0,
     submit_probability: 0.0,
@@ -20,16 +20,16 @@
     ..CELL
 };
 const CELLS: usize = 3;
-/// Few faults by chance beside those that are planned.
-const FEW_CHANCE_FAULTS: Size = Size { fault_probability: 0.004, ..CELL };
+/// Few random faults beside the planned ones.
+const FEW_RANDOM_FAULTS: Size = Size { fault_probability: 0.004, ..CELL };
 const SEEDS: Range<u64> = 0..25;
-/// Many small jobs of the limited team on every controller at once.
+/// Twice, many small jobs of the limited team at once.
 const BURST: [(u64, PlannedFault); 2] = [
     (30_000, PlannedFault::SubmitLimitedBurst(40)),
     (90_000, PlannedFault::SubmitLimitedBurst(40)),
 ];
 
-/// What some seeds came to together.
+/// Sums and maxima over a range of seeds.
 #[derive(Default)]
 struct Totals {
     done: usize,
@@ -51,7 +51,8 @@
     }
 }
 
-/// Runs seeds with faults in some cells, and expects that no rule breaks and all work gets done.
+/// Runs one federation per seed with the faults of `plan` in some cells. Asserts that no rule is
+/// broken and all jobs finish.
 fn check_federations(
     name: &str,
     size: Size,
@@ -72,8 +73,8 @@
 }
 
 #[test]
-fn three_cells_under_chance_faults_share_a_limit() {
-    let totals = check_federations("chance", CELL, &[], &[], SEEDS);
+fn three_cells_under_random_faults_share_a_limit() {
+    let totals = check_federations("random faults", CELL, &[], &[], SEEDS);
     assert!(totals.done > 500, "{} jobs done", totals.done);
     assert!(totals.max_used_cpus > 36.0, "at most {} CPUs in use", totals.max_used_cpus);
     for what in ["watch skipped", "late write", "response lost", "stale write refused"] {
@@ -81,7 +82,7 @@
     }
 }
 
-/// Tasks and gangs of up to the whole limit, asked for everywhere at once.
+/// Every cell submits tasks and gangs of up to the whole limit.
 #[test]
 fn allotments_below_one_task_keep_the_limit_and_starve_no_cell() {
     let (mut begun, mut all) = (0, 0);
@@ -105,11 +106,11 @@
     assert!(totals.max_used_cpus > 38.0, "at most {} CPUs in use", totals.max_used_cpus);
 }
 
-/// Two cells of three fail at the same time, in one way, while the third takes what it can.
+/// Two of three cells fail in the same way at the same time, while the third claims what it can.
 fn check_two_failing_cells(name: &str, faults: &[(u64, PlannedFault)]) -> Totals {
     let mut plan = faults.to_vec();
     plan.extend(BURST);
-    let totals = check_federations(name, FEW_CHANCE_FAULTS, &[0, 1], &plan, 0..6);
+    let totals = check_federations(name, FEW_RANDOM_FAULTS, &[0, 1], &plan, 0..6);
     assert!(totals.done > 200, "{name}: {} jobs done", totals.done);
     totals
 }
@@ -117,7 +118,7 @@
 #[test]
 fn two_cells_without_controllers_keep_the_limit() {
     let totals =
-        check_two_failing_cells("all die", &[(40_000, PlannedFault::CrashNodes(2, 60_000))]);
+        check_two_failing_cells("all crash", &[(40_000, PlannedFault::CrashNodes(2, 60_000))]);
     assert!(totals.times("reclaimed") > 5, "{:?}", totals.occurrences);
 }
 
@@ -132,7 +133,10 @@
 
 #[test]
 fn two_cells_that_lose_their_workers_keep_the_limit() {
-    check_two_failing_cells("cut", &[(40_000, PlannedFault::PartitionMachines(1.0, 45_000))]);
+    check_two_failing_cells(
+        "partitioned",
+        &[(40_000, PlannedFault::PartitionMachines(1.0, 45_000))],
+    );
     check_two_failing_cells("inbound lost", &[(40_000, PlannedFault::LoseInbound(1.0, 45_000))]);
     check_two_failing_cells("outbound lost", &[(40_000, PlannedFault::LoseOutbound(1.0, 45_000))]);
 }
@@ -146,14 +150,14 @@
 fn two_cells_in_rolling_restarts_keep_the_limit() {
     let rolls: Vec<(u64, PlannedFault)> =
         (0..8).map(|i| (40_000 + i * 8_000, PlannedFault::RollingRestart(4_000))).collect();
-    check_two_failing_cells("flap", &rolls);
+    check_two_failing_cells("rolling restarts", &rolls);
 }
 
 #[test]
 fn two_cells_with_paused_leaders_keep_the_limit() {
-    let frozen =
+    let pauses =
         [(40_000, PlannedFault::PauseLeader(9_000)), (55_000, PlannedFault::PauseLeader(9_000))];
-    check_two_failing_cells("frozen", &frozen);
+    check_two_failing_cells("paused", &pauses);
 }
 
 #[test]
@@ -169,25 +173,25 @@
 #[test]
 fn an_outage_beyond_every_lease_keeps_the_limit() {
     let plan = [(40_000, PlannedFault::StateServiceOutage(50_000)), BURST[0], BURST[1]];
-    let totals = check_federations("down", FEW_CHANCE_FAULTS, &[0, 1, 2], &plan, 0..8);
+    let totals = check_federations("down", FEW_RANDOM_FAULTS, &[0, 1, 2], &plan, 0..8);
     assert!(totals.done > 400, "{} jobs done", totals.done);
 }
 
-/// Dead cells come back at about the time at which what they hold is reclaimed.
+/// Two crashed cells restart at about the time when their allotments are reclaimed.
 #[test]
 fn cells_that_return_as_they_are_reclaimed_keep_the_limit() {
     let mut reclaims = 0;
     for step in 0..12 {
-        // Leases and margin are 20 s and a little, counted from the end of the leader's lease.
+        // Allotments are reclaimed a little over 20 s after the leader's lease has expired.
         let down = 20_500 + step * 300;
         let plan = [(40_000, PlannedFault::CrashNodes(2, down)), BURST[0], BURST[1]];
-        let totals = check_federations("return", FEW_CHANCE_FAULTS, &[0, 1], &plan, step..step + 2);
+        let totals = check_federations("return", FEW_RANDOM_FAULTS, &[0, 1], &plan, step..step + 2);
         reclaims += totals.times("reclaimed") + totals.times("reclaim refused");
     }
     assert!(reclaims > 3, "{reclaims} reclaims");
 }
 
-/// The first overshoot of some seeds with a condition of the state service left out.
+/// The first `quota` violation of any seed while the state service ignores a condition.
 fn find_overshoot(ignored: IgnoredCondition, plan: &[(u64, PlannedFault)]) -> Option<String> {
     (0..120).find_map(|seed| {
         let federation = Federation::new(seed, CELLS, TIGHT, ignored);
@@ -208,7 +212,7 @@
     assert!(find_overshoot(IgnoredCondition::Leases, &plan).is_some());
 }
 
-/// Over 4,000 machines in two cells that share one limit, one of which dies whole for a while.
+/// Over 4,000 machines in two cells that share one limit; all nodes of one crash for 45 s.
 #[test]
 #[ignore = "a long run, not for CI"]
 fn two_cells_of_over_four_thousand_machines_share_a_limit() {
@@ -237,7 +241,7 @@
     println!("{up} machines, {} jobs done, {} writes", federation.jobs_done(), federation.writes);
 }
 
-/// Steps until a moment.
+/// Steps until `until`, ms. Panics if a rule is broken.
 fn run_until(federation: &mut Federation, until: u64) {
     while federation.now() < until {
         federation.step();
@@ -245,7 +249,7 @@
     }
 }
 
-/// Thousandths of a CPU that are allotted to a cell.
+/// Millicpus allotted to a cell; 0 if the ledger is missing or unreadable.
 fn allotted(federation: &Federation, cell: &str) -> u64 {
     federation.ledger().map_or(0, |ledger| ledger.allotted_to(cell).millicpus)
 }
@@ -261,7 +265,11 @@
         run_until(&mut federation, 8_000);
         federation.cells[0].submit_limited(40, 1.0);
         run_until(&mut federation, 11_000);
-        assert_eq!(allotted(&federation, "cell-0"), 40_000, "most of it idle, while machines boot");
+        assert_eq!(
+            allotted(&federation, "cell-0"),
+            40_000,
+            "the whole limit, mostly unused while machines boot"
+        );
         federation.cells[0].cancel_all();
         federation.cells[1].submit_limited(10, 1.0);
         let asked = federation.now();
@@ -277,8 +285,8 @@
     }
 }
 
-/// One cell uses the whole limit with tasks that end and has more, another wants as much; a third
-/// asks for what the guarantee covers.
+/// One cell uses the whole limit and has more work waiting, and another wants as much. A third asks
+/// for what the team's guarantee covers.
 #[test]
 fn a_guarantee_is_met_as_tasks_of_other_cells_end() {
     for seed in 0..6 {
@@ -293,7 +301,7 @@
         while allotted(&federation, "cell-1") < 4_000 {
             let next = federation.now() + 50;
             run_until(&mut federation, next);
-            // The bound, and until four of some forty tasks of 2 to 45 s have ended.
+            // 3 s, and up to 5 s until four of about forty tasks of 2 to 45 s have ended.
             assert!(
                 federation.now() < asked + 3_000 + 5_000,
                 "seed {seed}: {:?}",
@@ -303,7 +311,7 @@
     }
 }
 
-/// A gang as large as the limit is asked for in two cells at once, while a third holds some of it.
+/// Two cells submit a gang as large as the limit at once, while a third uses part of the limit.
 #[test]
 fn two_gangs_as_large_as_the_limit_run_one_after_the_other() {
     for seed in 0..6 {
@@ -335,8 +343,8 @@
     }
 }
 
-/// Nothing is launched and nothing overwritten where the value can't be used; the other team goes
-/// on.
+/// While a team's ledger is unreadable, none of its tasks is launched and the ledger is not
+/// overwritten; the other team's tasks run.
 #[test]
 fn an_unusable_ledger_stops_only_its_team() {
     let newer = r#"{"version":9,"limit":{"millicpus":40000},"how":"unknown"}"#;
@@ -356,7 +364,7 @@
     }
 }
 
-/// More is allotted than the limit: nothing new starts, and what is given back brings it in order.
+/// More than the limit is allotted: nothing new starts until the cells have returned the excess.
 #[test]
 fn an_overallotted_ledger_is_corrected_by_its_cells() {
     let text = r#"{"version":1,"limit":{"millicpus":40000},"complete":true,"cells":{
@@ -365,7 +373,7 @@
     let mut federation = idle_federation(3).with_stored_ledger(text);
     federation.cells[2].submit_limited(4, 1.0);
     run_until(&mut federation, 30_000);
-    let ledger = federation.ledger().expect("a value");
+    let ledger = federation.ledger().expect("a readable ledger");
     assert!(!ledger.is_overallotted(), "{ledger:?}");
     run_until(&mut federation, 90_000);
     assert_eq!(federation.unfinished(), Vec::<String>::new());
@@ -381,7 +389,7 @@
     run_until(&mut federation, 40_000);
     assert!(federation.max_used_cpus > 30.0, "{} in use", federation.max_used_cpus);
     federation.set_limit(10.0);
-    // Every task ends within 45 s; the fetch of one that was launched before takes 2 s.
+    // Every task ends within 45 s of its start, and one launched before starts within 2 s.
     run_until(&mut federation, 90_000);
     assert!(federation.total_used_cpus() <= 10.0, "{} in use", federation.total_used_cpus());
     federation.set_limit(40.0);
--- a/crates/latchtrack-core/tests/simulation/world/chance_faults.rs
+++ b/crates/latchtrack-core/tests/simulation/world/chance_faults.rs
@@ -1,4 +1,4 @@
-//! Faults by chance, while the world's period of faults lasts.
+//! Random faults, which begin only within the fault period of the run.
 
 use rand::Rng;
 
@@ -6,13 +6,13 @@
 use super::{World, WORKER_LEASE_MS, ZONES};
 
 impl World {
-    /// Whether faults by chance may come.
-    pub(super) fn has_chance_faults(&self) -> bool {
+    /// Whether random faults may still begin.
+    pub(super) fn has_random_faults(&self) -> bool {
         self.now < self.size.fault_period_ms
     }
 
-    /// Perhaps begins a fault of a node, a zone, a service or a machine.
-    pub(super) fn begin_chance_fault(&mut self) {
+    /// With the configured probability, begins a fault of a node, zone, service or machine.
+    pub(super) fn begin_random_fault(&mut self) {
         if !self.chance(self.size.fault_probability) {
             return;
         }
@@ -31,7 +31,7 @@
                 let until = until + self.rng.random_range(0..WORKER_LEASE_MS);
                 self.faults.zone_partition = Some(ZonePartition { zone, until });
             }
-            // The leader, which keeps hearing its workers.
+            // The state service refuses the leader, which still receives heartbeats.
             12 => {
                 if let Some(leader) = self.leader {
                     self.nodes[leader.node].refused_until = until;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Begins a fault of one of the machines.
+    /// Begins a fault of a random machine.
     fn begin_machine_fault(&mut self, for_ms: u64) {
         let until = self.now + for_ms;
         let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -59,17 +59,17 @@
                 self.workers.remove(name);
             }
             2..=5 => worker.partitioned_until = until + 10_000,
-            // A machine that hangs for longer than its lease is as good as dead.
+            // A machine that hangs for longer than its lease loses its tasks, as if it had died.
             6 | 7 => worker.hung_until = self.now + for_ms / 2,
             8 => worker.fails_tasks = true,
             _ => worker.inbound_lost_until = until + 2 * WORKER_LEASE_MS,
         }
     }
 
-    /// Ends the process of a node, which comes back soon.
+    /// Ends the process of a node, which restarts after 150 ms or 2 s.
     pub(super) fn crash(&mut self, n: usize) {
         self.nodes[n].crash();
-        // Now and then within a fraction of a second, also in mid-election.
+        // Often within a fraction of a second, which may be during an election.
         let back_ms = if self.rng.random_bool(0.4) { 150 } else { 2_000 };
         self.nodes[n].restarts_at = self.now + back_ms;
     }
--- a/crates/latchtrack-core/tests/simulation/world/cloud.rs
+++ b/crates/latchtrack-core/tests/simulation/world/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machines that are provisioned and listed.
+//! The cloud: it provisions and lists machines.
 
 use latchtrack_core::placement::Offer;
 use latchtrack_core::scheduler::{ListedMachine, ProvisionOutcome};
@@ -7,16 +7,16 @@
 use super::state::Worker;
 use super::{World, ZONES};
 
-/// ms for which a new machine is missing in the list.
+/// Time for which a new machine is missing in the list, ms.
 const LIST_LAG_MS: u64 = 3_000;
-/// Share of the boots that never end, without a fault.
+/// Probability that a machine never finishes booting while no boot fault is active.
 const NEVER_BOOTS_PROBABILITY: f64 = 0.03;
-/// When a machine is up that never boots.
+/// The `up_at` of a machine that never finishes booting.
 const NEVER: u64 = u64::MAX / 4;
 
 impl World {
-    /// Provisions machines, as many as the offer still has; a repeated request gets those that it
-    /// got before.
+    /// Provisions up to `number` machines, as many as the offer still has. A repeated request
+    /// returns the machines of the first one.
     pub(super) fn provision(
         &mut self,
         request_id: &str,
@@ -44,19 +44,19 @@
         ProvisionOutcome::Provisioned(names)
     }
 
-    /// Adds a machine that boots; returns its name.
+    /// Adds a booting machine and returns its name.
     fn new_machine(&mut self, offer: &Offer) -> String {
         self.next_machine += 1;
         self.stats.provisioned += 1;
         let name = format!("n-{:06}", self.next_machine);
         let boots = self.faults.boots;
         let is_faulty = self.now < boots.until;
-        let (slowdown, never) = if is_faulty {
+        let (slowdown, stuck_share) = if is_faulty {
             (boots.slowdown, boots.stuck_share)
         } else {
             (1.0, NEVER_BOOTS_PROBABILITY)
         };
-        let never_boots = self.chance(never);
+        let never_boots = self.chance(stuck_share);
         let boot_ms = (self.rng.random_range(500..9_000) as f64 * slowdown) as u64;
         let worker = Worker {
             machine_type: if offer.machine_type == "small" { "small" } else { "large" },
@@ -72,7 +72,7 @@
         name
     }
 
-    /// The machines that the cloud lists; None: it does not answer.
+    /// The machines that the cloud lists, or `None` during an outage.
     pub(super) fn list(&self) -> Option<Vec<ListedMachine>> {
         if self.now < self.faults.cloud_down_until {
             return None;
--- a/crates/latchtrack-core/tests/simulation/world/effects.rs
+++ b/crates/latchtrack-core/tests/simulation/world/effects.rs
@@ -1,4 +1,4 @@
-//! What a leader's scheduler is driven by, and what comes of its effects.
+//! Passes events to a leader's scheduler and carries out the effects it returns.
 
 use latchtrack_balance::balancer::MoveCounts;
 use latchtrack_core::machine::Command;
@@ -11,21 +11,21 @@
 use super::messages::{DirectCall, Message, Origin, Response};
 use super::World;
 
-/// ms after which a node gives up a direct call, whether or not it arrives.
+/// Time after which a node gives up on a direct call, whether or not it arrives, ms.
 const CALL_TIMEOUT_MS: u64 = 2_500;
-/// ms after which a node gives up a write.
+/// Time after which a node gives up on a write, ms.
 const WRITE_TIMEOUT_MS: u64 = 2_000;
-/// ms until a node that may not act sees its ledger write refused.
+/// Time until the ledger write of a node that may not act is refused, ms.
 const REFUSED_LEDGER_WRITE_MS: u64 = 500;
 
-/// The moves of a leader's term so far.
+/// The counts of moves in the scheduler's term so far.
 fn move_counts(scheduler: &Scheduler) -> MoveCounts {
     scheduler.balance_summary().map(|summary| summary.counts).unwrap_or_default()
 }
 
 impl World {
-    /// Hands an event to a node's scheduler and has its effects carried out; returns the commands
-    /// of the response, if it was a heartbeat that is responded to.
+    /// Passes an event to a node's scheduler and carries out its effects. Returns the commands of
+    /// the response if the event was a heartbeat that gets one.
     pub(super) fn process_event(&mut self, n: usize, event: Event) -> Option<Vec<Command>> {
         let node = &self.nodes[n];
         let origin = Origin { node: n, restarts: node.restarts, token: node.token };
@@ -70,7 +70,8 @@
         response
     }
 
-    /// Has the scheduler handle an event, and keeps the statistics.
+    /// Lets the scheduler handle an event, and updates the trace and the statistics. Returns `None`
+    /// if the node has no scheduler.
     fn run_scheduler(&mut self, n: usize, event: Event) -> Option<Vec<Effect>> {
         let now = self.clock(n);
         let scheduler = self.nodes[n].scheduler.as_mut()?;
@@ -100,7 +101,7 @@
 
     fn send_call(&mut self, direct_call: DirectCall) {
         self.stats.calls += 1;
-        let is_late = self.has_chance_faults() && self.chance(0.2);
+        let is_late = self.has_random_faults() && self.chance(0.2);
         let delay = if is_late { self.rng.random_range(2_600..40_000) } else { self.delay(0.0) };
         let DirectCall { origin, call, .. } = direct_call;
         let name = direct_call.worker.clone();
@@ -124,8 +125,8 @@
     fn send_provision(&mut self, origin: Origin, request_id: String, offer: Offer, number: u32) {
         let delay = self.delay(0.05);
         let response = Response::lost_if(self.chance(0.05));
-        if self.has_chance_faults() && self.chance(0.1) {
-            // A request that was carried out comes once more, late.
+        if self.has_random_faults() && self.chance(0.1) {
+            // A duplicate of the request arrives late.
             let resend_delay = self.rng.random_range(3_000..40_000);
             let (request_id, offer) = (request_id.clone(), offer.clone());
             let response = Response::Lost;
@@ -135,7 +136,7 @@
         self.post(delay, Message::Provision { origin, request_id, offer, number, response });
     }
 
-    /// A leader gives up the leader key.
+    /// Releases the leader key if the leader with this token still holds it.
     fn resign(&mut self, token: u64) {
         if self.leader.map(|leader| leader.token) == Some(token) {
             self.leader = None;
@@ -153,8 +154,8 @@
         self.post(REFUSED_LEDGER_WRITE_MS, Message::Event { origin, event });
     }
 
-    /// Sends the scheduler's next writes, if no others are under way. They may be late, sent twice,
-    /// or lose their response.
+    /// Sends the scheduler's next writes if none are in flight. They may be late or sent twice, or
+    /// their response may be lost.
     fn send_writes(&mut self, n: usize) {
         let now = self.clock(n);
         let node = &mut self.nodes[n];
@@ -184,11 +185,11 @@
             self.record_occurrence("response lost");
         }
         if delay > WRITE_TIMEOUT_MS || response == Response::Lost {
-            // Unknown to the node, and perhaps applied late.
+            // The node does not learn the outcome; the writes may still commit.
             let (writes, outcome) = (writes.clone(), BatchOutcome::Unknown);
             self.post(WRITE_TIMEOUT_MS, Message::WriteFinished { origin, writes, outcome });
         }
-        if self.has_chance_faults() && self.chance(0.1) {
+        if self.has_random_faults() && self.chance(0.1) {
             let resend_delay = self.rng.random_range(3_000..40_000);
             let writes = writes.clone();
             self.post(resend_delay, Message::Write { origin, writes, response: Response::Lost });
--- a/crates/latchtrack-core/tests/simulation/world/faults.rs
+++ b/crates/latchtrack-core/tests/simulation/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: those at set times, and what is under way of them.
+//! Planned faults, and the state of the faults that are active.
 
 use latchtrack_core::job::JobId;
 use rand::Rng;
@@ -6,96 +6,98 @@
 use super::state::{Worker, WriteLimits};
 use super::{World, ZONES};
 
-/// Machines that hang at most when their jobs are cancelled.
+/// Most machines that one [`PlannedFault::CancelRunning`] lets hang.
 const MAX_HANGING: usize = 8;
 
-/// A fault at a set time. Times are in ms, shares are probabilities for each machine or message.
+/// A fault that begins at a planned time. `u64` arguments are durations in ms; `f64` arguments are
+/// probabilities per machine, message or job, unless stated otherwise.
 #[derive(Clone, Copy, Debug)]
 pub enum PlannedFault {
+    /// All nodes crash, and restart after 150 ms or 2 s.
     CrashAllNodes,
-    /// Restarts the leader of the time as often as there are nodes, so many ms apart.
+    /// Crashes the current leader as many times as there are nodes, at this interval; once if 0.
     RollingRestart(u64),
-    /// The state service answers nothing for this time.
+    /// The state service does not respond for this time.
     StateServiceOutage(u64),
-    /// The leader executes nothing for this time; the others miss it.
+    /// The leader executes nothing for this time.
     PauseLeader(u64),
     /// The same for a node that does not lead.
     PauseFollower(u64),
-    /// The zone of the leader is cut off from everything for this time.
+    /// The zone of the leader is partitioned from everything else for this time.
     PartitionLeaderZone(u64),
     /// The same for another zone.
     PartitionOtherZone(u64),
     /// This share of the machines hangs for this time.
     HangMachines(f64, u64),
-    /// A guest submits all that it has.
+    /// A user submits large and many small best-effort jobs.
     SubmitBestEffortJobs,
-    /// So many nodes, the leader first, end and do not come back for this time.
+    /// This many nodes, the leader first, crash and restart after this time.
     CrashNodes(usize, u64),
-    /// For this time (last), boots take so many times as long, and this share of them never ends.
+    /// Boots take longer by this factor, and this share of them never ends, for this time.
     SlowBoots(f64, f64, u64),
-    /// So many jobs are submitted that fail on every machine.
+    /// Users submit this many jobs that fail on every machine.
     SubmitBrokenJobs(usize),
     /// This share of the machines fails every task from now on.
     FailTasksOnMachines(f64),
     /// The state service refuses all nodes for this time.
     StateServiceRefusesAll(u64),
-    /// So many jobs of one small task of the limited team at once; a quarter is cancelled at once.
+    /// Users submit this many one-task jobs of the limited team, and cancel a quarter of them at
+    /// once.
     SubmitLimitedBurst(usize),
-    /// The state service refuses the leader alone, which keeps hearing its workers, for this time.
+    /// The state service refuses only the leader, which still receives heartbeats, for this time.
     StateServiceRefusesLeader(u64),
-    /// Of this share of the machines heartbeats arrive, but responses and commands don't.
+    /// This share of the machines sends heartbeats but receives neither responses nor direct calls.
     LoseInbound(f64, u64),
-    /// This share of the machines reaches no node; direct calls reach them.
+    /// Heartbeats of this share of the machines are lost, but direct calls reach them.
     LoseOutbound(f64, u64),
-    /// This share of the machines is cut off; what they send is held back or lost.
+    /// This share of the machines is partitioned; what they send is delayed or lost.
     PartitionMachines(f64, u64),
-    /// Users cancel so many running jobs; some of their machines hang for this time.
+    /// Users cancel this many running jobs, and some of the machines hang for this time.
     CancelRunning(usize, u64),
-    /// For this time, this share of the jobs that end is cancelled as their last task ends.
+    /// For this time, this share of the finishing jobs is cancelled as the last task completes.
     CancelAtCompletion(f64, u64),
-    /// For this time, this share of the leader's writes gets no response and commits 2 to 12 s
-    /// late.
+    /// For this time, this share of the leader's writes commits 2 to 12 s late, without a response.
     LateWrites(f64, u64),
-    /// The same, but they commit at once: only the response is lost.
+    /// The same, but the writes commit without delay and only the response is lost.
     LostWriteResponses(f64, u64),
-    /// For this time, of this share of the heartbeats a copy is withheld, and reaches every node as
-    /// soon as a new leader begins.
+    /// For this time, copies of this share of the heartbeats are withheld, and sent to every node
+    /// when the next leader's term begins.
     ReplayToNextLeader(f64, u64),
-    /// For this time, four jobs of one task come a second; a quarter of them is cancelled.
+    /// For this time, users submit four one-task jobs a second and cancel a quarter of them.
     SmallJobStream(u64),
-    /// Leaders from now on keep to so many bytes of a value and so many changes of a transaction.
+    /// New leaders keep to this many bytes per value, and all to this many changes per transaction.
     LeaderWriteLimits(usize, usize),
-    /// The state service takes no more than that from now on.
+    /// The state service refuses more bytes per value or changes per transaction than these.
     StoreWriteLimits(usize, usize),
-    /// This share of the machines of a zone dies, where jobs of one zone are at work.
+    /// This share of the machines dies in a zone where a single-zone job runs.
     LoseZoneMachines(f64),
 }
 
-/// A share of events that a fault applies to, until a time.
+/// The share of events that a fault applies to until a time.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ShareUntil {
     pub share: f64,
     pub until: u64,
 }
 
-/// A zone that is cut off from everything else, until a time.
+/// A zone that is partitioned from everything else until a time.
 #[derive(Clone, Copy)]
 pub(super) struct ZonePartition {
     pub zone: &'static str,
     pub until: u64,
 }
 
-/// How machines boot, until a time.
+/// A fault of booting machines that lasts until a time.
 #[derive(Clone, Copy, Default)]
 pub(super) struct BootFault {
-    /// Times the usual boot.
+    /// Factor by which boots take longer.
     pub slowdown: f64,
-    /// Share of the boots that never end.
+    /// Probability that a boot never ends.
     pub stuck_share: f64,
     pub until: u64,
 }
 
-/// The faults under way that belong to no single node or machine.
+/// The active faults that do not belong to a single node or machine.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ActiveFaults {
     pub store_down_until: u64,
@@ -106,7 +108,7 @@
     pub lost_write_responses: ShareUntil,
     /// Heartbeats of which a copy is withheld for the next leader.
     pub withheld_heartbeats: ShareUntil,
-    /// Ending jobs that are cancelled.
+    /// Finishing jobs that are cancelled.
     pub cancelled_at_completion: ShareUntil,
     pub small_jobs_until: u64,
 }
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Restarts the leader of now, and the leader of each later time.
+    /// Crashes the current leader, and plans to crash whichever node leads after each interval.
     fn begin_rolling_restart(&mut self, leader: usize, interval_ms: u64) {
         self.crash(leader);
         if interval_ms > 0 {
@@ -215,7 +217,7 @@
         });
     }
 
-    /// Does something to a share of the machines.
+    /// Changes a random share of the machines.
     fn on_machines(&mut self, share: f64, change: impl Fn(&mut Worker)) {
         for worker in self.workers.values_mut() {
             if self.rng.random_bool(share) {
@@ -224,8 +226,8 @@
         }
     }
 
-    /// Users cancel jobs of which tasks run, of the limited team first, and machines of theirs
-    /// hang.
+    /// Cancels up to `count` jobs that have tasks on machines, the limited team's first, and lets
+    /// some of these machines hang.
     fn cancel_running(&mut self, count: usize, hang_ms: u64) {
         if self.now < self.faults.store_down_until {
             return;
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Draws whether a fault applies to an event now.
+    /// Draws whether an active fault applies to an event.
     pub(super) fn applies(&mut self, fault: ShareUntil) -> bool {
         self.now < fault.until && self.chance(fault.share)
     }
--- a/crates/latchtrack-core/tests/simulation/world/federation.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation.rs
@@ -1,5 +1,5 @@
-//! Several cells that share teams: each a world of its own, and one state service for what they
-//! share.
+//! A federation: several cells, each a world with its own state service, and a shared state service
+//! with the quota ledgers of their teams.
 
 mod shared_store;
 
@@ -18,67 +18,67 @@
 use super::state::{is_started, JobState, StoredJob};
 use super::{World, CPU_TOLERANCE};
 
-/// ms between two reads of what is shared, by a leader.
+/// Time between two reads of the ledgers by a cell's leader, ms.
 const READ_INTERVAL_MS: u64 = 250;
-/// ms after which a write without a response is given up.
+/// Time after which a node gives up on a ledger write without a response, ms.
 const WRITE_TIMEOUT_MS: u64 = 2_000;
-/// The team with a limit that all cells share.
+/// The team whose limit all cells share.
 pub const TEAM: &str = "limited";
 
-/// A change of what is shared, as a leader wants it.
+/// A ledger write and the leader that sends it.
 pub(super) struct SharedWrite {
     pub origin: Origin,
     pub write: LedgerWrite,
 }
 
-/// Which condition the shared state service ignores.
+/// The condition of ledger writes that the shared state service ignores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IgnoredCondition {
-    /// None: all hold.
+    /// All conditions are checked.
     Nothing,
-    /// The revision of the value.
+    /// That the ledger still has the expected revision.
     Revision,
-    /// The writer's leader key.
+    /// That the writer still holds its cell's leader key.
     Fence,
-    /// That cells which are taken for dead still are.
+    /// That the cells to be reclaimed still have no leader since the named term.
     DeadCells,
-    /// The leases in the records of the cells, which are taken for 0.
+    /// The lease durations in the records of the cells, which read as 0.
     Leases,
 }
 
 /// A message between a cell and the shared state service.
 enum SharedMessage {
-    /// A write under way.
+    /// A ledger write of a cell.
     Write { cell: usize, shared: SharedWrite, response: Response },
-    /// An event for a scheduler of the cell.
+    /// An event for a scheduler of a cell.
     Event { cell: usize, origin: Origin, event: Box<Event> },
 }
 
-/// Several cells and what they share.
+/// Several cells that share the limit of [`TEAM`].
 pub struct Federation {
-    /// The cells, each a world of its own.
+    /// The cells, each of them a world.
     pub cells: Vec<World>,
-    /// Rules that were broken, in any cell.
+    /// The violations of rules in all cells, each starting with the rule's name.
     pub violations: Vec<String>,
-    /// How often faults and what they were to bring about came about.
+    /// How often each fault, or situation that a fault is to cause, occurred in all cells.
     pub occurrences: BTreeMap<&'static str, u64>,
-    /// Most CPUs of the shared limit in use at a time.
+    /// Most CPUs of [`TEAM`] that were in use at once in all cells.
     pub max_used_cpus: f64,
-    /// Writes of what is shared that committed.
+    /// Number of committed ledger writes.
     pub writes: u64,
     rng: StdRng,
     ignored: IgnoredCondition,
     now: u64,
     size: Size,
-    /// Common to all cells, so that tokens and revisions can be compared.
+    /// The latest revision, common to all cells so that tokens and revisions can be compared.
     revision: u64,
-    /// The stored text of each team's value, with its revision.
+    /// The revision and stored text of each team's ledger.
     teams: BTreeMap<String, (u64, String)>,
     queue: BTreeMap<(u64, u64), SharedMessage>,
     next_id: u64,
-    /// When the leader of each cell reads next, ms.
+    /// When the leader of each cell next reads the ledgers, ms.
     next_read: Vec<u64>,
-    /// What any cell read last, which a watch that skips changes shows again.
+    /// The last snapshot that any cell read; a watch that skips changes returns it again.
     last_snapshot: LedgerSnapshot,
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl Federation {
-    /// So many cells of one size, at a state service that may ignore a condition.
+    /// Creates `cells` cells of one size and a shared state service that may ignore a condition.
     pub fn new(seed: u64, cells: usize, size: Size, ignored: IgnoredCondition) -> Federation {
         let world = |i: usize| {
             let mut world = World::sized(seed * 31 + i as u64, DisabledGuard::None, size);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// With faults at set times in some cells.
+    /// Adds planned faults, each with its time in ms, to some cells.
     pub fn with_planned_faults(
         mut self,
         cells: &[usize],
@@ -126,42 +126,44 @@
         self
     }
 
-    /// With a stored value of the shared team.
+    /// Stores a text, valid or not, as the ledger of [`TEAM`].
     pub fn with_stored_ledger(mut self, text: &str) -> Federation {
         self.teams.insert(TEAM.into(), (1, text.to_string()));
         self
     }
 
-    /// The stored text of the shared team's value.
+    /// The stored text of the ledger of [`TEAM`].
     pub fn stored_text(&self) -> Option<&str> {
         self.teams.get(TEAM).map(|(_, text)| text.as_str())
     }
 
-    /// The stored value disappears.
+    /// Deletes the stored ledger of [`TEAM`].
     pub fn delete_stored_ledger(&mut self) {
         self.teams.remove(TEAM);
         self.revision += 1;
-        self.record_occurrence("value lost");
+        self.record_occurrence("ledger lost");
     }
 
-    /// An operator changes the stored limit.
+    /// Changes the limit in the stored ledger, as an operator would. Does nothing if the ledger is
+    /// missing or unreadable.
     pub fn set_limit(&mut self, cpus: f64) {
         let Some(mut ledger) = self.ledger() else { return };
         ledger.limit = latchtrack_quota::Limit::of(cpus, 0.0);
         self.store_ledger(TEAM, &ledger);
     }
 
-    /// The stored value.
+    /// The ledger of [`TEAM`], or `None` if it is missing or unreadable.
     pub fn ledger(&self) -> Option<TeamLedger> {
         TeamLedger::parse(self.stored_text()?).ok()
     }
 
-    /// ms since the beginning.
+    /// The time, ms.
     pub fn now(&self) -> u64 {
         self.now
     }
 
-    /// Runs until its end, until a rule is broken, or until all work is done after the faults.
+    /// Runs until the end time or the first violation, or, after the fault period, until all jobs
+    /// have finished.
     pub fn run(&mut self) {
         while self.now < self.size.end_ms && self.violations.is_empty() {
             self.step();
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Open jobs of all cells.
+    /// The open jobs of all cells that can finish, each with its cell's name.
     pub fn unfinished(&self) -> Vec<String> {
         let of = |(i, cell): (usize, &World)| {
             let named = move |id: String| format!("{}: {id}", cell_name(i));
@@ -180,12 +182,13 @@
         self.cells.iter().enumerate().flat_map(of).collect()
     }
 
-    /// Jobs that are done, of all cells.
+    /// Number of done jobs in all cells.
     pub fn jobs_done(&self) -> usize {
         self.cells.iter().map(World::jobs_done).sum()
     }
 
-    /// How many jobs of a cell's limited team have begun, of how many.
+    /// How many jobs of [`TEAM`] have started in a cell, and how many there are, without cancelled
+    /// and broken ones.
     pub fn begun_jobs(&self, cell: usize) -> (usize, usize) {
         let counted = |j: &&StoredJob| {
             j.spec.team == TEAM && !j.always_fails && !matches!(j.state, JobState::Cancelled)
@@ -195,7 +198,7 @@
         (jobs.iter().filter(begun).count(), jobs.len())
     }
 
-    /// CPUs of the shared team in use in all cells.
+    /// CPUs that [`TEAM`] uses in all cells.
     pub fn total_used_cpus(&self) -> f64 {
         (0..self.cells.len()).map(|cell| self.used_cpus(cell)).sum()
     }
@@ -204,12 +207,12 @@
         *self.occurrences.entry(what).or_default() += 1;
     }
 
-    /// CPUs of the shared team that are in use in a cell.
+    /// CPUs of the started tasks of [`TEAM`] in a cell.
     pub fn used_cpus(&self, cell: usize) -> f64 {
         self.cpus_of(cell, is_started)
     }
 
-    /// CPUs that the tasks of the shared team in these phases take in a cell.
+    /// CPUs of the tasks of [`TEAM`] in a cell whose phase `counts`.
     fn cpus_of(&self, cell: usize, counts: impl Fn(TaskPhase) -> bool) -> f64 {
         let world = &self.cells[cell];
         let tasks = world.workers.values().flat_map(|w| &w.tasks).filter(|(_, t)| counts(t.phase));
@@ -217,7 +220,7 @@
         jobs.filter(|job| job.spec.team == TEAM).map(|job| job.spec.demand.cpus).sum()
     }
 
-    /// Lets time pass in all cells and at the state service.
+    /// Advances all cells and the shared state service by one step.
     pub fn step(&mut self) {
         self.now += self.size.step_ms;
         for i in 0..self.cells.len() {
@@ -227,7 +230,7 @@
             let claimed_elsewhere = elsewhere().map(|other| self.cpus_of(other, is_live)).sum();
             let cell = &mut self.cells[i];
             (cell.used_elsewhere, cell.claimed_elsewhere) = (used_elsewhere, claimed_elsewhere);
-            // What came between two steps has its own revisions already.
+            // Ledger writes since the cell's last step have advanced the common revision.
             cell.revision = cell.revision.max(self.revision);
             cell.step();
             self.revision = cell.revision;
@@ -278,7 +281,8 @@
         }
     }
 
-    /// A leader reads what is shared; now and then its watch has skipped what changed lately.
+    /// Sends a snapshot of the ledgers to a cell's leader if a read is due. Sometimes its watch has
+    /// skipped the latest changes.
     fn read_ledgers(&mut self, cell: usize) {
         if self.now < self.next_read[cell] {
             return;
--- a/crates/latchtrack-core/tests/simulation/world/federation/shared_store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation/shared_store.rs
@@ -1,5 +1,5 @@
-//! What the cells share in the state service: reading it, and transactions on it that may be slow,
-//! late, or lose their response.
+//! The shared state service: snapshots of the ledgers, and ledger writes that may be slow, late, or
+//! lose their response.
 
 use latchtrack_core::scheduler::Event;
 use latchtrack_quota::{
@@ -15,7 +15,7 @@
 };
 
 impl Federation {
-    /// What the cells share, as it is stored.
+    /// The stored ledgers, and the status of every cell that has had a leader.
     pub(super) fn snapshot(&self) -> LedgerSnapshot {
         let mut snapshot = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
         for (team, (revision, text)) in &self.teams {
@@ -39,7 +39,7 @@
         snapshot
     }
 
-    /// A write leaves a node: it may be slow, late, or lose its response.
+    /// Sends a ledger write, which may be slow, late, or lose its response.
     pub(super) fn send(&mut self, cell: usize, shared: SharedWrite) {
         let origin = shared.origin;
         let outcome = |outcome| {
@@ -66,7 +66,7 @@
         self.post(delay, SharedMessage::Write { cell, shared, response });
     }
 
-    /// Commits a write of a cell, if its conditions hold.
+    /// Commits a cell's ledger write if its conditions hold, and responds to it.
     pub(super) fn execute_write(&mut self, cell: usize, shared: SharedWrite, response: Response) {
         let SharedWrite { origin, write } = shared;
         let is_down = self.cells[cell].now < self.cells[cell].faults.store_down_until;
@@ -77,7 +77,7 @@
             WriteOutcome::NotStored
         };
         if outcome == WriteOutcome::NotStored {
-            // Its sender reads again at once.
+            // The sender reads the ledgers again in its next step.
             self.next_read[cell] = self.now;
         }
         if response == Response::Arrives {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Stores a team's ledger; returns its revision.
+    /// Stores a team's ledger and returns its new revision.
     pub(super) fn store_ledger(&mut self, team: &str, ledger: &TeamLedger) -> u64 {
         self.revision += 1;
         self.writes += 1;
@@ -95,7 +95,7 @@
         self.revision
     }
 
-    /// Counts what a write changes for its cell.
+    /// Counts reclaims, and whether a write raises or returns the allotment of its cell.
     fn record_change(&mut self, cell: usize, write: &LedgerWrite) {
         if !write.dead.is_empty() {
             self.record_occurrence("reclaimed");
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether the conditions of a write hold, or are ignored.
+    /// Whether each condition of a write holds or is ignored.
     fn may_store(&mut self, cell: usize, token: u64, write: &LedgerWrite) -> bool {
         let revision = self.teams.get(&write.team).map_or(0, |(revision, _)| *revision);
         if revision != write.expected_revision {
--- a/crates/latchtrack-core/tests/simulation/world/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/world/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs on the workers: the tasks of an attempt wait for each other, run together and end
+//! Gangs on the workers: the tasks of an attempt wait for each other, start together and end
 //! together.
 
 use std::collections::BTreeMap;
@@ -12,27 +12,28 @@
 use super::state::{is_started, AttemptKey, Worker, WorkerTask};
 use super::{World, CPU_TOLERANCE};
 
-/// ms that a task waits for the others of its attempt.
+/// Time that a task waits for the other tasks of its attempt, ms.
 pub(super) const GANG_WAIT_MS: u64 = 8_000;
-/// ms within which a task notices that another of its attempt is gone.
+/// Time after which a task notices that another task of its attempt is gone, ms.
 const GANG_PEER_MS: u64 = 2_000;
 
 /// An attempt of a gang: its job and the attempt's number.
 pub(super) type GangAttempt = (JobId, u64);
 
-/// An attempt of which all tasks have run.
+/// An attempt whose tasks have all started.
 pub(super) struct GangRun {
-    /// When its tasks complete.
+    /// When its tasks complete, ms.
     completes_at: u64,
-    /// Since when a task of it has been missing.
+    /// Since when one of its tasks has been missing or not running, ms.
     incomplete_since: Option<u64>,
 }
 
-/// Where a task of an attempt is, and whether its machine executes it.
+/// A task of a gang attempt on a worker.
 struct GangMember {
     worker: String,
     key: AttemptKey,
     phase: TaskPhase,
+    /// Whether the worker is not hung.
     executes: bool,
 }
 
@@ -41,7 +42,7 @@
         self.jobs.get(&id).is_some_and(|job| job.spec.gang)
     }
 
-    /// The tasks that wait, run or save, by attempt.
+    /// The gang tasks that wait, run or write a checkpoint, by attempt.
     fn gang_members(&self) -> BTreeMap<GangAttempt, Vec<GangMember>> {
         let mut attempts: BTreeMap<GangAttempt, Vec<GangMember>> = BTreeMap::new();
         for (name, worker) in self.workers.iter().filter(|(_, worker)| worker.alive) {
@@ -70,7 +71,7 @@
         worker.heartbeat_by(now + EARLY_HEARTBEAT_MS);
     }
 
-    /// Starts the attempts that are complete, and ends those that are over.
+    /// Starts the attempts whose tasks are all on executing workers, and advances those that run.
     pub(super) fn step_gangs(&mut self) {
         let attempts = self.gang_members();
         self.gang_runs.retain(|attempt, _| attempts.contains_key(attempt));
@@ -138,7 +139,7 @@
         self.maybe_cancel_completed(attempt.0);
     }
 
-    /// The referee: while a task of one attempt is on a machine, none of another starts.
+    /// Checks that no task of another attempt of the same gang has started on any machine.
     pub(super) fn check_gang_attempt(&mut self, name: &str, key: AttemptKey) {
         let other = |((task, attempt), state): (&AttemptKey, &WorkerTask)| {
             task.job == key.0.job && *attempt != key.1 && is_started(state.phase)
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Whether a whole gang would fit into what is free, in one zone if it must be in one.
+    /// Whether a whole gang fits into the free CPUs, in one zone if its job requires that.
     pub(super) fn gang_fits(&self, spec: &JobSpec, free: &[(&Worker, f64)]) -> bool {
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         for (worker, free) in free {
--- a/crates/latchtrack-core/tests/simulation/world/guards.rs
+++ b/crates/latchtrack-core/tests/simulation/world/guards.rs
@@ -1,49 +1,49 @@
-//! The guards that a run can disable, to show that the referee would tell.
+//! The guards that a run can disable to show that the referee detects their absence.
 
-/// A guard of the core or of the world that is disabled in a run; what then happens is said of
-/// each.
+/// A guard of the core or of the simulated world that is disabled in a run. Each variant says what
+/// happens without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisabledGuard {
-    /// All guards hold.
+    /// All guards are enabled.
     None,
-    /// A new leader believes that nothing was launched before it.
+    /// A new leader inherits no machines, as if nothing had been launched before.
     Reconciliation,
-    /// A machine counts as terminated though its termination was not confirmed.
+    /// Machines are reported as terminated although they still run.
     ConfirmedTermination,
-    /// A leader acts though its lease has expired and its cache is old.
+    /// A leader acts although its lease has expired and its job cache is stale.
     LeaderLease,
-    /// Machines are taken for stored that are not.
+    /// Writes of machine sets succeed without being stored.
     MachineRecords,
-    /// Ended runs are forgotten though a direct call is open, and then unknown to the machine.
+    /// Workers forget ended runs although a direct call may still be open.
     ForgetAfterCalls,
-    /// The leader's writes are made without conditions.
+    /// The state service commits writes of deposed leaders, whatever their conditions.
     WriteFence,
     /// Leaders are not told of cancellations.
     Cancellation,
-    /// Late copies of heartbeats are taken for new ones.
+    /// Late copies of heartbeats carry the current token, as if they were new.
     HeartbeatFreshness,
-    /// Record shards are written whatever revision they have, so that late writes undo newer ones.
+    /// Record shards are written without comparing revisions, so that late writes undo newer ones.
     ShardRevision,
-    /// Jobs count as accepted while nobody led.
+    /// Every job counts as accepted while there was no leader.
     LeaderlessSince,
-    /// Tasks of silent machines are placed anew before their worker lease has expired.
+    /// Tasks of silent machines are placed again before the worker lease has expired.
     WorkerLease,
-    /// What cancelled tasks use does not count against their team's limit.
+    /// Heartbeats omit the tasks of cancelled jobs, which then do not use its limit.
     CancelledTaskUsage,
-    /// A job that ended is called done, even if it was cancelled meanwhile.
+    /// A finished job is stored as done even if it was cancelled in the meantime.
     JobRevision,
-    /// Heartbeats lack the waiting tasks of gangs, which so count as gone while they are there.
+    /// Heartbeats omit the waiting tasks of gangs, which then count as gone.
     WaitingTaskStatus,
-    /// Heartbeats lack the tasks that save, which so count as gone while they are there.
+    /// Heartbeats omit the tasks that write a checkpoint, which then count as gone.
     CheckpointingTaskStatus,
-    /// Gangs are taken for independent tasks.
+    /// The leader treats gangs as independent tasks.
     GangAtomicity,
-    /// A new leader misses some of the open jobs.
+    /// Leaders never learn of some of the open jobs.
     JobRecovery,
     /// The limited team has no limit.
     TeamLimit,
-    /// Types, zones and spot machines that a job excludes are ignored.
+    /// The machine types, zones and spot setting that a job requires are ignored.
     PlacementConstraints,
-    /// A task counts as done that never ran.
+    /// The first task of a job counts as done without having run.
     TaskCompletion,
 }
--- a/crates/latchtrack-core/tests/simulation/world/leadership.rs
+++ b/crates/latchtrack-core/tests/simulation/world/leadership.rs
@@ -1,4 +1,4 @@
-//! A node becomes the leader: its policy, what it inherits, and how it reads the job records.
+//! New leaders: their policy, the stored state they inherit, and how they read the job records.
 
 use std::sync::Arc;
 
@@ -17,16 +17,16 @@
 use super::state::{JobState, LeaderKey, StoredJob};
 use super::{machine_types, World, LEADER_LEASE_MS, LEASE_MARGIN_MS, WORKER_LEASE_MS};
 
-/// Moves that a leader may begin in a minute.
+/// Moves that a leader may begin per minute.
 const MOVES_PER_MINUTE: u32 = 120;
-/// Of so many leaders, all but one balance.
+/// One in this many tokens belongs to a leader that does not balance.
 const BALANCING_PERIOD: u64 = 3;
-/// Of so many open jobs, one is missed by a leader without the guard of job recovery.
+/// One in this many jobs is missed by leaders while [`DisabledGuard::JobRecovery`] is disabled.
 const MISSED_JOBS_PERIOD: u64 = 5;
 
 impl World {
-    /// How a leader of this token balances: two of three do, quicker than by the defaults, since
-    /// tasks here run for seconds.
+    /// The balance policy of the leader with this token. Two of three tokens balance, with shorter
+    /// times than the defaults because tasks run for seconds here.
     fn balance_policy(&self, token: u64) -> BalancePolicy {
         if !self.size.balance || token % BALANCING_PERIOD == 0 {
             return BalancePolicy::default();
@@ -43,7 +43,7 @@
         BalancePolicy { placement: true, teams: true, moves: true, limits, moves_delay_ms: 1_000 }
     }
 
-    /// The policy of a leader of this token.
+    /// The policy of the leader with this token.
     fn policy(&self, token: u64) -> Policy {
         let size = &self.size;
         let is_disabled = |guard| self.disabled_guard == guard;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A node takes the leader key.
+    /// A node takes the leader key and creates the scheduler of its term.
     pub(super) fn campaign(&mut self, n: usize) {
         self.revision += 1;
         self.stats.terms += 1;
@@ -111,6 +111,7 @@
         node.write_in_flight = false;
     }
 
+    /// The stored machine sets, or none while reconciliation is disabled.
     fn inherited_machines(&self) -> Vec<StoredMachineSet> {
         match self.disabled_guard {
             DisabledGuard::Reconciliation => Vec::new(),
@@ -127,7 +128,7 @@
         results
     }
 
-    /// What was withheld in the last leader's time reaches every node now, within 1.5 s.
+    /// Sends the withheld heartbeats to every node, within 1.5 s.
     fn replay_withheld_heartbeats(&mut self) {
         for (worker, heartbeat) in std::mem::take(&mut self.withheld_heartbeats) {
             for node in 0..self.size.nodes {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// A node reads the job records that changed, and its scheduler learns of them.
+    /// Passes the job records that changed since the node's last read to its scheduler.
     pub(super) fn read_jobs(&mut self, n: usize) {
         let seen = self.nodes[n].seen_revision;
         let changed = self.jobs.iter().filter(|(_, job)| job.revision > seen);
@@ -152,7 +153,7 @@
         }
     }
 
-    /// What a scheduler is told of a job that changed.
+    /// The event for a changed job, or `None` if a disabled guard hides the change.
     fn job_event(&self, id: JobId, job: &StoredJob) -> Option<Event> {
         let is_disabled = |guard| self.disabled_guard == guard;
         let JobState::Open { stored_at } = job.state else {
--- a/crates/latchtrack-core/tests/simulation/world/messages.rs
+++ b/crates/latchtrack-core/tests/simulation/world/messages.rs
@@ -1,4 +1,4 @@
-//! Messages under way between workers, nodes, cloud and state service, and their delivery.
+//! Messages between workers, nodes, cloud and state service, and their delivery.
 
 use latchtrack_core::machine::{Command, Heartbeat, TaskPhase};
 use latchtrack_core::placement::Offer;
@@ -11,29 +11,29 @@
 use super::state::JobState;
 use super::World;
 
-/// ms after which a worker gives up a heartbeat.
+/// Time after which a worker gives up on a heartbeat, ms.
 pub(super) const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
-/// ms until a worker heartbeats again after it has met a new leader or was redirected, and until it
-/// reports a change.
+/// Time until a worker sends its next heartbeat after a change of its tasks, the first response of
+/// a new leader, or a redirect, ms.
 pub(super) const EARLY_HEARTBEAT_MS: u64 = 500;
-/// ms that a node takes to redirect a worker, and the state service to answer a write.
+/// Time until a node redirects a worker or the state service responds to a committed write, ms.
 const FAST_RESPONSE_MS: u64 = 5;
-/// ms until a write that was not committed is answered.
+/// Time until the state service responds to a write that did not commit, ms.
 const REJECTED_WRITE_MS: u64 = 250;
-/// ms until the cloud answers a request that it carried out, and one that it did not.
+/// Time until the cloud responds to a successful and to an unsuccessful request, ms.
 const CLOUD_RESPONSE_MS: u64 = 50;
 const CLOUD_FAILURE_MS: u64 = 800;
 
-/// The process and the term that a node's message belongs to.
+/// The process and term of a node that a message belongs to.
 #[derive(Clone, Copy)]
 pub(super) struct Origin {
     pub node: usize,
-    /// Counts the restarts of the node.
+    /// Restarts of the node when it sent the message.
     pub restarts: u64,
     pub token: u64,
 }
 
-/// Whether a response reaches the node that asked.
+/// Whether the response to a request reaches the node.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Response {
     Arrives,
@@ -41,6 +41,7 @@
 }
 
 impl Response {
+    /// [`Response::Lost`] if the argument is true.
     pub fn lost_if(is_lost: bool) -> Response {
         if is_lost {
             Response::Lost
@@ -55,7 +56,7 @@
     pub node: usize,
     pub worker: String,
     pub heartbeat: Heartbeat,
-    /// 0 for a copy that the network made.
+    /// 0 for a duplicate made by the network.
     pub id: u64,
     pub sent_at: u64,
 }
@@ -67,26 +68,26 @@
     token: u64,
     agent_epoch: u64,
     commands: Vec<Command>,
-    /// When the heartbeat was sent.
+    /// When the heartbeat was sent, ms.
     sent_at: u64,
 }
 
-/// A direct call to a worker.
+/// A node's direct call to a worker.
 pub(super) struct DirectCall {
     pub origin: Origin,
     pub worker: String,
     pub agent_epoch: u64,
     pub call: CallId,
     pub commands: Vec<Command>,
-    /// It arrives after its node has given it up.
+    /// Whether it arrives after its node has given up on it.
     pub is_late: bool,
 }
 
-/// A message under way.
+/// A message in flight.
 pub(super) enum Message {
     Heartbeat(SentHeartbeat),
     HeartbeatResponse(HeartbeatResponse),
-    /// The node that a heartbeat reached does not lead.
+    /// Tells a worker that the node which its heartbeat reached does not lead.
     Redirect {
         worker: String,
         id: u64,
@@ -114,7 +115,7 @@
         writes: Vec<RecordWrite>,
         outcome: BatchOutcome,
     },
-    /// An event for a node's scheduler, if it still is in that term.
+    /// An event for a node's scheduler, dropped if its term has ended.
     Event {
         origin: Origin,
         event: Event,
@@ -122,22 +123,23 @@
 }
 
 impl World {
-    /// Puts a message under way.
+    /// Queues a message that arrives after `delay` ms.
     pub(super) fn post(&mut self, delay: u64, message: Message) {
         self.next_id += 1;
         self.queue.insert((self.now + delay, self.next_id), message);
     }
 
-    /// The delay of a message; with this probability it is held back for long.
+    /// A random delay of a message, ms. Within the fault period it is long with probability
+    /// `held_back`.
     pub(super) fn delay(&mut self, held_back: f64) -> u64 {
-        if self.has_chance_faults() && self.chance(held_back) {
+        if self.has_random_faults() && self.chance(held_back) {
             self.rng.random_range(3_000..40_000)
         } else {
             self.rng.random_range(1..60)
         }
     }
 
-    /// Delivers what is due.
+    /// Delivers the messages that are due, in the order of their times and ids.
     pub(super) fn deliver_due(&mut self) {
         while let Some((&key, _)) = self.queue.first_key_value() {
             let (at, _) = key;
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Drops from a heartbeat what a disabled guard would have protected.
+    /// Falsifies a heartbeat as if the disabled guard were missing.
     fn apply_disabled_guard(&self, sent: &mut SentHeartbeat) {
         let heartbeat = &mut sent.heartbeat;
         match self.disabled_guard {
@@ -252,7 +254,7 @@
         self.execute(&name, &commands);
     }
 
-    /// A worker learns that the node which it reported to does not lead.
+    /// Points a worker to the leader, or to the next node if there is no other leader.
     fn redirect(&mut self, name: &str, id: u64) {
         let leader = self.leader.map(|leader| leader.node);
         let now = self.now;
@@ -272,7 +274,7 @@
             return;
         }
         if now < worker.hung_until {
-            // Executed when the machine resumes.
+            // Executed once the machine resumes.
             let wait = worker.hung_until - now + 1;
             self.post(wait, Message::DirectCall(DirectCall { is_late: true, ..direct_call }));
             return;
@@ -294,7 +296,7 @@
         } else {
             CallOutcome::Rejected(heartbeat)
         };
-        // The response may be lost on its way.
+        // The response may be lost.
         if !self.chance(0.02) {
             let delay = self.rng.random_range(1..60);
             let event = Event::CallFinished { machine: name, call, outcome };
@@ -342,7 +344,7 @@
         }
     }
 
-    /// An event reaches the scheduler of its term; a paused node gets it when it goes on.
+    /// Delivers an event to the scheduler of its term, or to a paused node once it resumes.
     pub(super) fn deliver_event(&mut self, origin: Origin, event: Event) {
         let node = &self.nodes[origin.node];
         if node.restarts != origin.restarts || node.token != origin.token || !node.up {
--- a/crates/latchtrack-core/tests/simulation/world/mod.rs
+++ b/crates/latchtrack-core/tests/simulation/world/mod.rs
@@ -1,4 +1,5 @@
-//! The world of the simulation: state service, cloud, workers, users, nodes and a referee.
+//! The simulated world: state service, cloud, workers, users, nodes, and a referee that checks the
+//! rules.
 
 mod chance_faults;
 mod cloud;
@@ -38,88 +39,88 @@
 
 /// Time without a response after which a worker ends its tasks, ms.
 const WORKER_LEASE_MS: u64 = 15_000;
-/// Lease of the leader key, ms.
+/// Lease duration of the leader key, ms.
 const LEADER_LEASE_MS: u64 = 3_000;
-/// By so many ms a leader counts its lease shorter.
+/// Safety margin by which a leader treats its lease as shorter, ms.
 const LEASE_MARGIN_MS: u64 = 200;
-/// Time after the confirmation of a cancellation in which the job's tasks may still run, ms.
+/// Time for which tasks of a job may run after its cancellation was confirmed, ms.
 const CANCEL_MS: u64 = 25_000;
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Rounding that a sum of CPUs may carry.
+/// Tolerance for rounding errors in sums of CPUs.
 const CPU_TOLERANCE: f64 = 1e-6;
-/// Bytes of a value that leaders keep to, in a small world and in a large one: few enough that
-/// records take several values.
+/// Bytes per value to which leaders limit their writes in a small and in a large world, so low that
+/// records are split across several values.
 const SMALL_VALUE_BYTES: usize = 300;
 const LARGE_VALUE_BYTES: usize = 4_096;
-/// Machines of an offer above which a world is large.
+/// A world with more machines per offer than this is large.
 const LARGE_MACHINES_PER_OFFER: usize = 10;
-/// Changes of a transaction that leaders keep to.
+/// Changes per transaction to which leaders limit their writes.
 const MAX_CHANGES: usize = 8;
 
-/// A world of its own, with one leader at a time, or one cell of a federation. Times are in ms of
-/// its clock.
+/// A simulated deployment with one leader at a time: a world by itself, or one cell of a
+/// federation. Times are in ms of its clock.
 pub struct World {
     rng: StdRng,
     size: Size,
     disabled_guard: DisabledGuard,
     now: u64,
-    /// Id of the last message or heartbeat.
+    /// The id that the last message or heartbeat got.
     next_id: u64,
-    /// Messages under way, by the time of their arrival and their id.
+    /// Messages in flight, by arrival time and id.
     queue: BTreeMap<(u64, u64), Message>,
 
     // The state service.
     revision: u64,
     leader: Option<LeaderKey>,
-    /// The revision with which the leader key last went.
+    /// The revision at which the leader key was last deleted.
     leaderless_since: u64,
-    /// Token of the last leader.
+    /// The fencing token of the latest leader.
     last_token: u64,
     jobs: BTreeMap<JobId, StoredJob>,
     results: BTreeMap<String, StoredResults>,
     machine_sets: BTreeMap<String, StoredMachineSet>,
-    /// What leaders keep to in their writes.
+    /// Limits to which leaders keep their writes.
     leader_write_limits: WriteLimits,
-    /// What the state service takes.
+    /// Limits above which the state service refuses writes.
     store_write_limits: WriteLimits,
 
     // Faults.
     plan: Vec<(u64, PlannedFault)>,
     faults: ActiveFaults,
-    /// Copies of heartbeats that reach every node as soon as a new leader begins.
+    /// Copies of heartbeats, by worker, that every node receives when the next term begins.
     withheld_heartbeats: Vec<(String, Heartbeat)>,
-    /// Only the first node is served by the state service.
+    /// Whether only the first node is served by the state service.
     without_successors: bool,
 
     // The cloud and its machines, users and nodes.
     workers: BTreeMap<String, Worker>,
-    /// The machines of each request, by its id.
+    /// The machines that each provision request got, by request id.
     provisions: BTreeMap<String, Vec<String>>,
     next_machine: u64,
     last_job: u64,
     nodes: Vec<Node>,
-    /// Attempts of gangs that have started.
+    /// Gang attempts whose tasks have all started.
     gang_runs: BTreeMap<GangAttempt, GangRun>,
 
-    // The cells that this world shares teams with.
-    /// Its own name; None: it is no cell.
+    // The federation.
+    /// The name of this cell, or `None` in a world by itself.
     cell: Option<String>,
-    /// Changes of what the cells share, as its leaders want them.
+    /// Ledger writes of this cell's leaders that are still to be sent.
     shared_writes: Vec<federation::SharedWrite>,
-    /// CPUs that started tasks of the limited team have in use in other cells.
+    /// CPUs of the limited team's started tasks in other cells.
     used_elsewhere: f64,
-    /// CPUs that all live tasks of the limited team take in other cells, also those that fetch.
+    /// CPUs of all live tasks of the limited team in other cells, including those that still fetch.
     claimed_elsewhere: f64,
 
     // The referee.
     completed: BTreeSet<TaskId>,
-    /// Rules that were broken.
+    /// The violations of rules so far, each starting with the rule's name.
     pub violations: Vec<String>,
-    /// How often faults and what they were to bring about came about.
+    /// How often each fault, or situation that a fault is to cause, occurred.
     pub occurrences: BTreeMap<&'static str, u64>,
-    /// What the run came to.
+    /// Statistics of the run.
     pub stats: Statistics,
-    /// What the leaders decide, if that is to be compared with another version.
+    /// Records the leaders' decisions if set, for comparison with another version.
     pub trace: Option<DecisionTrace>,
 }
 
@@ -142,12 +143,12 @@
 }
 
 impl World {
-    /// A small world, with chance faults.
+    /// A small world with random faults.
     pub fn new(seed: u64, disabled_guard: DisabledGuard) -> Self {
         World::sized(seed, disabled_guard, SMALL)
     }
 
-    /// A world of some size.
+    /// A world of this size. Equal arguments give equal runs.
     pub fn sized(seed: u64, disabled_guard: DisabledGuard, size: Size) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes = (0..size.nodes).map(|_| Node::new(rng.random_range(-0.0005..0.0005))).collect();
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Only the first node is served by the state service, and not always, so that nobody else
-    /// takes over when it is refused: only its own lease ends what it does.
+    /// Lets the state service serve the first node only, and refuse that node for a while. No other
+    /// node takes over then, so that only the node's own lease stops it.
     pub fn without_successors(mut self) -> Self {
         for node in &mut self.nodes[1..] {
             node.refused_until = self.size.end_ms;
@@ -201,7 +202,7 @@
         self
     }
 
-    /// With faults at set times beside those that chance brings.
+    /// Sets the planned faults, each with its time in ms. They occur beside the random ones.
     pub fn with_planned_faults(mut self, plan: &[(u64, PlannedFault)]) -> Self {
         self.plan = plan.to_vec();
         self
@@ -212,13 +213,12 @@
         ZONES[n % ZONES.len()]
     }
 
-    /// The zone that is cut off now.
+    /// The zone partition that is active now.
     fn active_partition(&self) -> Option<faults::ZonePartition> {
         self.faults.zone_partition.filter(|partition| self.now < partition.until)
     }
 
-    /// Until when nothing passes between a worker and a node, if a zone's partition is between
-    /// them.
+    /// The end of the zone partition between a worker and a node, if there is one.
     fn partition_between(&self, worker: &str, node: usize) -> Option<u64> {
         let partition = self.active_partition()?;
         let is_inside = |zone| zone == partition.zone;
@@ -226,14 +226,15 @@
         (is_inside(worker.zone) != is_inside(Self::zone_of(node))).then_some(partition.until)
     }
 
-    /// Runs until its end, until a rule is broken, or until all work is done after the faults.
+    /// Runs until the end time or the first violation, or, after the fault period, until all jobs
+    /// have finished.
     pub fn run(&mut self) {
         for _ in 0..self.size.initial_jobs {
             self.submit();
         }
         while self.now < self.size.end_ms && self.violations.is_empty() {
             self.step();
-            if !self.has_chance_faults() && self.unfinished().is_empty() {
+            if !self.has_random_faults() && self.unfinished().is_empty() {
                 break;
             }
         }
@@ -242,8 +243,8 @@
     fn step(&mut self) {
         self.now += self.size.step_ms;
         self.begin_planned_faults();
-        if self.has_chance_faults() {
-            self.begin_chance_fault();
+        if self.has_random_faults() {
+            self.begin_random_fault();
             self.step_users();
         }
         self.check_user_view();
@@ -258,12 +259,12 @@
         self.check_waiting();
     }
 
-    /// Counts that something came about.
+    /// Counts an occurrence of a fault or of a situation that it causes.
     fn record_occurrence(&mut self, what: &'static str) {
         *self.occurrences.entry(what).or_default() += 1;
     }
 
-    /// Draws whether something with this probability happens.
+    /// Returns true with this probability.
     fn chance(&mut self, probability: f64) -> bool {
         self.rng.random_bool(probability)
     }
--- a/crates/latchtrack-core/tests/simulation/world/nodes.rs
+++ b/crates/latchtrack-core/tests/simulation/world/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes: their clocks and leases, and what they can reach.
+//! The controller nodes: their clocks, leases and connectivity.
 
 use latchtrack_core::scheduler::Event;
 
@@ -6,13 +6,13 @@
 use super::state::LeaderKey;
 use super::{World, LEADER_LEASE_MS, LEASE_MARGIN_MS};
 
-/// ms between two renewals of a lease, by the node's clock.
+/// Time between two lease renewals by the node's clock, ms.
 const RENEW_INTERVAL_MS: u64 = 300;
-/// When the first node of a world without successors does not reach the state service, ms.
+/// When the state service refuses even the first node of a world without successors, ms.
 const REFUSED_WITHOUT_SUCCESSORS: std::ops::Range<u64> = 40_000..110_000;
 
 impl World {
-    /// The steady clock of a node.
+    /// The monotonic clock of a node, ms; it drifts from the world's clock.
     pub(super) fn clock(&self, n: usize) -> u64 {
         (self.now as f64 * (1.0 + self.nodes[n].drift)) as u64
     }
@@ -29,12 +29,12 @@
         !is_cut_off && self.now >= self.faults.store_down_until.max(unreachable_until)
     }
 
-    /// Whether a node executes anything.
+    /// Whether a node is up and not paused.
     pub(super) fn is_executing(&self, n: usize) -> bool {
         self.nodes[n].up && self.now >= self.nodes[n].paused_until
     }
 
-    /// Whether a node leads and its lease and cache allow it to act.
+    /// Whether a node leads, and its lease is valid and its job cache fresh.
     pub(super) fn may_act(&self, n: usize) -> bool {
         let (node, now) = (&self.nodes[n], self.clock(n));
         let is_fresh = now < node.cache_fresh_at + LEADER_LEASE_MS;
@@ -42,7 +42,7 @@
         node.scheduler.is_some() && (self.disabled_guard == DisabledGuard::LeaderLease || is_valid)
     }
 
-    /// Lets a node do what is due.
+    /// Restarts a node that is due, renews its lease and ticks its scheduler.
     pub(super) fn step_node(&mut self, n: usize) {
         if !self.nodes[n].up && self.now >= self.nodes[n].restarts_at {
             self.nodes[n].up = true;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Campaigns for the leader key, renews it, or learns that another node has it.
+    /// Campaigns for the leader key, renews it, or steps down because another node holds it.
     fn step_leadership(&mut self, n: usize) {
         let now = self.clock(n);
         match self.leader {
--- a/crates/latchtrack-core/tests/simulation/world/referee.rs
+++ b/crates/latchtrack-core/tests/simulation/world/referee.rs
@@ -1,4 +1,4 @@
-//! The referee: the rules that are checked against what really runs, and what users see.
+//! The referee checks the rules against the tasks that actually run and the records that users see.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,59 +8,59 @@
 use super::state::{JobState, StoredJob, Worker};
 use super::{World, CANCEL_MS, CPU_TOLERANCE};
 
-/// ms after the last chance fault begins until all of them are over.
+/// Time after the fault period by which all random faults have ended, ms.
 const FAULTS_OVER_MS: u64 = 60_000;
-/// ms that a job may wait though a machine has free capacity.
+/// Time that a job may wait although a machine has free capacity for it, ms.
 const MAX_WAIT_MS: u64 = 90_000;
-/// ms between two checks of what waits.
+/// Time between two checks of waiting jobs, ms.
 const WAIT_CHECK_INTERVAL_MS: u64 = 1_000;
-/// ms within which the largest jobs of a class are to begin.
+/// Time within which the largest jobs of a class must start, ms.
 const MAX_START_MS: u64 = 240_000;
-/// Of the jobs of a class, one in so many counts as a largest one.
+/// One in this many jobs of a class counts as one of its largest.
 const LARGEST_JOBS_DIVISOR: usize = 10;
-/// The team with a limit.
+/// The team that has a limit.
 const LIMITED_TEAM: &str = "limited";
 
-/// A live task with what the rules need of it.
+/// A live task, with the data that the rules need.
 struct LiveTask {
     task: TaskId,
     zone: &'static str,
     cpus: f64,
 }
 
-/// What is free and what is in use, of all machines.
+/// The free and used capacity of all machines.
 struct Capacity<'a> {
-    /// CPUs that are free on each machine that is healthy.
+    /// Free CPUs of each healthy machine.
     free: Vec<(&'a Worker, f64)>,
     live: Vec<LiveTask>,
-    /// CPUs that the limited team has in use, in all cells.
+    /// CPUs of the limited team's live tasks in all cells.
     limited_team_cpus: f64,
 }
 
 impl World {
-    /// Notes that a rule is broken.
+    /// Records a violation of a rule, which ends the run.
     pub(super) fn report_violation(&mut self, rule: &str, what: String) {
         self.violations.push(format!("{rule}: {what} at {}", self.now));
     }
 
-    /// Jobs that are done.
+    /// Number of jobs that are done.
     pub fn jobs_done(&self) -> usize {
         self.jobs.values().filter(|job| matches!(job.state, JobState::Done)).count()
     }
 
-    /// Tasks that have completed.
+    /// Number of tasks that have completed.
     pub fn tasks_done(&self) -> usize {
         self.completed.len()
     }
 
-    /// Open jobs, but those that can't complete.
+    /// Ids of the open jobs, except those that always fail.
     pub fn unfinished(&self) -> Vec<String> {
         let open = self.jobs.iter().filter(|(_, job)| job.is_open() && !job.always_fails);
         open.map(|(id, _)| id.to_string()).collect()
     }
 
-    /// Classes, teams and largest jobs of a class of which less than half is done, and largest jobs
-    /// that had not begun within four minutes: what fails a day in the users' eyes.
+    /// Describes each team, each class and each class's largest jobs of which less than half are
+    /// done, and each largest job that had not started within four minutes.
     pub fn poorly_served(&self) -> Vec<String> {
         let mut groups: BTreeMap<String, Vec<&StoredJob>> = BTreeMap::new();
         let mut failures = Vec::new();
@@ -91,7 +91,8 @@
         failures
     }
 
-    /// Users read the records, as any node would show them.
+    /// Checks the job records as a user reads them from any node: a done job has all tasks
+    /// completed and stays done, and a cancelled job never becomes done.
     pub(super) fn check_user_view(&mut self) {
         let mut broken = Vec::new();
         for (id, job) in &mut self.jobs {
@@ -120,7 +121,8 @@
         }
     }
 
-    /// A task starts on a machine: nowhere else, where it may, and within its team's limit.
+    /// Checks a task that starts on a machine: it runs nowhere else, may be placed there, and stays
+    /// within its team's limit.
     pub(super) fn check_start(&mut self, name: &str, task: TaskId) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
@@ -160,7 +162,7 @@
         }
     }
 
-    /// No task runs for long after its job's cancellation was confirmed.
+    /// Checks that no task runs [`CANCEL_MS`] after the cancellation of its job was confirmed.
     pub(super) fn check_cancelled(&mut self) {
         let mut broken = Vec::new();
         for (name, worker) in &self.workers {
@@ -179,8 +181,8 @@
         }
     }
 
-    /// Once the faults are over, no job waits for long while a machine that fits has free capacity
-    /// and its team is under its limit: what leaves people waiting for nothing.
+    /// Checks, once the faults have ended, that no job waits for longer than [`MAX_WAIT_MS`]
+    /// although it fits on a machine with free capacity and its team is under its limit.
     pub(super) fn check_waiting(&mut self) {
         let faults_over_at = self.size.fault_period_ms + FAULTS_OVER_MS;
         if self.now < faults_over_at || self.now % WAIT_CHECK_INTERVAL_MS != 0 {
@@ -233,7 +235,7 @@
         Capacity { free, live, limited_team_cpus: here + self.claimed_elsewhere }
     }
 
-    /// Whether a task of a job, or a whole gang, waits though it would fit.
+    /// Whether a task of a job, or the whole gang, waits although it fits.
     fn could_start(&self, id: JobId, job: &StoredJob, capacity: &Capacity) -> bool {
         if !job.is_open() || job.always_fails {
             return false;
@@ -267,7 +269,7 @@
     }
 }
 
-/// The largest tenth of some jobs, by tasks.
+/// The tenth of the jobs with the most tasks, rounded up.
 fn largest_jobs<'a>(jobs: &[&'a StoredJob]) -> Vec<&'a StoredJob> {
     let mut largest = jobs.to_vec();
     largest.sort_by_key(|job| std::cmp::Reverse(job.spec.tasks));
--- a/crates/latchtrack-core/tests/simulation/world/size.rs
+++ b/crates/latchtrack-core/tests/simulation/world/size.rs
@@ -1,45 +1,46 @@
-//! How large a world is and how long it runs.
+//! Sizes and load parameters of simulated worlds.
 
-/// How large a world is and how long it runs.
+/// The size, load, fault rates and duration of a world.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// ms of a step.
+    /// Duration of a step, ms.
     pub step_ms: u64,
-    /// ms in which faults begin, and after which everything must get done.
+    /// Until when random faults begin and users submit jobs, ms. All jobs must finish after that.
     pub fault_period_ms: u64,
-    /// ms after which the run ends, whatever is left.
+    /// When the run ends even if jobs are open, ms.
     pub end_ms: u64,
-    /// Controller nodes.
+    /// Number of controller nodes.
     pub nodes: usize,
-    /// Machines of each type and zone, spot or not.
+    /// Most machines of each type, zone and kind (spot or on-demand).
     pub machines_per_offer: usize,
-    /// ms between two heartbeats of a worker.
+    /// Time between two heartbeats of a worker, ms.
     pub heartbeat_interval_ms: u64,
-    /// Probability of a submission in a step.
+    /// Probability that a user submits a job in a step.
     pub submit_probability: f64,
     /// Most tasks of a job.
     pub max_tasks: u32,
     /// Probability that a job is a gang.
     pub gang_probability: f64,
-    /// Jobs that are submitted before the run.
+    /// Number of jobs submitted before the first step.
     pub initial_jobs: usize,
-    /// Probability in a step that a user cancels a job.
+    /// Probability that a user cancels a job in a step.
     pub cancel_probability: f64,
-    /// Probability of a fault in a step.
+    /// Probability that a random fault begins in a step.
     pub fault_probability: f64,
-    /// Probability that a heartbeat is copied on its way.
+    /// Probability that the network duplicates a heartbeat.
     pub duplicate_probability: f64,
-    /// CPUs that the limited team may use.
+    /// CPU limit of the limited team.
     pub limited_team_cpus: f64,
-    /// ms between two writes of a leader, as its share of the writes would have it.
+    /// Shortest time between two write transactions of a leader, its share of the write rate, ms.
     pub write_interval_ms: u64,
-    /// ms an empty spot machine is kept; an on-demand one two fifths of that.
+    /// Time for which an idle spot machine is kept, ms; on-demand machines are kept two fifths of
+    /// it.
     pub spot_idle_timeout_ms: u64,
     /// Most CPUs of a task.
     pub max_task_cpus: u32,
-    /// Probability that the tasks of a job save.
+    /// Probability that the tasks of a job write checkpoints.
     pub checkpoint_probability: f64,
-    /// Leaders balance the load: two of three, the others are of a version that does not.
+    /// Whether two of three leaders balance the load; the third is of a version that does not.
     pub balance: bool,
 }
 
@@ -66,7 +67,7 @@
     balance: false,
 };
 
-/// Jobs enough to keep the machines of a small world busy while the faults last.
+/// Enough jobs to keep the machines of a small world busy during the faults.
 pub const BUSY: Size = Size {
     initial_jobs: 10,
     submit_probability: 0.02,
@@ -76,7 +77,7 @@
     ..SMALL
 };
 
-/// Far more work than the machines can do in time, and no limits, which would decide instead.
+/// Far more work than the machines can do in time, and no team limit that would hold it back.
 pub const OVERLOAD: Size = Size {
     initial_jobs: 40,
     submit_probability: 0.02,
@@ -86,7 +87,8 @@
     ..SMALL
 };
 
-/// Machines enough that no job waits for long, and tasks that save: there is something to move.
+/// Enough machines that no job waits for long, and mostly tasks that write checkpoints, so that
+/// there are tasks to move.
 pub const MOVING: Size = Size {
     machines_per_offer: 6,
     submit_probability: 0.02,
@@ -98,11 +100,11 @@
     ..SMALL
 };
 
-/// A cell with two controllers; three of them share 40 CPUs of the limited team.
+/// A cell with two controller nodes. Cells of this size share 40 CPUs for the limited team.
 pub const CELL: Size =
     Size { nodes: 2, submit_probability: 0.005, limited_team_cpus: 40.0, end_ms: 600_000, ..SMALL };
 
-/// Over a thousand machines and the puts of one leader among five.
+/// Over a thousand machines, and the write rate of one leader among five nodes.
 pub const FLEET: Size = Size {
     step_ms: 200,
     fault_period_ms: 100_000,
@@ -125,7 +127,7 @@
     balance: false,
 };
 
-/// Over two thousand machines: half as many again as the largest fleet in use.
+/// Over two thousand machines.
 pub const LARGE: Size = Size {
     machines_per_offer: 190,
     initial_jobs: 650,
@@ -134,7 +136,7 @@
     ..FLEET
 };
 
-/// Over four thousand machines, as many as are run now.
+/// Over four thousand machines, as many as are in production.
 pub const HUGE: Size = Size {
     step_ms: 250,
     machines_per_offer: 390,
@@ -143,11 +145,11 @@
     submit_probability: 0.1,
     limited_team_cpus: 20_000.0,
     fault_probability: 0.01,
-    // Machines that come and go every few seconds would wait for the writes of one leader.
+    // The writes of one leader would not keep up with machines that come and go every few seconds.
     spot_idle_timeout_ms: 120_000,
     ..FLEET
 };
 
-/// Nearly half as many again. With a tenth more jobs at the start the referee finds some that
-/// waited for 90 s while a machine had free capacity; what they wait for is not traced yet.
+/// Nearly six thousand machines. With a tenth more initial jobs, the referee reports jobs that
+/// waited for 90 s while a machine had free capacity; the cause is not known yet.
 pub const HUGEST: Size = Size { machines_per_offer: 620, initial_jobs: 2_000, ..HUGE };
--- a/crates/latchtrack-core/tests/simulation/world/state.rs
+++ b/crates/latchtrack-core/tests/simulation/world/state.rs
@@ -1,5 +1,5 @@
-//! What the state service stores, and the state of workers and nodes. All times are in ms of the
-//! world's clock unless they are said to be of a node's own.
+//! The stored state, and the state of workers and nodes. All times are in ms of the world's clock
+//! unless a comment says that they are by a node's own clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use latchtrack_core::machine::TaskPhase;
 use latchtrack_core::scheduler::Scheduler;
 
-/// The key that makes a node the leader.
+/// The leader key in the state service, which makes its holder the leader.
 #[derive(Clone, Copy)]
 pub(super) struct LeaderKey {
     pub node: usize,
@@ -18,16 +18,16 @@
     pub expires_at: u64,
 }
 
-/// What limits a write to the state service.
+/// Limits on a write transaction of the state service.
 #[derive(Clone, Copy)]
 pub(super) struct WriteLimits {
-    /// Bytes of a value.
+    /// Most bytes of a value.
     pub value_bytes: usize,
-    /// Changes of a transaction.
+    /// Most changes of a transaction.
     pub changes: usize,
 }
 
-/// The state of a job, as stored.
+/// The stored state of a job.
 #[derive(Clone)]
 pub(super) enum JobState {
     Open { stored_at: u64 },
@@ -35,21 +35,21 @@
     Cancelled,
 }
 
-/// A stored job, and what its user knows of it.
+/// A stored job, and what its user was told about it.
 pub(super) struct StoredJob {
     pub spec: Arc<JobSpec>,
     pub state: JobState,
     pub revision: u64,
-    /// When its user was told that it is cancelled.
+    /// When its user was told that it is cancelled, if so.
     pub cancel_confirmed_at: Option<u64>,
     /// Whether its user was told that it is done.
     pub done_confirmed: bool,
-    /// Its tasks fail on every machine.
+    /// Whether its tasks fail on every machine.
     pub always_fails: bool,
     pub submitted_at: u64,
-    /// When its first task started.
+    /// When its first task started, for a gang when all its tasks did.
     pub begun_at: Option<u64>,
-    /// Since when a task of it has waited though a machine that fits had free capacity.
+    /// Since when one of its tasks, or the whole gang, has waited although it fits.
     pub unschedulable_since: Option<u64>,
 }
 
@@ -60,10 +60,10 @@
     }
 }
 
-/// A task and the number of an attempt at it.
+/// A task and the number of one of its attempts.
 pub(super) type AttemptKey = (TaskId, u64);
 
-/// An attempt at a task on a worker.
+/// An attempt of a task on a worker.
 pub(super) struct WorkerTask {
     pub phase: TaskPhase,
     /// When the phase ends.
@@ -71,30 +71,30 @@
 }
 
 impl WorkerTask {
-    /// Whether it takes resources of its machine.
+    /// Whether it takes resources of its machine: it has not ended.
     pub fn is_live(&self) -> bool {
         !matches!(self.phase, TaskPhase::Ended(_))
     }
 
-    /// Whether it executes or holds what executing takes, as the rules count it.
+    /// Whether it has started and not ended, which is what the rules count.
     pub fn is_started(&self) -> bool {
         is_started(self.phase)
     }
 }
 
-/// Whether a task in this phase has started, and has not ended.
+/// Whether a task in this phase has started and not ended. A fetching task has not started.
 pub(super) fn is_started(phase: TaskPhase) -> bool {
     matches!(phase, TaskPhase::Waiting | TaskPhase::Running | TaskPhase::Checkpointing)
 }
 
-/// A heartbeat that has no response yet.
+/// A heartbeat that the worker awaits a response to.
 #[derive(Clone, Copy)]
 pub(super) struct PendingHeartbeat {
     pub sent_at: u64,
     pub id: u64,
 }
 
-/// A machine with its worker.
+/// A machine and the worker agent on it.
 #[derive(Default)]
 pub(super) struct Worker {
     pub machine_type: &'static str,
@@ -103,48 +103,48 @@
     pub provisioned_at: u64,
     pub up_at: u64,
     pub alive: bool,
-    /// 0 until it is up.
+    /// Raised whenever the lease expires; 0 until the agent has started.
     pub agent_epoch: u64,
     pub sequence: u64,
     pub token: u64,
-    /// From when its lease counts.
+    /// The start of its lease: when its epoch began or its last answered heartbeat was sent.
     pub lease_from: u64,
     pub tasks: BTreeMap<AttemptKey, WorkerTask>,
-    /// The node that it reports to.
+    /// The node to which it sends heartbeats.
     pub node: usize,
     pub pending_heartbeat: Option<PendingHeartbeat>,
     pub next_heartbeat: u64,
-    /// Until then nothing passes, or is held back.
+    /// Until then messages to and from it are lost or delayed.
     pub partitioned_until: u64,
-    /// Until then its heartbeats arrive, but responses and commands don't.
+    /// Until then its heartbeats arrive, but responses and direct calls are lost or late.
     pub inbound_lost_until: u64,
-    /// Until then it reaches no node, but direct calls reach it.
+    /// Until then its heartbeats are lost, but direct calls reach it.
     pub outbound_lost_until: u64,
     /// Until then it executes nothing.
     pub hung_until: u64,
-    /// Every task fails on it.
+    /// Whether every task fails on it.
     pub fails_tasks: bool,
     pub completed_here: BTreeSet<TaskId>,
 }
 
 impl Worker {
-    /// Has it heartbeat within this time.
+    /// Brings its next heartbeat forward to `at`, if it is due later.
     pub fn heartbeat_by(&mut self, at: u64) {
         self.next_heartbeat = self.next_heartbeat.min(at);
     }
 
-    /// Ends it, with all that is on it.
+    /// Ends the machine and all its tasks.
     pub fn die(&mut self) {
         self.alive = false;
         self.tasks.clear();
     }
 
-    /// Until when nothing of a node reaches it.
+    /// Until when messages of nodes do not reach it in time.
     pub fn unreachable_until(&self) -> u64 {
         self.partitioned_until.max(self.inbound_lost_until)
     }
 
-    /// CPUs of its live tasks.
+    /// The sum of the CPUs of its live tasks.
     pub fn cpus_in_use(&self, cpus_of: impl Fn(TaskId) -> f64) -> f64 {
         let live = self.tasks.iter().filter(|(_, task)| task.is_live());
         live.map(|((task, _), _)| cpus_of(*task)).sum()
@@ -158,35 +158,35 @@
     pub restarts_at: u64,
     pub paused_until: u64,
     pub partitioned_until: u64,
-    /// Until then the state service refuses it, and it alone.
+    /// Until then the state service refuses this node.
     pub refused_until: u64,
-    /// How much faster its clock runs than the world's, as a fraction.
+    /// The fraction by which its clock runs faster than the world's; negative if slower.
     pub drift: f64,
-    /// The scheduler of its term, if it leads or believes so.
+    /// The scheduler of its term, if it leads or does not know yet that it no longer leads.
     pub scheduler: Option<Scheduler>,
     pub token: u64,
     /// Until when its lease allows it to act, by its own clock.
     pub lease_valid_until: u64,
     /// When it last read the job records, by its own clock.
     pub cache_fresh_at: u64,
-    /// The revision up to which it has read them.
+    /// The revision up to which it has read the job records.
     pub seen_revision: u64,
     /// When it last renewed its lease, by its own clock.
     pub last_renew: u64,
     pub write_in_flight: bool,
     /// When it may write again, by its own clock.
     pub next_write_at: u64,
-    /// Counts its restarts.
+    /// Number of crashes; messages of earlier processes are dropped.
     pub restarts: u64,
 }
 
 impl Node {
-    /// A node that is up.
+    /// A node that is up and does not lead.
     pub fn new(drift: f64) -> Node {
         Node { up: true, drift, ..Node::default() }
     }
 
-    /// What it gives up when its process ends.
+    /// Ends its process, with all state in memory.
     pub fn crash(&mut self) {
         self.up = false;
         self.scheduler = None;
--- a/crates/latchtrack-core/tests/simulation/world/store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/store.rs
@@ -1,4 +1,4 @@
-//! The state service: the leader key's lease, and transactions of writes.
+//! The state service: the lease of the leader key, and write transactions.
 
 use latchtrack_core::job::JobId;
 use latchtrack_core::scheduler::{
@@ -9,10 +9,10 @@
 use super::state::JobState;
 use super::{World, LEADER_LEASE_MS};
 
-/// Bytes of a stored chunk of results beside its bits, which are stored as base64.
+/// Bytes of a stored chunk of results beside its base64-encoded bits.
 const CHUNK_OVERHEAD_BYTES: usize = 24;
 
-/// Bytes of the value that a change puts.
+/// Bytes of the value that a change stores.
 fn value_bytes(write: &RecordWrite) -> usize {
     match write {
         RecordWrite::MachineSet { machines, .. } => machines.iter().map(StoredMachine::bytes).sum(),
@@ -24,7 +24,7 @@
     }
 }
 
-/// The records whose revisions differ from those that a transaction names.
+/// The records whose revisions differ from those that a transaction expects.
 #[derive(Default)]
 struct Conflicts {
     jobs: Vec<JobId>,
@@ -46,11 +46,11 @@
 }
 
 impl World {
-    /// Ends the leader key's lease in time.
+    /// Deletes the leader key when its lease expires.
     pub(super) fn step_store(&mut self) {
         let down_until = self.faults.store_down_until;
         if self.now < down_until {
-            // After an outage every lease has its full time again.
+            // After an outage every lease has its full duration again.
             if let Some(leader) = &mut self.leader {
                 leader.expires_at = down_until + LEADER_LEASE_MS;
             }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Commits writes of the leader with this token, if all conditions hold.
+    /// Commits the writes of the leader with this token in one transaction if its conditions hold.
     pub(super) fn write(&mut self, token: u64, writes: &[RecordWrite]) -> BatchOutcome {
         if self.now < self.faults.store_down_until {
             return BatchOutcome::NotExecuted;
--- a/crates/latchtrack-core/tests/simulation/world/trace.rs
+++ b/crates/latchtrack-core/tests/simulation/world/trace.rs
@@ -1,7 +1,8 @@
-//! A digest of all that the leaders of a run decide, to compare two versions of the sources.
+//! A digest of all decisions of the leaders in a run, to compare two versions of the sources.
 //!
-//! Every value goes in as plain text, so that renaming a type or a field leaves the digest alone.
-//! The texts of log lines and the reasons of resignations are left out: they may be worded anew.
+//! Values are hashed as plain text, so that the digest does not depend on names of types and
+//! fields. Texts of log lines and reasons of resignations are left out because their wording may
+//! change.
 
 use std::fmt::Write as _;
 
@@ -11,7 +12,7 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// The decisions of a run so far.
+/// Counts and a digest of the decisions so far.
 #[derive(Clone, Debug)]
 pub struct DecisionTrace {
     pub effects: u64,
@@ -26,12 +27,12 @@
 }
 
 impl DecisionTrace {
-    /// FNV-1a over everything recorded, in its order.
+    /// The 64-bit FNV-1a hash of all recorded lines, in order.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// What a node's leader wants done at a time.
+    /// Records the effects that a node's scheduler returned at `now` ms.
     pub fn record_effects(&mut self, now: u64, node: usize, effects: &[Effect]) {
         for effect in effects {
             self.effects += 1;
@@ -39,7 +40,7 @@
         }
     }
 
-    /// What a node's leader writes at a time.
+    /// Records the writes that a node's scheduler issued at `now` ms.
     pub fn record_writes(&mut self, now: u64, node: usize, writes: &[RecordWrite]) {
         for write in writes {
             self.writes += 1;
--- a/crates/latchtrack-core/tests/simulation/world/users.rs
+++ b/crates/latchtrack-core/tests/simulation/world/users.rs
@@ -1,4 +1,4 @@
-//! The users: what they submit and cancel.
+//! The users, who submit and cancel jobs.
 
 use std::sync::Arc;
 
@@ -8,15 +8,15 @@
 use super::state::{JobState, StoredJob};
 use super::{World, ZONES};
 
-/// Probability that a job fails on every machine.
+/// Probability that a random job fails on every machine.
 const BROKEN_PROBABILITY: f64 = 0.08;
-/// ms between two jobs of a stream of small jobs.
+/// Mean time between two jobs of a stream of small jobs, ms.
 const SMALL_JOB_INTERVAL_MS: f64 = 250.0;
-/// Largest gang, in tasks and in CPUs of a task: it has to fit the machines of one zone.
+/// Most tasks of a gang and most CPUs of its tasks, so that it fits on the machines of one zone.
 const MAX_GANG_TASKS: u32 = 4;
 const MAX_GANG_CPUS: f64 = 4.0;
 
-/// A best-effort job of the team without a limit; its id is still to be set.
+/// A best-effort job of the team without a limit. The caller sets its id.
 fn best_effort_job(class: &str, tasks: u32, cpus: f64, estimate_s: f64) -> JobSpec {
     JobSpec {
         id: JobId(0),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Makes a gang of a job, small enough for the machines of one zone and its team's limit.
+/// Turns a job into a gang that fits on the machines of one zone and within its team's limit.
 fn make_gang(spec: &mut JobSpec, limit: f64) {
     spec.gang = true;
     spec.tasks = spec.tasks.clamp(2, MAX_GANG_TASKS);
@@ -52,7 +52,7 @@
 }
 
 impl World {
-    /// A node stores the cancellation of an open job and tells the user.
+    /// Stores the cancellation of a job, and confirms it to the user at once.
     pub(super) fn cancel(&mut self, id: JobId) {
         self.revision += 1;
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Users cancel all jobs that are open.
+    /// Cancels all open jobs.
     pub fn cancel_all(&mut self) {
         for id in self.open_jobs() {
             self.cancel(id);
         }
     }
 
-    /// Some users cancel at the very moment at which the last task ends.
+    /// While the fault is active, cancels a share of the jobs as their last task completes.
     pub(super) fn maybe_cancel_completed(&mut self, id: JobId) {
         let fault = self.faults.cancelled_at_completion;
         if self.now >= fault.until || self.now < self.faults.store_down_until {
@@ -88,7 +88,7 @@
         self.jobs.iter().filter(|(_, job)| job.is_open()).map(|(id, _)| *id).collect()
     }
 
-    /// Perhaps a user submits a job, and a user cancels one.
+    /// With the configured probabilities, submits a job, cancels one, and submits a small job.
     pub(super) fn step_users(&mut self) {
         if self.now < self.faults.store_down_until {
             return;
@@ -109,11 +109,12 @@
         }
     }
 
-    /// One of many small jobs; a quarter of them is cancelled, some at once.
+    /// Submits one small job, and cancels an earlier one so often that about a quarter is
+    /// cancelled.
     fn submit_small_job(&mut self) {
         self.submit_spec(best_effort_job("swarm", 1, 0.25, 5.0));
         self.record_occurrence("small job");
-        // One that came a while ago, so that some wait, some run and some are just done.
+        // One of the last 60 jobs: some of them wait, some run and some are just done.
         let ago = self.rng.random_range(0..60);
         let earlier = JobId(self.last_job.saturating_sub(ago));
         let is_open = self.jobs.get(&earlier).is_some_and(StoredJob::is_open);
@@ -123,8 +124,7 @@
         }
     }
 
-    /// Jobs of one task each of the limited team, of which a quarter is cancelled in the same
-    /// moment.
+    /// Submits one-task jobs of the limited team, and cancels a quarter of them at the same time.
     pub(super) fn submit_limited_burst(&mut self, count: usize) {
         if self.now < self.faults.store_down_until {
             return;
@@ -138,32 +138,32 @@
         }
     }
 
-    /// So many random jobs.
+    /// Submits this many random jobs.
     pub fn submit_many(&mut self, count: usize) {
         for _ in 0..count {
             self.submit();
         }
     }
 
-    /// A job of the limited team.
+    /// Submits a job of the limited team.
     pub fn submit_limited(&mut self, tasks: u32, cpus: f64) {
         let spec = best_effort_job("limited", tasks, cpus, 10.0);
         self.submit_spec(JobSpec { team: "limited".into(), ..spec });
     }
 
-    /// A gang of the limited team.
+    /// Submits a gang of the limited team.
     pub fn submit_limited_gang(&mut self, tasks: u32, cpus: f64) {
         let spec = best_effort_job("limited", tasks, cpus, 10.0);
         self.submit_spec(JobSpec { team: "limited".into(), gang: true, ..spec });
     }
 
-    /// A job of the team without a limit.
+    /// Submits a job of the team without a limit.
     pub fn submit_free(&mut self, tasks: u32, cpus: f64) {
         self.submit_spec(best_effort_job("free", tasks, cpus, 10.0));
     }
 
-    /// What a guest brings: best-effort jobs of long tasks, an array of very many, single small
-    /// tasks.
+    /// Submits best-effort jobs of three kinds: long tasks, very many tasks in one job, and many
+    /// jobs of one small task.
     pub(super) fn submit_best_effort_jobs(&mut self) {
         let count = 4 * self.size.max_tasks;
         for _ in 0..3 {
@@ -175,12 +175,12 @@
         }
     }
 
-    /// A random job.
+    /// Submits a random job, which may be one that always fails.
     pub(super) fn submit(&mut self) {
         self.submit_random_job(BROKEN_PROBABILITY);
     }
 
-    /// A random job, which with this probability fails on every machine.
+    /// Submits a random job, which fails on every machine with this probability.
     pub(super) fn submit_random_job(&mut self, broken_probability: f64) {
         let id = self.next_job_id();
         let size = self.size;
@@ -217,7 +217,7 @@
         self.store_job(spec, broken_probability);
     }
 
-    /// A job of a given form, which can complete.
+    /// Submits a job with a new id that can complete.
     fn submit_spec(&mut self, spec: JobSpec) {
         let id = self.next_job_id();
         self.store_job(JobSpec { id, ..spec }, 0.0);
@@ -228,7 +228,7 @@
         JobId(self.last_job)
     }
 
-    /// Stores a job, which with this probability fails on every machine.
+    /// Stores an open job, which fails on every machine with this probability.
     fn store_job(&mut self, spec: JobSpec, broken_probability: f64) {
         let id = spec.id;
         let always_fails = self.rng.random_bool(broken_probability);
--- a/crates/latchtrack-core/tests/simulation/world/workers.rs
+++ b/crates/latchtrack-core/tests/simulation/world/workers.rs
@@ -1,4 +1,4 @@
-//! The workers: their leases, heartbeats and tasks.
+//! The workers: leases, heartbeats and tasks.
 
 use latchtrack_core::job::TaskId;
 use latchtrack_core::machine::{Command, ExitCause, Heartbeat, TaskPhase, TaskStatus};
@@ -9,16 +9,16 @@
 use super::state::{AttemptKey, PendingHeartbeat, Worker, WorkerTask};
 use super::{machine_types, World, CPU_TOLERANCE, WORKER_LEASE_MS};
 
-/// Of this many ms of its lease, a slow clock of a worker misses one.
+/// A slow worker clock loses 1 ms in this many.
 const CLOCK_DRIFT_DIVISOR: u64 = 2_000;
-/// ms until a worker that got no response heartbeats to the next node.
+/// Time until a worker whose heartbeat failed sends one to the next node, ms.
 const NEXT_NODE_DELAY_MS: u64 = 1_000;
-/// ms that a checkpoint takes.
+/// Time that writing a checkpoint takes, ms.
 const CHECKPOINT_MS: u64 = 1_000;
-/// A phase that ends by no time of its own.
+/// The end of a phase that does not end by itself.
 const NEVER: u64 = u64::MAX;
 
-/// The phase that follows, and when it ends.
+/// The next phase of a task, and when it ends.
 type NextPhase = (TaskPhase, u64);
 
 fn ended(cause: ExitCause) -> NextPhase {
@@ -26,7 +26,7 @@
 }
 
 impl World {
-    /// The status of a worker, as its next heartbeat has it.
+    /// A heartbeat with the current status of a worker, or `None` if the machine is gone.
     pub(super) fn heartbeat_of(&self, name: &str) -> Option<Heartbeat> {
         let worker = self.workers.get(name)?;
         let status = |((task, attempt), state): (&AttemptKey, &WorkerTask)| TaskStatus {
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Lets every worker do what is due.
+    /// Advances the lease, tasks and heartbeat of every worker.
     pub(super) fn step_workers(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         let is_up = |worker: &&Worker| worker.alive && worker.up_at <= self.now;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Starts the agent of a machine that is up, and ends its lease in time. Returns whether it
-    /// executes anything now.
+    /// Starts the agent of a machine that has booted, and begins a new agent epoch if its lease has
+    /// expired. Returns whether the worker executes anything now.
     fn step_lease(&mut self, name: &str) -> bool {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return false };
@@ -74,18 +74,18 @@
         if worker.agent_epoch == 0 {
             (worker.agent_epoch, worker.lease_from) = (1, now);
         }
-        // A steady clock that is slow: the worst case.
+        // The worst case: a monotonic clock that is slow.
         if now > worker.lease_from + WORKER_LEASE_MS + WORKER_LEASE_MS / CLOCK_DRIFT_DIVISOR {
             worker.agent_epoch += 1;
             worker.tasks.clear();
             worker.lease_from = now;
             worker.pending_heartbeat = None;
         }
-        // One that hangs may go on within its lease; later it begins the next epoch first.
+        // A worker that resumes within its lease keeps its tasks; later it has begun a new epoch.
         !is_hung
     }
 
-    /// Sends a worker's heartbeat if it is due, or turns to the next node.
+    /// Sends a worker's heartbeat if it is due. Switches to the next node if the last one failed.
     fn step_heartbeat(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -107,7 +107,7 @@
         self.send_heartbeat(name);
     }
 
-    /// Sends a worker's heartbeat, which may be held back, lost or copied on its way.
+    /// Sends a worker's heartbeat, which may be delayed, lost or duplicated.
     fn send_heartbeat(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -119,13 +119,13 @@
         let (node, is_cut_off) = (worker.node, now < worker.partitioned_until);
         let Some(heartbeat) = self.heartbeat_of(name) else { return };
         let delay = match self.partition_between(name, node) {
-            // Held back to the end of the partition.
+            // Delayed until the partition ends.
             Some(until) => until - now + self.rng.random_range(1..500),
             None => self.delay(if is_cut_off { 1.0 } else { 0.01 }),
         };
         let worker = name.to_string();
-        if self.has_chance_faults() && self.chance(self.size.duplicate_probability) {
-            // A copy that comes late, to whichever node, up to well over a lease.
+        if self.has_random_faults() && self.chance(self.size.duplicate_probability) {
+            // A duplicate reaches a random node up to three worker leases later.
             let delay = self.rng.random_range(2_000..3 * WORKER_LEASE_MS);
             let (worker, heartbeat) = (worker.clone(), heartbeat.clone());
             let node = self.rng.random_range(0..self.size.nodes);
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Ends the phases of a worker's tasks that are over.
+    /// Advances the tasks of a worker whose phase has ended.
     fn run_tasks(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get(name) else { return };
@@ -158,7 +158,7 @@
         }
     }
 
-    /// What follows the phase of a task that is over; None: it goes on.
+    /// The phase that follows the ended phase of a task, or `None` if the phase continues.
     fn end_phase(&mut self, name: &str, key: AttemptKey) -> Option<NextPhase> {
         let (task, _) = key;
         let worker = self.workers.get(name)?;
@@ -182,7 +182,7 @@
                 self.record_occurrence("gang incomplete");
                 Some(ended(ExitCause::GangIncomplete))
             }
-            // Ends with its gang.
+            // Ends together with its gang.
             TaskPhase::Running if self.is_gang(task.job) => None,
             TaskPhase::Running if worker.fails_tasks || always_fails => {
                 self.stats.failures += 1;
@@ -198,7 +198,7 @@
         }
     }
 
-    /// A task has completed on a worker.
+    /// Marks a task as completed, in the world and on the worker.
     pub(super) fn complete(&mut self, name: &str, task: TaskId) {
         self.completed.insert(task);
         if let Some(worker) = self.workers.get_mut(name) {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// A worker executes commands.
+    /// Executes commands on a worker, which reports changes with an early heartbeat.
     pub(super) fn execute(&mut self, name: &str, commands: &[Command]) {
         for command in commands {
             let fetch_ms = self.rng.random_range(0..2_000);
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Launches an attempt; returns whether that changed anything.
+    /// Launches an attempt. Returns false if the worker already has it.
     fn launch(&mut self, name: &str, key: AttemptKey, fetch_ms: u64) -> bool {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return false };
@@ -258,7 +258,8 @@
         true
     }
 
-    /// Stops an attempt, which saves first if it can; returns whether it is there.
+    /// Stops an attempt, which first writes a checkpoint if it can. Returns false if the worker
+    /// does not have it.
     fn stop(&mut self, name: &str, key: AttemptKey, grace_s: f64) -> bool {
         let now = self.now;
         let (task, _) = key;
@@ -279,14 +280,14 @@
         true
     }
 
-    /// CPUs of a worker that no live task takes.
+    /// CPUs of a worker that are not taken by live tasks.
     pub(super) fn free_cpus(&self, worker: &Worker) -> f64 {
         let in_use = worker.cpus_in_use(|task| self.jobs[&task.job].spec.demand.cpus);
         cpus_of_type(worker.machine_type) - in_use
     }
 }
 
-/// CPUs of a machine of this type.
+/// CPUs of a machine of this type; 0 for an unknown type.
 fn cpus_of_type(name: &str) -> f64 {
     let types = machine_types();
     types.iter().find(|machine_type| machine_type.name == name).map_or(0.0, |t| t.cpus)
