--- a/crates/latchtrack-core/tests/simulation/planned_faults.rs
+++ b/crates/latchtrack-core/tests/simulation/planned_faults.rs
@@ -104,8 +104,8 @@
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(world.poorly_served(), Vec::<String>::new(), "seed {seed}");
-        // 18 broken jobs of up to six tasks, which all start at most once in each term; after that
-        // one task a minute is tried.
+        // 18 broken jobs of up to six tasks. In each term every task starts at most once; after
+        // that, one is retried per minute.
         let max_failures = (18 + 30) * u64::from(BUSY.max_tasks) + 200;
         assert!(
             world.stats.failures < max_failures,
--- a/crates/latchtrack-core/tests/simulation/quota.rs
+++ b/crates/latchtrack-core/tests/simulation/quota.rs
@@ -23,7 +23,7 @@
 /// Few random faults beside the planned ones.
 const FEW_RANDOM_FAULTS: Size = Size { fault_probability: 0.004, ..CELL };
 const SEEDS: Range<u64> = 0..25;
-/// Twice, many small jobs of the limited team at once.
+/// Two bursts of 40 one-task jobs of the limited team, 60 s apart.
 const BURST: [(u64, PlannedFault); 2] = [
     (30_000, PlannedFault::SubmitLimitedBurst(40)),
     (90_000, PlannedFault::SubmitLimitedBurst(40)),
@@ -85,18 +85,18 @@
 /// Every cell submits tasks and gangs of up to the whole limit.
 #[test]
 fn allotments_below_one_task_keep_the_limit_and_starve_no_cell() {
-    let (mut begun, mut all) = (0, 0);
+    let (mut started, mut all) = (0, 0);
     for seed in SEEDS {
         let mut federation = Federation::new(seed, CELLS, TIGHT, IgnoredCondition::Nothing);
         federation.run();
         assert_eq!(federation.violations, Vec::<String>::new(), "seed {seed}");
         for cell in 0..CELLS {
-            let (begun_here, all_here) = federation.begun_jobs(cell);
-            assert!(begun_here > 0 || all_here == 0, "seed {seed}: none of {all_here} begun");
-            (begun, all) = (begun + begun_here, all + all_here);
+            let (started_here, all_here) = federation.started_jobs(cell);
+            assert!(started_here > 0 || all_here == 0, "seed {seed}: none of {all_here} started");
+            (started, all) = (started + started_here, all + all_here);
         }
     }
-    assert!(begun * 4 > all * 3, "{begun} of {all} begun");
+    assert!(started * 4 > all * 3, "{started} of {all} started");
 }
 
 #[test]
@@ -358,7 +358,7 @@
         run_until(&mut federation, 60_000);
         assert_eq!(federation.stored_text(), Some(text), "not overwritten");
         for cell in 0..CELLS {
-            assert_eq!(federation.begun_jobs(cell), (0, 1), "{text}");
+            assert_eq!(federation.started_jobs(cell), (0, 1), "{text}");
             assert_eq!(federation.cells[cell].jobs_done(), 1, "{text}");
         }
     }
--- a/crates/latchtrack-core/tests/simulation/world/faults.rs
+++ b/crates/latchtrack-core/tests/simulation/world/faults.rs
@@ -65,9 +65,11 @@
     ReplayToNextLeader(f64, u64),
     /// For this time, users submit four one-task jobs a second and cancel a quarter of them.
     SmallJobStream(u64),
-    /// New leaders keep to this many bytes per value, and all to this many changes per transaction.
+    /// From now on leaders keep to this many changes per transaction, and from their next term on
+    /// to this many bytes per value (the first argument).
     LeaderWriteLimits(usize, usize),
-    /// The state service refuses more bytes per value or changes per transaction than these.
+    /// From now on the state service refuses writes of more than this many bytes per value or
+    /// changes per transaction.
     StoreWriteLimits(usize, usize),
     /// This share of the machines dies in a zone where a single-zone job runs.
     LoseZoneMachines(f64),
--- a/crates/latchtrack-core/tests/simulation/world/federation.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation.rs
@@ -189,13 +189,14 @@
 
     /// How many jobs of [`TEAM`] have started in a cell, and how many there are, without cancelled
     /// and broken ones.
-    pub fn begun_jobs(&self, cell: usize) -> (usize, usize) {
+    pub fn started_jobs(&self, cell: usize) -> (usize, usize) {
         let counted = |j: &&StoredJob| {
             j.spec.team == TEAM && !j.always_fails && !matches!(j.state, JobState::Cancelled)
         };
         let jobs: Vec<&StoredJob> = self.cells[cell].jobs.values().filter(counted).collect();
-        let begun = |j: &&&StoredJob| j.begun_at.is_some() || matches!(j.state, JobState::Done);
-        (jobs.iter().filter(begun).count(), jobs.len())
+        let has_started =
+            |j: &&&StoredJob| j.started_at.is_some() || matches!(j.state, JobState::Done);
+        (jobs.iter().filter(has_started).count(), jobs.len())
     }
 
     /// CPUs that [`TEAM`] uses in all cells.
@@ -252,7 +253,7 @@
         self.max_used_cpus = self.max_used_cpus.max(used);
         if used > self.size.limited_team_cpus + CPU_TOLERANCE {
             let each: Vec<f64> = (0..self.cells.len()).map(|cell| self.used_cpus(cell)).collect();
-            self.violations.push(format!("quota: {each:?} in use at {}", self.now));
+            self.violations.push(format!("quota: {each:?} CPUs in use at {}", self.now));
         }
     }
 
--- a/crates/latchtrack-core/tests/simulation/world/gangs.rs
+++ b/crates/latchtrack-core/tests/simulation/world/gangs.rs
@@ -98,7 +98,7 @@
         }
         self.record_occurrence("gang started");
         if let Some(job) = self.jobs.get_mut(&attempt.0) {
-            job.begun_at.get_or_insert(self.now);
+            job.started_at.get_or_insert(self.now);
         }
         self.gang_runs
             .insert(attempt, GangRun { completes_at: self.now + run_ms, incomplete_since: None });
--- a/crates/latchtrack-core/tests/simulation/world/messages.rs
+++ b/crates/latchtrack-core/tests/simulation/world/messages.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Falsifies a heartbeat as if the disabled guard were missing.
+    /// Changes a heartbeat so that it lacks what the disabled guard would have provided.
     fn apply_disabled_guard(&self, sent: &mut SentHeartbeat) {
         let heartbeat = &mut sent.heartbeat;
         match self.disabled_guard {
--- a/crates/latchtrack-core/tests/simulation/world/referee.rs
+++ b/crates/latchtrack-core/tests/simulation/world/referee.rs
@@ -74,10 +74,10 @@
             let Some(all) = groups.get(&format!("class {class}")) else { continue };
             let largest = largest_jobs(all);
             for job in &largest {
-                let (begun, due) =
-                    (job.begun_at.unwrap_or(u64::MAX), job.submitted_at + MAX_START_MS);
-                if begun > due && self.now > due {
-                    failures.push(format!("{} has not begun in time", job.spec.id));
+                let (started_at, due) =
+                    (job.started_at.unwrap_or(u64::MAX), job.submitted_at + MAX_START_MS);
+                if started_at > due && self.now > due {
+                    failures.push(format!("{} did not start in time", job.spec.id));
                 }
             }
             groups.insert(format!("largest of {class}"), largest);
@@ -85,7 +85,7 @@
         for (name, jobs) in groups {
             let done = jobs.iter().filter(|job| matches!(job.state, JobState::Done)).count();
             if done * 2 < jobs.len() {
-                failures.push(format!("{name}: {done} of {}", jobs.len()));
+                failures.push(format!("{name}: {done} of {} jobs done", jobs.len()));
             }
         }
         failures
@@ -104,14 +104,14 @@
                     job.done_confirmed = true;
                     let mut tasks = (0..job.spec.tasks).map(|index| TaskId { job: *id, index });
                     if !tasks.all(|task| self.completed.contains(&task)) {
-                        broken.push(("not_done", format!("{id}")));
+                        broken.push(("not_done", format!("{id} is done, but not all its tasks")));
                     }
                 }
                 _ if job.done_confirmed => {
-                    broken.push(("went_back", format!("{id} is not done any more")));
+                    broken.push(("went_back", format!("{id} is no longer done")));
                 }
                 JobState::Open { stored_at } if stored_at > self.now => {
-                    broken.push(("went_back", format!("{id} from the future")));
+                    broken.push(("went_back", format!("{id} was stored in the future")));
                 }
                 _ => {}
             }
@@ -127,7 +127,7 @@
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         if !job.spec.gang {
-            job.begun_at.get_or_insert(now);
+            job.started_at.get_or_insert(now);
         }
         let spec = job.spec.clone();
         let mut zones = Vec::new();
@@ -155,7 +155,7 @@
         let is_limited = spec.team == LIMITED_TEAM;
         let limit = self.size.limited_team_cpus;
         if is_limited && !rules::within_limit(used, spec.demand.cpus, limit) {
-            broken.push(("quota", format!("{task}: {used} in use")));
+            broken.push(("quota", format!("{task} started with {used} CPUs in use")));
         }
         for (rule, what) in broken {
             self.report_violation(rule, what);
@@ -201,7 +201,7 @@
             if !could_start.contains(id) {
                 job.unschedulable_since = None;
             } else if now > *job.unschedulable_since.get_or_insert(now) + MAX_WAIT_MS {
-                broken.push(format!("{id} while a machine has room"));
+                broken.push(format!("{id} although a machine has free capacity"));
             }
         }
         for what in broken {
--- a/crates/latchtrack-core/tests/simulation/world/size.rs
+++ b/crates/latchtrack-core/tests/simulation/world/size.rs
@@ -5,7 +5,8 @@
 pub struct Size {
     /// Duration of a step, ms.
     pub step_ms: u64,
-    /// Until when random faults begin and users submit jobs, ms. All jobs must finish after that.
+    /// End of the fault period, ms. Random faults begin and users act only before it; after it, all
+    /// jobs must finish.
     pub fault_period_ms: u64,
     /// When the run ends even if jobs are open, ms.
     pub end_ms: u64,
--- a/crates/latchtrack-core/tests/simulation/world/state.rs
+++ b/crates/latchtrack-core/tests/simulation/world/state.rs
@@ -48,7 +48,7 @@
     pub always_fails: bool,
     pub submitted_at: u64,
     /// When its first task started, for a gang when all its tasks did.
-    pub begun_at: Option<u64>,
+    pub started_at: Option<u64>,
     /// Since when one of its tasks, or the whole gang, has waited although it fits.
     pub unschedulable_since: Option<u64>,
 }
--- a/crates/latchtrack-core/tests/simulation/world/users.rs
+++ b/crates/latchtrack-core/tests/simulation/world/users.rs
@@ -243,7 +243,7 @@
                 done_confirmed: false,
                 always_fails,
                 submitted_at: self.now,
-                begun_at: None,
+                started_at: None,
                 unschedulable_since: None,
             },
         );
