--- a/crates/latchtrack-core/tests/simulation/checks.rs
+++ b/crates/latchtrack-core/tests/simulation/checks.rs
@@ -1,12 +1,12 @@
-//! Runs of worlds with planned faults, and what is expected of each.
+//! Runs worlds with planned faults and asserts what every such run must satisfy.
 
 use super::world::faults::PlannedFault;
 use super::world::guards::DisabledGuard;
 use super::world::size::Size;
 use super::world::World;
 
-/// Runs worlds with faults at set times: each run ends with every rule kept, every job done and
-/// every class, team and largest job served. Returns the terms of all runs.
+/// Runs one world per seed with the faults of `plan`. Asserts that no rule was broken, every job
+/// finished, and no class, team or large job was starved. Returns the number of terms of all runs.
 pub fn check_runs(
     what: &str,
     size: Size,
@@ -16,19 +16,19 @@
     check_runs_with(what, size, seeds, plan, &[])
 }
 
-/// Like [`check_runs`]; besides, what the faults were to bring about came about at least so often,
-/// in all seeds together.
+/// Like [`check_runs`], but also asserts that each of `min_occurrences` was counted at least that
+/// often, summed over all seeds.
 pub fn check_runs_with(
     what: &str,
     size: Size,
     seeds: std::ops::Range<u64>,
     plan: &[(u64, PlannedFault)],
-    least: &[(&str, u64)],
+    min_occurrences: &[(&str, u64)],
 ) -> u64 {
     let mut terms = 0;
     let mut occurrences = std::collections::BTreeMap::new();
     for seed in seeds {
-        let mut world = World::sized(seed, DisabledGuard::None, size).planned(plan);
+        let mut world = World::sized(seed, DisabledGuard::None, size).with_planned_faults(plan);
         world.run();
         assert_eq!(world.violations, Vec::<String>::new(), "{what}, seed {seed}");
         assert_eq!(world.unfinished(), Vec::<String>::new(), "{what}, seed {seed}");
@@ -38,9 +38,9 @@
             *occurrences.entry(name).or_insert(0) += times;
         }
     }
-    for (name, least) in least {
+    for (name, min_times) in min_occurrences {
         let times = occurrences.get(name).copied().unwrap_or(0);
-        assert!(times >= *least, "{what}: {name} {times} times, {least} at least");
+        assert!(times >= *min_times, "{what}: {name} {times} times, {min_times} at least");
     }
     terms
 }
--- a/crates/latchtrack-core/tests/simulation/world/federation/shared_store.rs
+++ b/crates/latchtrack-core/tests/simulation/world/federation/shared_store.rs
@@ -1,5 +1,5 @@
-//! What the cells share in the state service: reading it, and transactions on it that may be slow,
-//! late, or lose their response.
+//! The shared state service: snapshots of the ledgers, and ledger writes that may be slow, late, or
+//! lose their response.
 
 use latchtrack_core::scheduler::Event;
 use latchtrack_quota::{
@@ -10,34 +10,36 @@
 
 use super::super::messages::Response;
 use super::super::{LEADER_LEASE_MS, WORKER_LEASE_MS};
-use super::{name_of, Federation, IgnoredCondition, SharedMessage, SharedWrite, WRITE_TIMEOUT_MS};
+use super::{
+    cell_name, Federation, IgnoredCondition, SharedMessage, SharedWrite, WRITE_TIMEOUT_MS,
+};
 
 impl Federation {
-    /// What the cells share, as it is stored.
-    pub(super) fn view(&self) -> LedgerSnapshot {
-        let mut view = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
+    /// The stored ledgers, and the status of every cell that has had a leader.
+    pub(super) fn snapshot(&self) -> LedgerSnapshot {
+        let mut snapshot = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
         for (team, (revision, text)) in &self.teams {
             let seen = StoredLedger { revision: *revision, ledger: TeamLedger::parse(text) };
-            view.teams.insert(team.clone(), seen);
+            snapshot.teams.insert(team.clone(), seen);
         }
         for (i, world) in self.cells.iter().enumerate().filter(|(_, w)| w.last_token > 0) {
             let lease = |ms: u64| if self.ignored == IgnoredCondition::Leases { 0 } else { ms };
             let record = CellRecord {
-                cloud: name_of(i),
+                cloud: cell_name(i),
                 leader_lease_ms: lease(LEADER_LEASE_MS),
                 worker_lease_ms: lease(WORKER_LEASE_MS),
             };
-            let presence = CellStatus {
+            let status = CellStatus {
                 has_leader: world.leader.is_some(),
                 term_revision: world.last_token,
                 record: Some(record),
             };
-            view.cells.insert(name_of(i), presence);
+            snapshot.cells.insert(cell_name(i), status);
         }
-        view
+        snapshot
     }
 
-    /// A write leaves a node: it may be slow, late, or lose its response.
+    /// Sends a ledger write, which may be slow, late, or lose its response.
     pub(super) fn send(&mut self, cell: usize, shared: SharedWrite) {
         let origin = shared.origin;
         let outcome = |outcome| {
@@ -57,14 +59,14 @@
         if is_late || is_lost {
             let unknown = outcome(WriteOutcome::Unknown);
             self.post(WRITE_TIMEOUT_MS, unknown);
-            self.record(if is_late { "late write" } else { "response lost" });
+            self.record_occurrence(if is_late { "late write" } else { "response lost" });
         }
         let delay = self.rng.random_range(if is_late { 2_000..20_000 } else { 1..60 });
         let response = Response::lost_if(is_late || is_lost);
         self.post(delay, SharedMessage::Write { cell, shared, response });
     }
 
-    /// Commits a write of a cell, if its conditions hold.
+    /// Commits a cell's ledger write if its conditions hold, and responds to it.
     pub(super) fn execute_write(&mut self, cell: usize, shared: SharedWrite, response: Response) {
         let SharedWrite { origin, write } = shared;
         let is_down = self.cells[cell].now < self.cells[cell].faults.store_down_until;
@@ -75,7 +77,7 @@
             WriteOutcome::NotStored
         };
         if outcome == WriteOutcome::NotStored {
-            // Its sender reads again at once.
+            // The sender reads the ledgers again in its next step.
             self.next_read[cell] = self.now;
         }
         if response == Response::Arrives {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Stores a team's ledger; returns its revision.
+    /// Stores a team's ledger and returns its new revision.
     pub(super) fn store_ledger(&mut self, team: &str, ledger: &TeamLedger) -> u64 {
         self.revision += 1;
         self.writes += 1;
@@ -93,41 +95,45 @@
         self.revision
     }
 
-    /// Counts what a write changes for its cell.
+    /// Counts reclaims, and whether a write raises or returns the allotment of its cell.
     fn record_change(&mut self, cell: usize, write: &LedgerWrite) {
         if !write.dead.is_empty() {
-            self.record("reclaimed");
+            self.record_occurrence("reclaimed");
         }
-        let before = self.ledger().map_or(0, |l| l.allotted_to(&name_of(cell)).millicpus);
-        let after = write.ledger.allotted_to(&name_of(cell)).millicpus;
+        let before = self.ledger().map_or(0, |l| l.allotted_to(&cell_name(cell)).millicpus);
+        let after = write.ledger.allotted_to(&cell_name(cell)).millicpus;
         if before != after {
-            self.record(if after > before { "allotment raised" } else { "allotment returned" });
+            self.record_occurrence(if after > before {
+                "allotment raised"
+            } else {
+                "allotment returned"
+            });
         }
     }
 
-    /// Whether the conditions of a write hold, or are ignored.
+    /// Whether each condition of a write holds or is ignored.
     fn may_store(&mut self, cell: usize, token: u64, write: &LedgerWrite) -> bool {
         let revision = self.teams.get(&write.team).map_or(0, |(revision, _)| *revision);
         if revision != write.expected_revision {
-            self.record("stale write refused");
+            self.record_occurrence("stale write refused");
             if self.ignored != IgnoredCondition::Revision {
                 return false;
             }
         }
         if self.cells[cell].leader.map(|leader| leader.token) != Some(token) {
-            self.record("deposed writer refused");
+            self.record_occurrence("deposed writer refused");
             if self.ignored != IgnoredCondition::Fence {
                 return false;
             }
         }
         let is_dead = |dead: &DeadCell| {
-            let found = (0..self.cells.len()).find(|i| name_of(*i) == dead.cell);
+            let found = (0..self.cells.len()).find(|i| cell_name(*i) == dead.cell);
             let world = found.map(|i| &self.cells[i]);
             world.is_some_and(|w| w.leader.is_none() && w.last_token == dead.term_revision)
         };
         let are_dead = write.dead.iter().all(is_dead);
         if !are_dead {
-            self.record("reclaim refused");
+            self.record_occurrence("reclaim refused");
         }
         are_dead || self.ignored == IgnoredCondition::DeadCells
     }
--- a/crates/latchtrack-core/tests/simulation/world/workers.rs
+++ b/crates/latchtrack-core/tests/simulation/world/workers.rs
@@ -1,24 +1,24 @@
-//! The workers: their leases, heartbeats and tasks.
+//! The workers: leases, heartbeats and tasks.
 
 use latchtrack_core::job::TaskId;
 use latchtrack_core::machine::{Command, ExitCause, Heartbeat, TaskPhase, TaskStatus};
 use rand::Rng;
 
 use super::gangs::GANG_WAIT_MS;
-use super::messages::{Message, SentHeartbeat, HEARTBEAT_TIMEOUT_MS, SOON_MS};
+use super::messages::{Message, SentHeartbeat, EARLY_HEARTBEAT_MS, HEARTBEAT_TIMEOUT_MS};
 use super::state::{AttemptKey, PendingHeartbeat, Worker, WorkerTask};
 use super::{machine_types, World, CPU_TOLERANCE, WORKER_LEASE_MS};
 
-/// Of this many ms of its lease, a slow clock of a worker misses one.
+/// A slow worker clock loses 1 ms in this many.
 const CLOCK_DRIFT_DIVISOR: u64 = 2_000;
-/// ms until a worker that got no response heartbeats to the next node.
-const NEXT_NODE_MS: u64 = 1_000;
-/// ms that a checkpoint takes.
+/// Time until a worker whose heartbeat failed sends one to the next node, ms.
+const NEXT_NODE_DELAY_MS: u64 = 1_000;
+/// Time that writing a checkpoint takes, ms.
 const CHECKPOINT_MS: u64 = 1_000;
-/// A phase that ends by no time of its own.
+/// The end of a phase that does not end by itself.
 const NEVER: u64 = u64::MAX;
 
-/// The phase that follows, and when it ends.
+/// The next phase of a task, and when it ends.
 type NextPhase = (TaskPhase, u64);
 
 fn ended(cause: ExitCause) -> NextPhase {
@@ -26,7 +26,7 @@
 }
 
 impl World {
-    /// The status of a worker, as its next heartbeat has it.
+    /// A heartbeat with the current status of a worker, or `None` if the machine is gone.
     pub(super) fn heartbeat_of(&self, name: &str) -> Option<Heartbeat> {
         let worker = self.workers.get(name)?;
         let status = |((task, attempt), state): (&AttemptKey, &WorkerTask)| TaskStatus {
@@ -48,12 +48,12 @@
         })
     }
 
-    /// Lets every worker do what is due.
+    /// Advances the lease, tasks and heartbeat of every worker.
     pub(super) fn step_workers(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         let is_up = |worker: &&Worker| worker.alive && worker.up_at <= self.now;
         let up = self.workers.values().filter(is_up).count();
-        self.stats.most_up = self.stats.most_up.max(up);
+        self.stats.max_machines_up = self.stats.max_machines_up.max(up);
         for name in names {
             if self.step_lease(&name) {
                 self.run_tasks(&name);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Starts the agent of a machine that is up, and ends its lease in time. Returns whether it
-    /// executes anything now.
+    /// Starts the agent of a machine that has booted, and begins a new agent epoch if its lease has
+    /// expired. Returns whether the worker executes anything now.
     fn step_lease(&mut self, name: &str) -> bool {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return false };
@@ -74,18 +74,18 @@
         if worker.agent_epoch == 0 {
             (worker.agent_epoch, worker.lease_from) = (1, now);
         }
-        // A steady clock that is slow: the worst case.
+        // The worst case: a monotonic clock that is slow.
         if now > worker.lease_from + WORKER_LEASE_MS + WORKER_LEASE_MS / CLOCK_DRIFT_DIVISOR {
             worker.agent_epoch += 1;
             worker.tasks.clear();
             worker.lease_from = now;
             worker.pending_heartbeat = None;
         }
-        // One that hangs may go on within its lease; later it begins the next epoch first.
+        // A worker that resumes within its lease keeps its tasks; later it has begun a new epoch.
         !is_hung
     }
 
-    /// Sends a worker's heartbeat if it is due, or turns to the next node.
+    /// Sends a worker's heartbeat if it is due. Switches to the next node if the last one failed.
     fn step_heartbeat(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -93,21 +93,21 @@
         if worker.pending_heartbeat.is_some_and(|sent| now > sent.sent_at + HEARTBEAT_TIMEOUT_MS) {
             worker.pending_heartbeat = None;
             worker.node = next_node;
-            worker.next_heartbeat = now + NEXT_NODE_MS;
+            worker.next_heartbeat = now + NEXT_NODE_DELAY_MS;
         }
         if worker.pending_heartbeat.is_some() || now < worker.next_heartbeat {
             return;
         }
         if now < worker.outbound_lost_until {
             worker.node = (worker.node + 1) % self.size.nodes;
-            worker.next_heartbeat = now + NEXT_NODE_MS;
-            self.record("heartbeat lost");
+            worker.next_heartbeat = now + NEXT_NODE_DELAY_MS;
+            self.record_occurrence("heartbeat lost");
             return;
         }
         self.send_heartbeat(name);
     }
 
-    /// Sends a worker's heartbeat, which may be held back, lost or copied on its way.
+    /// Sends a worker's heartbeat, which may be delayed, lost or duplicated.
     fn send_heartbeat(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return };
@@ -119,13 +119,13 @@
         let (node, is_cut_off) = (worker.node, now < worker.partitioned_until);
         let Some(heartbeat) = self.heartbeat_of(name) else { return };
         let delay = match self.partition_between(name, node) {
-            // Held back to the end of the partition.
+            // Delayed until the partition ends.
             Some(until) => until - now + self.rng.random_range(1..500),
             None => self.delay(if is_cut_off { 1.0 } else { 0.01 }),
         };
         let worker = name.to_string();
-        if self.has_chance_faults() && self.chance(self.size.duplicate_probability) {
-            // A copy that comes late, to whichever node, up to well over a lease.
+        if self.has_random_faults() && self.chance(self.size.duplicate_probability) {
+            // A duplicate reaches a random node up to three worker leases later.
             let delay = self.rng.random_range(2_000..3 * WORKER_LEASE_MS);
             let (worker, heartbeat) = (worker.clone(), heartbeat.clone());
             let node = self.rng.random_range(0..self.size.nodes);
@@ -141,24 +141,24 @@
         }
     }
 
-    /// Ends the phases of a worker's tasks that are over.
+    /// Advances the tasks of a worker whose phase has ended.
     fn run_tasks(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get(name) else { return };
-        let is_due = |(_, task): &(&AttemptKey, &WorkerTask)| task.until <= now;
+        let is_due = |(_, task): &(&AttemptKey, &WorkerTask)| task.phase_ends_at <= now;
         let due: Vec<AttemptKey> =
             worker.tasks.iter().filter(is_due).map(|(key, _)| *key).collect();
         for key in due {
             let Some(next) = self.end_phase(name, key) else { continue };
             let Some(worker) = self.workers.get_mut(name) else { return };
             if let Some(task) = worker.tasks.get_mut(&key) {
-                (task.phase, task.until) = next;
+                (task.phase, task.phase_ends_at) = next;
             }
-            worker.heartbeat_by(now + SOON_MS);
+            worker.heartbeat_by(now + EARLY_HEARTBEAT_MS);
         }
     }
 
-    /// What follows the phase of a task that is over; None: it goes on.
+    /// The phase that follows the ended phase of a task, or `None` if the phase continues.
     fn end_phase(&mut self, name: &str, key: AttemptKey) -> Option<NextPhase> {
         let (task, _) = key;
         let worker = self.workers.get(name)?;
@@ -173,16 +173,16 @@
             TaskPhase::Fetching => {
                 self.check_start(name, task);
                 if self.is_gang(task.job) {
-                    self.check_attempt(name, key);
+                    self.check_gang_attempt(name, key);
                     return Some((TaskPhase::Waiting, self.now + GANG_WAIT_MS));
                 }
                 Some((TaskPhase::Running, self.now + run_ms))
             }
             TaskPhase::Waiting => {
-                self.record("gang incomplete");
+                self.record_occurrence("gang incomplete");
                 Some(ended(ExitCause::GangIncomplete))
             }
-            // Ends with its gang.
+            // Ends together with its gang.
             TaskPhase::Running if self.is_gang(task.job) => None,
             TaskPhase::Running if worker.fails_tasks || always_fails => {
                 self.stats.failures += 1;
@@ -190,7 +190,7 @@
             }
             TaskPhase::Running => {
                 self.complete(name, task);
-                self.perhaps_cancel_completed(task.job);
+                self.maybe_cancel_completed(task.job);
                 Some(ended(ExitCause::Done))
             }
             TaskPhase::Checkpointing => Some(ended(ExitCause::Stopped)),
@@ -198,7 +198,7 @@
         }
     }
 
-    /// A task has completed on a worker.
+    /// Marks a task as completed, in the world and on the worker.
     pub(super) fn complete(&mut self, name: &str, task: TaskId) {
         self.completed.insert(task);
         if let Some(worker) = self.workers.get_mut(name) {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// A worker executes commands.
+    /// Executes commands on a worker, which reports changes with an early heartbeat.
     pub(super) fn execute(&mut self, name: &str, commands: &[Command]) {
         for command in commands {
             let fetch_ms = self.rng.random_range(0..2_000);
@@ -231,11 +231,11 @@
             }
             let now = self.now;
             let Some(worker) = self.workers.get_mut(name) else { return };
-            worker.heartbeat_by(now + SOON_MS);
+            worker.heartbeat_by(now + EARLY_HEARTBEAT_MS);
         }
     }
 
-    /// Launches an attempt; returns whether that changed anything.
+    /// Launches an attempt. Returns false if the worker already has it.
     fn launch(&mut self, name: &str, key: AttemptKey, fetch_ms: u64) -> bool {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return false };
@@ -254,11 +254,12 @@
         } else {
             TaskPhase::Fetching
         };
-        worker.tasks.insert(key, WorkerTask { phase, until: now + fetch_ms });
+        worker.tasks.insert(key, WorkerTask { phase, phase_ends_at: now + fetch_ms });
         true
     }
 
-    /// Stops an attempt, which saves first if it can; returns whether it is there.
+    /// Stops an attempt, which first writes a checkpoint if it can. Returns false if the worker
+    /// does not have it.
     fn stop(&mut self, name: &str, key: AttemptKey, grace_s: f64) -> bool {
         let now = self.now;
         let (task, _) = key;
@@ -270,7 +271,7 @@
         let saves = spec.is_some_and(|spec| spec.checkpoint_s > 0.0 && grace_s >= spec.save_s);
         match task.phase {
             TaskPhase::Running if saves => {
-                (task.phase, task.until) = (TaskPhase::Checkpointing, now + CHECKPOINT_MS);
+                (task.phase, task.phase_ends_at) = (TaskPhase::Checkpointing, now + CHECKPOINT_MS);
             }
             TaskPhase::Ended(_) => {}
             TaskPhase::Checkpointing if grace_s > 0.0 => {}
@@ -279,14 +280,14 @@
         true
     }
 
-    /// CPUs of a worker that no live task takes.
+    /// CPUs of a worker that are not taken by live tasks.
     pub(super) fn free_cpus(&self, worker: &Worker) -> f64 {
         let in_use = worker.cpus_in_use(|task| self.jobs[&task.job].spec.demand.cpus);
         cpus_of_type(worker.machine_type) - in_use
     }
 }
 
-/// CPUs of a machine of this type.
+/// CPUs of a machine of this type; 0 for an unknown type.
 fn cpus_of_type(name: &str) -> f64 {
     let types = machine_types();
     types.iter().find(|machine_type| machine_type.name == name).map_or(0.0, |t| t.cpus)
