--- a/crates/latchtrack-emulator/examples/quota_report.rs
+++ b/crates/latchtrack-emulator/examples/quota_report.rs
@@ -13,7 +13,7 @@
 use clap::Parser;
 use hdrhistogram::Histogram;
 use latchtrack_emulator::error::ExperimentError;
-use latchtrack_emulator::race::{run, RaceOptions, RaceOutcome, CLOCK_OFFSET_MS, LIMIT};
+use latchtrack_emulator::race::{run, RaceOptions, RaceOutcome, CLOCK_OFFSET_MS, LIMIT_CPUS};
 use latchtrack_emulator::{lock, Shared};
 use plotters::element::Rectangle;
 use plotters::style::{Color, RGBColor, BLACK, BLUE, GREEN, RED};
@@ -57,50 +57,52 @@
     grants_per_s: f64,
     writes_per_100_launches: f64,
     guarantee_unmet_ms: u64,
-    reclaims_ms: Vec<u64>,
+    reclaim_latencies_ms: Vec<u64>,
 }
 
 impl Summary {
     fn of(name: String, races: &[SeedOutcome]) -> Result<Summary, Box<dyn Error>> {
         let outcomes = || races.iter().map(|race| &race.outcome);
         let mut grants = Histogram::new(3)?;
-        for ms in outcomes().flat_map(|outcome| &outcome.grants_ms) {
+        for ms in outcomes().flat_map(|outcome| &outcome.grant_latencies_ms) {
             grants.record((*ms).max(1))?;
         }
         let launches: usize = outcomes().map(RaceOutcome::launches).sum();
         let writes: u64 = outcomes().map(|outcome| outcome.ledger_writes).sum();
-        let took_ms: u64 = outcomes().map(|outcome| outcome.took_ms).sum();
-        let mut reclaims_ms: Vec<u64> =
-            outcomes().flat_map(|outcome| outcome.reclaims_ms.clone()).collect();
-        reclaims_ms.sort_unstable();
+        let duration_ms: u64 = outcomes().map(|outcome| outcome.duration_ms).sum();
+        let mut reclaim_latencies_ms: Vec<u64> =
+            outcomes().flat_map(|outcome| outcome.reclaim_latencies_ms.clone()).collect();
+        reclaim_latencies_ms.sort_unstable();
         let unmet_ms = outcomes().map(|outcome| outcome.guarantee_unmet_ms);
         Ok(Summary {
             name,
             races: races.len(),
             launches,
             overshoots: outcomes().map(|outcome| outcome.overshoots().len()).sum(),
-            grants_per_s: grants.len() as f64 * 1e3 / took_ms as f64,
+            grants_per_s: grants.len() as f64 * 1e3 / duration_ms as f64,
             grants,
             writes_per_100_launches: 100.0 * writes as f64 / launches.max(1) as f64,
             guarantee_unmet_ms: unmet_ms.max().unwrap_or(0),
-            reclaims_ms,
+            reclaim_latencies_ms,
         })
     }
 
     /// The cells of a row of a table.
     fn row(&self) -> Vec<String> {
-        let reclaim =
-            match (self.reclaims_ms.get(self.reclaims_ms.len() / 2), self.reclaims_ms.last()) {
-                (Some(median), Some(most)) => {
-                    format!(
-                        "{:.1} / {:.1} ({})",
-                        *median as f64 / 1e3,
-                        *most as f64 / 1e3,
-                        self.reclaims_ms.len()
-                    )
-                }
-                _ => "none died".into(),
-            };
+        let reclaim = match (
+            self.reclaim_latencies_ms.get(self.reclaim_latencies_ms.len() / 2),
+            self.reclaim_latencies_ms.last(),
+        ) {
+            (Some(median), Some(most)) => {
+                format!(
+                    "{:.1} / {:.1} ({})",
+                    *median as f64 / 1e3,
+                    *most as f64 / 1e3,
+                    self.reclaim_latencies_ms.len()
+                )
+            }
+            _ => "none died".into(),
+        };
         vec![
             self.name.clone(),
             self.races.to_string(),
@@ -241,14 +243,20 @@
     let used = outcome.usage(0, None);
     let used =
         used.iter().map(|usage| (seconds(usage.at_ms.saturating_sub(CLOCK_OFFSET_MS)), usage.cpus));
-    chart::over_time(300, 0.0..seconds(outcome.took_ms), 0.0..LIMIT * 1.2, "CPUs", |chart| {
-        chart::add_line(chart, "used in all cells", BLACK, used)?;
-        for cell in 0..outcome.entries.len() {
-            let samples = outcome.samples.iter().filter(|sample| sample.team == 0);
-            let points = samples.map(|sample| (seconds(sample.at_ms), sample.allotted[cell]));
-            let color = COLORS[cell % COLORS.len()];
-            chart::add_line(chart, &format!("allotted to cell{cell}"), color, points)?;
-        }
-        Ok(())
-    })
+    chart::over_time(
+        300,
+        0.0..seconds(outcome.duration_ms),
+        0.0..LIMIT_CPUS * 1.2,
+        "CPUs",
+        |chart| {
+            chart::add_line(chart, "used in all cells", BLACK, used)?;
+            for cell in 0..outcome.entries.len() {
+                let samples = outcome.samples.iter().filter(|sample| sample.team == 0);
+                let points = samples.map(|sample| (seconds(sample.at_ms), sample.allotted[cell]));
+                let color = COLORS[cell % COLORS.len()];
+                chart::add_line(chart, &format!("allotted to cell{cell}"), color, points)?;
+            }
+            Ok(())
+        },
+    )
 }
--- a/crates/latchtrack-emulator/src/client.rs
+++ b/crates/latchtrack-emulator/src/client.rs
@@ -6,15 +6,15 @@
 
 /// How long a request may take.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Times that [`until`] asks, and the time between two of them: half a minute in all.
+/// Times that [`poll_until`] asks, and the time between two of them: half a minute in all.
 const POLLS: u32 = 600;
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A response: status, `Retry-After`, and the body, null if it is not JSON.
-pub type Got = (u16, Option<String>, Value);
+pub type Response = (u16, Option<String>, Value);
 
 /// Sends a request; panics if there is no response.
-pub async fn call(method: &str, url: &str, body: Option<&[u8]>) -> Got {
+pub async fn call(method: &str, url: &str, body: Option<&[u8]>) -> Response {
     let client = awc::Client::builder().timeout(REQUEST_TIMEOUT).finish();
     let request = client.request(method.parse().expect("an HTTP method"), url);
     let sent = match body {
@@ -31,17 +31,17 @@
 }
 
 /// Posts a JSON body; panics if there is no response.
-pub async fn post(url: &str, body: &Value) -> Got {
+pub async fn post(url: &str, body: &Value) -> Response {
     call("POST", url, Some(body.to_string().as_bytes())).await
 }
 
 /// Gets a URL; panics if there is no response.
-pub async fn get(url: &str) -> Got {
+pub async fn get(url: &str) -> Response {
     call("GET", url, None).await
 }
 
 /// Gets a URL until the response is as wanted; panics with the last one after half a minute.
-pub async fn until(what: &str, url: &str, is_wanted: impl Fn(&Got) -> bool) -> Got {
+pub async fn poll_until(what: &str, url: &str, is_wanted: impl Fn(&Response) -> bool) -> Response {
     let mut last = None;
     for _ in 0..POLLS {
         let got = get(url).await;
--- a/crates/latchtrack-emulator/src/cloud.rs
+++ b/crates/latchtrack-emulator/src/cloud.rs
@@ -20,7 +20,7 @@
     /// Responds with 503 to requests for the machine types.
     pub down: bool,
     /// Lists its machines; otherwise its list is always empty.
-    pub lists: bool,
+    pub lists_machines: bool,
     /// The machines of each request, by its id.
     requests: BTreeMap<String, Vec<String>>,
 }
@@ -74,7 +74,8 @@
     let cloud = lock(&cloud);
     let from = query.get("from").cloned().unwrap_or_default();
     let all = cloud.provisioned.iter();
-    let listed = all.filter(|name| cloud.lists && **name > from && !cloud.is_terminated(name));
+    let listed =
+        all.filter(|name| cloud.lists_machines && **name > from && !cloud.is_terminated(name));
     let mut rows: Vec<Value> = listed
         .take(PAGE_SIZE + 1)
         .map(|name| {
--- a/crates/latchtrack-emulator/src/fleet/attempts.rs
+++ b/crates/latchtrack-emulator/src/fleet/attempts.rs
@@ -2,11 +2,11 @@
 
 use serde_json::Value;
 
-use super::heartbeats::CHANGE_REPORTED_MS;
+use super::heartbeats::CHANGE_REPORT_DELAY_MS;
 use super::machine::Attempt;
 use super::{FleetState, JobProfile, MACHINE_CPUS};
 use crate::history::TaskEvent;
-use crate::lifecycle::{AttemptKey, EndCause, TaskPhase};
+use crate::lifecycle::{AttemptKey, ExitCause, TaskPhase};
 
 /// Rounding that a sum of CPUs may carry.
 const CPU_TOLERANCE: f64 = 1e-6;
@@ -21,11 +21,11 @@
                 continue;
             }
             if machine.agent_epoch == 0 {
-                (machine.agent_epoch, machine.lease_from_ms) = (1, now);
+                (machine.agent_epoch, machine.lease_renewed_ms) = (1, now);
             }
-            if now > machine.lease_from_ms + self.settings.lease_ms {
+            if now > machine.lease_renewed_ms + self.settings.lease_ms {
                 machine.agent_epoch += 1;
-                machine.lease_from_ms = now;
+                machine.lease_renewed_ms = now;
                 self.drop_attempts(&name);
             }
             self.advance_attempts(&name, now);
@@ -47,7 +47,7 @@
         let profile = self.profile_of(&key.task);
         let saved_ms = self.saved_ms.get(&key.task).copied().unwrap_or(0);
         let Some(machine) = self.machines.get_mut(name) else { return };
-        machine.heartbeat_within(now, CHANGE_REPORTED_MS);
+        machine.heartbeat_within(now, CHANGE_REPORT_DELAY_MS);
         let Some(attempt) = machine.attempts.get_mut(key) else { return };
         let event = match attempt.phase {
             TaskPhase::Fetching => {
@@ -58,11 +58,11 @@
                 TaskEvent::Started
             }
             TaskPhase::Running => {
-                attempt.phase = TaskPhase::Ended(EndCause::Done);
+                attempt.phase = TaskPhase::Ended(ExitCause::Done);
                 TaskEvent::Completed
             }
             TaskPhase::Checkpointing | TaskPhase::Ended(_) => {
-                attempt.phase = TaskPhase::Ended(EndCause::Stopped);
+                attempt.phase = TaskPhase::Ended(ExitCause::Stopped);
                 let ran_ms = now.saturating_sub(attempt.running_since_ms);
                 let progress_ms = ran_ms.saturating_sub(profile.checkpoint_ms.unwrap_or(0));
                 *self.saved_ms.entry(key.task.clone()).or_default() += progress_ms;
@@ -96,7 +96,9 @@
                     machine.attempts.retain(|other, attempt| *other != key || attempt.is_live());
                 }),
             }
-            self.with_machine(name, |machine| machine.heartbeat_within(now, CHANGE_REPORTED_MS));
+            self.with_machine(name, |machine| {
+                machine.heartbeat_within(now, CHANGE_REPORT_DELAY_MS)
+            });
         }
     }
 
@@ -111,9 +113,9 @@
         }
         let mut others = machine.attempts.iter();
         let phase = if others.any(|(other, attempt)| other.task == key.task && attempt.is_live()) {
-            TaskPhase::Ended(EndCause::DuplicateTask)
+            TaskPhase::Ended(ExitCause::DuplicateTask)
         } else if is_full || now < machine.rejects_launches_until_ms {
-            TaskPhase::Ended(EndCause::InsufficientResources)
+            TaskPhase::Ended(ExitCause::InsufficientResources)
         } else {
             TaskPhase::Fetching
         };
@@ -139,7 +141,7 @@
             }
             _ => {
                 let was_executing = attempt.is_executing();
-                attempt.phase = TaskPhase::Ended(EndCause::Stopped);
+                attempt.phase = TaskPhase::Ended(ExitCause::Stopped);
                 if was_executing {
                     self.record(name, key, TaskEvent::Ended);
                 }
--- a/crates/latchtrack-emulator/src/fleet/heartbeats.rs
+++ b/crates/latchtrack-emulator/src/fleet/heartbeats.rs
@@ -7,13 +7,13 @@
 use super::{FleetState, RESPONSE_TIMEOUT};
 
 /// ms until a worker tries the next node.
-const NEXT_NODE_MS: u64 = 1_000;
+const NEXT_NODE_DELAY_MS: u64 = 1_000;
 /// ms until a worker that was referred to the leader reports to it.
-const REFERRED_MS: u64 = 50;
+const REDIRECT_DELAY_MS: u64 = 50;
 /// ms until a worker that met a new leader reports to it once more.
-const NEW_TOKEN_MS: u64 = 300;
+const NEW_TOKEN_DELAY_MS: u64 = 300;
 /// ms until a change on the machine is reported.
-pub(super) const CHANGE_REPORTED_MS: u64 = 100;
+pub(super) const CHANGE_REPORT_DELAY_MS: u64 = 100;
 /// The status of a node that does not lead.
 const MISDIRECTED: u16 = 421;
 
@@ -110,7 +110,7 @@
                 if token >= machine.fencing_token {
                     // The lease counts from now and not from the sending, at most one response
                     // timeout ago: it may expire a little late, as with a slow clock.
-                    machine.lease_from_ms = now;
+                    machine.lease_renewed_ms = now;
                     self.execute(name, token, &body["orders"]);
                 }
             }
@@ -118,12 +118,13 @@
                 let leader = body["foreman"].as_str().unwrap_or_default();
                 let known = self.settings.nodes.iter().position(|node| node.name == leader);
                 machine.node = known.unwrap_or(machine.node + 1);
-                let wait_ms = if leader.is_empty() { NEXT_NODE_MS } else { REFERRED_MS };
+                let wait_ms =
+                    if leader.is_empty() { NEXT_NODE_DELAY_MS } else { REDIRECT_DELAY_MS };
                 machine.next_heartbeat_ms = now + wait_ms;
             }
             _ => {
                 machine.node += 1;
-                machine.next_heartbeat_ms = now + NEXT_NODE_MS;
+                machine.next_heartbeat_ms = now + NEXT_NODE_DELAY_MS;
             }
         }
     }
@@ -133,7 +134,7 @@
         let now = self.now_ms();
         self.with_machine(name, |machine| {
             if token > machine.fencing_token {
-                machine.heartbeat_within(now, NEW_TOKEN_MS);
+                machine.heartbeat_within(now, NEW_TOKEN_DELAY_MS);
             }
             machine.fencing_token = machine.fencing_token.max(token);
         });
--- a/crates/latchtrack-emulator/src/fleet/machine.rs
+++ b/crates/latchtrack-emulator/src/fleet/machine.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 
-use crate::lifecycle::{AttemptKey, EndCause, TaskPhase};
+use crate::lifecycle::{AttemptKey, ExitCause, TaskPhase};
 
 /// An attempt at a task on a machine.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
     /// The highest fencing token that it has accepted.
     pub fencing_token: u64,
     /// From when its worker lease counts.
-    pub lease_from_ms: u64,
+    pub lease_renewed_ms: u64,
     pub next_heartbeat_ms: u64,
     pub is_heartbeat_in_flight: bool,
     /// Index of the node that it reports to, modulo the number of nodes.
@@ -89,11 +89,11 @@
 }
 
 fn attempt_row((key, attempt): (&AttemptKey, &Attempt)) -> Value {
-    let status = attempt.phase.on_the_wire();
+    let status = attempt.phase.protocol_name();
     let mut row = json!({"piece": key.task, "try": key.attempt, "status": status});
     if let TaskPhase::Ended(cause) = attempt.phase {
-        row["cause"] = json!(cause.on_the_wire());
-        row["stored"] = json!(cause == EndCause::Stopped);
+        row["cause"] = json!(cause.protocol_name());
+        row["stored"] = json!(cause == ExitCause::Stopped);
     }
     row
 }
--- a/crates/latchtrack-emulator/src/fleet/mod.rs
+++ b/crates/latchtrack-emulator/src/fleet/mod.rs
@@ -27,11 +27,11 @@
 /// CPUs of a machine of the emulated cloud.
 pub const MACHINE_CPUS: f64 = 8.0;
 /// Time between two steps of the fleet.
-const STEP: Duration = Duration::from_millis(20);
+const STEP_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a worker waits for the response to a heartbeat.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// ms between two samples of the loads.
-const SAMPLE_MS: u64 = 1_000;
+const SAMPLE_INTERVAL_MS: u64 = 1_000;
 
 /// The workers of a fleet and what they have recorded.
 pub struct FleetState {
@@ -71,7 +71,7 @@
     loop {
         let due = {
             let mut fleet = lock(&fleet);
-            fleet.follow_cloud(&lock(&cloud));
+            fleet.sync_with_cloud(&lock(&cloud));
             fleet.advance();
             fleet.sample_loads();
             fleet.heartbeats_due()
@@ -79,7 +79,7 @@
         for heartbeat in due {
             actix_web::rt::spawn(send_heartbeat(client.clone(), fleet.clone(), heartbeat));
         }
-        actix_web::rt::time::sleep(STEP).await;
+        actix_web::rt::time::sleep(STEP_INTERVAL).await;
     }
 }
 
@@ -175,7 +175,7 @@
     }
 
     /// Boots machines that were provisioned, stops those that were terminated.
-    fn follow_cloud(&mut self, cloud: &CloudState) {
+    fn sync_with_cloud(&mut self, cloud: &CloudState) {
         let now = self.now_ms();
         for name in &cloud.provisioned {
             if self.machines.contains_key(name) {
@@ -195,7 +195,7 @@
     fn sample_loads(&mut self) {
         let now = self.now_ms();
         let last = self.history.loads.last().map(|sample| sample.at_ms);
-        if last.is_some_and(|at_ms| now < at_ms + SAMPLE_MS) {
+        if last.is_some_and(|at_ms| now < at_ms + SAMPLE_INTERVAL_MS) {
             return;
         }
         let running = self.running_machines();
--- a/crates/latchtrack-emulator/src/lib.rs
+++ b/crates/latchtrack-emulator/src/lib.rs
@@ -24,7 +24,7 @@
 use actix_web::HttpResponse;
 use serde_json::json;
 
-pub use client::{call, get, post, until, Got};
+pub use client::{call, get, poll_until, post, Response};
 pub use cloud::CloudState;
 pub use site::{site, Site};
 pub use state::{FaultCounts, StateService, TransactionFaults};
--- a/crates/latchtrack-emulator/src/lifecycle.rs
+++ b/crates/latchtrack-emulator/src/lifecycle.rs
@@ -26,12 +26,12 @@
     /// It was told to stop and saves its progress.
     Checkpointing,
     /// It has left the machine and is reported until the leader forgets it.
-    Ended(EndCause),
+    Ended(ExitCause),
 }
 
 /// Why an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndCause {
+pub enum ExitCause {
     /// It completed.
     Done,
     /// It was told to stop.
@@ -44,7 +44,7 @@
 
 impl TaskPhase {
     /// The protocol's word for it.
-    pub fn on_the_wire(self) -> &'static str {
+    pub fn protocol_name(self) -> &'static str {
         match self {
             TaskPhase::Fetching => "pulling",
             TaskPhase::Running => "running",
@@ -54,14 +54,14 @@
     }
 }
 
-impl EndCause {
+impl ExitCause {
     /// The protocol's word for it.
-    pub fn on_the_wire(self) -> &'static str {
+    pub fn protocol_name(self) -> &'static str {
         match self {
-            EndCause::Done => "done",
-            EndCause::Stopped => "halted",
-            EndCause::DuplicateTask => "busy",
-            EndCause::InsufficientResources => "no_room",
+            ExitCause::Done => "done",
+            ExitCause::Stopped => "halted",
+            ExitCause::DuplicateTask => "busy",
+            ExitCause::InsufficientResources => "no_room",
         }
     }
 }
--- a/crates/latchtrack-emulator/src/race/cell.rs
+++ b/crates/latchtrack-emulator/src/race/cell.rs
@@ -7,9 +7,9 @@
 use serde_json::{json, Value};
 
 use super::outcome::SubmittedJob;
-use super::{RaceOptions, GUARANTEE, LIMIT};
+use super::{RaceOptions, GUARANTEE_CPUS, LIMIT_CPUS};
 use crate::fleet::{self, FleetSettings, FleetState, JobProfile, NodeEndpoint};
-use crate::site::{site_at, Site};
+use crate::site::{site_with_state, Site};
 use crate::state::StateService;
 use crate::{lock, Shared};
 
@@ -29,7 +29,7 @@
 
 /// Which controllers of a cell the state service refuses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum RefusedControllers {
+pub(super) enum RefusedNodes {
     None,
     First,
     Both,
@@ -60,17 +60,17 @@
     pub fleet: Shared<FleetState>,
     pub jobs: BTreeMap<String, SubmittedJob>,
     /// Until when it has a fault; 0: it has none.
-    pub faulty_until: u64,
+    pub faulty_until_ms: u64,
     /// When it died, until its allotments are reclaimed.
-    pub died_at: Option<u64>,
+    pub died_at_ms: Option<u64>,
 }
 
 impl Cell {
     /// Starts a cell at a state service that all cells share.
     pub async fn start(index: usize, options: &RaceOptions, state: Shared<StateService>) -> Cell {
         let site = cell_site(index, options, state);
-        lock(&site.cloud).lists = true;
-        let urls = site.pair().await.to_vec();
+        lock(&site.cloud).lists_machines = true;
+        let urls = site.start_two_nodes().await.to_vec();
         let nodes = ["one", "two"].into_iter().zip(&urls);
         let settings = FleetSettings {
             seed: options.seed + index as u64,
@@ -85,7 +85,7 @@
                 .collect(),
         };
         let fleet = fleet::start(settings, site.cloud.clone());
-        Cell { site, urls, fleet, jobs: BTreeMap::new(), faulty_until: 0, died_at: None }
+        Cell { site, urls, fleet, jobs: BTreeMap::new(), faulty_until_ms: 0, died_at_ms: None }
     }
 
     /// Makes a new job and tells the workers of it.
@@ -104,13 +104,13 @@
     }
 
     /// Has the state service refuse these controllers, and no others.
-    pub fn refuse(&self, controllers: RefusedControllers) {
-        let refused = match controllers {
-            RefusedControllers::None => [false, false],
-            RefusedControllers::First => [true, false],
-            RefusedControllers::Both => [true, true],
+    pub fn set_refused(&self, nodes: RefusedNodes) {
+        let refused = match nodes {
+            RefusedNodes::None => [false, false],
+            RefusedNodes::First => [true, false],
+            RefusedNodes::Both => [true, true],
         };
-        for (flag, refused) in self.site.refused.iter().zip(refused) {
+        for (flag, refused) in self.site.refused_nodes.iter().zip(refused) {
             flag.store(refused, Ordering::Relaxed);
         }
     }
@@ -125,9 +125,10 @@
 }
 
 fn cell_site(index: usize, options: &RaceOptions, state: Shared<StateService>) -> Site {
-    let mut site = site_at(state);
-    let teams = (0..options.teams)
-        .map(|team| json!({"name": format!("t{team}"), "cpus": GUARANTEE, "cpus_max": LIMIT}));
+    let mut site = site_with_state(state);
+    let teams = (0..options.teams).map(
+        |team| json!({"name": format!("t{team}"), "cpus": GUARANTEE_CPUS, "cpus_max": LIMIT_CPUS}),
+    );
     site.teams = teams.collect();
     site.workers = json!({"report_s": HEARTBEAT_INTERVAL_MS as f64 / 1e3,
         "lease_s": WORKER_LEASE_MS as f64 / 1e3, "cancel_s": 10.0});
--- a/crates/latchtrack-emulator/src/race/mod.rs
+++ b/crates/latchtrack-emulator/src/race/mod.rs
@@ -18,33 +18,33 @@
 use crate::history::HistoryEntry;
 use crate::state::StateService;
 use crate::{lock, Shared};
-use cell::{cell_name, Cell, JobSize, RefusedControllers};
+use cell::{cell_name, Cell, JobSize, RefusedNodes};
 use observer::LedgerObserver;
 pub use outcome::{AllotmentSample, Overshoot, RaceOutcome, SubmittedJob};
 
 /// CPUs that each team may use.
-pub const LIMIT: f64 = 16.0;
+pub const LIMIT_CPUS: f64 = 16.0;
 /// CPUs of each team's guarantee.
-pub const GUARANTEE: f64 = 4.0;
+pub const GUARANTEE_CPUS: f64 = 4.0;
 /// The longest that a task runs, ms.
-pub const MAX_RUN_MS: u64 = 1_500;
+pub const MAX_TASK_MS: u64 = 1_500;
 /// Added to the times of [`RaceOutcome::entries`], so that what ran before the race began has
 /// positive times too; ms.
 pub const CLOCK_OFFSET_MS: u64 = 1_000_000;
 /// ms between two samples of the stored ledgers.
-const SAMPLE_MS: u64 = 25;
+const SAMPLE_INTERVAL_MS: u64 = 25;
 /// Attempts to see every cell led and every ledger complete, four sampling intervals apart.
-const READY_ATTEMPTS: u32 = 1_200;
+const MAX_READY_POLLS: u32 = 1_200;
 /// ms between two submissions to a cell after the first burst.
-const SUBMIT_MS: u64 = 150;
+const SUBMIT_INTERVAL_MS: u64 = 150;
 /// Jobs that are submitted to each cell in the same moment.
-const BURST: usize = 20;
+const BURST_JOBS: usize = 20;
 /// Probability that a job is cancelled as soon as it is accepted.
-const CANCELLED_PART: f64 = 0.25;
+const CANCEL_PROBABILITY: f64 = 0.25;
 /// Fraction of the run that a fault lasts at most, unless the cell dies.
-const FAULTY_PART: f64 = 0.6;
+const MAX_FAULT_FRACTION: f64 = 0.6;
 /// How much longer than the longest fault the workers of a dead cell stay cut off.
-const DEAD_FACTOR: u64 = 10;
+const DEAD_CELL_FACTOR: u64 = 10;
 
 /// What is to be run.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
 
 struct Race {
     options: RaceOptions,
-    began: Instant,
+    started_at: Instant,
     rng: StdRng,
     state: Shared<StateService>,
     cells: Vec<Cell>,
@@ -92,7 +92,7 @@
         }
         let rng = StdRng::seed_from_u64(options.seed);
         Race {
-            began: Instant::now(),
+            started_at: Instant::now(),
             rng,
             state,
             cells,
@@ -103,12 +103,12 @@
     }
 
     fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     /// Waits until every cell has a leader and every team's ledger is complete.
     async fn wait_until_ready(&mut self) -> Result<(), ExperimentError> {
-        for _ in 0..READY_ATTEMPTS {
+        for _ in 0..MAX_READY_POLLS {
             let is_complete = |ledger: &Value| ledger["complete"] == true;
             let ledgers: Vec<Value> =
                 (0..self.options.teams).filter_map(|team| self.ledger(team)).collect();
@@ -116,7 +116,7 @@
                 return Ok(());
             }
             self.submit_everywhere();
-            sleep(Duration::from_millis(4 * SAMPLE_MS)).await;
+            sleep(Duration::from_millis(4 * SAMPLE_INTERVAL_MS)).await;
         }
         Err(ExperimentError::CellsNotReady)
     }
@@ -125,24 +125,24 @@
     async fn run_load(&mut self) {
         let from = self.now_ms();
         let run_ms = self.options.run_s * 1_000;
-        for _ in 0..BURST {
+        for _ in 0..BURST_JOBS {
             self.submit_everywhere();
         }
         let fault_at = self.rng.random_range(500..2_500);
         let (mut next_submit, mut has_failed) = (0, false);
-        while self.now_ms() < from + run_ms + MAX_RUN_MS {
+        while self.now_ms() < from + run_ms + MAX_TASK_MS {
             let now = self.now_ms() - from;
             if now >= next_submit && now < run_ms {
-                next_submit = now + SUBMIT_MS;
+                next_submit = now + SUBMIT_INTERVAL_MS;
                 self.submit_everywhere();
             }
             if self.options.faults && !has_failed && now >= fault_at {
                 has_failed = true;
-                self.fail_cells((run_ms as f64 * FAULTY_PART) as u64);
+                self.fail_cells((run_ms as f64 * MAX_FAULT_FRACTION) as u64);
             }
             self.end_faults();
             self.observe_ledgers();
-            sleep(Duration::from_millis(SAMPLE_MS)).await;
+            sleep(Duration::from_millis(SAMPLE_INTERVAL_MS)).await;
         }
     }
 
@@ -159,9 +159,9 @@
                 team: self.rng.random_range(0..self.options.teams),
                 tasks: self.rng.random_range(1..=4),
                 cpus: f64::from(self.rng.random_range(1..=3)),
-                run_ms: self.rng.random_range(300..=MAX_RUN_MS),
+                run_ms: self.rng.random_range(300..=MAX_TASK_MS),
             };
-            let is_cancelled = self.rng.random_bool(CANCELLED_PART);
+            let is_cancelled = self.rng.random_bool(CANCEL_PROBABILITY);
             let job = cell.new_job(&size);
             let url = cell.urls[self.rng.random_range(0..cell.urls.len())].clone();
             submissions.push(async move {
@@ -187,14 +187,14 @@
             let ms = self.rng.random_range(500..max_ms);
             let fault = self.rng.random_range(0..4);
             let cell = &mut self.cells[index];
-            cell.faulty_until = now + ms;
+            cell.faulty_until_ms = now + ms;
             let what = match fault {
                 0 => {
-                    cell.refuse(RefusedControllers::Both);
+                    cell.set_refused(RefusedNodes::Both);
                     "loses the state service"
                 }
                 1 => {
-                    cell.refuse(RefusedControllers::First);
+                    cell.set_refused(RefusedNodes::First);
                     "one controller loses the state service"
                 }
                 2 => {
@@ -202,10 +202,10 @@
                     "loses its workers"
                 }
                 _ => {
-                    cell.refuse(RefusedControllers::Both);
-                    cell.partition_workers(max_ms * DEAD_FACTOR);
-                    cell.faulty_until = u64::MAX;
-                    cell.died_at = Some(now);
+                    cell.set_refused(RefusedNodes::Both);
+                    cell.partition_workers(max_ms * DEAD_CELL_FACTOR);
+                    cell.faulty_until_ms = u64::MAX;
+                    cell.died_at_ms = Some(now);
                     "dies"
                 }
             };
@@ -216,9 +216,9 @@
     fn end_faults(&mut self) {
         let now = self.now_ms();
         for cell in &mut self.cells {
-            if cell.faulty_until != 0 && now >= cell.faulty_until {
-                cell.faulty_until = 0;
-                cell.refuse(RefusedControllers::None);
+            if cell.faulty_until_ms != 0 && now >= cell.faulty_until_ms {
+                cell.faulty_until_ms = 0;
+                cell.set_refused(RefusedNodes::None);
             }
         }
     }
@@ -234,7 +234,7 @@
     fn end(mut self) -> RaceOutcome {
         for cell in &self.cells {
             let fleet = lock(&cell.fleet);
-            let head_start = self.began.saturating_duration_since(fleet.started_at());
+            let head_start = self.started_at.saturating_duration_since(fleet.started_at());
             let head_start_ms = head_start.as_millis() as u64;
             let on_one_clock = |entry: &HistoryEntry| HistoryEntry {
                 at_ms: (entry.at_ms + CLOCK_OFFSET_MS).saturating_sub(head_start_ms),
@@ -244,7 +244,7 @@
             self.outcome.jobs.push(cell.jobs.clone());
         }
         self.outcome.ledger_writes = lock(&self.state).ledger_writes();
-        self.outcome.took_ms = self.now_ms();
+        self.outcome.duration_ms = self.now_ms();
         self.outcome
     }
 }
--- a/crates/latchtrack-emulator/src/race/observer.rs
+++ b/crates/latchtrack-emulator/src/race/observer.rs
@@ -7,7 +7,7 @@
 
 use super::cell::{cell_name, Cell};
 use super::outcome::{AllotmentSample, RaceOutcome};
-use super::GUARANTEE;
+use super::GUARANTEE_CPUS;
 
 /// A team in a cell, by their indices.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -21,7 +21,7 @@
 struct OpenRequest {
     ticket: u64,
     /// When it was first seen, in ms since the race began.
-    seen_at: u64,
+    first_seen_ms: u64,
     is_met: bool,
 }
 
@@ -56,16 +56,16 @@
             let request = &entry(cell)["request"];
             let seen = request["ticket"].as_u64().map(|ticket| {
                 let is_met = cpus(&request["need"]) <= *held;
-                OpenRequest { ticket, seen_at: now, is_met }
+                OpenRequest { ticket, first_seen_ms: now, is_met }
             });
             self.observe_request(now, key, seen, cells, outcome);
             let want = cpus(&request["want"]);
-            let lacks = seen.is_some() && want <= GUARANTEE && *held < want;
+            let lacks = seen.is_some() && want <= GUARANTEE_CPUS && *held < want;
             self.observe_guarantee(now, key, lacks, cells, outcome);
-            let died_at = cells[cell].died_at.filter(|_| entry(cell).is_null());
-            if let Some(died_at) = died_at.filter(|_| team == 0) {
-                cells[cell].died_at = None;
-                outcome.reclaims_ms.push(now - died_at);
+            let died_at_ms = cells[cell].died_at_ms.filter(|_| entry(cell).is_null());
+            if let Some(died_at_ms) = died_at_ms.filter(|_| team == 0) {
+                cells[cell].died_at_ms = None;
+                outcome.reclaim_latencies_ms.push(now - died_at_ms);
             }
         }
         outcome.samples.push(AllotmentSample { at_ms: now, team, allotted });
@@ -81,8 +81,8 @@
         outcome: &mut RaceOutcome,
     ) {
         let mut record_grant = |request: OpenRequest| {
-            if !request.is_met && cells[key.cell].faulty_until == 0 {
-                outcome.grants_ms.push(now - request.seen_at);
+            if !request.is_met && cells[key.cell].faulty_until_ms == 0 {
+                outcome.grant_latencies_ms.push(now - request.first_seen_ms);
             }
         };
         let known = self.requests.remove(&key);
@@ -110,7 +110,7 @@
         outcome: &mut RaceOutcome,
     ) {
         // While any cell has a fault, what it holds has to be reclaimed first.
-        if !lacks || cells.iter().any(|cell| cell.faulty_until != 0) {
+        if !lacks || cells.iter().any(|cell| cell.faulty_until_ms != 0) {
             self.unmet_since.remove(&key);
             return;
         }
--- a/crates/latchtrack-emulator/src/race/outcome.rs
+++ b/crates/latchtrack-emulator/src/race/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::LIMIT;
+use super::LIMIT_CPUS;
 use crate::history::{usage, HistoryEntry, TaskEvent, Usage};
 use crate::lifecycle::AttemptKey;
 
@@ -49,18 +49,18 @@
     /// What was allotted over time.
     pub samples: Vec<AllotmentSample>,
     /// ms from each request until its need was met, of cells without a fault meanwhile.
-    pub grants_ms: Vec<u64>,
+    pub grant_latencies_ms: Vec<u64>,
     /// The longest time, in ms, for which a cell lacked something of its team's guarantee while no
     /// cell had a fault.
     pub guarantee_unmet_ms: u64,
     /// ms from the death of a cell until its allotments were reclaimed.
-    pub reclaims_ms: Vec<u64>,
+    pub reclaim_latencies_ms: Vec<u64>,
     /// Writes of the teams' ledgers.
     pub ledger_writes: u64,
     /// A line for each fault, with its time.
     pub faults: Vec<String>,
     /// How long the race took, in ms.
-    pub took_ms: u64,
+    pub duration_ms: u64,
 }
 
 impl RaceOutcome {
@@ -92,7 +92,7 @@
         let last_team = self.jobs.iter().flatten().map(|(_, job)| job.team).max().unwrap_or(0);
         let overshoots_of = |team| {
             let over = self.usage(team, None).into_iter();
-            over.filter(|usage| usage.cpus > LIMIT + CPU_TOLERANCE)
+            over.filter(|usage| usage.cpus > LIMIT_CPUS + CPU_TOLERANCE)
                 .map(move |usage| Overshoot { team, usage })
         };
         (0..=last_team).flat_map(overshoots_of).collect()
--- a/crates/latchtrack-emulator/src/site.rs
+++ b/crates/latchtrack-emulator/src/site.rs
@@ -33,7 +33,7 @@
     /// The cloud.
     pub cloud: Shared<CloudState>,
     /// Whether the state service refuses the node behind each of its ports.
-    pub refused: [Arc<AtomicBool>; 3],
+    pub refused_nodes: [Arc<AtomicBool>; 3],
     /// The operators' settings of the nodes that are started.
     pub tuning: Tuning,
     /// Sockets that a node may use.
@@ -57,19 +57,19 @@
 
 /// Starts a state service and a cloud.
 pub fn site() -> Site {
-    site_at(Default::default())
+    site_with_state(Default::default())
 }
 
 /// Starts a cloud, and ports of a state service that others may use too.
-pub fn site_at(state: Shared<StateService>) -> Site {
+pub fn site_with_state(state: Shared<StateService>) -> Site {
     let cloud: Shared<CloudState> = Default::default();
-    let refused: [Arc<AtomicBool>; 3] = Default::default();
+    let refused_nodes: [Arc<AtomicBool>; 3] = Default::default();
     Site {
-        state_ports: [0, 1, 2].map(|i| serve_state(state.clone(), refused[i].clone())),
+        state_ports: [0, 1, 2].map(|i| serve_state(state.clone(), refused_nodes[i].clone())),
         cloud_port: serve_cloud(cloud.clone()),
         state,
         cloud,
-        refused,
+        refused_nodes,
         tuning: Tuning::default(),
         max_sockets: MAX_SOCKETS,
         teams: json!([{"name": "team"}, {"name": "small", "cpus_max": 2.0}, {"name": "other"}]),
@@ -89,24 +89,24 @@
 
 impl Site {
     /// Starts a node that knows no other; returns its base URL for users and workers.
-    pub async fn node(&self, name: &str) -> String {
-        self.start(name, 0, listen().await, &[]).await.url
+    pub async fn start_node(&self, name: &str) -> String {
+        self.spawn_node(name, 0, listen().await, &[]).await.url
     }
 
     /// Starts two nodes that know each other, each behind a port of the state service; returns
     /// their base URLs.
-    pub async fn pair(&self) -> [String; 2] {
+    pub async fn start_two_nodes(&self) -> [String; 2] {
         self.start_nodes::<2>().await.map(|node| node.url)
     }
 
     /// Starts three nodes that know each other, each behind a port of the state service; returns
     /// their base URLs.
-    pub async fn trio(&self) -> [String; 3] {
+    pub async fn start_three_nodes(&self) -> [String; 3] {
         self.start_nodes::<3>().await.map(|node| node.url)
     }
 
-    /// Like [`trio`](Self::trio); returns the settings of the first node too.
-    pub async fn trio_with_settings(&self) -> ([String; 3], Settings) {
+    /// Like [`start_three_nodes`](Self::start_three_nodes); also returns the first node's settings.
+    pub async fn start_three_nodes_with_settings(&self) -> ([String; 3], Settings) {
         let nodes = self.start_nodes::<3>().await;
         let settings = nodes[0].settings.clone();
         (nodes.map(|node| node.url), settings)
@@ -123,12 +123,12 @@
         for (i, listener) in listeners.into_iter().enumerate() {
             let peer = |other: usize| Peer { name: NODE_NAMES[other], endpoint: &endpoints[other] };
             let others: Vec<Peer> = (0..N).filter(|other| *other != i).map(peer).collect();
-            nodes.push(self.start(NODE_NAMES[i], i, listener, &others).await);
+            nodes.push(self.spawn_node(NODE_NAMES[i], i, listener, &others).await);
         }
         nodes.try_into().unwrap_or_else(|_| unreachable!("one node for each listener"))
     }
 
-    async fn start(
+    async fn spawn_node(
         &self,
         name: &str,
         port: usize,
--- a/crates/latchtrack-emulator/src/spread.rs
+++ b/crates/latchtrack-emulator/src/spread.rs
@@ -25,13 +25,13 @@
 /// ms between two faults.
 const FAULT_INTERVAL_MS: u64 = 1_500;
 /// ms for which a target that is full rejects launches.
-const FULL_MS: u64 = 10_000;
+const REJECT_LAUNCHES_MS: u64 = 10_000;
 /// ms for which a target is cut off or a source pauses.
 const SHORT_FAULT_MS: u64 = 3_000;
 /// Probability that a response to a worker is lost in a run with faults.
 const RESPONSE_LOSS: f64 = 0.01;
 /// Tasks of a hot job.
-const HOT_TASKS: usize = 40;
+const HOT_JOB_TASKS: usize = 40;
 /// ms that a checkpoint of a hot task takes.
 const CHECKPOINT_MS: u64 = 500;
 /// The bound of latchtrack-balance on the most loaded machine, in mean loads, to which one task is
@@ -186,9 +186,9 @@
             balance: options.balance.clone(),
             ..Tuning::default()
         };
-        lock(&site.cloud).lists = true;
+        lock(&site.cloud).lists_machines = true;
         lock(&site.state).page_size = Some(500);
-        let (urls, settings) = site.trio_with_settings().await;
+        let (urls, settings) = site.start_three_nodes_with_settings().await;
         let names = ["one", "two", "three"].map(String::from);
         let nodes = names.into_iter().zip(urls);
         let nodes: Vec<NodeEndpoint> =
@@ -270,12 +270,12 @@
     /// Two teams turn hot in the same second.
     async fn submit_hot_jobs(&mut self) -> Result<(), ExperimentError> {
         let cpus = self.options.workers as f64 * MACHINE_CPUS * self.options.demand;
-        let jobs = (cpus / HOT_TASKS as f64 / 2.0).ceil().max(1.0) as usize;
+        let jobs = (cpus / HOT_JOB_TASKS as f64 / 2.0).ceil().max(1.0) as usize;
         for _ in 0..jobs {
             for team in ["team", "other"] {
                 self.submit(NewJob {
                     team,
-                    tasks: HOT_TASKS,
+                    tasks: HOT_JOB_TASKS,
                     cpus: 1.0,
                     run_s: self.options.run_s,
                     checkpoint_ms: Some(CHECKPOINT_MS),
@@ -323,8 +323,8 @@
         let at_ms = fleet.now_ms();
         let what = match self.faults.len() % 6 {
             0 => {
-                fleet.reject_launches(target, FULL_MS);
-                format!("target {target} is full for {} s", FULL_MS / 1_000)
+                fleet.reject_launches(target, REJECT_LAUNCHES_MS);
+                format!("target {target} is full for {} s", REJECT_LAUNCHES_MS / 1_000)
             }
             1 => {
                 fleet.partition(target, SHORT_FAULT_MS);
--- a/crates/latchtrack-emulator/src/state/faults.rs
+++ b/crates/latchtrack-emulator/src/state/faults.rs
@@ -8,13 +8,13 @@
     /// Draws the faults.
     pub rng: StdRng,
     /// ms that a response is under way, at most; what it says is as old by then.
-    pub slow_ms: u64,
+    pub max_delay_ms: u64,
     /// Probability that a transaction commits at once and only its response is lost.
-    pub lost: f64,
+    pub response_loss: f64,
     /// Probability that a transaction gets no response and commits later, after newer ones.
-    pub late: f64,
+    pub late_commit: f64,
     /// ms within which a late transaction commits.
-    pub late_ms: u64,
+    pub max_late_ms: u64,
     /// How often these came about.
     pub counts: FaultCounts,
 }
@@ -29,27 +29,27 @@
 }
 
 /// What becomes of a transaction and of its response.
-pub(super) enum Fate {
-    Answered,
+pub(super) enum TransactionOutcome {
+    Responded,
     ResponseLost,
     /// It is executed so many ms later.
-    Late(u64),
+    CommittedLate(u64),
 }
 
 impl TransactionFaults {
-    pub(super) fn draw_fate(&mut self) -> Fate {
-        if self.rng.random_bool(self.lost) {
+    pub(super) fn draw_outcome(&mut self) -> TransactionOutcome {
+        if self.rng.random_bool(self.response_loss) {
             self.counts.lost_responses += 1;
-            return Fate::ResponseLost;
+            return TransactionOutcome::ResponseLost;
         }
-        if self.rng.random_bool(self.late) {
+        if self.rng.random_bool(self.late_commit) {
             self.counts.late_transactions += 1;
-            return Fate::Late(self.rng.random_range(0..=self.late_ms));
+            return TransactionOutcome::CommittedLate(self.rng.random_range(0..=self.max_late_ms));
         }
-        Fate::Answered
+        TransactionOutcome::Responded
     }
 
     pub(super) fn draw_delay_ms(&mut self) -> u64 {
-        self.rng.random_range(0..=self.slow_ms)
+        self.rng.random_range(0..=self.max_delay_ms)
     }
 }
--- a/crates/latchtrack-emulator/src/state/mod.rs
+++ b/crates/latchtrack-emulator/src/state/mod.rs
@@ -82,7 +82,7 @@
     /// Responds with 503 to everything.
     pub down: bool,
     /// Commits the next transaction on a job record but breaks off the response.
-    pub lose_next_txn: bool,
+    pub lose_next_job_response: bool,
     /// Faults by chance; None: there are none.
     pub faults: Option<TransactionFaults>,
     /// Keys on a page; None: a few.
@@ -177,10 +177,10 @@
 
     /// Whether the response to this transaction is the one that a test wants lost. Only those on
     /// job records count: the leader writes at times of its own.
-    fn takes_lost_response(&mut self, body: &Value) -> bool {
+    fn loses_response(&mut self, body: &Value) -> bool {
         let first_put = body["apply"][0]["put"].as_str();
         let is_of_job = first_put.is_some_and(|key| key.starts_with(JOB_PREFIX));
-        is_of_job && std::mem::take(&mut self.lose_next_txn)
+        is_of_job && std::mem::take(&mut self.lose_next_job_response)
     }
 
     fn grant_lease(&mut self, ttl_ms: impl FnOnce() -> u64) -> u64 {
--- a/crates/latchtrack-emulator/src/state/server.rs
+++ b/crates/latchtrack-emulator/src/state/server.rs
@@ -9,7 +9,7 @@
 use actix_web::{web, App, HttpResponse, HttpServer};
 use serde_json::{json, Value};
 
-use super::faults::{Fate, TransactionFaults};
+use super::faults::{TransactionFaults, TransactionOutcome};
 use super::{StateService, TransactionError};
 use crate::{lock, unavailable, Shared};
 
@@ -65,7 +65,7 @@
     HttpResponse::Ok().json(json!({"epoch": service.revision, "log": log}))
 }
 
-async fn item(service: SharedService, key: web::Path<String>) -> HttpResponse {
+async fn read_key(service: SharedService, key: web::Path<String>) -> HttpResponse {
     let service = lock(&service);
     if service.down {
         return unavailable();
@@ -79,9 +79,9 @@
 }
 
 async fn transaction(service: SharedService, body: web::Json<Value>) -> HttpResponse {
-    let fate = lock(&service).faults.as_mut().map(TransactionFaults::draw_fate);
-    let fate = fate.unwrap_or(Fate::Answered);
-    if let Fate::Late(ms) = fate {
+    let outcome = lock(&service).faults.as_mut().map(TransactionFaults::draw_outcome);
+    let outcome = outcome.unwrap_or(TransactionOutcome::Responded);
+    if let TransactionOutcome::CommittedLate(ms) = outcome {
         let service = service.clone();
         actix_web::rt::spawn(async move {
             actix_web::rt::time::sleep(Duration::from_millis(ms)).await;
@@ -91,8 +91,8 @@
     }
     let response = transaction_now(&mut lock(&service), &body);
     delay_response(&service).await;
-    match fate {
-        Fate::ResponseLost => no_response(),
+    match outcome {
+        TransactionOutcome::ResponseLost => no_response(),
         _ => response,
     }
 }
@@ -100,7 +100,7 @@
 fn transaction_now(service: &mut StateService, body: &Value) -> HttpResponse {
     match service.commit(body) {
         // It has committed, but whoever sent it can't know.
-        Ok(_) if service.takes_lost_response(body) => no_response(),
+        Ok(_) if service.loses_response(body) => no_response(),
         Ok(revision) => HttpResponse::Ok().json(json!({"epoch": revision})),
         Err(TransactionError::Unavailable) => unavailable(),
         Err(TransactionError::Conflict { keys }) => {
@@ -154,7 +154,7 @@
             })
             .app_data(web::Data::new(service.clone()))
             .route("/store", web::get().to(list))
-            .route("/store/{key:.*}", web::get().to(item))
+            .route("/store/{key:.*}", web::get().to(read_key))
             .route("/watch", web::get().to(watch))
             .route("/txn", web::post().to(transaction))
             .route("/grants", web::post().to(grant_lease))
--- a/crates/latchtrack-emulator/src/worker.rs
+++ b/crates/latchtrack-emulator/src/worker.rs
@@ -6,8 +6,8 @@
 
 use serde_json::{json, Value};
 
-use crate::client::{post, Got};
-use crate::lifecycle::{AttemptKey, EndCause};
+use crate::client::{post, Response};
+use crate::lifecycle::{AttemptKey, ExitCause};
 
 /// An address on which nobody listens: only the responses to its heartbeats reach the worker.
 const UNREACHABLE_ADDR: &str = "127.0.0.1:9";
@@ -18,14 +18,14 @@
     pub name: String,
     /// The address that it claims to listen on.
     pub addr: String,
-    inner: Rc<RefCell<WorkerState>>,
+    state: Rc<RefCell<WorkerState>>,
 }
 
 #[derive(Default)]
 struct WorkerState {
     sequence: u64,
     fencing_token: u64,
-    ended: BTreeMap<AttemptKey, EndCause>,
+    ended: BTreeMap<AttemptKey, ExitCause>,
 }
 
 impl WorkerState {
@@ -34,10 +34,10 @@
         let key = AttemptKey { task, attempt: command["try"].as_u64().expect("`try` is a number") };
         match command["verb"].as_str().expect("`verb` is a string") {
             "launch" => {
-                self.ended.entry(key).or_insert(EndCause::Done);
+                self.ended.entry(key).or_insert(ExitCause::Done);
             }
             "stop" => {
-                self.ended.insert(key, EndCause::Stopped);
+                self.ended.insert(key, ExitCause::Stopped);
             }
             "forget" => {
                 self.ended.remove(&key);
@@ -50,15 +50,15 @@
 impl Worker {
     /// A worker on the machine of this name.
     pub fn new(name: &str) -> Self {
-        Worker { name: name.into(), addr: UNREACHABLE_ADDR.into(), inner: Default::default() }
+        Worker { name: name.into(), addr: UNREACHABLE_ADDR.into(), state: Default::default() }
     }
 
     /// The body of its next heartbeat.
-    pub fn body(&self) -> Value {
-        let mut state = self.inner.borrow_mut();
+    pub fn next_heartbeat(&self) -> Value {
+        let mut state = self.state.borrow_mut();
         state.sequence += 1;
-        let row = |(key, cause): (&AttemptKey, &EndCause)| {
-            let cause = cause.on_the_wire();
+        let row = |(key, cause): (&AttemptKey, &ExitCause)| {
+            let cause = cause.protocol_name();
             json!({"piece": key.task, "try": key.attempt, "status": "ended", "cause": cause})
         };
         let tasks: Vec<Value> = state.ended.iter().map(row).collect();
@@ -68,10 +68,10 @@
     }
 
     /// Sends one heartbeat to a node and executes the commands of the response, which it returns.
-    pub async fn report(&self, node: &str) -> Got {
-        let got = post(&format!("{node}/v1/report"), &self.body()).await;
+    pub async fn send_heartbeat(&self, node: &str) -> Response {
+        let got = post(&format!("{node}/v1/report"), &self.next_heartbeat()).await;
         if got.0 == 200 {
-            let mut state = self.inner.borrow_mut();
+            let mut state = self.state.borrow_mut();
             state.fencing_token = got.2["baton"].as_u64().expect("`baton` is a number");
             for command in got.2["orders"].as_array().expect("`orders` is a list") {
                 state.execute(command);
--- a/crates/latchtrack-emulator/tests/race.rs
+++ b/crates/latchtrack-emulator/tests/race.rs
@@ -3,7 +3,7 @@
 
 use latchtrack_emulator::history::TaskEvent;
 use latchtrack_emulator::race::{
-    run, Overshoot, RaceOptions, RaceOutcome, SubmittedJob, LIMIT, MAX_RUN_MS,
+    run, Overshoot, RaceOptions, RaceOutcome, SubmittedJob, LIMIT_CPUS, MAX_TASK_MS,
 };
 
 /// The bound of docs/quota.md on the wait for what other cells hold idle, ms.
@@ -20,7 +20,7 @@
     assert_eq!(outcome.overshoots(), Vec::<Overshoot>::new());
     assert!(outcome.launches() > 50, "{} launches", outcome.launches());
     // And until tasks of others have ended.
-    let bound_ms = GRANT_BOUND_MS + MAX_RUN_MS;
+    let bound_ms = GRANT_BOUND_MS + MAX_TASK_MS;
     assert!(outcome.guarantee_unmet_ms <= bound_ms, "{} ms", outcome.guarantee_unmet_ms);
 }
 
@@ -40,7 +40,7 @@
     assert_eq!(outcome.overshoots(), Vec::<Overshoot>::new());
     // One task for as long as all run, and as much as the limit, in another cell.
     let job = "req-planted".to_string();
-    outcome.jobs[0].insert(job, SubmittedJob { team: 0, cpus: LIMIT });
+    outcome.jobs[0].insert(job, SubmittedJob { team: 0, cpus: LIMIT_CPUS });
     let mut planted = outcome.entries[0][0].clone();
     (planted.task, planted.event) = ("req-planted/0".into(), TaskEvent::Started);
     outcome.entries[0].push(planted.clone());
--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -7,8 +7,8 @@
 use latchtrack::settings::{QuotaTuning, Tuning};
 use latchtrack::wire::quota::{campaign_changes, ledger_transaction, SharedKeys};
 use latchtrack::wire::store::{Change, Condition, Txn};
-use latchtrack_emulator::site::{site_at, Site};
-use latchtrack_emulator::until;
+use latchtrack_emulator::poll_until;
+use latchtrack_emulator::site::{site_with_state, Site};
 use latchtrack_quota::{
     Allotment, CellRecord, DeadCell, LedgerWrite, Limit, MilliResources, TeamLedger,
 };
@@ -86,7 +86,7 @@
 }
 
 fn cell_site(state: latchtrack_emulator::Shared<latchtrack_emulator::StateService>) -> Site {
-    let mut site = site_at(state);
+    let mut site = site_with_state(state);
     let quota = QuotaTuning { cell: "east".into(), cells: vec!["east".into(), "west".into()] };
     site.tuning = Tuning { quota: Some(quota), ..Tuning::default() };
     site
@@ -95,8 +95,8 @@
 #[actix_web::test]
 async fn a_cells_name_that_is_in_use_with_another_cloud_is_refused_at_the_start() {
     let first = cell_site(Default::default());
-    let url = first.node("one").await;
-    until("the first cell leads", &format!("{url}/ready"), |got| got.0 == 200).await;
+    let url = first.start_node("one").await;
+    poll_until("the first cell leads", &format!("{url}/ready"), |got| got.0 == 200).await;
     for _ in 0..200 {
         if first.state.lock().unwrap().keys.contains_key("quota/term/east") {
             break;
@@ -143,7 +143,7 @@
 async fn a_limit_is_changed_while_a_cell_runs() {
     let mut site = cell_site(Default::default());
     site.teams = json!([{"name": "small", "cpus_max": 2.0}]);
-    let (_, settings) = site.trio_with_settings().await;
+    let (_, settings) = site.start_three_nodes_with_settings().await;
     let unknown = limit::run(&settings, "nobody", LimitChange::default()).await;
     assert!(matches!(unknown, Err(LimitError::UnknownTeam(_))));
     let lowered = LimitChange { cpus_max: Some(1.0), ..LimitChange::default() };
@@ -170,7 +170,7 @@
     let stored = json!({"version": 1, "limit": {"millicpus": 3000}, "complete": true, "cells":
         {"west": {"allotted": {"millicpus": 1500}, "term": 1, "since_ms": 1764680000000u64}}});
     site.state.lock().unwrap().put("quota/team/small", stored, None);
-    let (_, settings) = site.trio_with_settings().await;
+    let (_, settings) = site.start_three_nodes_with_settings().await;
     for _ in 0..200 {
         let status = latchtrack::status::query(&settings).await;
         let mut clusters = status.nodes.into_values().flatten().filter_map(|node| node.cluster);
--- a/crates/latchtrack/tests/integration/answers.rs
+++ b/crates/latchtrack/tests/integration/answers.rs
@@ -46,7 +46,7 @@
 
 impl Log {
     /// Notes an answer; 503 and the like say nothing.
-    fn note(&mut self, asked: Instant, what: &str, got: &Got) {
+    fn note(&mut self, asked: Instant, what: &str, got: &Response) {
         let told = match (got.0, got.2["status"].as_str()) {
             (404, _) => Told::Unknown,
             (200 | 201, Some("pending" | "running")) => Told::Accepted,
@@ -149,7 +149,7 @@
             .iter()
             .map(|(name, (worker, at))| {
                 let (name, worker, node) = (name.clone(), worker.clone(), nodes[*at].clone());
-                spawn(async move { (name, worker.report(&node).await) })
+                spawn(async move { (name, worker.send_heartbeat(&node).await) })
             })
             .collect();
         for r in reports {
@@ -177,13 +177,13 @@
         ms(900).await;
         // The leader is refused alone, and then everybody for a while.
         let refused = led(&site).map(|leader| door(&leader.node)).unwrap_or(0);
-        site.refused[refused].store(true, Relaxed);
+        site.refused_nodes[refused].store(true, Relaxed);
         ms(400).await;
         site.state.lock().unwrap().down = true;
         ms(700).await;
         site.state.lock().unwrap().down = false;
         ms(300).await;
-        site.refused[refused].store(false, Relaxed);
+        site.refused_nodes[refused].store(false, Relaxed);
         ms(800).await;
         // Another node leads now.
         let lease = led(&site).and_then(|leader| leader.lease);
@@ -197,16 +197,16 @@
 #[actix_web::test]
 async fn users_who_ask_all_nodes_at_once_are_told_nothing_older() {
     let site = Rc::new(site());
-    let nodes = site.trio().await;
+    let nodes = site.start_three_nodes().await;
     for node in &nodes {
-        until("ready", &format!("{node}/ready"), |g| g.0 == 200).await;
+        poll_until("ready", &format!("{node}/ready"), |g| g.0 == 200).await;
     }
     site.state.lock().unwrap().faults = Some(TransactionFaults {
         rng: StdRng::seed_from_u64(1),
-        slow_ms: 30,
-        lost: 0.2,
-        late: 0.2,
-        late_ms: 900,
+        max_delay_ms: 30,
+        response_loss: 0.2,
+        late_commit: 0.2,
+        max_late_ms: 900,
         counts: FaultCounts::default(),
     });
     let on = Rc::new(Cell::new(true));
--- a/crates/latchtrack/tests/integration/cloud.rs
+++ b/crates/latchtrack/tests/integration/cloud.rs
@@ -11,13 +11,13 @@
 #[actix_web::test]
 async fn a_node_started_while_the_cloud_is_down_takes_jobs() {
     let site = site();
-    let one = site.node("one").await;
+    let one = site.start_node("one").await;
     ready(&one).await;
     while !site.state.lock().unwrap().keys.contains_key("site/types") {
         actix_web::rt::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     site.cloud.lock().unwrap().down = true;
-    let two = site.node("two").await;
+    let two = site.start_node("two").await;
     ready(&two).await;
     assert_eq!(post(&format!("{two}/api/jobs"), &job("req-000001")).await.0, 201);
     let mut odd = job("req-000002");
--- a/crates/latchtrack/tests/integration/connections.rs
+++ b/crates/latchtrack/tests/integration/connections.rs
@@ -10,7 +10,7 @@
 async fn connections_beyond_the_bound_are_refused_and_the_others_go_on() {
     use std::io::{Read, Write};
     let site = site();
-    let node = site.node("one").await;
+    let node = site.start_node("one").await;
     ready(&node).await;
     let at = node.strip_prefix("http://").unwrap().to_string();
     let rounds = actix_web::rt::task::spawn_blocking(move || {
--- a/crates/latchtrack/tests/integration/fixtures.rs
+++ b/crates/latchtrack/tests/integration/fixtures.rs
@@ -11,7 +11,7 @@
 }
 
 pub async fn ready(node: &str) {
-    until("ready", &format!("{node}/ready"), |g| g.0 == 200).await;
+    poll_until("ready", &format!("{node}/ready"), |g| g.0 == 200).await;
 }
 
 /// Waits until somebody leads.
--- a/crates/latchtrack/tests/integration/gangs.rs
+++ b/crates/latchtrack/tests/integration/gangs.rs
@@ -21,7 +21,7 @@
 #[actix_web::test]
 async fn gangs_that_can_never_run_whole_are_refused_by_name() {
     let site = site();
-    let node = site.node("one").await;
+    let node = site.start_node("one").await;
     ready(&node).await;
     let jobs = format!("{node}/api/jobs");
     let mut small = gang("req-000001", 3);
@@ -71,7 +71,7 @@
 #[actix_web::test]
 async fn a_gang_is_launched_when_all_its_machines_are_there_and_done_with_its_first_task() {
     let site = site();
-    let node = site.node("one").await;
+    let node = site.start_node("one").await;
     ready(&node).await;
     leader(&site).await;
     let jobs = format!("{node}/api/jobs");
@@ -82,7 +82,7 @@
     // Two of three machines are up: nothing starts.
     for _ in 0..20 {
         for worker in &workers[..2] {
-            let (status, _, body) = worker.report(&node).await;
+            let (status, _, body) = worker.send_heartbeat(&node).await;
             assert_eq!(status, 200);
             assert_eq!(launched(&body, id), Vec::<u64>::new());
         }
@@ -93,7 +93,7 @@
     let mut launches = 0;
     for _ in 0..200 {
         for worker in &workers {
-            let (_, _, body) = worker.report(&node).await;
+            let (_, _, body) = worker.send_heartbeat(&node).await;
             let new = launched(&body, id);
             launches += new.len();
             attempts.extend(new);
@@ -113,7 +113,7 @@
 #[actix_web::test]
 async fn a_heartbeat_with_the_phases_of_gangs_counts_and_a_cancelled_gang_is_stopped() {
     let site = site();
-    let node = site.node("one").await;
+    let node = site.start_node("one").await;
     ready(&node).await;
     leader(&site).await;
     let jobs = format!("{node}/api/jobs");
@@ -123,7 +123,7 @@
     let url = format!("{node}/v1/report");
     let (mut token, mut attempt) = (0, None);
     for _ in 0..200 {
-        let mut body = worker.body();
+        let mut body = worker.next_heartbeat();
         body["baton"] = json!(token);
         let (status, _, answer) = post(&url, &body).await;
         assert_eq!(status, 200);
@@ -136,7 +136,7 @@
     }
     let attempt = attempt.expect("launched");
     let say = |state: &str| {
-        let mut body = worker.body();
+        let mut body = worker.next_heartbeat();
         body["baton"] = json!(token);
         body["pieces"] = json!([{"piece": format!("{id}/0"), "try": attempt, "status": state}]);
         body
@@ -147,7 +147,7 @@
         assert_eq!(get(&format!("{jobs}/{id}")).await.2["status"], "pending", "{state}");
     }
     post(&url, &say("running")).await;
-    until("running", &format!("{jobs}/{id}"), |got| got.2["status"] == "running").await;
+    poll_until("running", &format!("{jobs}/{id}"), |got| got.2["status"] == "running").await;
     let (status, _, body) = post(&format!("{jobs}/{id}/withdraw"), &Value::Null).await;
     assert_eq!((status, &body["status"]), (200, &json!("aborted")));
     for _ in 0..100 {
--- a/crates/latchtrack/tests/integration/leadership.rs
+++ b/crates/latchtrack/tests/integration/leadership.rs
@@ -11,7 +11,7 @@
 async fn a_leader_without_the_state_service_lets_its_workers_go() {
     use std::sync::atomic::Ordering::Relaxed;
     let site = site();
-    let [one, two] = site.pair().await;
+    let [one, two] = site.start_two_nodes().await;
     ready(&one).await;
     ready(&two).await;
     let (first, token, lease) = leader(&site).await;
@@ -19,7 +19,7 @@
     let worker = Worker::new("n-000777");
     let mut heard = 0;
     for _ in 0..200 {
-        let (status, _, body) = worker.report(old).await;
+        let (status, _, body) = worker.send_heartbeat(old).await;
         if status == 200 {
             heard = body["baton"].as_u64().unwrap();
             break;
@@ -27,12 +27,12 @@
         actix_web::rt::time::sleep(std::time::Duration::from_millis(30)).await;
     }
     assert_eq!(heard, token);
-    site.refused[door].store(true, Relaxed);
+    site.refused_nodes[door].store(true, Relaxed);
     // It goes on for what is left of its lease at the most, and then answers at once that it may
     // not act.
     let mut answers = Vec::new();
     for _ in 0..400 {
-        let (status, ..) = worker.report(old).await;
+        let (status, ..) = worker.send_heartbeat(old).await;
         answers.push(status);
         if status != 200 {
             break;
@@ -42,10 +42,10 @@
     assert!(matches!(answers.last(), Some(503 | 421)), "{answers:?}");
     site.state.lock().unwrap().end_lease(lease.unwrap());
     for _ in 0..200 {
-        let (status, _, body) = worker.report(new).await;
+        let (status, _, body) = worker.send_heartbeat(new).await;
         if status == 200 {
             assert!(body["baton"].as_u64().unwrap() > token, "a newer token");
-            let (status, ..) = worker.report(old).await;
+            let (status, ..) = worker.send_heartbeat(old).await;
             assert_ne!(status, 200, "the old leader stays silent");
             return;
         }
@@ -65,11 +65,11 @@
         Some(900),
     );
     let stale = site.state.lock().unwrap().leader().unwrap().revision;
-    let node = site.node("one").await;
+    let node = site.start_node("one").await;
     ready(&node).await;
     let worker = Worker::new("n-000777");
     for _ in 0..300 {
-        let (status, _, body) = worker.report(&node).await;
+        let (status, _, body) = worker.send_heartbeat(&node).await;
         if status == 200 {
             assert!(body["baton"].as_u64().unwrap() > stale, "acts in a term of its own");
             return;
--- a/crates/latchtrack/tests/integration/store_outages.rs
+++ b/crates/latchtrack/tests/integration/store_outages.rs
@@ -8,7 +8,7 @@
 #[actix_web::test]
 async fn without_the_state_service_the_answer_is_503_and_final_states_stay() {
     let site = site();
-    let node = site.node("one").await;
+    let node = site.start_node("one").await;
     ready(&node).await;
     let jobs = format!("{node}/api/jobs");
     post(&jobs, &job("req-000001")).await;
@@ -27,10 +27,10 @@
     assert_eq!(get(&format!("{jobs}/req-000002")).await.2["status"], "aborted");
     assert_eq!(get(&format!("{node}/ready")).await.0, 200, "no flapping when all lack it");
     site.state.lock().unwrap().down = false;
-    let known = until("back", &format!("{jobs}/req-000001"), |g| g.0 == 200).await;
+    let known = poll_until("back", &format!("{jobs}/req-000001"), |g| g.0 == 200).await;
     assert_eq!(known.2["status"], "pending");
     // A submission whose outcome is unknown is not guessed: it was stored, so it is known.
-    site.state.lock().unwrap().lose_next_txn = true;
+    site.state.lock().unwrap().lose_next_job_response = true;
     assert_eq!(post(&jobs, &job("req-000004")).await.0, 503);
     assert_eq!(post(&jobs, &job("req-000004")).await.0, 200);
 }
@@ -39,22 +39,22 @@
 async fn a_node_refused_by_the_state_service_alone_forwards_users_requests() {
     use std::sync::atomic::Ordering::Relaxed;
     let site = site();
-    let [one, two] = site.pair().await;
+    let [one, two] = site.start_two_nodes().await;
     ready(&one).await;
     ready(&two).await;
     let jobs = format!("{one}/api/jobs");
     assert_eq!(post(&jobs, &job("req-000001")).await.0, 201);
-    site.refused[0].store(true, Relaxed);
+    site.refused_nodes[0].store(true, Relaxed);
     let at = format!("{jobs}/req-000001");
-    until("passed on", &at, |g| g.0 == 200).await;
+    poll_until("passed on", &at, |g| g.0 == 200).await;
     assert_eq!(post(&jobs, &job("req-000002")).await.0, 201, "accepted by the other");
     assert_eq!(get(&format!("{two}/api/jobs/req-000002")).await.0, 200);
     assert_eq!(post(&format!("{at}/withdraw"), &Value::Null).await.2["status"], "aborted");
     assert_eq!(get(&format!("{jobs}/req-000099")).await.0, 404);
     assert_eq!(get(&format!("{one}/ready")).await.0, 200);
     // When both are refused, nothing is passed round; the answer comes at once.
-    site.refused[1].store(true, Relaxed);
-    let got = until("refused", &format!("{jobs}/req-000002"), |g| g.0 == 503).await;
+    site.refused_nodes[1].store(true, Relaxed);
+    let got = poll_until("refused", &format!("{jobs}/req-000002"), |g| g.0 == 503).await;
     assert_eq!(got.1.as_deref(), Some("1"));
     assert_eq!(get(&format!("{two}/ready")).await.0, 200, "they hear each other and stay");
 }
@@ -64,7 +64,7 @@
 #[actix_web::test]
 async fn after_an_outage_every_job_is_answered_again() {
     let site = site();
-    let [one, two] = site.pair().await;
+    let [one, two] = site.start_two_nodes().await;
     ready(&one).await;
     ready(&two).await;
     let ids: Vec<String> = (1..=40).map(|i| format!("req-{i:06}")).collect();
@@ -74,10 +74,10 @@
     }
     site.state.lock().unwrap().down = true;
     let at = format!("{one}/api/jobs/{}", ids[0]);
-    let got = until("the outage shows", &at, |g| g.0 == 503).await;
+    let got = poll_until("the outage shows", &at, |g| g.0 == 503).await;
     assert_eq!(got.1.as_deref(), Some("1"), "at once, with the time to come back");
     site.state.lock().unwrap().down = false;
-    let three = site.node("three").await;
+    let three = site.start_node("three").await;
     ready(&three).await;
     for node in [&one, &two, &three] {
         let mut forgotten: Vec<&String> = ids.iter().collect();
--- a/crates/latchtrack/tests/integration/submissions.rs
+++ b/crates/latchtrack/tests/integration/submissions.rs
@@ -8,7 +8,7 @@
 #[actix_web::test]
 async fn submissions_are_judged_in_the_right_order() {
     let site = site();
-    let node = site.node("one").await;
+    let node = site.start_node("one").await;
     ready(&node).await;
     let jobs = format!("{node}/api/jobs");
     let id = "req-000001";
@@ -66,7 +66,7 @@
 #[actix_web::test]
 async fn a_flood_of_submissions_is_answered() {
     let site = site();
-    let node = site.node("one").await;
+    let node = site.start_node("one").await;
     ready(&node).await;
     let url = format!("{node}/api/jobs");
     site.state.lock().unwrap().down = true;
@@ -77,7 +77,7 @@
     let answers = futures_util::future::join_all(flood).await;
     assert!(answers.iter().all(|a| a.0 == 503 && a.1.is_some()));
     site.state.lock().unwrap().down = false;
-    until("it serves again", &format!("{node}/api/jobs/req-999999"), |g| g.0 == 404).await;
+    poll_until("it serves again", &format!("{node}/api/jobs/req-999999"), |g| g.0 == 404).await;
     assert_eq!(post(&url, &job("req-000001")).await.0, 201);
 }
 
@@ -87,7 +87,7 @@
 #[actix_web::test]
 async fn a_flood_of_queries_delays_neither_heartbeats_nor_the_lease() {
     let site = site();
-    let node = site.node("one").await;
+    let node = site.start_node("one").await;
     ready(&node).await;
     let led = leader(&site).await;
     let jobs = format!("{node}/api/jobs");
@@ -97,7 +97,7 @@
     let withdrawn = post(&format!("{jobs}/req-000002/withdraw"), &json!({})).await;
     assert_eq!((withdrawn.0, &withdrawn.2["status"]), (200, &json!("aborted")));
     let worker = Worker::new("n-000009");
-    while worker.report(&node).await.0 != 200 {
+    while worker.send_heartbeat(&node).await.0 != 200 {
         actix_web::rt::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     let (mut answered, mut refused, mut done) = (0, 0, false);
@@ -110,7 +110,7 @@
             async move { (i % 3, get(&url).await) }
         });
         let polls = futures_util::future::join_all(polls);
-        let (polls, report) = futures_util::future::join(polls, worker.report(&node)).await;
+        let (polls, report) = futures_util::future::join(polls, worker.send_heartbeat(&node)).await;
         assert_eq!(report.0, 200, "the worker is answered");
         for (which, (status, retry, body)) in polls {
             match (which, status) {
