--- a/crates/latchtrack-emulator/examples/chart/mod.rs
+++ b/crates/latchtrack-emulator/examples/chart/mod.rs
@@ -1,4 +1,4 @@
-//! The set-up that the charts of the reports have in common.
+//! Chart setup shared by the reports.
 
 use std::error::Error;
 use std::ops::Range;
@@ -8,20 +8,20 @@
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// Width of every chart, in pixels.
+/// Width of all charts, in pixels.
 const WIDTH: u32 = 900;
 const MARGIN: u32 = 12;
 const X_LABELS: u32 = 36;
 const LEGEND_LINE: i32 = 16;
 
-/// A chart with seconds on the x axis that draws into an SVG.
+/// An SVG chart with seconds on the x axis.
 pub type TimeChart<'a, 'svg> =
     ChartContext<'a, SVGBackend<'svg>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// An area of an SVG that is drawn on.
+/// A drawing area of an SVG.
 pub type Area<'svg> = DrawingArea<SVGBackend<'svg>, Shift>;
 
-/// Draws an SVG of this height on white ground.
+/// Returns an SVG of the given height, drawn by `draw` on a white background.
 pub fn svg(
     height: u32,
     draw: impl FnOnce(&Area) -> Result<(), Box<dyn Error>>,
@@ -36,7 +36,7 @@
     Ok(svg + "\n")
 }
 
-/// The margins of a chart whose y labels take so many pixels.
+/// Returns a chart builder with the common margins and `y_labels` pixels for the y labels.
 pub fn builder<'a, 'svg>(
     area: &'a Area<'svg>,
     y_labels: u32,
@@ -46,7 +46,7 @@
     builder
 }
 
-/// Draws a chart over time, in seconds, with a legend; `lines` adds its series.
+/// Draws a chart over time, in seconds, with a legend; `lines` adds the series.
 pub fn over_time(
     height: u32,
     seconds: Range<f64>,
@@ -68,7 +68,7 @@
     })
 }
 
-/// Adds a line and its entry in the legend.
+/// Adds a line series and its legend entry.
 pub fn add_line(
     chart: &mut TimeChart,
     name: &str,
--- a/crates/latchtrack-emulator/examples/quota_report.rs
+++ b/crates/latchtrack-emulator/examples/quota_report.rs
@@ -1,5 +1,5 @@
-//! Runs races of cells for shared limits over many seeds, and writes an HTML report: what was used
-//! and allotted over time, how long requests waited, and a table against the numbers of cells and
+//! Runs races of cells for shared limits over many seeds, and writes an HTML report with the usage
+//! and allotments over time, the latency of grants, and optionally a table by number of cells and
 //! teams.
 //!
 //!     cargo run --release -p latchtrack-emulator --example quota_report -- --out target/quota.html
@@ -18,36 +18,36 @@
 use plotters::element::Rectangle;
 use plotters::style::{Color, RGBColor, BLACK, BLUE, GREEN, RED};
 
-/// Races cells for the limits of the teams that they share, through real sockets on loopback.
+/// Runs races of cells for shared team limits over real sockets on loopback.
 #[derive(Parser, Debug)]
 struct Options {
-    /// Races with failing cells, each with a seed of its own
+    /// Number of races with cell failures, each with its own seed
     #[arg(long, default_value_t = 200)]
     seeds: u64,
-    /// The first seed
+    /// First seed
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// Races that run at the same time
+    /// Number of races to run concurrently
     #[arg(long, default_value_t = 4)]
     parallel: usize,
-    /// Seconds that jobs are submitted for
+    /// Duration of the submissions, in seconds
     #[arg(long, default_value_t = 8)]
     run_s: u64,
-    /// Whether the table against the numbers of cells and teams is made too
+    /// Also run the races for the table by number of cells and teams
     #[arg(long, default_value_t = false)]
     table: bool,
-    /// Where the report goes
+    /// Output file of the report
     #[arg(long, default_value = "target/quota.html")]
     out: PathBuf,
 }
 
-/// A race that was run.
+/// The outcome of the race with a seed.
 struct SeedOutcome {
     seed: u64,
     outcome: RaceOutcome,
 }
 
-/// What races of one kind came to.
+/// Statistics over races with the same parameters.
 struct Summary {
     name: String,
     races: usize,
@@ -87,21 +87,21 @@
         })
     }
 
-    /// The cells of a row of a table.
+    /// Formats the statistics as a table row, in the order of [`COLUMNS`].
     fn row(&self) -> Vec<String> {
         let reclaim = match (
             self.reclaim_latencies_ms.get(self.reclaim_latencies_ms.len() / 2),
             self.reclaim_latencies_ms.last(),
         ) {
-            (Some(median), Some(most)) => {
+            (Some(median), Some(max)) => {
                 format!(
                     "{:.1} / {:.1} ({})",
                     *median as f64 / 1e3,
-                    *most as f64 / 1e3,
+                    *max as f64 / 1e3,
                     self.reclaim_latencies_ms.len()
                 )
             }
-            _ => "none died".into(),
+            _ => "no cell died".into(),
         };
         vec![
             self.name.clone(),
@@ -118,22 +118,22 @@
     }
 }
 
-/// Races for each row of the table against the numbers of cells and teams.
+/// Races per row of the table by number of cells and teams.
 const TABLE_SEEDS: u64 = 3;
-/// Races that the report has charts of.
+/// Number of races with charts in the report.
 const CHARTED_RACES: usize = 4;
 
 const COLUMNS: [&str; 10] = [
+    "scenario",
     "races",
-    "number",
     "launches",
-    "moments over a limit",
-    "grants a second and race",
-    "puts per 100 launches",
+    "limit overshoots",
+    "grants per second per race",
+    "ledger writes per 100 launches",
     "grant p50, ms",
     "grant p99, ms",
-    "guarantee unmet, at most, ms",
-    "reclaimed after, median / most, s",
+    "guarantee unmet, maximum, ms",
+    "reclaim latency, median / maximum (count), s",
 ];
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -142,7 +142,7 @@
     let kind =
         RaceOptions { seed: options.first, cells: 3, teams: 2, run_s: options.run_s, faults: true };
     let races = run_races(&kind, options.seeds, options.parallel)?;
-    summaries.push(Summary::of("3 cells, 2 teams, cells fail".into(), &races)?);
+    summaries.push(Summary::of("3 cells, 2 teams, with cell failures".into(), &races)?);
     println!("{}", summaries[0].row().join(" | "));
     for SeedOutcome { seed, outcome } in &races {
         if let Some(first) = outcome.overshoots().first() {
@@ -164,8 +164,7 @@
     Ok(())
 }
 
-/// Runs races with so many seeds from that of their kind on, some at a time, each on a thread of
-/// its own.
+/// Runs races with consecutive seeds, starting from that in `kind`, on `parallel` threads.
 fn run_races(
     kind: &RaceOptions,
     seeds: u64,
@@ -196,14 +195,15 @@
 
 fn report(summaries: &[Summary], races: &[SeedOutcome]) -> Result<String, Box<dyn Error>> {
     let mut html = String::from(
-        "<!DOCTYPE html><html><head><meta charset=\"utf-8\"><title>Shared limits</title></head><body>\n\
-         <h1>Cells that race for shared limits on loopback</h1>\n<table border=\"1\">\n",
+        "<!DOCTYPE html><html><head><meta charset=\"utf-8\"><title>Shared limits</title></head>\
+         <body>\n\
+         <h1>Races of cells for shared limits on loopback</h1>\n<table border=\"1\">\n",
     );
     html += &row("th", COLUMNS.iter().map(|name| name.to_string()));
     for summary in summaries {
         html += &row("td", summary.row().into_iter());
     }
-    html += "</table>\n<h2>Grant latency, cells fail</h2>\n";
+    html += "</table>\n<h2>Grant latency with cell failures</h2>\n";
     html += &histogram(&summaries[0].grants)?;
     for SeedOutcome { seed, outcome } in races.iter().take(CHARTED_RACES) {
         html += &format!("<h2>Seed {seed}, team t0</h2>\n{}", usage_chart(outcome)?);
@@ -217,17 +217,17 @@
     format!("<tr>{cells}</tr>\n")
 }
 
-/// How many requests waited for how long.
+/// Draws a histogram of grant latencies.
 fn histogram(grants: &Histogram<u64>) -> Result<String, Box<dyn Error>> {
     const STEP_MS: u64 = 100;
     let counts: Vec<(u64, u64)> = grants
         .iter_linear(STEP_MS)
         .map(|step| (step.value_iterated_to(), step.count_since_last_iteration()))
         .collect();
-    let most = counts.iter().map(|(_, count)| *count).max().unwrap_or(1).max(1);
+    let max_count = counts.iter().map(|(_, count)| *count).max().unwrap_or(1).max(1);
     let end_ms = counts.last().map_or(STEP_MS, |(ms, _)| *ms + STEP_MS);
     chart::svg(240, |area| {
-        let mut chart = chart::builder(area, 56).build_cartesian_2d(0..end_ms, 0..most)?;
+        let mut chart = chart::builder(area, 56).build_cartesian_2d(0..end_ms, 0..max_count)?;
         chart.configure_mesh().x_desc("ms").y_desc("requests").draw()?;
         chart.draw_series(counts.iter().map(|(ms, count)| {
             Rectangle::new([(ms.saturating_sub(STEP_MS), 0), (*ms, *count)], BLUE.filled())
@@ -236,7 +236,7 @@
     })
 }
 
-/// What the first team used in all cells and what was allotted to each, over time.
+/// Draws the first team's usage in all cells and its allotment in each cell over time.
 fn usage_chart(outcome: &RaceOutcome) -> Result<String, Box<dyn Error>> {
     const COLORS: [RGBColor; 3] = [RED, BLUE, GREEN];
     let seconds = |at_ms: u64| at_ms as f64 / 1e3;
@@ -249,7 +249,7 @@
         0.0..LIMIT_CPUS * 1.2,
         "CPUs",
         |chart| {
-            chart::add_line(chart, "used in all cells", BLACK, used)?;
+            chart::add_line(chart, "usage in all cells", BLACK, used)?;
             for cell in 0..outcome.entries.len() {
                 let samples = outcome.samples.iter().filter(|sample| sample.team == 0);
                 let points = samples.map(|sample| (seconds(sample.at_ms), sample.allotted[cell]));
--- a/crates/latchtrack-emulator/examples/spread_report.rs
+++ b/crates/latchtrack-emulator/examples/spread_report.rs
@@ -1,5 +1,5 @@
-//! Runs a loopback fleet with moves off and on, and writes an HTML report with charts of the
-//! spread.
+//! Runs the load spread experiment with moves off and on, and writes an HTML report with charts of
+//! the loads.
 //!
 //!     cargo run --release -p latchtrack-emulator --example spread_report -- \
 //!         --out target/spread.html
@@ -15,27 +15,27 @@
 use latchtrack_emulator::spread::{load_bound, run, FaultScope, SpreadOptions, SpreadOutcome};
 use plotters::style::{RGBColor, BLACK, BLUE, RED};
 
-/// Runs a loopback fleet of emulated workers through both hot cases, with moves off and on.
+/// Runs the load spread experiment on a loopback fleet, with moves off and on.
 #[derive(Parser, Debug)]
 struct Options {
-    /// Workers of the fleet
+    /// Number of workers in the fleet
     #[arg(long, default_value_t = 200)]
     workers: usize,
-    /// Seed of the faults
+    /// Seed for the fleet and the faults
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seconds that a task of the hot teams runs
+    /// Run time of a task of a hot team, in seconds
     #[arg(long, default_value_t = 150)]
     run_s: u64,
-    /// Only the cases with this in their name
+    /// Run only the cases whose name contains this text
     #[arg(long, default_value = "")]
     only: String,
-    /// Where the report goes
+    /// Output file of the report
     #[arg(long, default_value = "target/spread.html")]
     out: PathBuf,
 }
 
-/// A case of the report.
+/// A configuration to run and report.
 struct Case {
     name: &'static str,
     moves: bool,
@@ -66,7 +66,7 @@
     },
 ];
 
-/// A case that was run.
+/// The outcome of a case.
 struct CaseOutcome {
     name: &'static str,
     outcome: SpreadOutcome,
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// What came of a run, in one line.
+/// Summarizes an outcome in one line.
 fn summary(outcome: &SpreadOutcome) -> String {
     let StartCounts { starts, tasks } = outcome.history.start_counts();
     let balance = outcome.balance.as_ref();
@@ -112,8 +112,9 @@
         None => "never".to_string(),
     };
     format!(
-        "{tasks} tasks, {starts} starts, {} on two machines at once, {} lost; moves settled {}, abandoned \
-         {} (last leader); within the bound after {restored}, {:.0}% of the time from then on",
+        "{tasks} tasks, {starts} starts, {} duplicate runs, {} tasks unfinished; moves of the last \
+         leader: {} settled, {} abandoned; load back within the bound after {restored}, then \
+         within it in {:.0}% of the samples",
         outcome.history.duplicate_runs().len(),
         outcome.unfinished.len(),
         balance.map_or(0, |balance| balance.moves_settled),
@@ -124,11 +125,12 @@
 
 fn report(options: &Options, outcomes: &[CaseOutcome]) -> Result<String, Box<dyn Error>> {
     let mut html = format!(
-        "<!DOCTYPE html><html><head><meta charset=\"utf-8\"><title>Load spread</title></head><body>\n\
-         <h1>Load spread on a loopback fleet</h1>\n<p>{} emulated workers of 8 CPUs, three controllers, \
-         seed {}. Two teams turn hot in the same second and ask for 40% of the CPUs with tasks of one CPU \
-         and {} s. Load: the part of a machine that is in use. Bound: 1.25 times the mean load and one \
-         task.</p>\n",
+        "<!DOCTYPE html><html><head><meta charset=\"utf-8\"><title>Load spread</title></head>\
+         <body>\n\
+         <h1>Load spread on a loopback fleet</h1>\n<p>{} emulated workers of 8 CPUs, three nodes, \
+         seed {}. Two teams become hot in the same second and request 40% of the CPUs with tasks \
+         of one CPU and {} s. Load: the fraction of a machine's CPUs in use. Bound: 1.25 times the \
+         mean load plus one task.</p>\n",
         options.workers, options.seed, options.run_s
     );
     for case in outcomes {
@@ -141,7 +143,7 @@
     Ok(html + "</body></html>\n")
 }
 
-/// A line of a chart: its name, its colour, and what it shows of a sample.
+/// A series of a chart, with the value that it shows of a sample.
 struct Line {
     name: &'static str,
     color: RGBColor,
@@ -154,12 +156,12 @@
     Line { name: "bound", color: BLACK, value: load_bound },
 ];
 
-/// The greatest load, the mean load and the bound over time.
+/// Draws the greatest load, the mean load and the bound over time.
 fn chart_of(outcome: &SpreadOutcome) -> Result<String, Box<dyn Error>> {
     let seconds = |sample: &LoadSample| sample.at_ms as f64 / 1000.0;
     let loads = &outcome.history.loads;
     let end_s = loads.last().map_or(1.0, seconds);
-    chart::over_time(320, 0.0..end_s, 0.0..1.05, "load, parts of a machine", |chart| {
+    chart::over_time(320, 0.0..end_s, 0.0..1.05, "load, fraction of a machine", |chart| {
         for Line { name, color, value } in LINES {
             let points = loads.iter().map(|sample| (seconds(sample), value(sample)));
             chart::add_line(chart, name, color, points)?;
--- a/crates/latchtrack-emulator/src/cloud.rs
+++ b/crates/latchtrack-emulator/src/cloud.rs
@@ -1,4 +1,4 @@
-//! An emulated cloud: one type of machines, in one zone, spot only, without capacity limit.
+//! An emulated cloud: one machine type in one zone, spot only, with unlimited capacity.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,32 @@
 
 use crate::{lock, unavailable, Shared};
 
-/// Machines on a page of the list, at most.
+/// Maximum number of machines on a page of the machine list.
 const PAGE_SIZE: usize = 500;
 
-/// The state of the cloud.
+/// The machines of the emulated cloud, and the behaviour that tests set.
 #[derive(Default)]
 pub struct CloudState {
-    /// Names of all machines that were ever provisioned, in their order.
+    /// Names of all machines provisioned so far, in order of provisioning.
     pub provisioned: Vec<String>,
-    /// Names of all machines that were terminated, in the order of the requests.
+    /// Names of all machines terminated so far, in order of the requests. A name is repeated if its
+    /// termination is.
     pub terminated: Vec<String>,
-    /// Responds with 503 to requests for the machine types.
+    /// Whether requests for the machine types get 503.
     pub down: bool,
-    /// Lists its machines; otherwise its list is always empty.
+    /// Whether the machine list contains the running machines; if not, it is always empty.
     pub lists_machines: bool,
-    /// The machines of each request, by its id.
+    /// Names of the machines provisioned for each request, by request id.
     requests: BTreeMap<String, Vec<String>>,
 }
 
 impl CloudState {
-    /// Whether a machine has been terminated.
+    /// Returns whether the named machine has been terminated.
     pub fn is_terminated(&self, name: &str) -> bool {
         self.terminated.iter().any(|terminated| terminated == name)
     }
 
-    /// Provisions machines; a repeated request gets those that it got before.
+    /// Provisions machines. Idempotent: a repeated request id returns the same machines.
     fn provision(&mut self, request_id: String, count: usize) -> Vec<String> {
         if let Some(names) = self.requests.get(&request_id) {
             return names.clone();
@@ -55,14 +56,14 @@
 
 async fn provision(cloud: web::Data<Shared<CloudState>>, body: web::Json<Value>) -> HttpResponse {
     let request_id = body["hire"].as_str().expect("`hire` is a string").to_string();
-    let count = body["number"].as_u64().expect("`number` is a count") as usize;
+    let count = body["number"].as_u64().expect("`number` is a whole number") as usize;
     let names = lock(&cloud).provision(request_id, count);
     HttpResponse::Ok().json(json!({"hosts": names}))
 }
 
 async fn terminate(cloud: web::Data<Shared<CloudState>>, body: web::Json<Value>) -> HttpResponse {
     let hosts = body["hosts"].as_array().expect("`hosts` is a list");
-    let names = hosts.iter().map(|name| name.as_str().expect("a name").to_string());
+    let names = hosts.iter().map(|name| name.as_str().expect("each host is a string").to_string());
     lock(&cloud).terminated.extend(names);
     HttpResponse::Ok().json(json!({"hosts": []}))
 }
@@ -88,7 +89,7 @@
     HttpResponse::Ok().json(json!({"hosts": rows, "truncated": truncated}))
 }
 
-/// Serves the cloud on a free port of loopback; returns the port.
+/// Serves the cloud's HTTP interface on a free loopback port, and returns the port.
 pub fn serve_cloud(cloud: Shared<CloudState>) -> u16 {
     let server = HttpServer::new(move || {
         App::new()
--- a/crates/latchtrack-emulator/src/error.rs
+++ b/crates/latchtrack-emulator/src/error.rs
@@ -1,27 +1,29 @@
-//! Why an experiment could not be carried out.
+//! Errors of the experiments.
 
-/// An experiment did not get as far as its measurement.
+/// The reason why an experiment failed before its measurement began.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// Some cell had no leader, or some team's ledger was not complete, for two minutes.
-    #[error("the cells never had leaders and complete ledgers")]
+    /// Within two minutes, some cell elected no leader or some team's ledger was not complete.
+    #[error("timed out waiting for every cell to elect a leader and every ledger to be complete")]
     CellsNotReady,
-    /// Not every machine booted and ran its task of the warm-up.
-    #[error("the fleet never came up: {up} of {machines} machines, {done} tasks done")]
+    /// Not every machine booted and completed its warm-up task in time.
+    #[error(
+        "timed out starting the fleet: {up}/{machines} machines up, {done} warm-up tasks done"
+    )]
     FleetNotUp {
-        /// Machines that were up at last.
+        /// Machines that were up at the timeout.
         up: usize,
-        /// Machines of the fleet.
+        /// Machines in the fleet.
         machines: usize,
-        /// Tasks of the warm-up that had completed.
+        /// Warm-up tasks completed at the timeout.
         done: usize,
     },
-    /// No node accepted a job.
-    #[error("job {job} was not accepted; the last status was {status}")]
+    /// No node accepted a job before the attempts ran out.
+    #[error("no node accepted job {job}; last HTTP status: {status}")]
     JobNotAccepted {
-        /// The job's id.
+        /// The job's id, such as `req-000412`.
         job: String,
-        /// HTTP status of the last response.
+        /// The HTTP status of the last response.
         status: u16,
     },
 }
--- a/crates/latchtrack-emulator/src/fleet/attempts.rs
+++ b/crates/latchtrack-emulator/src/fleet/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of attempts on the machines: launch, phases, stop, and the loss of a lease.
+//! The life cycle of attempts on the machines: launch, phases, stop and lease expiry.
 
 use serde_json::Value;
 
@@ -8,11 +8,12 @@
 use crate::history::TaskEvent;
 use crate::lifecycle::{AttemptKey, ExitCause, TaskPhase};
 
-/// Rounding that a sum of CPUs may carry.
+/// Tolerance for rounding errors in sums of CPUs.
 const CPU_TOLERANCE: f64 = 1e-6;
 
 impl FleetState {
-    /// Advances every machine that is up to the present.
+    /// Advances every machine that is up and not paused to the current time. An agent whose worker
+    /// lease has expired drops its attempts and starts a new epoch.
     pub(super) fn advance(&mut self) {
         let now = self.now_ms();
         for name in self.machines.keys().cloned().collect::<Vec<_>>() {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Ends the phase of a live attempt and begins its next one.
+    /// Moves a live attempt whose phase is over to its next phase.
     fn end_phase(&mut self, name: &str, key: &AttemptKey, now: u64) {
         let profile = self.profile_of(&key.task);
         let saved_ms = self.saved_ms.get(&key.task).copied().unwrap_or(0);
@@ -72,7 +73,7 @@
         self.record(name, key, event);
     }
 
-    /// Removes all attempts from a machine.
+    /// Removes all attempts from a machine, and records the end of those that were executing.
     pub(super) fn drop_attempts(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         for (key, attempt) in std::mem::take(&mut machine.attempts) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Executes commands of the protocol that came with a fencing token.
+    /// Executes the protocol's commands from the leader with this fencing token.
     pub(super) fn execute(&mut self, name: &str, token: u64, commands: &Value) {
         let now = self.now_ms();
         self.accept_token(name, token);
@@ -124,7 +125,8 @@
         machine.attempts.insert(key, Attempt { phase, phase_ends_ms, running_since_ms: now });
     }
 
-    /// Stops an attempt; it saves first if it runs, can save, and the grace period allows it.
+    /// Stops an attempt. It checkpoints first if it is running, its job checkpoints, and the grace
+    /// period is long enough.
     fn stop(&mut self, name: &str, key: &AttemptKey, grace_s: f64) {
         let now = self.now_ms();
         let checkpoint_ms = self.profile_of(&key.task).checkpoint_ms;
--- a/crates/latchtrack-emulator/src/fleet/faults.rs
+++ b/crates/latchtrack-emulator/src/fleet/faults.rs
@@ -1,15 +1,15 @@
-//! Faults that a test injects into machines of the fleet.
+//! Faults that tests inject into the fleet's machines.
 
 use super::FleetState;
 
 impl FleetState {
-    /// Cuts a machine off: nothing passes between it and the nodes for so many ms.
+    /// Partitions a machine from the nodes for `ms` milliseconds.
     pub fn partition(&mut self, name: &str, ms: u64) {
         let until = self.now_ms() + ms;
         self.with_machine(name, |machine| machine.partitioned_until_ms = until);
     }
 
-    /// Pauses a machine: it executes nothing for so many ms, and its tasks take as much longer.
+    /// Pauses a machine for `ms` milliseconds. The phases of its attempts end later by as much.
     pub fn pause(&mut self, name: &str, ms: u64) {
         let until = self.now_ms() + ms;
         self.with_machine(name, |machine| {
@@ -20,13 +20,13 @@
         });
     }
 
-    /// Stops a machine for good, with all that is on it.
+    /// Stops a machine and its attempts for good.
     pub fn crash(&mut self, name: &str) {
         self.drop_attempts(name);
         self.with_machine(name, |machine| machine.has_crashed = true);
     }
 
-    /// Has a machine reject every launch for insufficient resources, for so many ms.
+    /// Makes a machine reject launches for insufficient resources for `ms` milliseconds.
     pub fn reject_launches(&mut self, name: &str, ms: u64) {
         let until = self.now_ms() + ms;
         self.with_machine(name, |machine| machine.rejects_launches_until_ms = until);
--- a/crates/latchtrack-emulator/src/fleet/heartbeats.rs
+++ b/crates/latchtrack-emulator/src/fleet/heartbeats.rs
@@ -1,4 +1,4 @@
-//! What the agents exchange with the nodes: heartbeats, their responses, and direct calls.
+//! Messages between agents and nodes: heartbeats, their responses and direct calls.
 
 use actix_web::http::StatusCode;
 use rand::Rng;
@@ -6,34 +6,34 @@
 
 use super::{FleetState, RESPONSE_TIMEOUT};
 
-/// ms until a worker tries the next node.
+/// Delay until a worker tries the next node, ms.
 const NEXT_NODE_DELAY_MS: u64 = 1_000;
-/// ms until a worker that was referred to the leader reports to it.
+/// Delay until a worker that was redirected to the leader sends it a heartbeat, ms.
 const REDIRECT_DELAY_MS: u64 = 50;
-/// ms until a worker that met a new leader reports to it once more.
+/// Maximum delay of the heartbeat after a worker accepts a new leader's token, ms.
 const NEW_TOKEN_DELAY_MS: u64 = 300;
-/// ms until a change on the machine is reported.
+/// Maximum delay of the heartbeat after a change on the machine, ms.
 pub(super) const CHANGE_REPORT_DELAY_MS: u64 = 100;
-/// The status of a node that does not lead.
+/// HTTP 421: the node does not lead, and names the leader if it knows it.
 const MISDIRECTED: u16 = 421;
 
-/// A heartbeat that is to be sent.
+/// A heartbeat to send.
 pub(super) struct OutgoingHeartbeat {
     pub machine: String,
-    /// Base URL of the node that it goes to.
+    /// Base URL of the receiving node.
     pub node_url: String,
     pub agent_epoch: u64,
     pub body: Value,
 }
 
-/// What a node responded to a heartbeat.
+/// A node's response to a heartbeat.
 pub(super) struct HeartbeatResponse {
     pub status: u16,
     pub body: Value,
 }
 
 impl FleetState {
-    /// The heartbeats that are to be sent now.
+    /// Returns the heartbeats to send now, and schedules the following ones with jitter.
     pub(super) fn heartbeats_due(&mut self) -> Vec<OutgoingHeartbeat> {
         let now = self.now_ms();
         let mut due = Vec::new();
@@ -54,7 +54,8 @@
             let Some(machine) = self.machines.get_mut(&name) else { continue };
             machine.next_heartbeat_ms = now + jittered;
             if is_lost {
-                // No response within its time; then the next node.
+                // The heartbeat is lost: after the response timeout, the worker tries the next
+                // node.
                 machine.next_heartbeat_ms = now + RESPONSE_TIMEOUT.as_millis() as u64;
                 machine.node += 1;
                 continue;
@@ -66,13 +67,13 @@
         due
     }
 
-    /// The body of a machine's next heartbeat.
+    /// Builds the body of a machine's next heartbeat; `None` if the machine does not exist.
     pub(super) fn next_heartbeat(&mut self, name: &str) -> Option<Value> {
         Some(self.machines.get_mut(name)?.next_heartbeat(name))
     }
 
-    /// Executes a direct call; returns its status and the heartbeat after it. None: the machine
-    /// does not respond.
+    /// Executes a direct call, and returns the status and the heartbeat that answer it. `None` if
+    /// the machine does not respond.
     pub(super) fn on_direct_call(
         &mut self,
         addr: &str,
@@ -91,7 +92,8 @@
         Some((StatusCode::OK, self.next_heartbeat(&name)?))
     }
 
-    /// Takes in the response to a heartbeat; None: there was none.
+    /// Processes the response to a heartbeat; `None` if the request failed. A partitioned machine
+    /// does not get the response.
     pub(super) fn on_response(
         &mut self,
         name: &str,
@@ -108,8 +110,8 @@
             Some(HeartbeatResponse { status: 200, body }) if machine.agent_epoch == agent_epoch => {
                 let token = body["baton"].as_u64().unwrap_or(0);
                 if token >= machine.fencing_token {
-                    // The lease counts from now and not from the sending, at most one response
-                    // timeout ago: it may expire a little late, as with a slow clock.
+                    // The lease is counted from the response and not from the request, up to one
+                    // response timeout earlier, so it may expire late, as with a slow clock.
                     machine.lease_renewed_ms = now;
                     self.execute(name, token, &body["orders"]);
                 }
@@ -129,7 +131,8 @@
         }
     }
 
-    /// Raises the fencing token that a machine has accepted.
+    /// Records the highest fencing token that a machine has accepted. A new one brings the next
+    /// heartbeat forward.
     pub(super) fn accept_token(&mut self, name: &str, token: u64) {
         let now = self.now_ms();
         self.with_machine(name, |machine| {
--- a/crates/latchtrack-emulator/src/fleet/machine.rs
+++ b/crates/latchtrack-emulator/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! One emulated machine: its agent's protocol state and the tasks on it.
+//! An emulated machine: the protocol state of its agent and its attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,75 +10,75 @@
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub phase: TaskPhase,
-    /// When the phase ends, in ms of the fleet's clock.
+    /// When the phase ends, in ms on the fleet's clock.
     pub phase_ends_ms: u64,
-    /// When it began to run, in ms of the fleet's clock; until then, when it was launched.
+    /// When it started to run (before that, when it was launched), in ms on the fleet's clock.
     pub running_since_ms: u64,
 }
 
 impl Attempt {
-    /// Whether it still takes resources of its machine.
+    /// Returns whether it occupies resources of its machine.
     pub fn is_live(&self) -> bool {
         !matches!(self.phase, TaskPhase::Ended(_))
     }
 
-    /// Whether its process exists, so that leaving the machine ends a run.
+    /// Returns whether its process exists, so that dropping it must be recorded as an end.
     pub fn is_executing(&self) -> bool {
         matches!(self.phase, TaskPhase::Running | TaskPhase::Checkpointing)
     }
 }
 
-/// A machine of the fleet. All times are in ms of the fleet's clock.
+/// A machine of the fleet. All times are in ms on the fleet's clock.
 #[derive(Debug, Default)]
 pub(super) struct Machine {
-    /// Where its agent listens for direct calls.
+    /// The address on which its agent accepts direct calls.
     pub addr: String,
     pub boots_at_ms: u64,
-    /// 0 until the agent has started.
+    /// The epoch of its agent; 0 until the agent starts.
     pub agent_epoch: u64,
     pub sequence: u64,
-    /// The highest fencing token that it has accepted.
+    /// The highest fencing token accepted so far.
     pub fencing_token: u64,
-    /// From when its worker lease counts.
+    /// When its worker lease was last renewed.
     pub lease_renewed_ms: u64,
     pub next_heartbeat_ms: u64,
     pub is_heartbeat_in_flight: bool,
-    /// Index of the node that it reports to, modulo the number of nodes.
+    /// Index of the node that gets its heartbeats, modulo the number of nodes.
     pub node: usize,
     pub attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Images that it has fetched.
+    /// Images that it has fetched; they are kept.
     pub images: BTreeSet<String>,
-    /// Until then nothing passes between it and the nodes.
+    /// When its partition from the nodes ends.
     pub partitioned_until_ms: u64,
-    /// Until then it executes nothing.
+    /// When its pause ends.
     pub paused_until_ms: u64,
     pub has_crashed: bool,
-    /// Until then it rejects every launch for insufficient resources.
+    /// Until when it rejects launches for insufficient resources.
     pub rejects_launches_until_ms: u64,
 }
 
 impl Machine {
-    /// A machine that finishes booting at a time, and heartbeats from then on.
+    /// Creates a machine that finishes booting and sends its first heartbeat at `boots_at_ms`.
     pub fn booting(addr: String, boots_at_ms: u64) -> Machine {
         Machine { addr, boots_at_ms, next_heartbeat_ms: boots_at_ms, ..Machine::default() }
     }
 
-    /// Whether it has booted and not crashed.
+    /// Returns whether it has booted and not crashed.
     pub fn is_up(&self, now_ms: u64) -> bool {
         !self.has_crashed && now_ms >= self.boots_at_ms
     }
 
-    /// Moves its next heartbeat forward, to at most this long from now.
+    /// Brings its next heartbeat forward to at most `ms` from now.
     pub fn heartbeat_within(&mut self, now_ms: u64, ms: u64) {
         self.next_heartbeat_ms = self.next_heartbeat_ms.min(now_ms + ms);
     }
 
-    /// The agent's epoch as it reports it: at least 1.
+    /// Returns the agent's epoch as reported, which is at least 1.
     pub fn reported_epoch(&self) -> u64 {
         self.agent_epoch.max(1)
     }
 
-    /// The body of its next heartbeat, in the words of the protocol.
+    /// Builds the body of its next heartbeat in the protocol's format.
     pub fn next_heartbeat(&mut self, name: &str) -> Value {
         self.sequence += 1;
         let tasks: Vec<Value> = self.attempts.iter().map(attempt_row).collect();
--- a/crates/latchtrack-emulator/src/fleet/mod.rs
+++ b/crates/latchtrack-emulator/src/fleet/mod.rs
@@ -1,6 +1,7 @@
-//! A fleet of workers behind real sockets. They heartbeat, execute commands, run tasks for as long
-//! as the profiles of their jobs say, save when told to, and lose what they run with their lease.
-//! Tests inject faults (partitions, pauses, crashes, full machines); responses are lost by seed.
+//! A fleet of emulated workers on real sockets. They send heartbeats, execute commands, run tasks
+//! according to their jobs' profiles, checkpoint on request, and drop their tasks when their lease
+//! expires. Tests inject faults (partitions, pauses, crashes, rejected launches); lost responses
+//! are drawn from a seeded generator.
 
 mod attempts;
 mod faults;
@@ -24,31 +25,31 @@
 use machine::Machine;
 pub use settings::{FleetSettings, JobProfile, NodeEndpoint};
 
-/// CPUs of a machine of the emulated cloud.
+/// CPUs of a machine in the emulated cloud.
 pub const MACHINE_CPUS: f64 = 8.0;
-/// Time between two steps of the fleet.
+/// Time between two steps of the fleet's main loop.
 const STEP_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a worker waits for the response to a heartbeat.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// ms between two samples of the loads.
+/// Time between two load samples, ms.
 const SAMPLE_INTERVAL_MS: u64 = 1_000;
 
-/// The workers of a fleet and what they have recorded.
+/// The workers of a fleet and their recorded history.
 pub struct FleetState {
     settings: FleetSettings,
     rng: StdRng,
     started_at: Instant,
     machines: BTreeMap<String, Machine>,
-    /// Addresses that are listened on, for machines to come.
+    /// Addresses that the server listens on and that no machine has yet.
     free_addrs: Vec<String>,
     profiles: BTreeMap<String, JobProfile>,
-    /// Progress of tasks that have saved, in ms.
+    /// Checkpointed progress by task id, ms.
     saved_ms: BTreeMap<String, u64>,
-    /// What happened on the machines.
+    /// Task events and load samples of the machines.
     pub history: History,
 }
 
-/// Starts a fleet for a cloud; its workers boot as machines are provisioned.
+/// Starts a fleet on a cloud. A worker boots for each machine that the cloud provisions.
 pub fn start(settings: FleetSettings, cloud: Shared<CloudState>) -> Shared<FleetState> {
     let fleet: Shared<FleetState> = Shared::new(std::sync::Mutex::new(FleetState {
         rng: StdRng::seed_from_u64(settings.seed),
@@ -65,7 +66,7 @@
     fleet
 }
 
-/// Runs the fleet: what is due on each machine, and their heartbeats.
+/// The fleet's main loop: advances the machines and sends the heartbeats that are due.
 async fn run(fleet: Shared<FleetState>, cloud: Shared<CloudState>) {
     let client = awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish();
     loop {
@@ -101,36 +102,36 @@
 }
 
 impl FleetState {
-    /// When the fleet was started: the origin of its clock.
+    /// Returns when the fleet was started, which is the origin of its clock.
     pub fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// ms since the fleet was started.
+    /// Returns the ms since the fleet was started.
     pub fn now_ms(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Tells the workers how the tasks of a job behave.
+    /// Sets how the workers run the tasks of a job. To be called before the job is submitted.
     pub fn register_job(&mut self, id: &str, profile: JobProfile) {
         self.profiles.insert(id.into(), profile);
     }
 
-    /// Machines that have booted and not crashed.
+    /// Returns the names of machines that have booted and not crashed.
     pub fn running_machines(&self) -> Vec<String> {
         let now = self.now_ms();
         let running = self.machines.iter().filter(|(_, machine)| machine.is_up(now));
         running.map(|(name, _)| name.clone()).collect()
     }
 
-    /// CPUs in use on a machine.
+    /// Returns the CPUs of the live attempts on a machine; 0 if it does not exist.
     pub fn cpus_in_use(&self, name: &str) -> f64 {
         let attempts = self.machines.get(name).into_iter().flat_map(|machine| &machine.attempts);
         let live = attempts.filter(|(_, attempt)| attempt.is_live());
         live.map(|(key, _)| self.profile_of(&key.task).cpus).sum()
     }
 
-    /// Machines on which tasks save just now, since they were told to stop.
+    /// Returns the names of machines on which a stopped task is checkpointing.
     pub fn checkpointing_machines(&self) -> Vec<String> {
         let checkpoints = |machine: &Machine| {
             machine.attempts.values().any(|attempt| attempt.phase == TaskPhase::Checkpointing)
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Draws whether a response is lost.
+    /// Draws whether to drop a response.
     fn loses_response(&mut self) -> bool {
         let probability = self.settings.response_loss;
         self.rng.random_bool(probability)
@@ -167,14 +168,14 @@
         machines.find(|(_, machine)| machine.addr == addr).map(|(name, _)| name.clone())
     }
 
-    /// ms until what is sent to an address arrives; None: never.
+    /// Returns the ms until a message to an address is delivered; `None` if it never is.
     fn delivery_delay_ms(&self, addr: &str) -> Option<u64> {
         let machine = &self.machines[&self.machine_at(addr)?];
         let until = machine.partitioned_until_ms.max(machine.paused_until_ms);
         (!machine.has_crashed).then(|| until.saturating_sub(self.now_ms()))
     }
 
-    /// Boots machines that were provisioned, stops those that were terminated.
+    /// Boots newly provisioned machines and stops terminated ones.
     fn sync_with_cloud(&mut self, cloud: &CloudState) {
         let now = self.now_ms();
         for name in &cloud.provisioned {
--- a/crates/latchtrack-emulator/src/fleet/server.rs
+++ b/crates/latchtrack-emulator/src/fleet/server.rs
@@ -1,4 +1,4 @@
-//! The workers' HTTP side: direct calls and probes.
+//! The workers' HTTP interface: direct calls and status probes.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 use super::FleetState;
 use crate::{lock, Shared};
 
-/// Starts one server that listens on the addresses of all workers and tells them apart by these.
+/// Starts a server that listens on an address for each worker. The local address of a connection
+/// identifies the worker.
 pub(super) fn listen(fleet: &Shared<FleetState>) {
     let data = fleet.clone();
     let mut server = HttpServer::new(move || {
@@ -28,7 +29,7 @@
     actix_web::rt::spawn(server.run());
 }
 
-/// Breaks the connection off without a response.
+/// Responds with an empty 500 and closes the connection: no usable response.
 fn no_response() -> HttpResponse {
     HttpResponse::InternalServerError().force_close().finish()
 }
@@ -39,7 +40,8 @@
     body: web::Json<Value>,
 ) -> HttpResponse {
     let addr = request.app_config().local_addr().to_string();
-    // What is sent to a machine that is cut off or paused arrives when that is over.
+    // A call to a partitioned or paused machine is delivered when the fault ends; the response to
+    // it is lost.
     let Some(wait_ms) = lock(&fleet).delivery_delay_ms(&addr) else {
         return no_response();
     };
--- a/crates/latchtrack-emulator/src/fleet/settings.rs
+++ b/crates/latchtrack-emulator/src/fleet/settings.rs
@@ -1,44 +1,44 @@
-//! What a fleet is made of and what it runs.
+//! Settings of a fleet and profiles of the jobs that it runs.
 
-/// Where a node of the controllers listens for workers.
+/// A node's endpoint for workers.
 #[derive(Clone, Debug)]
 pub struct NodeEndpoint {
-    /// The node's name in the settings.
+    /// The node's `node_name`, which redirects use.
     pub name: String,
-    /// Its base URL.
+    /// The node's base URL.
     pub url: String,
 }
 
-/// How the workers of a fleet behave.
+/// Settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Seed of heartbeat jitter and lost responses.
+    /// Seed for the heartbeat jitter and lost responses.
     pub seed: u64,
-    /// Machines that may be provisioned; later ones never boot.
+    /// Maximum number of machines. Machines provisioned beyond it never boot.
     pub machines: usize,
-    /// Mean ms between two heartbeats of a machine.
+    /// Mean time between two heartbeats of a machine, ms; the jitter is 25%.
     pub heartbeat_interval_ms: u64,
-    /// The worker lease, ms.
+    /// Duration of the worker lease, ms.
     pub lease_ms: u64,
-    /// ms that a machine takes to boot.
+    /// Boot time of a machine, ms.
     pub boot_ms: u64,
-    /// ms that the fetch of an image takes.
+    /// Fetch time of an image, ms.
     pub fetch_ms: u64,
     /// Probability that the response to a heartbeat or a direct call is lost.
     pub response_loss: f64,
-    /// The nodes of the controllers.
+    /// Endpoints of the nodes.
     pub nodes: Vec<NodeEndpoint>,
 }
 
-/// What workers know of a job: how its tasks behave.
+/// How the tasks of a job behave on a worker.
 #[derive(Clone, Debug, Default)]
 pub struct JobProfile {
     /// CPUs of each task.
     pub cpus: f64,
     /// The image that each task fetches.
     pub image: String,
-    /// ms that a task runs without interruption.
+    /// Run time of a task without interruptions, ms.
     pub run_ms: u64,
-    /// ms that a checkpoint takes; None: its tasks never save.
+    /// Time to save a checkpoint, ms; `None` if the tasks have no checkpoints.
     pub checkpoint_ms: Option<u64>,
 }
--- a/crates/latchtrack-emulator/src/history.rs
+++ b/crates/latchtrack-emulator/src/history.rs
@@ -1,57 +1,57 @@
-//! What a fleet of workers recorded, and checks of it.
+//! The recorded history of a fleet of workers, and checks on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What happened to a task on a machine.
+/// An event in the life of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEvent {
-    /// It has its image and runs.
+    /// It has fetched its image and started to run.
     Started,
-    /// It completed.
+    /// It ran to completion.
     Completed,
-    /// It left the machine without a result.
+    /// It stopped without a result.
     Ended,
 }
 
-/// One entry of a history.
+/// A task event with its time and place.
 #[derive(Clone, Debug)]
 pub struct HistoryEntry {
     /// ms since the fleet was started.
     pub at_ms: u64,
-    /// The machine's name.
+    /// The name of the machine.
     pub machine: String,
     /// The task's id, `<job>/<index>`.
     pub task: String,
-    /// The number of the attempt.
+    /// The attempt number.
     pub attempt: u64,
-    /// What happened to it.
+    /// The event.
     pub event: TaskEvent,
 }
 
-/// The loads of the machines at one moment. A load is the fraction of a machine that is in use.
+/// A sample of the machines' loads. A load is the fraction of a machine's CPUs in use.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSample {
     /// ms since the fleet was started.
     pub at_ms: u64,
-    /// Load of the most loaded machine.
+    /// Load of the most loaded machine; 0 if no machine is up.
     pub max: f64,
-    /// Mean load of all machines.
+    /// Mean load of all machines that are up.
     pub mean: f64,
-    /// Machines that were up.
+    /// Number of machines that are up.
     pub machines: usize,
 }
 
-/// CPUs in use from a moment on.
+/// The CPUs in use from a time until the next entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
-    /// ms of the clock of the entries.
+    /// Time in ms, on the clock of the history entries.
     pub at_ms: u64,
-    /// CPUs in use.
+    /// Total CPUs in use.
     pub cpus: f64,
 }
 
-/// The usage over time of tasks by the CPUs that each takes; those that take none are left out. Of
-/// what happens in the same millisecond, what ends counts first.
+/// Computes the total CPU usage over time from the CPUs of each task. Tasks with 0 CPUs are
+/// skipped. Among events in the same millisecond, ends are applied before starts.
 pub fn usage(entries: &[HistoryEntry], cpus_of: impl Fn(&str) -> f64) -> Vec<Usage> {
     let mut changes: Vec<(u64, f64)> = entries
         .iter()
@@ -70,26 +70,27 @@
     changes.into_iter().map(total).collect()
 }
 
-/// How often tasks were started.
+/// Counts of task starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartCounts {
-    /// Starts in all.
+    /// All starts.
     pub starts: usize,
-    /// Tasks that were started at least once.
+    /// Distinct tasks that started.
     pub tasks: usize,
 }
 
-/// What a fleet recorded, in the order in which it happened.
+/// The events and load samples of a fleet, in order of time.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// What happened to tasks.
+    /// Task events.
     pub entries: Vec<HistoryEntry>,
-    /// Loads of the machines, sampled once a second.
+    /// Loads of the machines, sampled once per second.
     pub loads: Vec<LoadSample>,
 }
 
 impl History {
-    /// Describes each start of a task while it was on a machine, or twice under one attempt.
+    /// Describes each start of a task that was still running, and each repeated start of the same
+    /// attempt on the same machine.
     pub fn duplicate_runs(&self) -> Vec<String> {
         let mut runs_of: BTreeMap<&str, BTreeSet<(&str, u64)>> = BTreeMap::new();
         let mut started = BTreeSet::new();
@@ -104,20 +105,22 @@
             let is_first = started.insert((&entry.task, run));
             if !runs.is_empty() || !is_first {
                 let HistoryEntry { task, machine, at_ms, .. } = entry;
-                duplicates.push(format!("{task} on {machine} at {at_ms} beside {runs:?}"));
+                duplicates.push(format!(
+                    "{task} started on {machine} at {at_ms} ms; already running: {runs:?}"
+                ));
             }
             runs.insert(run);
         }
         duplicates
     }
 
-    /// Tasks that completed.
+    /// Returns the ids of completed tasks.
     pub fn completed(&self) -> BTreeSet<String> {
         let done = self.entries.iter().filter(|entry| entry.event == TaskEvent::Completed);
         done.map(|entry| entry.task.clone()).collect()
     }
 
-    /// How often tasks were started.
+    /// Counts the starts and the distinct tasks that started.
     pub fn start_counts(&self) -> StartCounts {
         let started = self.entries.iter().filter(|entry| entry.event == TaskEvent::Started);
         let starts: Vec<&str> = started.map(|entry| entry.task.as_str()).collect();
--- a/crates/latchtrack-emulator/src/lib.rs
+++ b/crates/latchtrack-emulator/src/lib.rs
@@ -1,11 +1,12 @@
-//! Emulators, on loopback, of what latchtrack speaks to: the state service, the cloud and the
-//! workers, by the published protocol. For tests and measurements only.
+//! Emulators of the services that latchtrack talks to: the state service, the cloud and the
+//! workers. They speak the published protocol on loopback, for tests and measurements only.
 //!
-//! - [`state`] and [`cloud`] serve the two services; [`mod@site`] starts them with nodes of
-//!   latchtrack.
-//! - [`worker`] is one worker that heartbeats when a test says so; [`fleet`] runs many that do so by
-//!   themselves.
-//! - [`race`] and [`spread`] are experiments over fleets; [`history`] records and checks what ran.
+//! - [`state`] and [`cloud`] emulate the two services; [`mod@site`] starts them together with
+//!   latchtrack nodes.
+//! - [`worker`] is a single worker that sends heartbeats when a test asks it to; [`fleet`] runs
+//!   many workers that send theirs periodically.
+//! - [`race`] and [`spread`] are experiments on fleets; [`history`] records task events and checks
+//!   them.
 
 pub mod client;
 pub mod cloud;
@@ -30,15 +31,19 @@
 pub use state::{FaultCounts, StateService, TransactionFaults};
 pub use worker::Worker;
 
-/// What the servers of an emulator and its test share.
+/// State shared between the emulator's servers and the test that controls them.
 pub type Shared<T> = Arc<Mutex<T>>;
 
-/// Locks shared state. Panics if a holder has panicked, since what it left may be half changed.
+/// Locks shared state.
+///
+/// # Panics
+///
+/// Panics if the lock is poisoned, since a holder that panicked may have left a partial update.
 pub fn lock<T>(shared: &Shared<T>) -> MutexGuard<'_, T> {
-    shared.lock().expect("no holder of the lock has panicked")
+    shared.lock().expect("the lock is not poisoned")
 }
 
-/// The response of a service that is down.
+/// The response of an emulated service that is set to be down.
 fn unavailable() -> HttpResponse {
     HttpResponse::ServiceUnavailable().json(json!({"error": "trouble"}))
 }
--- a/crates/latchtrack-emulator/src/lifecycle.rs
+++ b/crates/latchtrack-emulator/src/lifecycle.rs
@@ -1,16 +1,16 @@
-//! Phases of an emulated task and the words that the protocol has for them.
+//! Phases of emulated tasks, and their names in the protocol.
 
-/// One attempt at a task.
+/// Identifies an attempt at a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The task's id, `<job>/<index>`.
     pub task: String,
-    /// The number of the attempt.
+    /// The attempt number that the leader assigned.
     pub attempt: u64,
 }
 
 impl AttemptKey {
-    /// The job that a task belongs to.
+    /// Returns the job id in a task id of the form `<job>/<index>`.
     pub fn job_of(task: &str) -> &str {
         task.split('/').next().unwrap_or_default()
     }
@@ -19,31 +19,31 @@
 /// The phase of an attempt on an emulated machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// It fetches its image.
+    /// It is fetching its image.
     Fetching,
-    /// Its process runs.
+    /// Its process is running.
     Running,
-    /// It was told to stop and saves its progress.
+    /// It was told to stop and is saving its progress.
     Checkpointing,
-    /// It has left the machine and is reported until the leader forgets it.
+    /// Its process is gone. It is reported until the leader sends `forget`.
     Ended(ExitCause),
 }
 
-/// Why an attempt has ended.
+/// Why an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCause {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It was told to stop.
+    /// It stopped on command.
     Stopped,
-    /// Another attempt at the same task is on the machine.
+    /// Another attempt at the same task is live on the machine.
     DuplicateTask,
-    /// The machine has too little free capacity.
+    /// The machine has too little free capacity, or is set to reject launches.
     InsufficientResources,
 }
 
 impl TaskPhase {
-    /// The protocol's word for it.
+    /// Returns the `status` value of this phase in the protocol.
     pub fn protocol_name(self) -> &'static str {
         match self {
             TaskPhase::Fetching => "pulling",
@@ -55,7 +55,7 @@
 }
 
 impl ExitCause {
-    /// The protocol's word for it.
+    /// Returns the `cause` value of this exit in the protocol.
     pub fn protocol_name(self) -> &'static str {
         match self {
             ExitCause::Done => "done",
--- a/crates/latchtrack-emulator/src/race/cell.rs
+++ b/crates/latchtrack-emulator/src/race/cell.rs
@@ -1,4 +1,4 @@
-//! One cell of a race: two controllers, a cloud and workers of its own.
+//! A cell of a race: two nodes, a cloud and workers of its own.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -13,21 +13,21 @@
 use crate::state::StateService;
 use crate::{lock, Shared};
 
-/// Workers of a cell.
+/// Number of workers of a cell.
 const WORKERS: usize = 8;
-/// Mean ms between two heartbeats of a worker.
+/// Mean time between two heartbeats of a worker, ms.
 const HEARTBEAT_INTERVAL_MS: u64 = 400;
-/// The worker lease, ms: short, so that allotments are reclaimed within a race.
+/// Duration of the worker lease, ms. It is short so that allotments are reclaimed within a race.
 const WORKER_LEASE_MS: u64 = 2_000;
 /// Probability that a response to a worker is lost in a race with faults.
 const RESPONSE_LOSS: f64 = 0.01;
 
-/// The name of a cell.
+/// Returns the name of the cell with this index.
 pub(super) fn cell_name(cell: usize) -> String {
     format!("cell{cell}")
 }
 
-/// Which controllers of a cell the state service refuses.
+/// The nodes of a cell that the state service refuses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RefusedNodes {
     None,
@@ -35,38 +35,38 @@
     Both,
 }
 
-/// A job as it is submitted.
+/// A job to submit.
 pub(super) struct NewJob {
     pub id: String,
-    /// The request's body, in the words of the protocol.
+    /// The body of the submission, in the protocol's format.
     pub body: Value,
 }
 
-/// The size of a new job.
+/// The team and size of a new job.
 pub(super) struct JobSize {
     pub team: usize,
     pub tasks: u32,
     /// CPUs of each task.
     pub cpus: f64,
-    /// ms that each task runs.
+    /// Run time of each task, ms.
     pub run_ms: u64,
 }
 
-/// One cell of a race. All times are in ms since the race began.
+/// A cell of a race. All times are in ms since the start of the race.
 pub(super) struct Cell {
     site: Site,
-    /// Base URLs of its controllers.
+    /// Base URLs of its nodes.
     pub urls: Vec<String>,
     pub fleet: Shared<FleetState>,
     pub jobs: BTreeMap<String, SubmittedJob>,
-    /// Until when it has a fault; 0: it has none.
+    /// When its fault ends; 0 if it has none, `u64::MAX` if it is dead.
     pub faulty_until_ms: u64,
-    /// When it died, until its allotments are reclaimed.
+    /// When it died; `None` again once its allotments are reclaimed.
     pub died_at_ms: Option<u64>,
 }
 
 impl Cell {
-    /// Starts a cell at a state service that all cells share.
+    /// Starts a cell on the state service that all cells share.
     pub async fn start(index: usize, options: &RaceOptions, state: Shared<StateService>) -> Cell {
         let site = cell_site(index, options, state);
         lock(&site.cloud).lists_machines = true;
@@ -88,7 +88,7 @@
         Cell { site, urls, fleet, jobs: BTreeMap::new(), faulty_until_ms: 0, died_at_ms: None }
     }
 
-    /// Makes a new job and tells the workers of it.
+    /// Creates a job and registers its profile with the workers.
     pub fn new_job(&mut self, size: &JobSize) -> NewJob {
         let JobSize { team, tasks, cpus, run_ms } = *size;
         let id = format!("req-{:06}", self.jobs.len() + 1);
@@ -103,7 +103,7 @@
         NewJob { id, body }
     }
 
-    /// Has the state service refuse these controllers, and no others.
+    /// Makes the state service refuse exactly these nodes.
     pub fn set_refused(&self, nodes: RefusedNodes) {
         let refused = match nodes {
             RefusedNodes::None => [false, false],
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Cuts all workers off from the controllers for so many ms.
+    /// Partitions all running workers from the nodes for `ms` milliseconds.
     pub fn partition_workers(&self, ms: u64) {
         let mut fleet = lock(&self.fleet);
         for machine in fleet.running_machines() {
@@ -132,7 +132,7 @@
     site.teams = teams.collect();
     site.workers = json!({"report_s": HEARTBEAT_INTERVAL_MS as f64 / 1e3,
         "lease_s": WORKER_LEASE_MS as f64 / 1e3, "cancel_s": 10.0});
-    // Eight allotments of the longest form fit in.
+    // Large enough for a ledger with eight allotments of maximum length.
     site.next_value_kb = 4.0;
     let quota =
         QuotaTuning { cell: cell_name(index), cells: (0..options.cells).map(cell_name).collect() };
--- a/crates/latchtrack-emulator/src/race/mod.rs
+++ b/crates/latchtrack-emulator/src/race/mod.rs
@@ -1,6 +1,6 @@
-//! Several cells race for the limits of the teams that they share, through real sockets: each has
-//! two controllers, a cloud and workers of its own, at one state service. Cells fail by seed; what
-//! ran, what was allotted and how long requests waited is recorded and checked.
+//! An experiment in which cells compete for shared team limits over real sockets. Each cell has two
+//! nodes, a cloud and workers of its own; all use one state service. Faults of cells are drawn from
+//! a seeded generator. Task events, allotments and request latencies are recorded and checked.
 
 mod cell;
 mod observer;
@@ -22,42 +22,43 @@
 use observer::LedgerObserver;
 pub use outcome::{AllotmentSample, Overshoot, RaceOutcome, SubmittedJob};
 
-/// CPUs that each team may use.
+/// Limit of each team, in CPUs over all cells.
 pub const LIMIT_CPUS: f64 = 16.0;
-/// CPUs of each team's guarantee.
+/// Guarantee of each team, in CPUs.
 pub const GUARANTEE_CPUS: f64 = 4.0;
-/// The longest that a task runs, ms.
+/// Maximum run time of a task, ms.
 pub const MAX_TASK_MS: u64 = 1_500;
-/// Added to the times of [`RaceOutcome::entries`], so that what ran before the race began has
-/// positive times too; ms.
+/// Offset of the times in [`RaceOutcome::entries`], ms. It keeps the times of events before the
+/// start of the race positive.
 pub const CLOCK_OFFSET_MS: u64 = 1_000_000;
-/// ms between two samples of the stored ledgers.
+/// Time between two samples of the stored ledgers, ms.
 const SAMPLE_INTERVAL_MS: u64 = 25;
-/// Attempts to see every cell led and every ledger complete, four sampling intervals apart.
+/// Maximum polls until every ledger is complete, four sampling intervals apart: two minutes.
 const MAX_READY_POLLS: u32 = 1_200;
-/// ms between two submissions to a cell after the first burst.
+/// Time between two submissions to a cell after the initial burst, ms.
 const SUBMIT_INTERVAL_MS: u64 = 150;
-/// Jobs that are submitted to each cell in the same moment.
+/// Jobs submitted to each cell at once at the start.
 const BURST_JOBS: usize = 20;
-/// Probability that a job is cancelled as soon as it is accepted.
+/// Probability that a job is cancelled immediately after it is accepted.
 const CANCEL_PROBABILITY: f64 = 0.25;
-/// Fraction of the run that a fault lasts at most, unless the cell dies.
+/// Maximum duration of a temporary fault, as a fraction of the run.
 const MAX_FAULT_FRACTION: f64 = 0.6;
-/// How much longer than the longest fault the workers of a dead cell stay cut off.
+/// How long the workers of a dead cell are partitioned, as a multiple of the longest temporary
+/// fault.
 const DEAD_CELL_FACTOR: u64 = 10;
 
-/// What is to be run.
+/// Parameters of a race.
 #[derive(Clone, Debug)]
 pub struct RaceOptions {
-    /// Seed of submissions and faults.
+    /// Seed for the submissions and faults.
     pub seed: u64,
-    /// Cells that race.
+    /// Number of cells.
     pub cells: usize,
-    /// Teams that they share.
+    /// Number of teams, all shared by all cells.
     pub teams: usize,
-    /// Seconds that jobs are submitted for.
+    /// Duration of the submissions, s.
     pub run_s: u64,
-    /// Whether cells fail.
+    /// Whether to inject faults into cells and drop responses to workers.
     pub faults: bool,
 }
 
@@ -71,7 +72,11 @@
     outcome: RaceOutcome,
 }
 
-/// Runs a race. Fails if the cells never become ready.
+/// Runs a race.
+///
+/// # Errors
+///
+/// Fails if the cells do not become ready within two minutes.
 pub async fn run(options: RaceOptions) -> Result<RaceOutcome, ExperimentError> {
     let mut race = Race::start(options).await;
     race.wait_until_ready().await?;
@@ -106,7 +111,8 @@
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Waits until every cell has a leader and every team's ledger is complete.
+    /// Waits until every team's ledger is complete, which requires a leader in every cell. Submits
+    /// jobs meanwhile.
     async fn wait_until_ready(&mut self) -> Result<(), ExperimentError> {
         for _ in 0..MAX_READY_POLLS {
             let is_complete = |ledger: &Value| ledger["complete"] == true;
@@ -121,7 +127,8 @@
         Err(ExperimentError::CellsNotReady)
     }
 
-    /// Submits jobs and injects faults, and observes until what runs has ended.
+    /// Submits jobs, injects faults and samples the ledgers, until the last tasks have had time to
+    /// end.
     async fn run_load(&mut self) {
         let from = self.now_ms();
         let run_ms = self.options.run_s * 1_000;
@@ -146,12 +153,12 @@
         }
     }
 
-    /// The stored ledger of a team.
+    /// Returns the stored ledger of a team.
     fn ledger(&self, team: usize) -> Option<Value> {
         lock(&self.state).value(&format!("quota/team/t{team}"))
     }
 
-    /// Submits a job to every cell in the same moment; users cancel some of them at once.
+    /// Submits a job to every cell concurrently, and cancels some of them once they are accepted.
     fn submit_everywhere(&mut self) {
         let mut submissions = Vec::new();
         for cell in &mut self.cells {
@@ -177,7 +184,8 @@
         }
     }
 
-    /// Has one or more cells fail at the same time, all but one at most, for up to so many ms.
+    /// Injects concurrent faults into at least one cell, and not into all cells if there are
+    /// several. Temporary faults last at most `max_ms`.
     fn fail_cells(&mut self, max_ms: u64) {
         let now = self.now_ms();
         let count = self.rng.random_range(1..=(self.cells.len() - 1).max(1));
@@ -191,25 +199,25 @@
             let what = match fault {
                 0 => {
                     cell.set_refused(RefusedNodes::Both);
-                    "loses the state service"
+                    "all nodes refused by the state service"
                 }
                 1 => {
                     cell.set_refused(RefusedNodes::First);
-                    "one controller loses the state service"
+                    "first node refused by the state service"
                 }
                 2 => {
                     cell.partition_workers(ms);
-                    "loses its workers"
+                    "workers partitioned"
                 }
                 _ => {
                     cell.set_refused(RefusedNodes::Both);
                     cell.partition_workers(max_ms * DEAD_CELL_FACTOR);
                     cell.faulty_until_ms = u64::MAX;
                     cell.died_at_ms = Some(now);
-                    "dies"
+                    "all nodes and workers lost for good"
                 }
             };
-            self.outcome.faults.push(format!("{now} ms: {} {what}, {ms} ms", cell_name(index)));
+            self.outcome.faults.push(format!("{now} ms: {}: {what}, {ms} ms", cell_name(index)));
         }
     }
 
--- a/crates/latchtrack-emulator/src/race/observer.rs
+++ b/crates/latchtrack-emulator/src/race/observer.rs
@@ -1,5 +1,5 @@
-//! Observes the teams' stored ledgers: what is allotted, how long requests and guarantees wait, and
-//! when the allotments of dead cells are reclaimed.
+//! Samples the teams' stored ledgers: allotments, the latency of requests and guarantees, and the
+//! time until the allotments of dead cells are reclaimed.
 
 use std::collections::BTreeMap;
 
@@ -9,37 +9,37 @@
 use super::outcome::{AllotmentSample, RaceOutcome};
 use super::GUARANTEE_CPUS;
 
-/// A team in a cell, by their indices.
+/// The indices of a team and a cell.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TeamInCell {
     team: usize,
     cell: usize,
 }
 
-/// A request that stands in a ledger.
+/// A cell's request in a ledger.
 #[derive(Clone, Copy)]
 struct OpenRequest {
     ticket: u64,
-    /// When it was first seen, in ms since the race began.
+    /// When it was first seen, in ms since the start of the race.
     first_seen_ms: u64,
     is_met: bool,
 }
 
-/// What is known of requests and guarantees between two samples.
+/// The state of requests and guarantees between two samples.
 #[derive(Default)]
 pub(super) struct LedgerObserver {
     requests: BTreeMap<TeamInCell, OpenRequest>,
-    /// Since when a cell lacks something of a team's guarantee.
+    /// Since when a cell has less of a team's guarantee than it wants, in ms since the start.
     unmet_since: BTreeMap<TeamInCell, u64>,
 }
 
-/// CPUs of a stored quantity.
+/// Returns the CPUs of a stored resource quantity.
 fn cpus(quantity: &Value) -> f64 {
     quantity["millicpus"].as_f64().unwrap_or(0.0) / 1_000.0
 }
 
 impl LedgerObserver {
-    /// Takes in a team's ledger as it is stored at a time, in ms since the race began.
+    /// Processes a sample of a team's ledger, taken at `now` ms since the start of the race.
     pub fn observe(
         &mut self,
         now: u64,
@@ -71,7 +71,7 @@
         outcome.samples.push(AllotmentSample { at_ms: now, team, allotted });
     }
 
-    /// Takes in a cell's request as it stands now; None: it has none.
+    /// Processes the sample of a cell's request; `None` if there is none.
     fn observe_request(
         &mut self,
         now: u64,
@@ -88,7 +88,7 @@
         let known = self.requests.remove(&key);
         let is_same = known.map(|known| known.ticket) == seen.map(|seen| seen.ticket);
         if let Some(gone) = known.filter(|_| !is_same) {
-            // Met and removed, or replaced by the next one, in one write.
+            // One write met the request and removed or replaced it.
             record_grant(gone);
         }
         let Some(seen) = seen else { return };
@@ -109,7 +109,7 @@
         cells: &[Cell],
         outcome: &mut RaceOutcome,
     ) {
-        // While any cell has a fault, what it holds has to be reclaimed first.
+        // Not counted during faults, when allotments of a faulty cell must be reclaimed first.
         if !lacks || cells.iter().any(|cell| cell.faulty_until_ms != 0) {
             self.unmet_since.remove(&key);
             return;
--- a/crates/latchtrack-emulator/src/race/outcome.rs
+++ b/crates/latchtrack-emulator/src/race/outcome.rs
@@ -1,4 +1,4 @@
-//! What a race of cells came to, and the checks of it.
+//! The outcome of a race, and checks on it.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use crate::history::{usage, HistoryEntry, TaskEvent, Usage};
 use crate::lifecycle::AttemptKey;
 
-/// Rounding that a sum of CPUs may carry.
+/// Tolerance for rounding errors in sums of CPUs.
 const CPU_TOLERANCE: f64 = 1e-6;
 
-/// A job that was submitted to a cell.
+/// A job submitted to a cell.
 #[derive(Clone, Copy, Debug)]
 pub struct SubmittedJob {
     /// Index of its team.
@@ -18,53 +18,54 @@
     pub cpus: f64,
 }
 
-/// What was allotted of a team at a moment.
+/// A sample of a team's allotments.
 #[derive(Clone, Debug)]
 pub struct AllotmentSample {
-    /// ms since the race began.
+    /// Time in ms since the start of the race.
     pub at_ms: u64,
     /// Index of the team.
     pub team: usize,
-    /// CPUs by cell.
+    /// Allotted CPUs by cell.
     pub allotted: Vec<f64>,
 }
 
-/// A moment at which a team used more than its limit in all cells together.
+/// An excess of a team's total usage in all cells over its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overshoot {
     /// Index of the team.
     pub team: usize,
-    /// What it used.
+    /// The total usage.
     pub usage: Usage,
 }
 
-/// What came of a race.
+/// The recorded outcome of a race.
 #[derive(Clone, Debug, Default)]
 pub struct RaceOutcome {
-    /// What ran in each cell. All entries are on the clock of the race, moved on by
+    /// Task events by cell. Times are in ms since the start of the race plus
     /// [`CLOCK_OFFSET_MS`](super::CLOCK_OFFSET_MS).
     pub entries: Vec<Vec<HistoryEntry>>,
-    /// The submitted jobs by id, by cell.
+    /// For each cell, the submitted jobs by id.
     pub jobs: Vec<BTreeMap<String, SubmittedJob>>,
-    /// What was allotted over time.
+    /// Allotments over time.
     pub samples: Vec<AllotmentSample>,
-    /// ms from each request until its need was met, of cells without a fault meanwhile.
+    /// Time from each request until its need was met, ms. Requests met during a fault of their
+    /// cell are left out.
     pub grant_latencies_ms: Vec<u64>,
-    /// The longest time, in ms, for which a cell lacked something of its team's guarantee while no
-    /// cell had a fault.
+    /// The longest time, in ms, for which a cell wanted more of a team's guarantee than it had
+    /// while no cell had a fault.
     pub guarantee_unmet_ms: u64,
-    /// ms from the death of a cell until its allotments were reclaimed.
+    /// Time from the death of each cell until its allotments were reclaimed, ms.
     pub reclaim_latencies_ms: Vec<u64>,
-    /// Writes of the teams' ledgers.
+    /// Number of writes to the teams' ledgers.
     pub ledger_writes: u64,
-    /// A line for each fault, with its time.
+    /// A description of each fault, with its time.
     pub faults: Vec<String>,
-    /// How long the race took, in ms.
+    /// Duration of the race, ms.
     pub duration_ms: u64,
 }
 
 impl RaceOutcome {
-    /// What a team uses over time, in one cell or in all together.
+    /// Computes a team's usage over time in one cell, or in all cells together if `cell` is `None`.
     pub fn usage(&self, team: usize, cell: Option<usize>) -> Vec<Usage> {
         let mut entries = Vec::new();
         for (i, of_cell) in self.entries.iter().enumerate() {
@@ -79,7 +80,7 @@
         usage(&entries, |task| self.cpus_of(task, team))
     }
 
-    /// CPUs of a task, named with its cell, if it is of this team.
+    /// Returns the CPUs of a task, given as `<cell> <task id>`; 0 if it is not of this team.
     fn cpus_of(&self, task: &str, team: usize) -> f64 {
         let job = task.split_once(' ').and_then(|(cell, task)| {
             self.jobs.get(cell.parse::<usize>().ok()?)?.get(AttemptKey::job_of(task))
@@ -87,7 +88,7 @@
         job.filter(|job| job.team == team).map_or(0.0, |job| job.cpus)
     }
 
-    /// Moments at which a team used more than its limit in all cells together.
+    /// Returns each time at which a team's total usage exceeded its limit.
     pub fn overshoots(&self) -> Vec<Overshoot> {
         let last_team = self.jobs.iter().flatten().map(|(_, job)| job.team).max().unwrap_or(0);
         let overshoots_of = |team| {
@@ -98,7 +99,7 @@
         (0..=last_team).flat_map(overshoots_of).collect()
     }
 
-    /// Starts of tasks in all cells.
+    /// Counts the task starts in all cells.
     pub fn launches(&self) -> usize {
         let started = |entry: &&HistoryEntry| entry.event == TaskEvent::Started;
         self.entries.iter().flatten().filter(started).count()
--- a/crates/latchtrack-emulator/src/site.rs
+++ b/crates/latchtrack-emulator/src/site.rs
@@ -1,4 +1,4 @@
-//! One deployment on loopback: emulated state service and cloud, and nodes of latchtrack itself.
+//! A deployment on loopback: an emulated state service, an emulated cloud and latchtrack nodes.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
@@ -12,55 +12,55 @@
 use crate::state::{serve_state, StateService};
 use crate::Shared;
 
-/// The names of up to three nodes, each behind a port of the state service of its own.
+/// Names of the nodes, by index. Each node uses its own port of the state service.
 const NODE_NAMES: [&str; 3] = ["one", "two", "three"];
-/// Sockets that a node may use unless a test says otherwise.
+/// Default limit on the sockets of a node.
 const MAX_SOCKETS: usize = 200;
 
-/// Another node of the deployment.
+/// A peer of a node in the same deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer<'a> {
-    /// Its name.
+    /// Its `node_name`.
     pub name: &'a str,
-    /// Where it listens for nodes, as `host:port`.
+    /// The address on which it accepts connections from other nodes, as `host:port`.
     pub endpoint: &'a str,
 }
 
-/// State service and cloud of a deployment of up to three nodes.
+/// The state service and the cloud of a deployment, with the settings of up to three nodes.
 pub struct Site {
     /// The state service, which several deployments may share.
     pub state: Shared<StateService>,
-    /// The cloud.
+    /// The cloud, which no other deployment uses.
     pub cloud: Shared<CloudState>,
-    /// Whether the state service refuses the node behind each of its ports.
+    /// For each port of the state service, whether it refuses the node that uses it.
     pub refused_nodes: [Arc<AtomicBool>; 3],
-    /// The operators' settings of the nodes that are started.
+    /// The operators' settings for nodes started from now on.
     pub tuning: Tuning,
-    /// Sockets that a node may use.
+    /// Maximum number of sockets of a node.
     pub max_sockets: usize,
-    /// The teams, in the form of the platform's file.
+    /// `params.teams` in the platform's settings file.
     pub teams: Value,
-    /// The workers' times, in the form of the platform's file.
+    /// `params.workers` in the platform's settings file.
     pub workers: Value,
-    /// KiB of a value that the state service is announced to take from some moment on.
+    /// `params.state.next.value_kb`: the announced limit on values in the state service, KiB.
     pub next_value_kb: f64,
     state_ports: [u16; 3],
     cloud_port: u16,
 }
 
-/// A node that was started.
+/// A started node.
 struct StartedNode {
     /// Base URL for users and workers.
     url: String,
     settings: Settings,
 }
 
-/// Starts a state service and a cloud.
+/// Starts a new state service and a cloud, without nodes.
 pub fn site() -> Site {
     site_with_state(Default::default())
 }
 
-/// Starts a cloud, and ports of a state service that others may use too.
+/// Starts a cloud, and three ports on an existing state service that may be shared.
 pub fn site_with_state(state: Shared<StateService>) -> Site {
     let cloud: Shared<CloudState> = Default::default();
     let refused_nodes: [Arc<AtomicBool>; 3] = Default::default();
@@ -88,18 +88,19 @@
 }
 
 impl Site {
-    /// Starts a node that knows no other; returns its base URL for users and workers.
+    /// Starts a node without peers on the first port of the state service, and returns its base URL
+    /// for users and workers.
     pub async fn start_node(&self, name: &str) -> String {
         self.spawn_node(name, 0, listen().await, &[]).await.url
     }
 
-    /// Starts two nodes that know each other, each behind a port of the state service; returns
+    /// Starts two nodes that are peers, each on its own port of the state service, and returns
     /// their base URLs.
     pub async fn start_two_nodes(&self) -> [String; 2] {
         self.start_nodes::<2>().await.map(|node| node.url)
     }
 
-    /// Starts three nodes that know each other, each behind a port of the state service; returns
+    /// Starts three nodes that are peers, each on its own port of the state service, and returns
     /// their base URLs.
     pub async fn start_three_nodes(&self) -> [String; 3] {
         self.start_nodes::<3>().await.map(|node| node.url)
@@ -112,7 +113,7 @@
         (nodes.map(|node| node.url), settings)
     }
 
-    /// Starts so many nodes that know each other.
+    /// Starts `N` nodes that are peers of each other.
     async fn start_nodes<const N: usize>(&self) -> [StartedNode; N] {
         let mut listeners = Vec::new();
         for _ in 0..N {
@@ -125,7 +126,7 @@
             let others: Vec<Peer> = (0..N).filter(|other| *other != i).map(peer).collect();
             nodes.push(self.spawn_node(NODE_NAMES[i], i, listener, &others).await);
         }
-        nodes.try_into().unwrap_or_else(|_| unreachable!("one node for each listener"))
+        nodes.try_into().unwrap_or_else(|_| unreachable!("there is one node per listener"))
     }
 
     async fn spawn_node(
@@ -142,8 +143,12 @@
         StartedNode { url, settings }
     }
 
-    /// The settings of a node that listens there, behind the port of the state service with this
-    /// index.
+    /// Builds the settings of a node with these listeners and peers. `port` is the index of the
+    /// state service's port that it uses.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the settings are invalid.
     pub fn settings(
         &self,
         name: &str,
@@ -171,9 +176,9 @@
                 "cloud": {"rps": 100.0, "list_lag_s": 1.0},
                 "machine_limits": {"cpu": 1.0, "mem_mb": 100.0, "max_sockets": self.max_sockets}}
         }))
-        .expect("the form of the platform's file");
+        .expect("valid platform settings");
         let settings = Settings { platform, tuning: self.tuning.clone() };
-        settings.check().expect("settings that make sense");
+        settings.check().expect("settings that pass the check");
         settings
     }
 }
--- a/crates/latchtrack-emulator/src/spread.rs
+++ b/crates/latchtrack-emulator/src/spread.rs
@@ -1,6 +1,6 @@
-//! A loopback fleet through both hot cases of load spread: two teams turn hot in the same second,
-//! and targets of moves fill up, are cut off, pause and crash while tasks are on their way to them;
-//! in the middle of it the leader changes.
+//! An experiment on load spread with a loopback fleet. Two teams become hot in the same second.
+//! Optionally, machines that take part in moves reject launches, are partitioned, pause or crash
+//! during the moves, and the leader changes.
 
 use std::time::Duration;
 
@@ -20,76 +20,76 @@
 
 /// Time between two polls of the fleet, and between two attempts to submit a job.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Polls until the fleet has to be up, and attempts until a job has to be accepted.
+/// Maximum polls until the fleet is up, and maximum retries until a job is accepted.
 const MAX_POLLS: usize = 600;
-/// ms between two faults.
+/// Minimum time between two faults, ms.
 const FAULT_INTERVAL_MS: u64 = 1_500;
-/// ms for which a target that is full rejects launches.
+/// How long the target of a move rejects launches, ms.
 const REJECT_LAUNCHES_MS: u64 = 10_000;
-/// ms for which a target is cut off or a source pauses.
+/// How long a target is partitioned or a source is paused, ms.
 const SHORT_FAULT_MS: u64 = 3_000;
 /// Probability that a response to a worker is lost in a run with faults.
 const RESPONSE_LOSS: f64 = 0.01;
-/// Tasks of a hot job.
+/// Number of tasks of a job of a hot team.
 const HOT_JOB_TASKS: usize = 40;
-/// ms that a checkpoint of a hot task takes.
+/// Time that a task of a hot team takes to save a checkpoint, ms.
 const CHECKPOINT_MS: u64 = 500;
-/// The bound of latchtrack-balance on the most loaded machine, in mean loads, to which one task is
-/// added: see docs/balance.md.
+/// The bound of latchtrack-balance on the greatest load, as a multiple of the mean load. One task
+/// is added to it; see docs/balance.md.
 const BOUND_FACTOR: f64 = 1.25;
-/// Rounding that a load may carry.
+/// Tolerance for rounding errors in loads.
 const LOAD_TOLERANCE: f64 = 1e-6;
-/// Mean load under which the hot teams have hardly any work left.
+/// Mean load below which the hot teams are considered to have no work left.
 const IDLE_LOAD: f64 = 0.02;
-/// Separates the experiment's draws from those of the fleet, which has the same seed.
+/// Changes the seed of the experiment's generator, so that it differs from the fleet's.
 const SEED_MASK: u64 = 0x5eed;
 
-/// What fails while tasks move.
+/// What fails during moves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultScope {
     /// Nothing.
     None,
     /// Machines that take part in moves.
     Machines,
-    /// Those, and the leader in their midst.
+    /// Machines that take part in moves, and the leader.
     MachinesAndLeader,
 }
 
-/// What is to be run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct SpreadOptions {
-    /// Seed of the fleet and of the faults.
+    /// Seed for the fleet and the faults.
     pub seed: u64,
-    /// Workers of the fleet.
+    /// Number of workers in the fleet.
     pub workers: usize,
-    /// The operators' settings of the balancer.
+    /// The operators' settings for balancing.
     pub balance: BalanceTuning,
-    /// Fraction of the fleet's CPUs that the hot teams ask for.
+    /// Total CPUs of the hot teams' tasks, as a fraction of the fleet's CPUs.
     pub demand: f64,
-    /// Seconds that a hot task runs.
+    /// Run time of a task of a hot team, s.
     pub run_s: u64,
-    /// What fails meanwhile.
+    /// Faults to inject.
     pub faults: FaultScope,
-    /// Seconds after which the run ends, whatever is left.
+    /// Time limit for the hot jobs, s.
     pub max_s: u64,
 }
 
-/// What came of a run.
+/// The outcome of a run.
 #[derive(Clone, Debug)]
 pub struct SpreadOutcome {
-    /// What ran on the machines.
+    /// The recorded history of the fleet.
     pub history: History,
-    /// When the hot teams began, in ms of the history's clock.
+    /// When the hot teams submitted their first job, in ms on the history's clock.
     pub hot_at_ms: u64,
-    /// Tasks that were submitted and have not completed.
+    /// Ids of submitted tasks that did not complete.
     pub unfinished: Vec<String>,
-    /// What the last leader said of its balance; None: nothing of it is switched on.
+    /// The last balance status reported by a leader; `None` if balancing is off.
     pub balance: Option<BalanceView>,
-    /// A line for each fault, with its time.
+    /// A description of each fault, with its time.
     pub faults: Vec<String>,
 }
 
-/// The load that the most loaded machine may have, given the mean load.
+/// Returns the bound on the greatest load, given the mean load of the sample.
 pub fn load_bound(sample: &LoadSample) -> f64 {
     BOUND_FACTOR * sample.mean + 1.0 / MACHINE_CPUS
 }
@@ -99,16 +99,16 @@
 }
 
 impl SpreadOutcome {
-    /// ms from when the hot teams began until the spread was first within the bound again after it
-    /// was over it; None if it never was.
+    /// Returns the ms from [`hot_at_ms`](Self::hot_at_ms) until the greatest load was first within
+    /// the bound again after exceeding it; `None` if it never was.
     pub fn restored_ms(&self) -> Option<u64> {
         let after = self.history.loads.iter().filter(|sample| sample.at_ms > self.hot_at_ms);
         let mut over = after.skip_while(|sample| is_within_bound(sample));
         over.find(|sample| is_within_bound(sample)).map(|sample| sample.at_ms - self.hot_at_ms)
     }
 
-    /// Fraction of the samples within the bound while the hot teams had work, from this time on, in
-    /// ms of the history's clock.
+    /// Returns the fraction of samples within the bound from `from_ms` on, while the hot teams had
+    /// work. The time is in ms on the history's clock.
     pub fn within_bound_share(&self, from_ms: u64) -> f64 {
         let last_event = self.history.entries.iter().map(|entry| entry.at_ms).max().unwrap_or(0);
         let range = from_ms..last_event;
@@ -123,25 +123,25 @@
     }
 }
 
-/// A job that was submitted.
+/// A submitted job.
 struct SubmittedJob {
     id: String,
     tasks: usize,
 }
 
-/// A job that is to be submitted.
+/// A job to submit.
 struct NewJob {
     team: &'static str,
     tasks: usize,
     /// CPUs of each task.
     cpus: f64,
-    /// Seconds that each task runs.
+    /// Run time of each task, s.
     run_s: u64,
-    /// ms that its checkpoints take; None: its tasks never save.
+    /// Time to save a checkpoint, ms; `None` if the tasks have no checkpoints.
     checkpoint_ms: Option<u64>,
 }
 
-/// A run under way.
+/// A run in progress.
 struct SpreadRun {
     options: SpreadOptions,
     site: Site,
@@ -153,7 +153,11 @@
     faults: Vec<String>,
 }
 
-/// Runs a fleet through the hot cases. Fails if the fleet never comes up or a job is not accepted.
+/// Starts a fleet, makes two teams hot and observes it.
+///
+/// # Errors
+///
+/// Fails if the fleet does not come up in time or a job is not accepted.
 pub async fn run(options: SpreadOptions) -> Result<SpreadOutcome, ExperimentError> {
     let mut run = SpreadRun::start(options).await;
     run.warm_up().await?;
@@ -214,7 +218,7 @@
         SpreadRun { options, site, nodes, settings, fleet, submitted, rng, faults }
     }
 
-    /// Submits a job to one node after the other, as users do, until it is accepted.
+    /// Submits a job to the nodes in turn until one accepts it.
     async fn submit(&mut self, job: NewJob) -> Result<(), ExperimentError> {
         let NewJob { team, tasks, cpus, run_s, checkpoint_ms } = job;
         let id = format!("req-{:06}", self.submitted.len() + 1);
@@ -241,7 +245,7 @@
         }
     }
 
-    /// Has every machine provisioned and up, by a job with one task for each.
+    /// Brings up every machine with a job whose tasks fill a machine each, and waits for it.
     async fn warm_up(&mut self) -> Result<(), ExperimentError> {
         let machines = self.options.workers;
         let team = "team";
@@ -267,7 +271,7 @@
         Err(ExperimentError::FleetNotUp { up, machines, done })
     }
 
-    /// Two teams turn hot in the same second.
+    /// Submits the jobs of the two hot teams alternately, as fast as they are accepted.
     async fn submit_hot_jobs(&mut self) -> Result<(), ExperimentError> {
         let cpus = self.options.workers as f64 * MACHINE_CPUS * self.options.demand;
         let jobs = (cpus / HOT_JOB_TASKS as f64 / 2.0).ceil().max(1.0) as usize;
@@ -286,8 +290,8 @@
         Ok(())
     }
 
-    /// Observes, and injects faults, until all jobs are done or the time is over; returns what the
-    /// last leader said of its balance.
+    /// Observes the fleet and injects faults until all jobs are done or the time limit is reached.
+    /// Returns the last balance status reported by a leader.
     async fn observe_until_done(&mut self) -> Option<BalanceView> {
         let began = lock(&self.fleet).now_ms();
         let max_ms = self.options.max_s * 1_000;
@@ -315,7 +319,7 @@
         self.options.faults != FaultScope::None
     }
 
-    /// Injects the next of six faults, in turn, at a machine that is the target of a move.
+    /// Injects the next of six faults in rotation. `target` is the target machine of a move.
     fn inject_fault(&mut self, target: &str) {
         let mut fleet = lock(&self.fleet);
         let sources = fleet.checkpointing_machines();
@@ -324,18 +328,18 @@
         let what = match self.faults.len() % 6 {
             0 => {
                 fleet.reject_launches(target, REJECT_LAUNCHES_MS);
-                format!("target {target} is full for {} s", REJECT_LAUNCHES_MS / 1_000)
+                format!("target {target} rejects launches for {} s", REJECT_LAUNCHES_MS / 1_000)
             }
             1 => {
                 fleet.partition(target, SHORT_FAULT_MS);
-                format!("target {target} is cut off for {} s", SHORT_FAULT_MS / 1_000)
+                format!("target {target} is partitioned for {} s", SHORT_FAULT_MS / 1_000)
             }
             2 if self.options.faults == FaultScope::MachinesAndLeader => {
                 let mut state = lock(&self.site.state);
                 if let Some(lease) = state.leader().and_then(|leader| leader.lease) {
                     state.end_lease(lease);
                 }
-                "the leader loses its lease".to_string()
+                "the leader's lease ends".to_string()
             }
             3 => {
                 fleet.crash(target);
@@ -343,25 +347,25 @@
             }
             4 => {
                 fleet.pause(&source, SHORT_FAULT_MS);
-                format!("source {source} pauses for {} s", SHORT_FAULT_MS / 1_000)
+                format!("source {source} is paused for {} s", SHORT_FAULT_MS / 1_000)
             }
             _ => {
                 let ms = self.rng.random_range(500..6_000);
                 fleet.partition(&source, ms);
-                format!("source {source} is cut off for {ms} ms")
+                format!("source {source} is partitioned for {ms} ms")
             }
         };
         self.faults.push(format!("{at_ms} ms: {what}"));
     }
 
-    /// What the acting leader says of its balance.
+    /// Queries the balance status of the acting leader.
     async fn balance_view(&self) -> Option<BalanceView> {
         let status = latchtrack::status::query(&self.settings).await;
         let clusters = status.nodes.into_values().flatten().filter_map(|node| node.cluster);
         clusters.filter(|cluster| cluster.acting).find_map(|cluster| cluster.balance)
     }
 
-    /// Whether all tasks have completed and the nodes say so of every job.
+    /// Returns whether all tasks have completed and the first node reports every job as done.
     async fn is_all_done(&self) -> bool {
         let tasks: usize = self.submitted.iter().map(|job| job.tasks).sum();
         if lock(&self.fleet).history.completed().len() < tasks {
@@ -378,7 +382,7 @@
     }
 }
 
-/// The target that a line of the status names.
+/// Returns the target machine in a move's status line, which has the form `{} to {}, {}`.
 fn target_of(line: &str) -> Option<String> {
     let (_, after) = line.split_once(" to ")?;
     after.split(',').next().map(str::to_string)
--- a/crates/latchtrack-emulator/src/state/faults.rs
+++ b/crates/latchtrack-emulator/src/state/faults.rs
@@ -1,38 +1,39 @@
-//! Faults of transactions by chance: their responses are slow or lost, or they commit late.
+//! Random faults of the state service: delayed or lost responses and late commits.
 
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Chance faults of the state service. Requests that read are slow too.
+/// Random faults of transactions. The delay also applies to lists and watches.
 pub struct TransactionFaults {
-    /// Draws the faults.
+    /// The source of all random draws.
     pub rng: StdRng,
-    /// ms that a response is under way, at most; what it says is as old by then.
+    /// Maximum delay of a response, ms. Its content is determined before the delay.
     pub max_delay_ms: u64,
-    /// Probability that a transaction commits at once and only its response is lost.
+    /// Probability that a transaction commits immediately but its response is lost.
     pub response_loss: f64,
-    /// Probability that a transaction gets no response and commits later, after newer ones.
+    /// Probability that a transaction gets no response and commits later, possibly after newer
+    /// transactions.
     pub late_commit: f64,
-    /// ms within which a late transaction commits.
+    /// Maximum delay of a late commit, ms.
     pub max_late_ms: u64,
-    /// How often these came about.
+    /// Faults injected so far.
     pub counts: FaultCounts,
 }
 
-/// How often faults came about.
+/// Counts of injected faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultCounts {
-    /// Transactions whose response was lost.
+    /// Transactions that committed but whose response was lost.
     pub lost_responses: u32,
-    /// Transactions that were executed late.
+    /// Transactions executed late and without a response.
     pub late_transactions: u32,
 }
 
-/// What becomes of a transaction and of its response.
+/// The fault drawn for a transaction, if any.
 pub(super) enum TransactionOutcome {
     Responded,
     ResponseLost,
-    /// It is executed so many ms later.
+    /// Executed after this many ms, without a response.
     CommittedLate(u64),
 }
 
--- a/crates/latchtrack-emulator/src/state/mod.rs
+++ b/crates/latchtrack-emulator/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! An emulated state service: keys, leases, transactions, a log of changes.
+//! An emulated state service: keys with revisions, leases, transactions and a change log.
 
 mod faults;
 mod server;
@@ -11,103 +11,103 @@
 pub use faults::{FaultCounts, TransactionFaults};
 pub use server::serve_state;
 
-/// Keys on a page unless a test says otherwise: few, so that paging is exercised.
+/// Default number of keys on a page. It is small so that tests exercise paging.
 const DEFAULT_PAGE_SIZE: usize = 2;
-/// Keys of the ledgers that cells share.
+/// Prefix of the keys of the teams' ledgers, which cells share.
 const LEDGER_PREFIX: &str = "quota/team/";
-/// Keys of the job records.
+/// Prefix of the keys of job records.
 const JOB_PREFIX: &str = "live/job/";
-/// The key whose holder leads.
+/// The key held by the leader.
 const LEADER_KEY: &str = "live/leader";
 
 /// Why a transaction did not commit.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TransactionError {
-    /// The service is down.
+    /// The service is set to be down.
     #[error("the state service is down")]
     Unavailable,
-    /// Keys have other revisions than the transaction names.
-    #[error("conflict at {}", keys.join(", "))]
+    /// Some keys do not have the revisions that the transaction requires.
+    #[error("revision conflict at keys: {}", keys.join(", "))]
     Conflict {
-        /// Those keys.
+        /// The keys whose conditions failed.
         keys: Vec<String>,
     },
 }
 
-/// A lease has ended, or was never granted.
+/// The lease has already ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no such lease")]
 pub struct LeaseEnded;
 
-/// The node that leads.
+/// The node that holds the leader key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
-    /// Its name.
+    /// Its node name.
     pub node: String,
-    /// The revision of the leader key: its fencing token.
+    /// The revision of the leader key, which is the leader's fencing token.
     pub revision: u64,
-    /// The lease of the leader key, if it has one.
+    /// The lease that the leader key is attached to, if any.
     pub lease: Option<u64>,
 }
 
-/// When a lease expires.
+/// The expiry of a lease.
 struct Expiry {
     ttl: Duration,
     at: Instant,
 }
 
-/// Some of the keys, in their order.
+/// A page of keys, in key order.
 struct Page {
     rows: Vec<Value>,
-    /// Whether more keys follow.
+    /// Whether more keys follow this page.
     truncated: bool,
 }
 
-/// The state service. Its leases last until they are ended, unless
+/// The state of the service. Leases last until they are ended explicitly, unless
 /// [`leases_expire`](Self::leases_expire) is set.
 #[derive(Default)]
 pub struct StateService {
-    /// Each key's value, revision and lease.
+    /// The value, the revision and the lease of each key.
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
-    /// All changes, as a watch returns them.
+    /// All changes, in the format that watches return.
     log: Vec<Value>,
     revision: u64,
     last_lease: u64,
     ended_leases: BTreeSet<u64>,
-    /// Of the leases that expire unless they are renewed.
+    /// Expiries of the leases granted while `leases_expire` was set.
     expiries: BTreeMap<u64, Expiry>,
-    /// Whether leases expire by themselves; to be set before the first is granted.
+    /// Whether leases expire after their TTL. To be set before the first lease is granted.
     pub leases_expire: bool,
     ledger_writes: u64,
-    /// Responds with 503 to everything.
+    /// Whether requests get 503, except those that end a lease.
     pub down: bool,
-    /// Commits the next transaction on a job record but breaks off the response.
+    /// Whether to commit the next transaction on a job record but drop its response.
     pub lose_next_job_response: bool,
-    /// Faults by chance; None: there are none.
+    /// Random faults, if any.
     pub faults: Option<TransactionFaults>,
-    /// Keys on a page; None: a few.
+    /// Number of keys on a page; `None` for a small default.
     pub page_size: Option<usize>,
 }
 
 impl StateService {
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn value(&self, key: &str) -> Option<Value> {
         self.keys.get(key).map(|(value, ..)| value.clone())
     }
 
-    /// The node that leads, by the leader key.
+    /// Returns the node that holds the leader key.
     pub fn leader(&self) -> Option<Leader> {
         let (record, revision, lease) = self.keys.get(LEADER_KEY)?;
         let node = record["node"].as_str()?.to_string();
         Some(Leader { node, revision: *revision, lease: *lease })
     }
 
-    /// Writes of ledgers that cells share, so far.
+    /// Returns the number of ledger writes so far.
     pub fn ledger_writes(&self) -> u64 {
         self.ledger_writes
     }
 
-    /// Puts a key, as a transaction of somebody else would.
+    /// Writes a key, as a transaction of another client would.
     pub fn put(&mut self, key: &str, data: Value, lease: Option<u64>) {
         self.revision += 1;
         self.apply_put(key, data, lease);
@@ -124,7 +124,7 @@
         self.keys.remove(key);
     }
 
-    /// The keys with a prefix after a key, as many as a page has.
+    /// Returns one page of the keys that have a prefix and sort after `from`.
     fn page(&self, prefix: &str, from: &str) -> Page {
         let listed = self.keys.iter().filter(|(k, _)| k.starts_with(prefix) && k.as_str() > from);
         let rows = listed
@@ -136,7 +136,7 @@
         Page { rows, truncated }
     }
 
-    /// The changes of keys with a prefix after a revision.
+    /// Returns the changes after a revision to keys with a prefix.
     fn changes_since(&self, revision: u64, prefix: &str) -> Vec<&Value> {
         let newer = self.log.iter().filter(|change| change["stamp"].as_u64() > Some(revision));
         let has_prefix = |change: &&Value| {
@@ -146,14 +146,15 @@
         newer.filter(has_prefix).collect()
     }
 
-    /// Commits a transaction in the words of the protocol; returns its revision.
+    /// Commits a transaction in the protocol's format, and returns its revision.
     fn commit(&mut self, body: &Value) -> Result<u64, TransactionError> {
         if self.down {
             return Err(TransactionError::Unavailable);
         }
         self.expire_leases();
         let conditions = body["if"].as_array().expect("`if` is a list").iter();
-        let key_of = |condition: &Value| condition["k"].as_str().expect("`k`").to_string();
+        let key_of =
+            |condition: &Value| condition["k"].as_str().expect("`k` is a string").to_string();
         let is_violated = |condition: &&Value| {
             let revision =
                 self.keys.get(&key_of(condition)).map_or(0, |(_, revision, _)| *revision);
@@ -175,8 +176,8 @@
         Ok(self.revision)
     }
 
-    /// Whether the response to this transaction is the one that a test wants lost. Only those on
-    /// job records count: the leader writes at times of its own.
+    /// Returns whether to drop the response to this transaction, and resets the request to do so.
+    /// Only transactions on job records count, since the timing of the leader's writes is its own.
     fn loses_response(&mut self, body: &Value) -> bool {
         let first_put = body["apply"][0]["put"].as_str();
         let is_of_job = first_put.is_some_and(|key| key.starts_with(JOB_PREFIX));
@@ -202,7 +203,7 @@
         Ok(())
     }
 
-    /// Ends the leases that were not renewed in time.
+    /// Ends the leases whose TTL has passed without a renewal.
     fn expire_leases(&mut self) {
         let now = Instant::now();
         let expired = self.expiries.iter().filter(|(_, expiry)| expiry.at < now);
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Ends a lease, and deletes its keys.
+    /// Ends a lease and deletes the keys attached to it.
     pub fn end_lease(&mut self, lease: u64) {
         self.ended_leases.insert(lease);
         self.revision += 1;
--- a/crates/latchtrack-emulator/src/state/server.rs
+++ b/crates/latchtrack-emulator/src/state/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of the emulated state service, by the published protocol.
+//! The HTTP interface of the emulated state service, as in the published protocol.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,7 +16,7 @@
 type SharedService = web::Data<Shared<StateService>>;
 type Query = web::Query<BTreeMap<String, String>>;
 
-/// Waits for as long as a response is under way.
+/// Waits for the random delay of a response, if faults are enabled.
 async fn delay_response(service: &Shared<StateService>) {
     let ms = match &mut lock(service).faults {
         Some(faults) => faults.draw_delay_ms(),
@@ -25,7 +25,7 @@
     actix_web::rt::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Breaks the connection off without a response.
+/// Responds with an empty 500 and closes the connection: no usable response.
 fn no_response() -> HttpResponse {
     HttpResponse::InternalServerError().force_close().finish()
 }
@@ -99,7 +99,7 @@
 
 fn transaction_now(service: &mut StateService, body: &Value) -> HttpResponse {
     match service.commit(body) {
-        // It has committed, but whoever sent it can't know.
+        // Committed, but the client cannot know.
         Ok(_) if service.loses_response(body) => no_response(),
         Ok(revision) => HttpResponse::Ok().json(json!({"epoch": revision})),
         Err(TransactionError::Unavailable) => unavailable(),
@@ -136,8 +136,8 @@
     HttpResponse::Ok().json(json!({}))
 }
 
-/// Serves the state service on a free port of loopback, and returns the port. While `refused` is
-/// set, what comes in on this port is refused.
+/// Serves the state service on a free loopback port, and returns the port. While `refused` is set,
+/// requests on this port get 503.
 pub fn serve_state(service: Shared<StateService>, refused: Arc<AtomicBool>) -> u16 {
     let server = HttpServer::new(move || {
         let refused = refused.clone();
--- a/crates/latchtrack-emulator/src/worker.rs
+++ b/crates/latchtrack-emulator/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that does nothing by itself: tests say when it heartbeats.
+//! A worker without a timer of its own: tests decide when it sends a heartbeat.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,14 +9,14 @@
 use crate::client::{post, Response};
 use crate::lifecycle::{AttemptKey, ExitCause};
 
-/// An address on which nobody listens: only the responses to its heartbeats reach the worker.
+/// An address without a listener: commands reach the worker only in heartbeat responses.
 const UNREACHABLE_ADDR: &str = "127.0.0.1:9";
 
-/// A worker that executes its commands and completes every task at once.
+/// A worker that executes commands and completes every launched task immediately.
 pub struct Worker {
-    /// The machine's name.
+    /// The name of its machine, as in the protocol's `host`.
     pub name: String,
-    /// The address that it claims to listen on.
+    /// The address that it reports for direct calls.
     pub addr: String,
     state: Rc<RefCell<WorkerState>>,
 }
@@ -42,18 +42,18 @@
             "forget" => {
                 self.ended.remove(&key);
             }
-            other => panic!("expected a command of the protocol, not `{other}`"),
+            other => panic!("unknown command `{other}`"),
         }
     }
 }
 
 impl Worker {
-    /// A worker on the machine of this name.
+    /// Creates a worker on the named machine, with an address that does not accept connections.
     pub fn new(name: &str) -> Self {
         Worker { name: name.into(), addr: UNREACHABLE_ADDR.into(), state: Default::default() }
     }
 
-    /// The body of its next heartbeat.
+    /// Builds the body of the next heartbeat and increments its sequence number.
     pub fn next_heartbeat(&self) -> Value {
         let mut state = self.state.borrow_mut();
         state.sequence += 1;
@@ -67,16 +67,17 @@
             "pieces": tasks})
     }
 
-    /// Sends one heartbeat to a node and executes the commands of the response, which it returns.
+    /// Sends one heartbeat to a node, executes the commands in a 200 response, and returns the
+    /// response.
     pub async fn send_heartbeat(&self, node: &str) -> Response {
-        let got = post(&format!("{node}/v1/report"), &self.next_heartbeat()).await;
-        if got.0 == 200 {
+        let response = post(&format!("{node}/v1/report"), &self.next_heartbeat()).await;
+        if response.0 == 200 {
             let mut state = self.state.borrow_mut();
-            state.fencing_token = got.2["baton"].as_u64().expect("`baton` is a number");
-            for command in got.2["orders"].as_array().expect("`orders` is a list") {
+            state.fencing_token = response.2["baton"].as_u64().expect("`baton` is a number");
+            for command in response.2["orders"].as_array().expect("`orders` is a list") {
                 state.execute(command);
             }
         }
-        got
+        response
     }
 }
--- a/crates/latchtrack-emulator/tests/history.rs
+++ b/crates/latchtrack-emulator/tests/history.rs
@@ -1,8 +1,8 @@
-//! The checker of recorded histories finds what it is meant to find.
+//! The checks of recorded histories detect the violations that they are meant to detect.
 
 use latchtrack_emulator::history::{History, HistoryEntry, StartCounts, TaskEvent};
 
-/// An entry of a task; its time is set by its place in the history.
+/// An entry of the task; `history` sets its time from its index.
 fn entry(machine: &str, attempt: u64, event: TaskEvent) -> HistoryEntry {
     let task = "req-000001/0".to_string();
     HistoryEntry { at_ms: 0, machine: machine.to_string(), task, attempt, event }
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_task_on_two_machines_at_once_is_found() {
+fn concurrent_runs_of_a_task_are_detected() {
     let moved = [
         entry("n-1", 1, TaskEvent::Started),
         entry("n-1", 1, TaskEvent::Ended),
@@ -25,12 +25,12 @@
     assert_eq!(history(&moved).duplicate_runs(), Vec::<String>::new());
     assert_eq!(history(&moved).completed().len(), 1);
     assert_eq!(history(&moved).start_counts(), StartCounts { starts: 2, tasks: 1 });
-    // The same with the end on the source missing, or late.
-    let planted = [started.clone(), started_again, ended.clone(), completed];
-    assert_eq!(history(&planted).duplicate_runs().len(), 1);
-    // The same attempt twice on one machine.
+    // The task starts on the target before it ends on the source.
+    let overlapping = [started.clone(), started_again, ended.clone(), completed];
+    assert_eq!(history(&overlapping).duplicate_runs().len(), 1);
+    // The same attempt starts twice on one machine.
     let repeated = [started.clone(), ended.clone(), started.clone()];
     assert_eq!(history(&repeated).duplicate_runs().len(), 1);
-    let lost = [started, ended];
-    assert!(history(&lost).completed().is_empty());
+    let incomplete = [started, ended];
+    assert!(history(&incomplete).completed().is_empty());
 }
--- a/crates/latchtrack-emulator/tests/spread.rs
+++ b/crates/latchtrack-emulator/tests/spread.rs
@@ -1,5 +1,4 @@
-//! A loopback fleet behind real sockets through both hot cases, small enough for CI. The documented
-//! command for the full size is
+//! The load spread experiment over real sockets, at a size suitable for CI. For the full size, use
 //! `cargo run --release -p latchtrack-emulator --example spread_report`.
 
 use latchtrack::settings::BalanceTuning;
@@ -9,7 +8,7 @@
     let options = SpreadOptions {
         seed: 3,
         workers: 24,
-        // Quicker than the defaults, so that a run takes half a minute.
+        // Shorter than the defaults, so that a run takes half a minute.
         balance: BalanceTuning {
             moves,
             moves_per_minute: 300,
@@ -25,21 +24,22 @@
         faults,
         max_s: 90,
     };
-    run(options).await.expect("a fleet that comes up")
+    run(options).await.expect("the fleet comes up")
 }
 
 #[actix_web::test]
-async fn moves_keep_the_spread_within_the_bound_and_repeat_nothing() {
+async fn moves_restore_the_load_bound_without_duplicate_runs() {
     let on = run_fleet(true, FaultScope::None).await;
     assert_eq!(on.history.duplicate_runs(), Vec::<String>::new());
     assert_eq!(on.unfinished, Vec::<String>::new());
-    let restored = on.restored_ms().expect("placement packs, and moves spread");
+    let restored =
+        on.restored_ms().expect("moves restore the bound that placement exceeded by packing");
     assert!(restored < 20_000, "restored after {restored} ms");
-    let balance = on.balance.as_ref().expect("a leader that balances");
+    let balance = on.balance.as_ref().expect("the leader reports its balance");
     assert!(balance.moves_settled > 10, "{balance:?}");
     let off = run_fleet(false, FaultScope::None).await;
     assert_eq!((off.history.duplicate_runs().len(), off.unfinished.len()), (0, 0));
-    assert!(off.balance.is_none(), "nothing of it is switched on");
+    assert!(off.balance.is_none(), "balancing is off");
     let (with, without) = (
         on.within_bound_share(on.hot_at_ms + 20_000),
         off.within_bound_share(off.hot_at_ms + 20_000),
@@ -48,7 +48,7 @@
 }
 
 #[actix_web::test]
-async fn machines_that_fail_and_leaders_that_change_in_the_middle_of_moves_lose_nothing() {
+async fn no_task_is_lost_when_machines_and_leaders_fail_during_moves() {
     let outcome = run_fleet(true, FaultScope::MachinesAndLeader).await;
     assert_eq!(outcome.history.duplicate_runs(), Vec::<String>::new(), "{:#?}", outcome.faults);
     assert_eq!(outcome.unfinished, Vec::<String>::new(), "{:#?}", outcome.faults);
