--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Cells at one state service: whose keys are whose, and a name that is in use with another cloud.
+//! Cells that share a state service: key prefixes, shared keys, name conflicts and shared limits.
 
 use latchtrack::actors::messages::store::StoreRequest;
 use latchtrack::actors::store::namespace::Namespace;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn own_keys_lie_under_the_prefix_and_shared_ones_do_not() {
+fn only_keys_of_the_cell_get_its_prefix() {
     let east = Namespace::new("cells/east/".into());
     assert_eq!(east.full_key("live/leader"), "cells/east/live/leader");
     assert_eq!(east.full_key("quota/team/t"), "quota/team/t");
@@ -39,9 +39,9 @@
     );
 }
 
-/// What is stored and asked, byte for byte.
+/// The stored records and the transaction's conditions are published formats.
 #[test]
-fn the_records_of_a_cell_and_a_change_are_a_published_format() {
+fn cell_records_and_ledger_conditions_are_as_published() {
     let record =
         CellRecord { cloud: "10.0.0.1:80".into(), leader_lease_ms: 3_000, worker_lease_ms: 30_000 };
     let changes = campaign_changes("east", &record, 4).unwrap();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_is_seen_is_the_newest_of_each_key() {
+fn shared_keys_keep_the_latest_revision_of_each_key() {
     let mut keys = SharedKeys::default();
     keys.put(
         "quota/term/east".into(),
@@ -74,7 +74,7 @@
     keys.put("quota/live/east".into(), 5, raw("{}"));
     keys.put("quota/term/west".into(), 6, raw("7"));
     keys.put("quota/team/t".into(), 8, raw(r#"{"version":1,"limit":{}}"#));
-    // Late copies of what was before.
+    // Changes of older revisions, which arrive late.
     keys.put("quota/team/t".into(), 7, raw("null"));
     keys.delete("quota/live/east", 4);
     let view = keys.snapshot(8);
@@ -93,10 +93,11 @@
 }
 
 #[actix_web::test]
-async fn a_cells_name_that_is_in_use_with_another_cloud_is_refused_at_the_start() {
+async fn a_cell_name_used_with_another_cloud_is_rejected_at_startup() {
     let first = cell_site(Default::default());
     let url = first.start_node("one").await;
-    poll_until("the first cell leads", &format!("{url}/ready"), |got| got.0 == 200).await;
+    poll_until("the first cell is ready", &format!("{url}/ready"), |response| response.0 == 200)
+        .await;
     for _ in 0..200 {
         if first.state.lock().unwrap().keys.contains_key("quota/term/east") {
             break;
@@ -115,15 +116,16 @@
 }
 
 #[test]
-fn new_terms_change_what_they_name_and_refuse_what_makes_no_sense() {
+fn limit_changes_set_given_values_and_reject_invalid_ones() {
     let mut ledger = TeamLedger::new(Limit::of(8.0, 2.0), MilliResources::covering(4.0, 0.0));
     let raised = LimitChange { cpus_max: Some(16.0), ..LimitChange::default() };
     raised.apply(&mut ledger).unwrap();
     assert_eq!(ledger.limit, Limit::of(16.0, 2.0));
-    let none = LimitChange { gpus_max: Some(0.0), ..LimitChange::default() };
-    none.apply(&mut ledger).unwrap();
+    let removed = LimitChange { gpus_max: Some(0.0), ..LimitChange::default() };
+    removed.apply(&mut ledger).unwrap();
     assert_eq!(ledger.limit, Limit::of(16.0, 0.0));
-    // What cells use of a resource without a limit stands in no account.
+    // Without a limit on a resource, allotments of it are not tracked. Setting a limit therefore
+    // resets the ledger.
     ledger.complete = true;
     ledger.allotments.insert("east".into(), Allotment::default());
     raised.apply(&mut ledger).unwrap();
@@ -133,14 +135,14 @@
     let below = LimitChange { cpus_max: Some(2.0), ..LimitChange::default() };
     assert!(matches!(below.apply(&mut ledger), Err(LimitError::BelowGuarantee)));
     for number in [f64::NAN, -1.0, f64::INFINITY] {
-        let bad = LimitChange { cpus: Some(number), ..LimitChange::default() };
-        assert!(matches!(bad.apply(&mut ledger), Err(LimitError::InvalidNumber("cpus", _))));
+        let invalid = LimitChange { cpus: Some(number), ..LimitChange::default() };
+        assert!(matches!(invalid.apply(&mut ledger), Err(LimitError::InvalidNumber("cpus", _))));
     }
 }
 
-/// An operator changes a limit while a cell runs, which keeps what it holds.
+/// A limit change on a running cell is stored and keeps the cell's entry in the ledger.
 #[actix_web::test]
-async fn a_limit_is_changed_while_a_cell_runs() {
+async fn a_limit_can_be_changed_while_a_cell_runs() {
     let mut site = cell_site(Default::default());
     site.teams = json!([{"name": "small", "cpus_max": 2.0}]);
     let (_, settings) = site.start_three_nodes_with_settings().await;
@@ -148,7 +150,7 @@
     assert!(matches!(unknown, Err(LimitError::UnknownTeam(_))));
     let lowered = LimitChange { cpus_max: Some(1.0), ..LimitChange::default() };
     for _ in 0..200 {
-        // Until the cell has stored the value.
+        // Fails until the cell has stored the ledger.
         if let Ok(shown) = limit::run(&settings, "small", lowered).await {
             assert_eq!(shown.limit.cpus, 1.0);
             let state = site.state.lock().unwrap();
@@ -159,12 +161,12 @@
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(50)).await;
     }
-    panic!("never stored");
+    panic!("the ledger was not stored");
 }
 
-/// What the leader says of the teams that it shares.
+/// The leader's status contains the ledgers of the teams that it shares with other cells.
 #[actix_web::test]
-async fn status_tells_limit_use_and_allotments_by_cell() {
+async fn status_contains_limits_and_allotments_by_cell() {
     let mut site = cell_site(Default::default());
     site.teams = json!([{"name": "team"}, {"name": "small", "cpus": 1.0, "cpus_max": 2.0}]);
     let stored = json!({"version": 1, "limit": {"millicpus": 3000}, "complete": true, "cells":
@@ -177,12 +179,12 @@
         let quota = clusters.find_map(|cluster| cluster.quota).unwrap_or_default();
         if let Some(team) = quota.iter().find(|team| team.team == "small" && team.limit.cpus > 2.5)
         {
-            assert!(team.differs_from_file, "the value's own limit counts");
+            assert!(team.differs_from_file, "the limit in the ledger applies");
             assert_eq!(team.cells["west"].allotted.cpus, 1.5);
             assert_eq!(team.cells["west"].since_ms, 1_764_680_000_000);
             return;
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(50)).await;
     }
-    panic!("no leader told of the team");
+    panic!("no leader reported the team");
 }
--- a/crates/latchtrack/tests/frames.rs
+++ b/crates/latchtrack/tests/frames.rs
@@ -1,11 +1,11 @@
-//! Frames between the nodes.
+//! Encoding and decoding of frames between nodes.
 
 use latchtrack::wire::peers::{decode, encode, Frame, JobCounts, PeerRequest};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 #[test]
-fn frames_survive_and_noise_does_not() {
+fn frames_round_trip_and_corrupt_frames_are_handled() {
     let frame = Frame::Progress {
         token: 7,
         jobs: vec![
@@ -24,17 +24,17 @@
             let at = rng.random_range(0..noise.len());
             noise[at] = rng.random();
         }
-        // Whatever comes out, reading it neither panics nor takes more than the bound.
+        // Decoding must not panic, and the result must be bounded by the input's size.
         if let Some(Frame::Progress { jobs, .. }) = decode(&noise) {
             assert!(jobs.len() * 3 <= noise.len());
         }
     }
-    let ask = Frame::Request { id: 3, request: PeerRequest::Submit(vec![b'{'; 70]) };
-    assert_eq!(decode(&encode(&ask).unwrap()), Some(ask));
-    // A length that promises more than there is must not be believed.
-    let mut huge =
+    let request = Frame::Request { id: 3, request: PeerRequest::Submit(vec![b'{'; 70]) };
+    assert_eq!(decode(&encode(&request).unwrap()), Some(request));
+    // A length prefix beyond the end of the input is rejected.
+    let mut truncated =
         encode(&Frame::Request { id: 1, request: PeerRequest::Query("x".into()) }).unwrap();
-    let last = huge.len() - 2;
-    huge[last] = 252;
-    assert_eq!(decode(&huge), None);
+    let length_index = truncated.len() - 2;
+    truncated[length_index] = 252;
+    assert_eq!(decode(&truncated), None);
 }
--- a/crates/latchtrack/tests/integration/answers.rs
+++ b/crates/latchtrack/tests/integration/answers.rs
@@ -1,6 +1,6 @@
-//! What users are told, by all nodes at once, while the state service loses answers, is slow,
-//! carries transactions out late and refuses nodes alone: after an answer nobody gives an older
-//! one.
+//! Consistency of the answers to users of all nodes while the state service delays and drops
+//! responses, commits transactions late and refuses single nodes: no node returns an older state
+//! than one already returned.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,186 +16,201 @@
 use crate::fixtures::job;
 use latchtrack_emulator::*;
 
+/// Number of users, each with one job.
 const JOBS: u64 = 36;
 
-/// How a job stands, in the order in which users may be told.
+/// The state of a job as returned to users. A job may only move to later states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Told {
+enum ObservedState {
     Unknown,
     Accepted,
     Done,
     Cancelled,
 }
 
-/// One answer that said something, and when it was asked for and given.
-struct Said {
-    asked: Instant,
-    given: Instant,
-    told: Told,
-    what: String,
+/// A response that returned a job's state.
+struct Observation {
+    requested_at: Instant,
+    received_at: Instant,
+    state: ObservedState,
+    /// The node and the request.
+    source: String,
 }
 
-/// What one user was told of one job.
+/// The responses to one user about one job.
 #[derive(Default)]
-struct Log {
-    said: Vec<Said>,
-    /// It was asked to cancel.
-    cancels: bool,
-    unclear: u32,
+struct JobObservations {
+    observations: Vec<Observation>,
+    /// Whether the user has sent a cancellation.
+    sent_cancel: bool,
+    /// Number of 503 responses.
+    unavailable: u32,
 }
 
-impl Log {
-    /// Notes an answer; 503 and the like say nothing.
-    fn note(&mut self, asked: Instant, what: &str, got: &Response) {
-        let told = match (got.0, got.2["status"].as_str()) {
-            (404, _) => Told::Unknown,
-            (200 | 201, Some("pending" | "running")) => Told::Accepted,
-            (200, Some("done")) => Told::Done,
-            (200, Some("aborted")) => Told::Cancelled,
+impl JobObservations {
+    /// Records a response. 503 returns no state, but must have `Retry-After`.
+    fn record(&mut self, requested_at: Instant, source: &str, response: &Response) {
+        let state = match (response.0, response.2["status"].as_str()) {
+            (404, _) => ObservedState::Unknown,
+            (200 | 201, Some("pending" | "running")) => ObservedState::Accepted,
+            (200, Some("done")) => ObservedState::Done,
+            (200, Some("aborted")) => ObservedState::Cancelled,
             (503, _) => {
-                assert!(got.1.is_some(), "{what}: 503 says when to come back");
-                self.unclear += 1;
+                assert!(response.1.is_some(), "{source}: 503 without Retry-After");
+                self.unavailable += 1;
                 return;
             }
-            other => panic!("{what}: {other:?}"),
+            other => panic!("{source}: unexpected response {other:?}"),
         };
-        self.said.push(Said { asked, given: Instant::now(), told, what: what.into() });
+        let received_at = Instant::now();
+        let source = source.into();
+        self.observations.push(Observation { requested_at, received_at, state, source });
     }
 
-    fn last(&self) -> Option<Told> {
-        self.said.iter().map(|s| s.told).max()
+    fn latest_state(&self) -> Option<ObservedState> {
+        self.observations.iter().map(|observation| observation.state).max()
     }
 
-    /// Whatever was asked after an answer was given is not answered with something older, and a
-    /// final answer stays what it is.
+    /// Checks that no request sent after a response gets an older state, that final states do not
+    /// change, and that no job is cancelled without a request.
     fn check(&self) {
-        for (i, early) in self.said.iter().enumerate() {
-            for late in self.said.iter().skip(i + 1).filter(|l| l.asked > early.given) {
-                let older = late.told < early.told;
-                let other = early.told >= Told::Done && late.told != early.told;
-                let (first, then) = (&early.what, &late.what);
+        for (i, early) in self.observations.iter().enumerate() {
+            let later = self.observations.iter().skip(i + 1);
+            for late in later.filter(|late| late.requested_at > early.received_at) {
+                let is_older = late.state < early.state;
+                let is_changed = early.state >= ObservedState::Done && late.state != early.state;
                 assert!(
-                    !older && !other,
-                    "{first} said {:?}, then {then}: {:?}",
-                    early.told,
-                    late.told
+                    !is_older && !is_changed,
+                    "{} returned {:?}, then {} returned {:?}",
+                    early.source,
+                    early.state,
+                    late.source,
+                    late.state
                 );
             }
-            let uncalled = early.told == Told::Cancelled && !self.cancels;
-            assert!(!uncalled, "nobody cancelled what {} says", early.what);
+            let is_unrequested = early.state == ObservedState::Cancelled && !self.sent_cancel;
+            assert!(!is_unrequested, "{} returned a cancellation that nobody sent", early.source);
         }
     }
 }
 
-/// One user and one job: submits and asks at all nodes, cancels or not, asks on when it is over.
-async fn user(n: u64, nodes: [String; 3], on: Rc<Cell<bool>>) -> Log {
+/// Submits, queries and possibly cancels one job at all nodes. Goes on until it has seen the final
+/// state in eight rounds and `has_faults` is false.
+async fn run_user(n: u64, nodes: [String; 3], has_faults: Rc<Cell<bool>>) -> JobObservations {
     let mut rng = StdRng::seed_from_u64(n);
     let id = format!("req-{n:06}");
-    let log = Rc::new(RefCell::new(Log::default()));
-    // A third never cancels, a third at once, a third some time later.
+    let observations = Rc::new(RefCell::new(JobObservations::default()));
+    // One third of the users never cancel, one third immediately, and one third later.
     let cancel_after = [None, Some(0), Some(rng.random_range(5..120))][n as usize % 3];
-    let mut over = 0;
+    let mut final_rounds = 0;
     for step in 0.. {
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for (i, node) in nodes.iter().enumerate() {
-            let (log, id, node) = (log.clone(), id.clone(), node.clone());
+            let (observations, id, node) = (observations.clone(), id.clone(), node.clone());
             let cancels = cancel_after.is_some_and(|after| step >= after)
                 && (i == n as usize % 3 || step % 7 == 0);
             let submits = step < 3 || step % 5 == 0;
             let pause = rng.random_range(0..6);
-            asked.push(spawn(async move {
+            requests.push(spawn(async move {
                 sleep(Duration::from_millis(pause)).await;
                 let jobs = format!("{node}/api/jobs");
-                let at = format!("{jobs}/{id}");
+                let job_url = format!("{jobs}/{id}");
                 if submits {
-                    let asked = Instant::now();
-                    let got = post(&jobs, &job(&id)).await;
-                    log.borrow_mut().note(asked, &format!("{node} submit {id}"), &got);
+                    let requested_at = Instant::now();
+                    let response = post(&jobs, &job(&id)).await;
+                    let source = format!("{node} submit {id}");
+                    observations.borrow_mut().record(requested_at, &source, &response);
                 }
                 if cancels {
-                    let asked = Instant::now();
-                    log.borrow_mut().cancels = true;
-                    let got = post(&format!("{at}/withdraw"), &Value::Null).await;
-                    log.borrow_mut().note(asked, &format!("{node} cancel {id}"), &got);
+                    let requested_at = Instant::now();
+                    observations.borrow_mut().sent_cancel = true;
+                    let response = post(&format!("{job_url}/withdraw"), &Value::Null).await;
+                    let source = format!("{node} cancel {id}");
+                    observations.borrow_mut().record(requested_at, &source, &response);
                 }
-                let asked = Instant::now();
-                let got = get(&at).await;
-                log.borrow_mut().note(asked, &format!("{node} ask {id}"), &got);
+                let requested_at = Instant::now();
+                let response = get(&job_url).await;
+                let source = format!("{node} query {id}");
+                observations.borrow_mut().record(requested_at, &source, &response);
             }));
         }
-        for a in asked {
-            a.await.unwrap();
+        for request in requests {
+            request.await.unwrap();
         }
-        over += u32::from(log.borrow().last() >= Some(Told::Done));
-        if over >= 8 && !on.get() {
+        final_rounds +=
+            u32::from(observations.borrow().latest_state() >= Some(ObservedState::Done));
+        if final_rounds >= 8 && !has_faults.get() {
             break;
         }
         sleep(Duration::from_millis(rng.random_range(0..60))).await;
     }
-    log.take()
+    observations.take()
 }
 
-/// A worker of each machine that is rented, which reports wherever it is sent.
-async fn workers(site: Rc<Site>, nodes: [String; 3]) {
+/// Runs a worker on each provisioned machine. It sends its heartbeats to the node that redirects
+/// name, or to the next one.
+async fn run_workers(site: Rc<Site>, nodes: [String; 3]) {
     let mut all: BTreeMap<String, (Rc<Worker>, usize)> = BTreeMap::new();
     loop {
-        let rented = site.cloud.lock().unwrap().provisioned.clone();
-        let deleted = site.cloud.lock().unwrap().terminated.clone();
-        for name in rented {
+        let provisioned = site.cloud.lock().unwrap().provisioned.clone();
+        let terminated = site.cloud.lock().unwrap().terminated.clone();
+        for name in provisioned {
             all.entry(name.clone()).or_insert_with(|| (Rc::new(Worker::new(&name)), 0));
         }
-        all.retain(|name, _| !deleted.contains(name));
-        let reports: Vec<_> = all
+        all.retain(|name, _| !terminated.contains(name));
+        let heartbeats: Vec<_> = all
             .iter()
-            .map(|(name, (worker, at))| {
-                let (name, worker, node) = (name.clone(), worker.clone(), nodes[*at].clone());
+            .map(|(name, (worker, node_index))| {
+                let (name, worker, node) =
+                    (name.clone(), worker.clone(), nodes[*node_index].clone());
                 spawn(async move { (name, worker.send_heartbeat(&node).await) })
             })
             .collect();
-        for r in reports {
-            let (name, got) = r.await.unwrap();
-            let Some((_, at)) = all.get_mut(&name) else { continue };
-            let foreman = got.2["foreman"].as_str().map(str::to_string);
-            *at = match foreman.as_deref() {
-                _ if got.0 == 200 => *at,
+        for heartbeat in heartbeats {
+            let (name, response) = heartbeat.await.unwrap();
+            let Some((_, node_index)) = all.get_mut(&name) else { continue };
+            let leader = response.2["foreman"].as_str().map(str::to_string);
+            *node_index = match leader.as_deref() {
+                _ if response.0 == 200 => *node_index,
                 Some("one") => 0,
                 Some("two") => 1,
                 Some("three") => 2,
-                _ => (*at + 1) % 3,
+                _ => (*node_index + 1) % 3,
             };
         }
         sleep(Duration::from_millis(30)).await;
     }
 }
 
-/// Troubles one after the other, some of them at once.
-async fn troubles(site: Rc<Site>) {
-    let ms = |ms| sleep(Duration::from_millis(ms));
-    let led = |site: &Site| site.state.lock().unwrap().leader();
-    let door = |name: &str| ["one", "two", "three"].iter().position(|n| *n == name).unwrap();
+/// Injects faults: the leader alone loses the state service, then all nodes do, then the leader's
+/// lease ends. Repeated once.
+async fn inject_faults(site: Rc<Site>) {
+    let wait_ms = |ms| sleep(Duration::from_millis(ms));
+    let leader = |site: &Site| site.state.lock().unwrap().leader();
+    let node_index = |name: &str| ["one", "two", "three"].iter().position(|n| *n == name).unwrap();
     for _ in 0..2 {
-        ms(900).await;
-        // The leader is refused alone, and then everybody for a while.
-        let refused = led(&site).map(|leader| door(&leader.node)).unwrap_or(0);
+        wait_ms(900).await;
+        // The state service refuses the leader alone, and then is down for all nodes.
+        let refused = leader(&site).map(|leader| node_index(&leader.node)).unwrap_or(0);
         site.refused_nodes[refused].store(true, Relaxed);
-        ms(400).await;
+        wait_ms(400).await;
         site.state.lock().unwrap().down = true;
-        ms(700).await;
+        wait_ms(700).await;
         site.state.lock().unwrap().down = false;
-        ms(300).await;
+        wait_ms(300).await;
         site.refused_nodes[refused].store(false, Relaxed);
-        ms(800).await;
-        // Another node leads now.
-        let lease = led(&site).and_then(|leader| leader.lease);
+        wait_ms(800).await;
+        // Another node takes over.
+        let lease = leader(&site).and_then(|leader| leader.lease);
         if let Some(lease) = lease {
             site.state.lock().unwrap().end_lease(lease);
         }
-        ms(500).await;
+        wait_ms(500).await;
     }
 }
 
 #[actix_web::test]
-async fn users_who_ask_all_nodes_at_once_are_told_nothing_older() {
+async fn no_node_answers_with_an_older_state_during_faults() {
     let site = Rc::new(site());
     let nodes = site.start_three_nodes().await;
     for node in &nodes {
@@ -209,22 +224,26 @@
         max_late_ms: 900,
         counts: FaultCounts::default(),
     });
-    let on = Rc::new(Cell::new(true));
-    let work = spawn(workers(site.clone(), nodes.clone()));
-    let users: Vec<_> = (1..=JOBS).map(|n| spawn(user(n, nodes.clone(), on.clone()))).collect();
-    troubles(site.clone()).await;
-    // Once the troubles are over, every job comes to its end and is known everywhere.
-    let met = site.state.lock().unwrap().faults.take().unwrap().counts;
-    on.set(false);
-    let mut ends = BTreeMap::new();
-    for u in users {
-        let log = u.await.unwrap();
-        log.check();
-        *ends.entry(format!("{:?}", log.last().unwrap())).or_insert(0) += 1;
+    let has_faults = Rc::new(Cell::new(true));
+    let workers = spawn(run_workers(site.clone(), nodes.clone()));
+    let users: Vec<_> =
+        (1..=JOBS).map(|n| spawn(run_user(n, nodes.clone(), has_faults.clone()))).collect();
+    inject_faults(site.clone()).await;
+    // Once the faults are over, every job reaches a final state that all nodes return.
+    let counts = site.state.lock().unwrap().faults.take().unwrap().counts;
+    has_faults.set(false);
+    let mut final_states = BTreeMap::new();
+    for user in users {
+        let observations = user.await.unwrap();
+        observations.check();
+        *final_states.entry(format!("{:?}", observations.latest_state().unwrap())).or_insert(0) +=
+            1;
     }
-    work.abort();
-    assert!(ends.keys().all(|e| e == "Done" || e == "Cancelled"), "{ends:?}");
-    // A third is never cancelled; of those that are some may be done before.
-    assert!(ends["Done"] >= JOBS / 3 && ends["Cancelled"] >= JOBS / 6, "{ends:?}");
-    assert!(met.lost_responses >= 5 && met.late_transactions >= 5, "{met:?}");
+    workers.abort();
+    let is_final = |state: &String| state == "Done" || state == "Cancelled";
+    assert!(final_states.keys().all(is_final), "{final_states:?}");
+    // One third of the jobs is never cancelled; some of the others may be done before.
+    let (done, cancelled) = (final_states["Done"], final_states["Cancelled"]);
+    assert!(done >= JOBS / 3 && cancelled >= JOBS / 6, "{final_states:?}");
+    assert!(counts.lost_responses >= 5 && counts.late_transactions >= 5, "{counts:?}");
 }
--- a/crates/latchtrack/tests/integration/cloud.rs
+++ b/crates/latchtrack/tests/integration/cloud.rs
@@ -1,34 +1,37 @@
-//! The cloud while its interface is down, and requests of a term that is over.
+//! Outages of the cloud, and cloud requests of expired leader terms.
 
 use latchtrack_emulator::*;
 use serde_json::json;
 
-use crate::fixtures::{bound, job, ready};
+use crate::fixtures::{bind_listener, job, wait_until_ready};
 
-/// Found in review: a node that started while the cloud's interface was down took no job, and
-/// after a restart of all of them nobody could lead. What a leader stored of the types serves
-/// meanwhile.
+/// Regression test: a node started during a cloud outage accepted no jobs, and after a restart of
+/// all nodes none could lead. The machine types stored by a leader are used during the outage.
 #[actix_web::test]
-async fn a_node_started_while_the_cloud_is_down_takes_jobs() {
+async fn a_node_started_while_the_cloud_is_down_accepts_jobs() {
     let site = site();
     let one = site.start_node("one").await;
-    ready(&one).await;
+    wait_until_ready(&one).await;
     while !site.state.lock().unwrap().keys.contains_key("site/types") {
         actix_web::rt::time::sleep(std::time::Duration::from_millis(20)).await;
     }
     site.cloud.lock().unwrap().down = true;
     let two = site.start_node("two").await;
-    ready(&two).await;
+    wait_until_ready(&two).await;
     assert_eq!(post(&format!("{two}/api/jobs"), &job("req-000001")).await.0, 201);
-    let mut odd = job("req-000002");
-    odd["cores"] = json!(9.0);
-    assert_eq!(post(&format!("{two}/api/jobs"), &odd).await.0, 422, "it knows what fits");
+    let mut oversized = job("req-000002");
+    oversized["cores"] = json!(9.0);
+    assert_eq!(
+        post(&format!("{two}/api/jobs"), &oversized).await.0,
+        422,
+        "the stored types are known"
+    );
 }
 
-/// Found in review: requests that waited for their turn at the cloud went out after a standstill,
-/// for a term that was over, and returned machines that the next leader used.
+/// Regression test: after a pause of the process, cloud requests queued by rate limiting were sent
+/// although their leader term had expired, and terminated machines that the next leader used.
 #[actix_web::test]
-async fn requests_of_a_term_that_is_over_are_not_sent() {
+async fn cloud_requests_of_an_expired_term_are_not_sent() {
     use actix::Actor;
     use latchtrack::actors::admission::Admission;
     use latchtrack::actors::cloud::Cloud;
@@ -40,7 +43,7 @@
     use latchtrack::actors::store::Store;
     use latchtrack::clock::now_ms;
     let site = site();
-    let [users, listener] = [bound().await, bound().await];
+    let [users, listener] = [bind_listener().await, bind_listener().await];
     let settings = site.settings("one", 0, &users, &listener, &[]);
     let store = Store::new(&settings).start();
     let cache = JobCache::new(store.clone()).start();
@@ -66,12 +69,13 @@
     cloud.do_send(terminate(7, "n-000004"));
     cloud.do_send(terminate(9, "n-000005"));
     for _ in 0..600 {
-        let deleted = site.cloud.lock().unwrap().terminated.clone();
-        if deleted.iter().any(|n| n == "n-000005") && deleted.iter().any(|n| n == "n-000001") {
-            assert_eq!(deleted.len(), 2, "{deleted:?}");
+        let terminated = site.cloud.lock().unwrap().terminated.clone();
+        let has = |name: &str| terminated.iter().any(|other| other == name);
+        if has("n-000005") && has("n-000001") {
+            assert_eq!(terminated.len(), 2, "{terminated:?}");
             return;
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(50)).await;
     }
-    panic!("not run: {:?}", site.cloud.lock().unwrap().terminated);
+    panic!("expected two terminations, not {:?}", site.cloud.lock().unwrap().terminated);
 }
--- a/crates/latchtrack/tests/integration/connections.rs
+++ b/crates/latchtrack/tests/integration/connections.rs
@@ -1,48 +1,51 @@
-//! The bound of connections.
+//! The limit on open connections.
 
 use latchtrack_emulator::*;
 
-use crate::fixtures::ready;
+use crate::fixtures::wait_until_ready;
 
-/// As many connections as the settings allow are kept, and stay of use; the next are told at once
-/// to come back, and once some are gone others have their places.
+/// Connections up to the limit stay usable. Further ones get 503 with `Retry-After` immediately,
+/// until some of the open connections are closed.
 #[actix_web::test]
-async fn connections_beyond_the_bound_are_refused_and_the_others_go_on() {
+async fn excess_connections_get_503_and_open_ones_stay_usable() {
     use std::io::{Read, Write};
     let site = site();
     let node = site.start_node("one").await;
-    ready(&node).await;
-    let at = node.strip_prefix("http://").unwrap().to_string();
-    let rounds = actix_web::rt::task::spawn_blocking(move || {
-        let ask = |c: &mut std::net::TcpStream| {
-            let mut answer = vec![0; 4096];
-            c.set_read_timeout(Some(std::time::Duration::from_secs(30))).unwrap();
-            c.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
-            let n = c.read(&mut answer).unwrap();
-            String::from_utf8_lossy(&answer[..n]).to_string()
+    wait_until_ready(&node).await;
+    let addr = node.strip_prefix("http://").unwrap().to_string();
+    let client = actix_web::rt::task::spawn_blocking(move || {
+        let request = |stream: &mut std::net::TcpStream| {
+            let mut response = vec![0; 4096];
+            stream.set_read_timeout(Some(std::time::Duration::from_secs(30))).unwrap();
+            stream.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
+            let n = stream.read(&mut response).unwrap();
+            String::from_utf8_lossy(&response[..n]).to_string()
         };
-        let open = || std::net::TcpStream::connect(&at).unwrap();
-        let mut kept: Vec<_> = Vec::new();
+        let open = || std::net::TcpStream::connect(&addr).unwrap();
+        let mut open_streams: Vec<_> = Vec::new();
         // The settings allow 200 sockets.
         let refused = loop {
-            assert!(kept.len() < 200, "no bound");
-            let mut c = open();
-            let answer = ask(&mut c);
-            if !answer.starts_with("HTTP/1.1 200") {
-                break answer;
+            assert!(open_streams.len() < 200, "connections are not limited");
+            let mut stream = open();
+            let response = request(&mut stream);
+            if !response.starts_with("HTTP/1.1 200") {
+                break response;
             }
-            kept.push(c);
+            open_streams.push(stream);
         };
-        let on: Vec<String> = kept.iter_mut().map(ask).collect();
-        let many = kept.len();
-        kept.truncate(many / 2);
-        // Places are free once the node has seen the ends.
-        let again = (0..1_000).map(|_| ask(&mut open())).find(|a| a.starts_with("HTTP/1.1 200"));
-        (refused, on, many, again)
+        let repeated: Vec<String> = open_streams.iter_mut().map(request).collect();
+        let limit = open_streams.len();
+        open_streams.truncate(limit / 2);
+        // The node accepts new connections once it has noticed that others were closed.
+        let accepted = (0..1_000)
+            .map(|_| request(&mut open()))
+            .find(|response| response.starts_with("HTTP/1.1 200"));
+        (refused, repeated, limit, accepted)
     });
-    let (refused, on, many, again) = rounds.await.unwrap();
+    let (refused, repeated, limit, accepted) = client.await.unwrap();
     assert!(refused.starts_with("HTTP/1.1 503") && refused.contains("Retry-After: 1"), "{refused}");
-    assert!(on.iter().all(|a| a.starts_with("HTTP/1.1 200")), "those that were there go on");
-    assert!(many > 100, "{many}");
-    assert!(again.is_some(), "others have their places");
+    let is_ok = |response: &String| response.starts_with("HTTP/1.1 200");
+    assert!(repeated.iter().all(is_ok), "open connections stay usable");
+    assert!(limit > 100, "{limit}");
+    assert!(accepted.is_some(), "no connection is accepted after others were closed");
 }
--- a/crates/latchtrack/tests/integration/leadership.rs
+++ b/crates/latchtrack/tests/integration/leadership.rs
@@ -1,63 +1,62 @@
-//! Who leads, and when a leader stops.
+//! Leader election, and the end of a leader's term.
 
 use latchtrack_emulator::*;
 use serde_json::json;
 
-use crate::fixtures::{leader, ready};
+use crate::fixtures::{wait_for_leader, wait_until_ready};
 
-/// Users' check: the leader loses the state service and the other nodes, but not its workers. It
-/// must let them go when its lease ends, and the other must lead and have them settle with it.
+/// The state service refuses the leader, but its workers still reach it. It must stop acting when
+/// its lease ends, and the other node must take over the workers.
 #[actix_web::test]
-async fn a_leader_without_the_state_service_lets_its_workers_go() {
+async fn a_leader_cut_off_from_the_state_service_stops_acting() {
     use std::sync::atomic::Ordering::Relaxed;
     let site = site();
     let [one, two] = site.start_two_nodes().await;
-    ready(&one).await;
-    ready(&two).await;
-    let (first, token, lease) = leader(&site).await;
-    let (old, new, door) = if first == "one" { (&one, &two, 0) } else { (&two, &one, 1) };
+    wait_until_ready(&one).await;
+    wait_until_ready(&two).await;
+    let (first, token, lease) = wait_for_leader(&site).await;
+    let (old, new, old_index) = if first == "one" { (&one, &two, 0) } else { (&two, &one, 1) };
     let worker = Worker::new("n-000777");
-    let mut heard = 0;
+    let mut accepted_token = 0;
     for _ in 0..200 {
         let (status, _, body) = worker.send_heartbeat(old).await;
         if status == 200 {
-            heard = body["baton"].as_u64().unwrap();
+            accepted_token = body["baton"].as_u64().unwrap();
             break;
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(30)).await;
     }
-    assert_eq!(heard, token);
-    site.refused_nodes[door].store(true, Relaxed);
-    // It goes on for what is left of its lease at the most, and then answers at once that it may
-    // not act.
-    let mut answers = Vec::new();
+    assert_eq!(accepted_token, token);
+    site.refused_nodes[old_index].store(true, Relaxed);
+    // It acts at most until its lease ends, and then rejects heartbeats immediately.
+    let mut statuses = Vec::new();
     for _ in 0..400 {
         let (status, ..) = worker.send_heartbeat(old).await;
-        answers.push(status);
+        statuses.push(status);
         if status != 200 {
             break;
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(30)).await;
     }
-    assert!(matches!(answers.last(), Some(503 | 421)), "{answers:?}");
+    assert!(matches!(statuses.last(), Some(503 | 421)), "{statuses:?}");
     site.state.lock().unwrap().end_lease(lease.unwrap());
     for _ in 0..200 {
         let (status, _, body) = worker.send_heartbeat(new).await;
         if status == 200 {
-            assert!(body["baton"].as_u64().unwrap() > token, "a newer token");
+            assert!(body["baton"].as_u64().unwrap() > token, "the new leader has a higher token");
             let (status, ..) = worker.send_heartbeat(old).await;
-            assert_ne!(status, 200, "the old leader stays silent");
+            assert_ne!(status, 200, "the old leader must not accept heartbeats");
             return;
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(30)).await;
     }
-    panic!("nobody led");
+    panic!("no node took over");
 }
 
-/// A node back within a fraction of a second, in mid-election: the key of its earlier run's
-/// campaign comes late. It is not that run's term that it may take up.
+/// A node that restarts during an election may find the leader key of its previous run's campaign,
+/// written late. It must not act in that run's term.
 #[actix_web::test]
-async fn a_late_campaign_of_an_earlier_run_is_not_taken_for_its_own() {
+async fn a_node_does_not_adopt_the_term_of_its_previous_run() {
     let site = site();
     site.state.lock().unwrap().put(
         "live/leader",
@@ -66,15 +65,15 @@
     );
     let stale = site.state.lock().unwrap().leader().unwrap().revision;
     let node = site.start_node("one").await;
-    ready(&node).await;
+    wait_until_ready(&node).await;
     let worker = Worker::new("n-000777");
     for _ in 0..300 {
         let (status, _, body) = worker.send_heartbeat(&node).await;
         if status == 200 {
-            assert!(body["baton"].as_u64().unwrap() > stale, "acts in a term of its own");
+            assert!(body["baton"].as_u64().unwrap() > stale, "the node acts in a term of its own");
             return;
         }
         actix_web::rt::time::sleep(std::time::Duration::from_millis(20)).await;
     }
-    panic!("it never led");
+    panic!("the node did not become leader");
 }
--- a/crates/latchtrack/tests/integration/main.rs
+++ b/crates/latchtrack/tests/integration/main.rs
@@ -1,4 +1,4 @@
-//! What users and workers see, over real sockets on loopback.
+//! Integration tests of the interfaces to users and workers, over real sockets on loopback.
 
 mod answers;
 mod cloud;
--- a/crates/latchtrack/tests/integration/status.rs
+++ b/crates/latchtrack/tests/integration/status.rs
@@ -1,32 +1,37 @@
-//! What `latchtrack status` tells.
+//! The output of `latchtrack status`.
 
 use latchtrack_emulator::*;
 use serde_json::json;
 
-use crate::fixtures::{bound, job, leader, ready};
+use crate::fixtures::{bind_listener, job, wait_for_leader, wait_until_ready};
 
-/// From outside nothing answered, and nobody could tell what was running: the status tells it by
-/// way of the leader, and without one by way of the state service and the workers.
+/// Regression test: in an outage, operators could not find out what was running. The status comes
+/// from the leader if there is one, and otherwise from the state service and the workers.
 #[actix_web::test]
-async fn the_status_tells_what_runs_with_a_leader_and_without() {
+async fn status_reports_running_jobs_with_and_without_a_leader() {
     let site = site();
-    let [users, peers] = [bound().await, bound().await];
+    let [users, peers] = [bind_listener().await, bind_listener().await];
     let settings = site.settings("one", 0, &users, &peers, &[]);
-    let at = format!("http://{}", users.local_addr().unwrap());
-    let away = latchtrack::status::query(&settings).await;
-    assert!(away.nodes["one"].is_none());
-    let stored = away.without_leader.unwrap();
+    let url = format!("http://{}", users.local_addr().unwrap());
+    let offline = latchtrack::status::query(&settings).await;
+    assert!(offline.nodes["one"].is_none());
+    let stored = offline.without_leader.unwrap();
     assert_eq!((stored.jobs_open, stored.machines, stored.leader), (0, 0, None));
-    // Now the node runs, with a job and a machine.
+    // With the node running, a job and a machine.
     actix_web::rt::spawn(latchtrack::node::serve(settings.clone(), users, peers));
-    ready(&at).await;
-    leader(&site).await;
-    assert_eq!(post(&format!("{at}/api/jobs"), &job("req-000001")).await.0, 201);
+    wait_until_ready(&url).await;
+    wait_for_leader(&site).await;
+    assert_eq!(post(&format!("{url}/api/jobs"), &job("req-000001")).await.0, 201);
     let mut seen = None;
     for _ in 0..200 {
         let status = latchtrack::status::query(&settings).await;
-        seen = status.nodes["one"].clone().and_then(|n| n.cluster.map(|p| (n.served, p)));
-        if seen.as_ref().is_some_and(|(_, p)| p.jobs_open == 1 && p.machines_booting > 0) {
+        seen = status.nodes["one"]
+            .clone()
+            .and_then(|node| node.cluster.map(|cluster| (node.served, cluster)));
+        if seen
+            .as_ref()
+            .is_some_and(|(_, cluster)| cluster.jobs_open == 1 && cluster.machines_booting > 0)
+        {
             assert!(status.without_leader.is_none());
             break;
         }
@@ -35,9 +40,9 @@
     let (served, cluster) = seen.unwrap();
     assert!(served && cluster.acting && cluster.quarantined_jobs.is_empty());
     assert_eq!((cluster.jobs_open, cluster.tasks_waiting), (1, 3));
-    // A worker of the stored set answers for itself when no node does.
-    let site2 = self::site();
-    let door = actix_web::HttpServer::new(|| {
+    // Without a node, the workers in the stored machine sets are queried.
+    let other_site = self::site();
+    let worker = actix_web::HttpServer::new(|| {
         actix_web::App::new().route(
             "/status",
             actix_web::web::get().to(|| async {
@@ -51,8 +56,8 @@
     .workers(1)
     .bind("127.0.0.1:0")
     .unwrap();
-    let addr = door.addrs()[0].to_string();
-    actix_web::rt::spawn(door.run());
+    let addr = worker.addrs()[0].to_string();
+    actix_web::rt::spawn(worker.run());
     let machine = |name: &str, addr: &str| latchtrack_core::scheduler::StoredMachine {
         name: name.into(),
         machine_type: "t1".into(),
@@ -63,16 +68,16 @@
     let machines = [machine("n-000001", &addr), machine("n-000002", "127.0.0.1:9")];
     let value = latchtrack::wire::records::encode_machine_set(&machines).unwrap();
     let value = serde_json::from_str(value.get()).unwrap();
-    site2.state.lock().unwrap().put("fleet/7-1", value, None);
-    let [users, peers] = [bound().await, bound().await];
-    let settings = site2.settings("one", 0, &users, &peers, &[]);
+    other_site.state.lock().unwrap().put("fleet/7-1", value, None);
+    let [users, peers] = [bind_listener().await, bind_listener().await];
+    let settings = other_site.settings("one", 0, &users, &peers, &[]);
     drop((users, peers));
     let stored = latchtrack::status::query(&settings).await.without_leader.unwrap();
     assert_eq!((stored.machines, stored.silent), (2, 1));
     assert_eq!(stored.running, [("req-000001".to_string(), 1)].into());
-    // And when nobody answers at all, that is said.
-    let mut lost = settings.clone();
-    lost.platform.services.state = "127.0.0.1:9".parse().unwrap();
-    let nobody = latchtrack::status::query(&lost).await;
-    assert!(!nobody.has_answer() && nobody.store_error.is_some());
+    // Without any service, the status has an error.
+    let mut unreachable = settings.clone();
+    unreachable.platform.services.state = "127.0.0.1:9".parse().unwrap();
+    let status = latchtrack::status::query(&unreachable).await;
+    assert!(!status.has_answer() && status.store_error.is_some());
 }
--- a/crates/latchtrack/tests/lowered_limits.rs
+++ b/crates/latchtrack/tests/lowered_limits.rs
@@ -1,4 +1,4 @@
-//! The limits that the state service is to have later, as the settings tell them.
+//! Announced future limits of the state service (`params.state.next`).
 
 use latchtrack::settings::{Platform, Settings, Tuning};
 use serde_json::{json, Value};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn from_the_start_the_smaller_of_both_limits_counts() {
+fn the_lower_of_current_and_announced_limits_applies() {
     let mut file = platform();
     let state = |file: &Value| settings(file).platform.params.state;
     assert_eq!((state(&file).value_bytes(), state(&file).txn_ops()), (4_096, 8));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused_by_name() {
+fn errors_name_the_invalid_setting() {
     for (part, field, value) in [
         ("state", "next", json!({"value_kb": 0.0})),
         ("state", "next", json!({"txn_ops": 0})),
--- a/crates/latchtrack/tests/pacing.rs
+++ b/crates/latchtrack/tests/pacing.rs
@@ -1,18 +1,18 @@
-//! How nodes share the limits of the state service, also when these are lowered without notice.
+//! How nodes share the rate limits of the state service, including unannounced decreases.
 
 use latchtrack::actors::store::pacing::{TokenBucket, WriteLimits, WriteShare};
 use latchtrack::constants::USABLE_LIMIT_FRACTION;
 
-/// Writes made and refused in a run.
+/// Counts of accepted writes, by node, and of refused writes.
 struct Outcome {
-    made: [u32; 5],
+    accepted: [u32; 5],
     refused: u32,
 }
 
-/// Five nodes on one limit for a minute from `from_s` on, the first of them leading, each with so
-/// many writes a second to make. `limit_at` is what the service takes.
-fn share(
-    needs: [f64; 5],
+/// Simulates five nodes that share one limit, and counts writes for a minute from `from_s` on. The
+/// first node leads. `demand` is in writes per second by node; `limit_at` is the service's limit.
+fn simulate(
+    demand: [f64; 5],
     limits: WriteLimits,
     from_s: u64,
     limit_at: impl Fn(u64) -> f64,
@@ -24,27 +24,27 @@
         })
         .collect();
     let mut service = limits.current;
-    let mut outcome = Outcome { made: [0; 5], refused: 0 };
+    let mut outcome = Outcome { accepted: [0; 5], refused: 0 };
     for step in 0..(from_s + 60) * 100 {
         let limit = limit_at(step / 100);
         service = (service + limit / 100.0).min(limit);
         let counts = step >= from_s * 100;
-        for (n, (write_share, have, queue)) in nodes.iter_mut().enumerate() {
-            *queue += needs[n] / 100.0;
-            *have = (*have + write_share.rate(step * 10) / 100.0).min(write_share.burst());
+        for (n, (write_share, tokens, queue)) in nodes.iter_mut().enumerate() {
+            *queue += demand[n] / 100.0;
+            *tokens = (*tokens + write_share.rate(step * 10) / 100.0).min(write_share.burst());
             if *queue < 1.0 {
                 continue;
             }
-            if *have < 1.0 {
+            if *tokens < 1.0 {
                 write_share.record_wait();
             } else if service >= 1.0 {
                 service -= 1.0;
-                *have -= 1.0;
+                *tokens -= 1.0;
                 *queue -= 1.0;
-                outcome.made[n] += u32::from(counts);
+                outcome.accepted[n] += u32::from(counts);
             } else {
                 write_share.record_refusal();
-                *have = 0.0;
+                *tokens = 0.0;
                 outcome.refused += u32::from(counts);
             }
         }
@@ -52,47 +52,47 @@
     outcome
 }
 
-/// What one needs it gets if the others leave it, and if all need more than there is, few are
+/// A node can use what the others leave, and if the total demand exceeds the limit, few writes are
 /// refused.
 #[test]
-fn what_others_leave_is_used_and_the_limit_is_kept() {
+fn unused_shares_are_used_within_the_limit() {
     let limits = WriteLimits { current: 15.0, lower: 15.0 };
-    // The leader alone would have 4.5 a second by its share.
-    let Outcome { made, refused } = share([9.0, 0.5, 0.5, 0.5, 0.5], limits, 0, |_| 15.0);
-    assert!(made[0] >= 9 * 60 - 30 && refused == 0, "{made:?}, {refused} refused");
-    let Outcome { made, refused } = share([20.0; 5], limits, 0, |_| 15.0);
-    let all: u32 = made.iter().sum();
-    assert!((810..=915).contains(&all) && refused < 120, "{made:?}, {refused} refused");
-    assert!(made.iter().all(|n| *n >= 100), "{made:?}");
+    // The leader's own share is 4.5 writes per second.
+    let Outcome { accepted, refused } = simulate([9.0, 0.5, 0.5, 0.5, 0.5], limits, 0, |_| 15.0);
+    assert!(accepted[0] >= 9 * 60 - 30 && refused == 0, "{accepted:?}, {refused} refused");
+    let Outcome { accepted, refused } = simulate([20.0; 5], limits, 0, |_| 15.0);
+    let total: u32 = accepted.iter().sum();
+    assert!((810..=915).contains(&total) && refused < 120, "{accepted:?}, {refused} refused");
+    assert!(accepted.iter().all(|n| *n >= 100), "{accepted:?}");
 }
 
-/// Lowered without notice, the limit is found by the refusals: later hardly a write is refused,
-/// and nobody is kept from writing.
+/// After an unannounced decrease, nodes detect the lower limit from refusals. From then on, few
+/// writes are refused and all nodes make progress.
 #[test]
-fn a_lowered_limit_is_found_and_kept() {
+fn an_unannounced_lower_limit_is_detected() {
     let limit_at = |s| if s < 30 { 35.0 } else { 14.0 };
-    let told = WriteLimits { current: 35.0, lower: 14.0 };
-    let Outcome { made, refused } = share([20.0; 5], told, 60, limit_at);
-    let all: u32 = made.iter().sum();
-    assert!(all >= 14 * 50 && refused < 120, "{made:?}, {refused} refused");
-    assert!(made.iter().all(|n| *n >= 80), "{made:?}");
-    // Who does not take the refusals for what they are has many times as many.
-    let untold = WriteLimits { current: 35.0, lower: 35.0 };
-    let Outcome { refused: many, .. } = share([20.0; 5], untold, 60, limit_at);
-    assert!(many > 3 * refused.max(1), "{many} against {refused}");
+    let aware = WriteLimits { current: 35.0, lower: 14.0 };
+    let Outcome { accepted, refused } = simulate([20.0; 5], aware, 60, limit_at);
+    let total: u32 = accepted.iter().sum();
+    assert!(total >= 14 * 50 && refused < 120, "{accepted:?}, {refused} refused");
+    assert!(accepted.iter().all(|n| *n >= 80), "{accepted:?}");
+    // Nodes that do not expect a lower limit get several times as many refusals.
+    let unaware = WriteLimits { current: 35.0, lower: 35.0 };
+    let Outcome { refused: refused_unaware, .. } = simulate([20.0; 5], unaware, 60, limit_at);
+    assert!(refused_unaware > 3 * refused.max(1), "{refused_unaware} vs {refused}");
 }
 
-/// A limit that is not lowered is not taken for lower by chance.
+/// A limit that has not decreased must not be mistaken for the lower one.
 #[test]
 fn an_unchanged_limit_is_used_in_full() {
     let limits = WriteLimits { current: 35.0, lower: 14.0 };
-    let Outcome { made, .. } = share([20.0, 3.0, 3.0, 3.0, 3.0], limits, 0, |_| 35.0);
-    let all: u32 = made.iter().sum();
-    assert!(all >= 28 * 60, "{made:?}");
+    let Outcome { accepted, .. } = simulate([20.0, 3.0, 3.0, 3.0, 3.0], limits, 0, |_| 35.0);
+    let total: u32 = accepted.iter().sum();
+    assert!(total >= 28 * 60, "{accepted:?}");
 }
 
 #[test]
-fn a_bucket_never_gives_more_than_its_rate() {
+fn a_token_bucket_never_exceeds_its_rate() {
     let mut bucket = TokenBucket::new(10.0, 10.0, 0);
     for _ in 0..10 {
         assert_eq!(bucket.wait_ms(1.0), None);
@@ -100,7 +100,7 @@
     }
     assert_eq!(bucket.wait_ms(1.0), Some(101));
     bucket.refill(1_000);
-    // A batch larger than the bucket passes when it is full, and is paid back after.
+    // A batch larger than the bucket passes when it is full, and leaves a debt to refill.
     assert_eq!(bucket.wait_ms(12.0), None);
     bucket.take(12.0);
     assert!(bucket.wait_ms(1.0).unwrap() >= 300);
--- a/crates/latchtrack/tests/parsers.rs
+++ b/crates/latchtrack/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Every parser against seeded noise: no panic, and whatever is accepted is within its bounds.
+//! Seeded fuzz tests of every parser: no panics, and accepted input is within bounds.
 
 use latchtrack::settings::{parse_tuning, Platform, Settings, Tuning};
 use latchtrack::wire::records::{parse_machine_set, parse_results, Record};
@@ -9,10 +9,11 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
+/// Mutations to try of each input.
 const ROUNDS: usize = 4_000;
 
-/// Pieces that parsers trip over.
-const ODD: [&str; 14] = [
+/// Fragments that parsers often mishandle.
+const EDGE_CASES: [&str; 14] = [
     "null",
     "-1",
     "1e308",
@@ -29,8 +30,8 @@
     "[[[[[[[[[[[[[[[[",
 ];
 
-/// A text with some of it replaced, cut or doubled.
-fn noisy(text: &str, rng: &mut StdRng) -> Vec<u8> {
+/// Returns a text with some parts replaced, truncated or duplicated.
+fn mutate(text: &str, rng: &mut StdRng) -> Vec<u8> {
     let mut out = text.as_bytes().to_vec();
     for _ in 0..rng.random_range(1..4) {
         let at = rng.random_range(0..out.len().max(1)).min(out.len());
@@ -39,22 +40,22 @@
             1 if at < out.len() => out[at] = rng.random(),
             2 => {
                 let to = (at + rng.random_range(0..8)).min(out.len());
-                let odd = ODD.choose(rng).unwrap();
-                out.splice(at..to, odd.bytes());
+                let fragment = EDGE_CASES.choose(rng).unwrap();
+                out.splice(at..to, fragment.bytes());
             }
             3 => {
                 let part = out[at..(at + 9).min(out.len())].to_vec();
                 out.splice(at..at, part);
             }
             _ => {
-                // A whole value after a colon, which stays JSON now and then.
+                // Replaces a whole value after a colon, which often leaves valid JSON.
                 let text = String::from_utf8_lossy(&out).into_owned();
                 let colons: Vec<usize> = text.match_indices(':').map(|(i, _)| i).collect();
                 if let Some(&colon) = colons.choose(rng) {
                     let rest = &text[colon + 1..];
                     let end = rest.find([',', '}']).unwrap_or(rest.len());
-                    let odd = ODD.choose(rng).unwrap();
-                    out = format!("{}{odd}{}", &text[..=colon], &rest[end..]).into_bytes();
+                    let fragment = EDGE_CASES.choose(rng).unwrap();
+                    out = format!("{}{fragment}{}", &text[..=colon], &rest[end..]).into_bytes();
                 }
             }
         }
@@ -62,11 +63,12 @@
     out
 }
 
-/// Runs noise through `accepts`; both outcomes must come up, or the noise says nothing.
+/// Passes mutations of a text to `accepts`. Some must be accepted and some rejected, since the test
+/// has no significance otherwise.
 fn fuzz(text: &str, seed: u64, mut accepts: impl FnMut(&[u8]) -> bool) {
-    assert!(accepts(text.as_bytes()), "the unspoilt text is refused");
+    assert!(accepts(text.as_bytes()), "the original text is rejected");
     let mut rng = StdRng::seed_from_u64(seed);
-    let accepted = (0..ROUNDS).filter(|_| accepts(&noisy(text, &mut rng))).count();
+    let accepted = (0..ROUNDS).filter(|_| accepts(&mutate(text, &mut rng))).count();
     assert!(accepted > 10 && accepted < ROUNDS - 10, "{accepted} of {ROUNDS} accepted");
 }
 
@@ -76,7 +78,7 @@
     "stow_s":4.0,"due_s":900.0}"#;
 
 #[test]
-fn submissions() {
+fn mutated_submissions() {
     fuzz(JOB, 1, |bytes| {
         let Ok(job) = parse_id(bytes).and_then(|(id, map)| parse_job(id, &map)) else {
             return false;
@@ -86,7 +88,7 @@
         let amounts = [d.cpus, d.gpus, d.memory_gb, job.image_gb, job.estimate_s, job.save_s];
         assert!(amounts.iter().all(|a| a.is_finite() && *a >= 0.0), "{job:?}");
         assert!(d.cpus > 0.0 && job.deadline_s.is_none_or(|d| d.is_finite() && d >= 0.0));
-        // Whatever is accepted can be stored and read back.
+        // An accepted job can be stored and read back.
         let record = Record::Open { spec: job.clone().into(), at_ms: 1 };
         let json = record.to_json().unwrap();
         assert_eq!(Record::parse(job.id, json.get()).unwrap(), record);
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn heartbeats() {
+fn mutated_heartbeats() {
     let text = r#"{"host":"n-1","addr":"1.2.3.4:9","build":"g","yard":"a","loaners":true,"shift":1,
         "tally":88,"baton":41,"recall_s":12.5,
         "pieces":[{"piece":"req-000412/3","try":2,"status":"ended","cause":"done"}]}"#;
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn stored_records() {
+fn mutated_stored_records() {
     let text = r#"{"state":"open","at_ms":1700000000000,"class":"c","team":"t","priority":1,"tasks":16,
         "cpus":4.0,"memory_gb":3.6,"spot":true,"image":"i","image_gb":1.5,"estimate_s":20.0}"#;
     fuzz(text, 3, |bytes| match Record::parse(JobId(1), &String::from_utf8_lossy(bytes)) {
@@ -141,14 +143,14 @@
     "machine_limits":{"cpu":0.1,"mem_mb":64.0,"max_sockets":900}}}"#;
 
 #[test]
-fn platform_settings() {
+fn mutated_platform_settings() {
     fuzz(PLATFORM, 5, |bytes| {
         let Ok(platform) = serde_json::from_slice::<Platform>(bytes) else { return false };
         let settings = Settings { platform, tuning: Tuning::default() };
         if settings.check().is_err() {
             return false;
         }
-        // What passes the check must be usable as it is.
+        // Settings that pass the check must be usable.
         let policy = settings.policy();
         assert!(policy.worker_lease_ms >= 1_000 && settings.leader_lease_ms() >= 1_000);
         true
@@ -156,7 +158,7 @@
 }
 
 #[test]
-fn operators_settings() {
+fn mutated_operator_settings() {
     let text = "alpha: 0.7\nslice: 2\nidle_wait_s: 15\nsilence_s: 20\nleader_lease_s: 4\n";
     let platform: Platform = serde_json::from_str(PLATFORM).unwrap();
     fuzz(text, 6, |bytes| {
--- a/crates/latchtrack/tests/published_formats.rs
+++ b/crates/latchtrack/tests/published_formats.rs
@@ -1,8 +1,8 @@
-//! What the version in production stores and sends, byte for byte.
+//! The exact formats that the version in production stores and sends.
 //!
-//! Nodes of two versions work on each other's data during an upgrade, so these literals are a
-//! published format: they were written by the production version (`production` in
-//! `deploy/service.toml`) and must be read for good, and what is written now must keep to them.
+//! During an upgrade, nodes of two versions process each other's data, so these literals are a
+//! published format. They were written by the production version (`production` in
+//! `deploy/service.toml`), must always be readable, and must match what is written now.
 
 mod samples;
 
@@ -20,8 +20,8 @@
 use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use samples::{full_spec, machine_type, result_chunks, stored_machine};
 
-/// A job with no field that may be left out.
-fn least_spec() -> JobSpec {
+/// A job without optional fields.
+fn minimal_spec() -> JobSpec {
     JobSpec {
         priority: Priority::Low,
         demand: Resources { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
@@ -46,7 +46,7 @@
             r#"{"state":"open","at_ms":1700000000123,"class":"c","team":"t","priority":1,"tasks":16,"cpus":4.0,"gpus":1.0,"memory_gb":3.6,"types":["g"],"zone":"a","one_zone":true,"spread":true,"spot":true,"image":"i","image_gb":1.5,"estimate_s":20.0,"checkpoint_s":30.0,"save_s":2.0,"deadline_s":90.5}"#,
         ),
         (
-            open(least_spec(), 1),
+            open(minimal_spec(), 1),
             r#"{"state":"open","at_ms":1,"class":"c","team":"t","priority":3,"tasks":16,"cpus":4.0,"memory_gb":3.6,"image":"i","image_gb":1.5,"estimate_s":20.0}"#,
         ),
         (Record::Done { tasks: 3 }, r#"{"state":"done","tasks":3}"#),
@@ -84,7 +84,7 @@
     let text = r#"{"req-000007/3":"AQD/","req-000009/0":"BA"}"#;
     assert_eq!(encode_results(&chunks).unwrap().get(), text);
     assert_eq!(parse_results("41-1", text), Some(chunks));
-    // Chunk 3 begins at task 49,152, lowest bit first.
+    // Chunk 3 starts at task 49,152. The lowest bit comes first.
     assert_eq!(LEGACY_CHUNK_TASKS, 16_384);
     let mut done = Bitmap::new(100_000);
     done.merge_chunk(3, &[1, 0, 255]);
@@ -101,11 +101,11 @@
     assert_eq!(parse_machine_types(text).unwrap(), [machine_type]);
 }
 
-/// The order of the variants and of their fields is part of the form.
+/// The order of variants and of their fields is part of the format.
 #[test]
 fn frames_between_nodes_are_read_and_written_as_published() {
-    let ask = |request| Frame::Request { id: 300, request };
-    let answer = |id, status, retry_after, body: &[u8]| Frame::Answer {
+    let request_frame = |request| Frame::Request { id: 300, request };
+    let answer_frame = |id, status, retry_after, body: &[u8]| Frame::Answer {
         id,
         answer: Answer { status, retry_after, body: body.to_vec() },
     };
@@ -114,13 +114,13 @@
     let published: [(Frame, &[u8]); 9] = [
         (progress, &[0, 7, 1, 251, 156, 1, 2, 251, 44, 1, 1, 3, 110, 45, 49]),
         (Frame::Health { store: true }, &[1, 1]),
-        (ask(PeerRequest::Submit(b"{}".to_vec())), &[2, 251, 44, 1, 0, 2, 123, 125]),
-        (ask(PeerRequest::Query("r".into())), &[2, 251, 44, 1, 1, 1, 114]),
-        (ask(PeerRequest::Cancel("r".into())), &[2, 251, 44, 1, 2, 1, 114]),
-        (ask(PeerRequest::Heartbeat(b"{}".to_vec())), &[2, 251, 44, 1, 3, 2, 123, 125]),
-        (ask(PeerRequest::Status), &[2, 251, 44, 1, 4]),
-        (answer(300, 503, Some(1), b"x"), &[3, 251, 44, 1, 251, 247, 1, 1, 1, 1, 120]),
-        (answer(1, 200, None, b""), &[3, 1, 200, 0, 0]),
+        (request_frame(PeerRequest::Submit(b"{}".to_vec())), &[2, 251, 44, 1, 0, 2, 123, 125]),
+        (request_frame(PeerRequest::Query("r".into())), &[2, 251, 44, 1, 1, 1, 114]),
+        (request_frame(PeerRequest::Cancel("r".into())), &[2, 251, 44, 1, 2, 1, 114]),
+        (request_frame(PeerRequest::Heartbeat(b"{}".to_vec())), &[2, 251, 44, 1, 3, 2, 123, 125]),
+        (request_frame(PeerRequest::Status), &[2, 251, 44, 1, 4]),
+        (answer_frame(300, 503, Some(1), b"x"), &[3, 251, 44, 1, 251, 247, 1, 1, 1, 1, 120]),
+        (answer_frame(1, 200, None, b""), &[3, 1, 200, 0, 0]),
     ];
     for (frame, bytes) in published {
         assert_eq!(encode(&frame).unwrap(), bytes, "{frame:?}");
@@ -128,22 +128,22 @@
     }
 }
 
-/// The token of an attempt's leader stands above the number of the launch: a leader of either
-/// version tells its own attempts from those of before.
+/// An attempt number has the leader's fencing token in its high bits and the number of the launch
+/// in its low bits. Leaders of either version recognise their own attempts by the token.
 #[test]
 fn attempt_numbers_are_as_published() {
     assert_eq!(ATTEMPT_BITS, 24);
 }
 
-/// Nodes ask each other for this on behalf of `latchtrack status`.
+/// Nodes query this status from each other for `latchtrack status`.
 #[test]
 fn the_status_of_a_node_is_read_as_published() {
     let published = r#"{"served":true,"leader":"n","picture":{"token":7,"acting":true,"machines_up":3,"machines_booting":2,"machines_late":1,"machines_unsettled":0,"late_boots":["g in a"],"quiet_zones":["b"],"jobs_open":4,"jobs_in_doubt":["req-000001"],"tasks_waiting":5,"cpus":24.0,"cpus_running":8.0}}"#;
     let view: NodeView = serde_json::from_str(published).unwrap();
     let cluster = view.cluster.clone().unwrap();
     assert_eq!((view.served, cluster.jobs_open, cluster.cpus_running), (true, 4, 8.0));
-    assert_eq!(cluster.gangs_open, 0, "what the version in production says nothing of");
-    // What is written now has the same fields, and one that an earlier version ignores.
+    assert_eq!(cluster.gangs_open, 0, "a field that the production version does not send");
+    // The current format has the same fields, and one more that earlier versions ignore.
     let written = serde_json::to_string(&view).unwrap();
     assert_eq!(written.replace(",\"gangs_open\":0", ""), published);
 }
--- a/crates/latchtrack/tests/records.rs
+++ b/crates/latchtrack/tests/records.rs
@@ -1,4 +1,4 @@
-//! What is kept in the state service, written and read again.
+//! Encoding and parsing of the records in the state service.
 
 mod samples;
 
@@ -17,8 +17,8 @@
 use rand::{Rng, SeedableRng};
 use samples::{full_spec, machine_type, result_chunks, stored_machine};
 
-/// An open gang.
-fn open() -> Record {
+/// The record of an open gang.
+fn open_record() -> Record {
     let spec = JobSpec {
         gang: true,
         demand: Resources { cpus: 4.0, gpus: 0.0, memory_gb: 3.6 },
@@ -30,12 +30,12 @@
 }
 
 #[test]
-fn records_survive_and_garbled_ones_are_refused() {
-    for record in [open(), Record::Done { tasks: 3 }, Record::Cancelled { tasks: 4 }] {
+fn records_round_trip_and_corrupt_ones_are_rejected() {
+    for record in [open_record(), Record::Done { tasks: 3 }, Record::Cancelled { tasks: 4 }] {
         let json = record.to_json().unwrap();
         assert_eq!(Record::parse(JobId(412), json.get()).unwrap(), record);
     }
-    let json = open().to_json().unwrap().get().to_string();
+    let json = open_record().to_json().unwrap().get().to_string();
     assert!(Record::parse(JobId(412), &json.replace("\"tasks\":16", "\"tasks\":0")).is_err());
     let mut rng = StdRng::seed_from_u64(2);
     let mut refused = 0;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn results_survive_in_both_forms() {
+fn results_are_read_in_both_formats() {
     let chunks = result_chunks();
     let json = encode_results(&chunks).unwrap();
     assert_eq!(parse_results("41-1", json.get()), Some(chunks));
@@ -62,12 +62,12 @@
 }
 
 #[test]
-fn machine_types_survive() {
+fn machine_types_are_read_in_both_formats() {
     let t = machine_type();
     let json = encode_machine_types(std::slice::from_ref(&t)).unwrap();
     assert_eq!(parse_machine_types(json.get()), Some(vec![t.clone()]));
-    let before = r#"[["g",16,0,64,1,0.4,50,60,1,["a"]]]"#;
-    let old = parse_machine_types(before).unwrap();
+    let old_format = r#"[["g",16,0,64,1,0.4,50,60,1,["a"]]]"#;
+    let old = parse_machine_types(old_format).unwrap();
     assert_eq!((old[0].name.as_str(), old[0].cpus, old[0].boot_s), ("g", 16.0, 50.0));
     assert_eq!((old[0].cache_gb, old[0].zones.as_slice()), (60.0, &["a".to_string()][..]));
     assert_eq!(parse_machine_types("[[1]]"), None);
@@ -78,13 +78,13 @@
     assert!(!equal_except_prices(&[MachineType { cpus: 9.0, ..t.clone() }], &[t]));
 }
 
-/// A leader of this version takes over from one of the last: no machine may be missed.
+/// In an upgrade, a leader must read every machine that the previous version stored.
 #[test]
-fn machines_survive_in_both_forms() {
-    let all = vec![stored_machine("n-1"), stored_machine("n-2")];
-    let json = encode_machine_set(&all).unwrap();
-    assert_eq!(parse_machine_set("41-1", json.get()).unwrap(), all);
-    assert!(json.get().len() <= all.iter().map(StoredMachine::bytes).sum::<usize>());
+fn machine_sets_are_read_in_both_formats() {
+    let machines = vec![stored_machine("n-1"), stored_machine("n-2")];
+    let json = encode_machine_set(&machines).unwrap();
+    assert_eq!(parse_machine_set("41-1", json.get()).unwrap(), machines);
+    assert!(json.get().len() <= machines.iter().map(StoredMachine::bytes).sum::<usize>());
     let old = r#"{"kind":"g","zone":"a","spot":true,"addr":"1.2.3.4:9"}"#;
     assert_eq!(parse_machine_set("n-2", old).unwrap(), [stored_machine("n-2")]);
     assert!(parse_machine_set("n-2", "{}").is_err() && parse_machine_set("x", "[1]").is_err());
--- a/crates/latchtrack/tests/samples/mod.rs
+++ b/crates/latchtrack/tests/samples/mod.rs
@@ -1,10 +1,10 @@
-//! Records that several tests store and read.
+//! Sample records shared by several tests.
 
 use latchtrack_core::job::{JobId, JobSpec, Priority, Resources};
 use latchtrack_core::machine::MachineType;
 use latchtrack_core::scheduler::StoredMachine;
 
-/// A job with every field of its record that a job array may have.
+/// A batch job with every optional field set.
 pub fn full_spec() -> JobSpec {
     JobSpec {
         id: JobId(412),
@@ -28,7 +28,7 @@
     }
 }
 
-/// A machine of the stored set.
+/// A machine of a stored machine set.
 pub fn stored_machine(name: &str) -> StoredMachine {
     StoredMachine {
         name: name.into(),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A machine type with every field.
+/// A machine type in two zones.
 pub fn machine_type() -> MachineType {
     MachineType {
         name: "g".into(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Results of two jobs: bits of done tasks by job and chunk.
+/// Results of two jobs: job, chunk index and the bitmap of completed tasks in the chunk.
 pub fn result_chunks() -> Vec<(JobId, u32, Vec<u8>)> {
     vec![(JobId(7), 3, vec![1, 0, 255]), (JobId(9), 0, vec![4])]
 }
--- a/crates/latchtrack/tests/settings.rs
+++ b/crates/latchtrack/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a node: what is refused, and what follows from them.
+//! Validation of a node's settings, and the values derived from them.
 
 use latchtrack::constants as c;
 use latchtrack::settings::{parse_tuning, Objective, Peer, Platform, Settings, Tuning};
@@ -17,30 +17,35 @@
     Settings { platform: serde_json::from_str(SAMPLE).unwrap(), tuning: Tuning::default() }
 }
 
-/// With a long aim beside the short one, each class of the fleet sites counted as prompt, and
-/// the aim listed first decided.
+/// Regression test: if a class had several objectives, the first one listed applied instead of the
+/// tightest, and every class counted as prompt on fleet sites.
 #[test]
-fn the_tightest_start_objective_of_a_class_counts_in_any_order() {
-    let aim = |class: &str, s| Objective {
+fn the_tightest_start_objective_of_a_class_applies() {
+    let objective = |class: &str, s| Objective {
         kind: "wait".into(),
         class: class.into(),
         within_s: Some(s),
         times: None,
     };
     let mut s = sample();
-    let mut aims = vec![aim("u", 70.0), aim("u", 2.0), aim("slow", 180.0), aim("u", 5.0)];
+    let mut objectives = vec![
+        objective("u", 70.0),
+        objective("u", 2.0),
+        objective("slow", 180.0),
+        objective("u", 5.0),
+    ];
     for _ in 0..2 {
-        s.platform.params.objectives = aims.clone();
+        s.platform.params.objectives = objectives.clone();
         assert_eq!(
             s.policy().start_objectives,
             [StartObjective { class: "u".to_string(), within_ms: 2_000 }]
         );
-        aims.reverse();
+        objectives.reverse();
     }
 }
 
 #[test]
-fn sites_of_all_sizes_start() {
+fn settings_of_all_site_sizes_are_valid() {
     for nodes in 1..=7 {
         for (report_s, lease_s) in [(0.5, 5.0), (3.0, 24.0), (8.0, 45.0), (30.0, 300.0)] {
             let mut s = sample();
@@ -54,21 +59,21 @@
             s.check().unwrap();
             assert!(s.heartbeat_timeout_s() > report_s * 1.25, "{report_s}");
             let d = s.derived();
-            // What we open ourselves: calls, state service, cloud, refusals, both ways to each
-            // node, what listens.
-            let ours = d.direct_calls
+            // Sockets that the node opens itself: direct calls, state service, cloud, refusals,
+            // both directions to each node, and two listeners.
+            let own_sockets = d.direct_calls
                 + c::MAX_STORE_CALLS
                 + c::MAX_CLOUD_CALLS
                 + c::MAX_OPEN_REFUSALS
                 + 2 * nodes
                 + 2;
-            assert!(d.connections + ours <= s.platform.params.limits.max_sockets);
+            assert!(d.connections + own_sockets <= s.platform.params.limits.max_sockets);
         }
     }
 }
 
 #[test]
-fn refuses_by_name() {
+fn errors_name_the_invalid_setting() {
     sample().check().unwrap();
     for (from, to, name) in [
         ("\"cancel_s\":60.0", "\"cancel_s\":31.4", "params.workers.cancel_s"),
@@ -84,7 +89,7 @@
     let mut s = sample();
     s.platform.params.workers.cancel_s = 33.0;
     s.check().unwrap();
-    assert!(s.leader_lease_ms() < 2_300, "what is left of cancel_s");
+    assert!(s.leader_lease_ms() < 2_300, "the lease is bounded by the rest of cancel_s");
     s.tuning.leader_lease_s = Some(3.0);
     assert!(s.check().unwrap_err().to_string().starts_with("leader_lease_s"));
     let missing = SAMPLE.replace("\"zones\":[\"a\"],", "");
@@ -104,18 +109,18 @@
     let err = parse_tuning("balance: {move: true}").unwrap_err().to_string();
     assert!(err.contains("move"), "{err}");
     let off = parse_tuning("").unwrap().balance;
-    assert!(!off.placement && !off.teams && !off.moves, "off unless an operator says so");
+    assert!(!off.placement && !off.teams && !off.moves, "balancing is off by default");
     assert_eq!(parse_tuning("").unwrap().slice, Tuning::default().slice);
 }
 
-/// The sample with an operators' file that names cells.
+/// Checks the sample settings with this operators' file.
 fn with_cells(yaml: &str) -> Result<(), String> {
     let tuning = parse_tuning(yaml).map_err(|e| e.to_string())?;
     Settings { tuning, ..sample() }.check().map_err(|e| e.to_string())
 }
 
 #[test]
-fn cells_that_could_not_work_together_are_refused_by_name() {
+fn errors_name_the_invalid_cell_setting() {
     assert_eq!(with_cells("quota: {cell: east, cells: [east, west]}"), Ok(()));
     let refused = [
         ("quota: {cell: '', cells: ['']}", "quota.cell"),
@@ -134,11 +139,11 @@
     }
     let many: Vec<String> = (0..40).map(|i| format!("cell{i}")).collect();
     let error = with_cells(&format!("quota: {{cell: cell0, cells: [{}]}}", many.join(", ")));
-    assert!(error.unwrap_err().contains("bytes"), "40 accounts don't fit into a value");
+    assert!(error.unwrap_err().contains("bytes"), "a ledger of 40 cells does not fit into a value");
 }
 
 #[test]
-fn teams_that_cells_could_not_share_are_refused_by_name() {
+fn errors_name_the_team_setting_that_cells_cannot_share() {
     let check = |change: fn(&mut Settings)| {
         let mut s = sample();
         s.tuning = parse_tuning("quota: {cell: east, cells: [east]}").unwrap();
@@ -158,7 +163,7 @@
 }
 
 #[test]
-fn a_cells_keys_lie_under_its_name_and_without_cells_nowhere_else() {
+fn keys_have_a_prefix_only_with_cells() {
     let mut s = sample();
     assert_eq!((s.key_prefix().as_str(), s.cell_count()), ("", 1));
     s.tuning = parse_tuning("quota: {cell: east, cells: [west, east]}").unwrap();
@@ -166,7 +171,7 @@
 }
 
 #[test]
-fn the_files_under_deploy_are_valid() {
+fn settings_files_in_deploy_are_valid() {
     let deploy = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy");
     for (file, shares) in [("run.yaml", false), ("cells.yaml", true)] {
         let text = std::fs::read_to_string(format!("{deploy}/{file}")).unwrap();
--- a/crates/latchtrack/tests/stored.rs
+++ b/crates/latchtrack/tests/stored.rs
@@ -1,4 +1,4 @@
-//! What the leader writes, and what it learns from a refusal.
+//! The leader's transactions, and how their conflicts are interpreted.
 
 use latchtrack::actors::stored::{conflict_outcome, record_transaction};
 use latchtrack::wire::records::LEADER_KEY;
--- a/crates/latchtrack/tests/submissions.rs
+++ b/crates/latchtrack/tests/submissions.rs
@@ -1,11 +1,11 @@
-//! What a submission must say, field by field.
+//! Validation of submissions, field by field.
 
 use latchtrack::wire::users::SubmissionError::{Invalid, Missing};
 use latchtrack::wire::users::{parse_id, parse_job, SubmissionError};
 use latchtrack_core::job::JobSpec;
 use serde_json::{json, Value};
 
-fn good() -> Value {
+fn valid_submission() -> Value {
     json!({"name_id":"req-000412","lane":"l","crew":"c","shape":"batch","urgency":"high",
         "pieces":16,"cores":8.0,"cards":0.0,"memory_gb":64.0,"kit":"i","pull_gb":6.2,
         "builds":["g8"],"yard":null,"one_zone":true,"apart":false,"loaners":true,
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn reads_a_submission() {
-    let spec = parse(&good()).unwrap();
+fn a_valid_submission_is_parsed() {
+    let spec = parse(&valid_submission()).unwrap();
     assert_eq!((spec.tasks, spec.demand.cpus, spec.spot), (16, 8.0, true));
     assert_eq!((spec.zone, spec.deadline_s), (None, Some(900.0)));
 }
 
 #[test]
-fn names_the_field_that_is_wrong() {
+fn errors_name_the_invalid_field() {
     for (field, value) in [
         ("name_id", json!("412")),
         ("pieces", json!(0)),
@@ -43,19 +43,19 @@
         ("due_s", json!(-5)),
         ("crew", json!("")),
     ] {
-        let mut v = good();
+        let mut v = valid_submission();
         v[field] = value.clone();
         match parse(&v) {
             Err(Invalid(name, _)) => assert_eq!(name, field, "{value}"),
             other => panic!("{field} = {value}: {other:?}"),
         }
     }
-    // Null is as good as left out: only where the protocol allows null.
-    let fields: Vec<String> = good().as_object().unwrap().keys().cloned().collect();
+    // Null counts as absent, and is accepted only for optional fields.
+    let fields: Vec<String> = valid_submission().as_object().unwrap().keys().cloned().collect();
     for field in fields {
-        let mut without = good();
+        let mut without = valid_submission();
         without.as_object_mut().unwrap().remove(&field);
-        let mut null = good();
+        let mut null = valid_submission();
         null[&field] = Value::Null;
         for v in [without, null] {
             match (parse(&v), field.as_str()) {
