--- a/crates/latchtrack-emulator/src/fleet/settings.rs
+++ b/crates/latchtrack-emulator/src/fleet/settings.rs
@@ -16,7 +16,7 @@
     pub seed: u64,
     /// Maximum number of machines. Machines provisioned beyond it never boot.
     pub machines: usize,
-    /// Mean time between two heartbeats of a machine, ms; the jitter is 25%.
+    /// Mean time between two heartbeats of a machine, ms; each is jittered by up to 25%.
     pub heartbeat_interval_ms: u64,
     /// Duration of the worker lease, ms.
     pub lease_ms: u64,
--- a/crates/latchtrack-emulator/src/spread.rs
+++ b/crates/latchtrack-emulator/src/spread.rs
@@ -99,8 +99,8 @@
 }
 
 impl SpreadOutcome {
-    /// Returns the ms from [`hot_at_ms`](Self::hot_at_ms) until the greatest load was first within
-    /// the bound again after exceeding it; `None` if it never was.
+    /// Returns the ms from [`hot_at_ms`](Self::hot_at_ms) until the greatest load, after exceeding
+    /// the bound, first returned within it; `None` if it never did.
     pub fn restored_ms(&self) -> Option<u64> {
         let after = self.history.loads.iter().filter(|sample| sample.at_ms > self.hot_at_ms);
         let mut over = after.skip_while(|sample| is_within_bound(sample));
--- a/crates/latchtrack-emulator/src/state/faults.rs
+++ b/crates/latchtrack-emulator/src/state/faults.rs
@@ -7,7 +7,7 @@
 pub struct TransactionFaults {
     /// The source of all random draws.
     pub rng: StdRng,
-    /// Maximum delay of a response, ms. Its content is determined before the delay.
+    /// Maximum delay of a response, ms. It is computed before the delay, so it may be stale.
     pub max_delay_ms: u64,
     /// Probability that a transaction commits immediately but its response is lost.
     pub response_loss: f64,
--- a/crates/latchtrack-emulator/src/state/mod.rs
+++ b/crates/latchtrack-emulator/src/state/mod.rs
@@ -176,8 +176,9 @@
         Ok(self.revision)
     }
 
-    /// Returns whether to drop the response to this transaction, and resets the request to do so.
-    /// Only transactions on job records count, since the timing of the leader's writes is its own.
+    /// Returns whether to drop the response to this transaction, and clears
+    /// `lose_next_job_response` if so. Other transactions do not count, since tests cannot control
+    /// when the leader writes.
     fn loses_response(&mut self, body: &Value) -> bool {
         let first_put = body["apply"][0]["put"].as_str();
         let is_of_job = first_put.is_some_and(|key| key.starts_with(JOB_PREFIX));
--- a/crates/latchtrack/tests/integration/answers.rs
+++ b/crates/latchtrack/tests/integration/answers.rs
@@ -147,8 +147,8 @@
     observations.take()
 }
 
-/// Runs a worker on each provisioned machine. It sends its heartbeats to the node that redirects
-/// name, or to the next one.
+/// Runs a worker on each provisioned machine. After a redirect, it sends its heartbeats to the
+/// leader named there; after any other error, to the next node.
 async fn run_workers(site: Rc<Site>, nodes: [String; 3]) {
     let mut all: BTreeMap<String, (Rc<Worker>, usize)> = BTreeMap::new();
     loop {
--- a/crates/latchtrack/tests/integration/status.rs
+++ b/crates/latchtrack/tests/integration/status.rs
@@ -75,7 +75,7 @@
     let stored = latchtrack::status::query(&settings).await.without_leader.unwrap();
     assert_eq!((stored.machines, stored.silent), (2, 1));
     assert_eq!(stored.running, [("req-000001".to_string(), 1)].into());
-    // Without any service, the status has an error.
+    // If neither a node nor the state service can be reached, the status contains the error.
     let mut unreachable = settings.clone();
     unreachable.platform.services.state = "127.0.0.1:9".parse().unwrap();
     let status = latchtrack::status::query(&unreachable).await;
--- a/crates/latchtrack/tests/parsers.rs
+++ b/crates/latchtrack/tests/parsers.rs
@@ -48,7 +48,7 @@
                 out.splice(at..at, part);
             }
             _ => {
-                // Replaces a whole value after a colon, which often leaves valid JSON.
+                // Replaces a whole value after a colon, which sometimes leaves valid JSON.
                 let text = String::from_utf8_lossy(&out).into_owned();
                 let colons: Vec<usize> = text.match_indices(':').map(|(i, _)| i).collect();
                 if let Some(&colon) = colons.choose(rng) {
