--- a/crates/latchtrack/tests/integration/gangs.rs
+++ b/crates/latchtrack/tests/integration/gangs.rs
@@ -76,6 +76,7 @@
     orders.filter(of_job).map(|o| o["try"].as_u64().unwrap()).collect()
 }
 
+/// The gang waits for all its machines, and is done as soon as its first task is.
 #[actix_web::test]
 async fn a_gang_launches_only_once_all_its_machines_are_up() {
     let site = site();
