--- a/crates/latchtrack-emulator/src/fleet/attempts.rs
+++ b/crates/latchtrack-emulator/src/fleet/attempts.rs
@@ -1,18 +1,19 @@
-//! The life of attempts on the machines: launch, phases, stop, and the loss of a lease.
+//! The life cycle of attempts on the machines: launch, phases, stop and lease expiry.
 
 use serde_json::Value;
 
-use super::heartbeats::CHANGE_REPORTED_MS;
+use super::heartbeats::CHANGE_REPORT_DELAY_MS;
 use super::machine::Attempt;
 use super::{FleetState, JobProfile, MACHINE_CPUS};
 use crate::history::TaskEvent;
-use crate::lifecycle::{AttemptKey, EndCause, TaskPhase};
+use crate::lifecycle::{AttemptKey, ExitCause, TaskPhase};
 
-/// Rounding that a sum of CPUs may carry.
+/// Tolerance for rounding errors in sums of CPUs.
 const CPU_TOLERANCE: f64 = 1e-6;
 
 impl FleetState {
-    /// Advances every machine that is up to the present.
+    /// Advances every machine that is up and not paused to the current time. An agent whose worker
+    /// lease has expired drops its attempts and starts a new epoch.
     pub(super) fn advance(&mut self) {
         let now = self.now_ms();
         for name in self.machines.keys().cloned().collect::<Vec<_>>() {
@@ -21,11 +22,11 @@
                 continue;
             }
             if machine.agent_epoch == 0 {
-                (machine.agent_epoch, machine.lease_from_ms) = (1, now);
+                (machine.agent_epoch, machine.lease_renewed_ms) = (1, now);
             }
-            if now > machine.lease_from_ms + self.settings.lease_ms {
+            if now > machine.lease_renewed_ms + self.settings.lease_ms {
                 machine.agent_epoch += 1;
-                machine.lease_from_ms = now;
+                machine.lease_renewed_ms = now;
                 self.drop_attempts(&name);
             }
             self.advance_attempts(&name, now);
@@ -42,12 +43,12 @@
         }
     }
 
-    /// Ends the phase of a live attempt and begins its next one.
+    /// Moves a live attempt whose phase is over to its next phase.
     fn end_phase(&mut self, name: &str, key: &AttemptKey, now: u64) {
         let profile = self.profile_of(&key.task);
         let saved_ms = self.saved_ms.get(&key.task).copied().unwrap_or(0);
         let Some(machine) = self.machines.get_mut(name) else { return };
-        machine.heartbeat_within(now, CHANGE_REPORTED_MS);
+        machine.heartbeat_within(now, CHANGE_REPORT_DELAY_MS);
         let Some(attempt) = machine.attempts.get_mut(key) else { return };
         let event = match attempt.phase {
             TaskPhase::Fetching => {
@@ -58,11 +59,11 @@
                 TaskEvent::Started
             }
             TaskPhase::Running => {
-                attempt.phase = TaskPhase::Ended(EndCause::Done);
+                attempt.phase = TaskPhase::Ended(ExitCause::Done);
                 TaskEvent::Completed
             }
             TaskPhase::Checkpointing | TaskPhase::Ended(_) => {
-                attempt.phase = TaskPhase::Ended(EndCause::Stopped);
+                attempt.phase = TaskPhase::Ended(ExitCause::Stopped);
                 let ran_ms = now.saturating_sub(attempt.running_since_ms);
                 let progress_ms = ran_ms.saturating_sub(profile.checkpoint_ms.unwrap_or(0));
                 *self.saved_ms.entry(key.task.clone()).or_default() += progress_ms;
@@ -72,7 +73,7 @@
         self.record(name, key, event);
     }
 
-    /// Removes all attempts from a machine.
+    /// Removes all attempts from a machine, and records the end of those that were executing.
     pub(super) fn drop_attempts(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         for (key, attempt) in std::mem::take(&mut machine.attempts) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Executes commands of the protocol that came with a fencing token.
+    /// Executes the protocol's commands from the leader with this fencing token.
     pub(super) fn execute(&mut self, name: &str, token: u64, commands: &Value) {
         let now = self.now_ms();
         self.accept_token(name, token);
@@ -96,7 +97,9 @@
                     machine.attempts.retain(|other, attempt| *other != key || attempt.is_live());
                 }),
             }
-            self.with_machine(name, |machine| machine.heartbeat_within(now, CHANGE_REPORTED_MS));
+            self.with_machine(name, |machine| {
+                machine.heartbeat_within(now, CHANGE_REPORT_DELAY_MS)
+            });
         }
     }
 
@@ -111,9 +114,9 @@
         }
         let mut others = machine.attempts.iter();
         let phase = if others.any(|(other, attempt)| other.task == key.task && attempt.is_live()) {
-            TaskPhase::Ended(EndCause::DuplicateTask)
+            TaskPhase::Ended(ExitCause::DuplicateTask)
         } else if is_full || now < machine.rejects_launches_until_ms {
-            TaskPhase::Ended(EndCause::InsufficientResources)
+            TaskPhase::Ended(ExitCause::InsufficientResources)
         } else {
             TaskPhase::Fetching
         };
@@ -122,7 +125,8 @@
         machine.attempts.insert(key, Attempt { phase, phase_ends_ms, running_since_ms: now });
     }
 
-    /// Stops an attempt; it saves first if it runs, can save, and the grace period allows it.
+    /// Stops an attempt. It checkpoints first if it is running, its job checkpoints, and the grace
+    /// period is long enough.
     fn stop(&mut self, name: &str, key: &AttemptKey, grace_s: f64) {
         let now = self.now_ms();
         let checkpoint_ms = self.profile_of(&key.task).checkpoint_ms;
@@ -139,7 +143,7 @@
             }
             _ => {
                 let was_executing = attempt.is_executing();
-                attempt.phase = TaskPhase::Ended(EndCause::Stopped);
+                attempt.phase = TaskPhase::Ended(ExitCause::Stopped);
                 if was_executing {
                     self.record(name, key, TaskEvent::Ended);
                 }
--- a/crates/latchtrack-emulator/src/lifecycle.rs
+++ b/crates/latchtrack-emulator/src/lifecycle.rs
@@ -1,16 +1,16 @@
-//! Phases of an emulated task and the words that the protocol has for them.
+//! Phases of emulated tasks, and their names in the protocol.
 
-/// One attempt at a task.
+/// Identifies an attempt at a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The task's id, `<job>/<index>`.
     pub task: String,
-    /// The number of the attempt.
+    /// The attempt number that the leader assigned.
     pub attempt: u64,
 }
 
 impl AttemptKey {
-    /// The job that a task belongs to.
+    /// Returns the job id in a task id of the form `<job>/<index>`.
     pub fn job_of(task: &str) -> &str {
         task.split('/').next().unwrap_or_default()
     }
@@ -19,32 +19,32 @@
 /// The phase of an attempt on an emulated machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskPhase {
-    /// It fetches its image.
+    /// It is fetching its image.
     Fetching,
-    /// Its process runs.
+    /// Its process is running.
     Running,
-    /// It was told to stop and saves its progress.
+    /// It was told to stop and is saving its progress.
     Checkpointing,
-    /// It has left the machine and is reported until the leader forgets it.
-    Ended(EndCause),
+    /// Its process is gone. It is reported until the leader sends `forget`.
+    Ended(ExitCause),
 }
 
-/// Why an attempt has ended.
+/// Why an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndCause {
-    /// It completed.
+pub enum ExitCause {
+    /// The task completed.
     Done,
-    /// It was told to stop.
+    /// It stopped on command.
     Stopped,
-    /// Another attempt at the same task is on the machine.
+    /// Another attempt at the same task is live on the machine.
     DuplicateTask,
-    /// The machine has too little free capacity.
+    /// The machine has too little free capacity, or is set to reject launches.
     InsufficientResources,
 }
 
 impl TaskPhase {
-    /// The protocol's word for it.
-    pub fn on_the_wire(self) -> &'static str {
+    /// Returns the `status` value of this phase in the protocol.
+    pub fn protocol_name(self) -> &'static str {
         match self {
             TaskPhase::Fetching => "pulling",
             TaskPhase::Running => "running",
@@ -54,14 +54,14 @@
     }
 }
 
-impl EndCause {
-    /// The protocol's word for it.
-    pub fn on_the_wire(self) -> &'static str {
+impl ExitCause {
+    /// Returns the `cause` value of this exit in the protocol.
+    pub fn protocol_name(self) -> &'static str {
         match self {
-            EndCause::Done => "done",
-            EndCause::Stopped => "halted",
-            EndCause::DuplicateTask => "busy",
-            EndCause::InsufficientResources => "no_room",
+            ExitCause::Done => "done",
+            ExitCause::Stopped => "halted",
+            ExitCause::DuplicateTask => "busy",
+            ExitCause::InsufficientResources => "no_room",
         }
     }
 }
--- a/crates/latchtrack-emulator/src/race/mod.rs
+++ b/crates/latchtrack-emulator/src/race/mod.rs
@@ -1,6 +1,6 @@
-//! Several cells race for the limits of the teams that they share, through real sockets: each has
-//! two controllers, a cloud and workers of its own, at one state service. Cells fail by seed; what
-//! ran, what was allotted and how long requests waited is recorded and checked.
+//! An experiment in which cells compete for shared team limits over real sockets. Each cell has two
+//! nodes, a cloud and workers of its own; all use one state service. Faults of cells are drawn from
+//! a seeded generator. Task events, allotments and request latencies are recorded and checked.
 
 mod cell;
 mod observer;
@@ -18,52 +18,53 @@
 use crate::history::HistoryEntry;
 use crate::state::StateService;
 use crate::{lock, Shared};
-use cell::{cell_name, Cell, JobSize, RefusedControllers};
+use cell::{cell_name, Cell, JobSize, RefusedNodes};
 use observer::LedgerObserver;
 pub use outcome::{AllotmentSample, Overshoot, RaceOutcome, SubmittedJob};
 
-/// CPUs that each team may use.
-pub const LIMIT: f64 = 16.0;
-/// CPUs of each team's guarantee.
-pub const GUARANTEE: f64 = 4.0;
-/// The longest that a task runs, ms.
-pub const MAX_RUN_MS: u64 = 1_500;
-/// Added to the times of [`RaceOutcome::entries`], so that what ran before the race began has
-/// positive times too; ms.
+/// Limit of each team, in CPUs over all cells.
+pub const LIMIT_CPUS: f64 = 16.0;
+/// Guarantee of each team, in CPUs.
+pub const GUARANTEE_CPUS: f64 = 4.0;
+/// Maximum run time of a task, ms.
+pub const MAX_TASK_MS: u64 = 1_500;
+/// Offset of the times in [`RaceOutcome::entries`], ms. It keeps the times of events before the
+/// start of the race positive.
 pub const CLOCK_OFFSET_MS: u64 = 1_000_000;
-/// ms between two samples of the stored ledgers.
-const SAMPLE_MS: u64 = 25;
-/// Attempts to see every cell led and every ledger complete, four sampling intervals apart.
-const READY_ATTEMPTS: u32 = 1_200;
-/// ms between two submissions to a cell after the first burst.
-const SUBMIT_MS: u64 = 150;
-/// Jobs that are submitted to each cell in the same moment.
-const BURST: usize = 20;
-/// Probability that a job is cancelled as soon as it is accepted.
-const CANCELLED_PART: f64 = 0.25;
-/// Fraction of the run that a fault lasts at most, unless the cell dies.
-const FAULTY_PART: f64 = 0.6;
-/// How much longer than the longest fault the workers of a dead cell stay cut off.
-const DEAD_FACTOR: u64 = 10;
-
-/// What is to be run.
+/// Time between two samples of the stored ledgers, ms.
+const SAMPLE_INTERVAL_MS: u64 = 25;
+/// Maximum polls until every ledger is complete, four sampling intervals apart: two minutes.
+const MAX_READY_POLLS: u32 = 1_200;
+/// Time between two submissions to a cell after the initial burst, ms.
+const SUBMIT_INTERVAL_MS: u64 = 150;
+/// Jobs submitted to each cell at once at the start.
+const BURST_JOBS: usize = 20;
+/// Probability that a job is cancelled immediately after it is accepted.
+const CANCEL_PROBABILITY: f64 = 0.25;
+/// Maximum duration of a temporary fault, as a fraction of the run.
+const MAX_FAULT_FRACTION: f64 = 0.6;
+/// How long the workers of a dead cell are partitioned, as a multiple of the longest temporary
+/// fault.
+const DEAD_CELL_FACTOR: u64 = 10;
+
+/// Parameters of a race.
 #[derive(Clone, Debug)]
 pub struct RaceOptions {
-    /// Seed of submissions and faults.
+    /// Seed for the submissions and faults.
     pub seed: u64,
-    /// Cells that race.
+    /// Number of cells.
     pub cells: usize,
-    /// Teams that they share.
+    /// Number of teams, all shared by all cells.
     pub teams: usize,
-    /// Seconds that jobs are submitted for.
+    /// Duration of the submissions, s.
     pub run_s: u64,
-    /// Whether cells fail.
+    /// Whether to inject faults into cells and drop responses to workers.
     pub faults: bool,
 }
 
 struct Race {
     options: RaceOptions,
-    began: Instant,
+    started_at: Instant,
     rng: StdRng,
     state: Shared<StateService>,
     cells: Vec<Cell>,
@@ -71,7 +72,11 @@
     outcome: RaceOutcome,
 }
 
-/// Runs a race. Fails if the cells never become ready.
+/// Runs a race.
+///
+/// # Errors
+///
+/// Fails if the cells do not become ready within two minutes.
 pub async fn run(options: RaceOptions) -> Result<RaceOutcome, ExperimentError> {
     let mut race = Race::start(options).await;
     race.wait_until_ready().await?;
@@ -92,7 +97,7 @@
         }
         let rng = StdRng::seed_from_u64(options.seed);
         Race {
-            began: Instant::now(),
+            started_at: Instant::now(),
             rng,
             state,
             cells,
@@ -103,12 +108,13 @@
     }
 
     fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Waits until every cell has a leader and every team's ledger is complete.
+    /// Waits until every team's ledger is complete, which requires a leader in every cell. Submits
+    /// jobs meanwhile.
     async fn wait_until_ready(&mut self) -> Result<(), ExperimentError> {
-        for _ in 0..READY_ATTEMPTS {
+        for _ in 0..MAX_READY_POLLS {
             let is_complete = |ledger: &Value| ledger["complete"] == true;
             let ledgers: Vec<Value> =
                 (0..self.options.teams).filter_map(|team| self.ledger(team)).collect();
@@ -116,42 +122,43 @@
                 return Ok(());
             }
             self.submit_everywhere();
-            sleep(Duration::from_millis(4 * SAMPLE_MS)).await;
+            sleep(Duration::from_millis(4 * SAMPLE_INTERVAL_MS)).await;
         }
         Err(ExperimentError::CellsNotReady)
     }
 
-    /// Submits jobs and injects faults, and observes until what runs has ended.
+    /// Submits jobs, injects faults and samples the ledgers, until the last tasks have had time to
+    /// end.
     async fn run_load(&mut self) {
         let from = self.now_ms();
         let run_ms = self.options.run_s * 1_000;
-        for _ in 0..BURST {
+        for _ in 0..BURST_JOBS {
             self.submit_everywhere();
         }
         let fault_at = self.rng.random_range(500..2_500);
         let (mut next_submit, mut has_failed) = (0, false);
-        while self.now_ms() < from + run_ms + MAX_RUN_MS {
+        while self.now_ms() < from + run_ms + MAX_TASK_MS {
             let now = self.now_ms() - from;
             if now >= next_submit && now < run_ms {
-                next_submit = now + SUBMIT_MS;
+                next_submit = now + SUBMIT_INTERVAL_MS;
                 self.submit_everywhere();
             }
             if self.options.faults && !has_failed && now >= fault_at {
                 has_failed = true;
-                self.fail_cells((run_ms as f64 * FAULTY_PART) as u64);
+                self.fail_cells((run_ms as f64 * MAX_FAULT_FRACTION) as u64);
             }
             self.end_faults();
             self.observe_ledgers();
-            sleep(Duration::from_millis(SAMPLE_MS)).await;
+            sleep(Duration::from_millis(SAMPLE_INTERVAL_MS)).await;
         }
     }
 
-    /// The stored ledger of a team.
+    /// Returns the stored ledger of a team.
     fn ledger(&self, team: usize) -> Option<Value> {
         lock(&self.state).value(&format!("quota/team/t{team}"))
     }
 
-    /// Submits a job to every cell in the same moment; users cancel some of them at once.
+    /// Submits a job to every cell concurrently, and cancels some of them once they are accepted.
     fn submit_everywhere(&mut self) {
         let mut submissions = Vec::new();
         for cell in &mut self.cells {
@@ -159,9 +166,9 @@
                 team: self.rng.random_range(0..self.options.teams),
                 tasks: self.rng.random_range(1..=4),
                 cpus: f64::from(self.rng.random_range(1..=3)),
-                run_ms: self.rng.random_range(300..=MAX_RUN_MS),
+                run_ms: self.rng.random_range(300..=MAX_TASK_MS),
             };
-            let is_cancelled = self.rng.random_bool(CANCELLED_PART);
+            let is_cancelled = self.rng.random_bool(CANCEL_PROBABILITY);
             let job = cell.new_job(&size);
             let url = cell.urls[self.rng.random_range(0..cell.urls.len())].clone();
             submissions.push(async move {
@@ -177,7 +184,8 @@
         }
     }
 
-    /// Has one or more cells fail at the same time, all but one at most, for up to so many ms.
+    /// Injects concurrent faults into at least one cell, and not into all cells if there are
+    /// several. Temporary faults last at most `max_ms`.
     fn fail_cells(&mut self, max_ms: u64) {
         let now = self.now_ms();
         let count = self.rng.random_range(1..=(self.cells.len() - 1).max(1));
@@ -187,38 +195,38 @@
             let ms = self.rng.random_range(500..max_ms);
             let fault = self.rng.random_range(0..4);
             let cell = &mut self.cells[index];
-            cell.faulty_until = now + ms;
+            cell.faulty_until_ms = now + ms;
             let what = match fault {
                 0 => {
-                    cell.refuse(RefusedControllers::Both);
-                    "loses the state service"
+                    cell.set_refused(RefusedNodes::Both);
+                    "all nodes refused by the state service"
                 }
                 1 => {
-                    cell.refuse(RefusedControllers::First);
-                    "one controller loses the state service"
+                    cell.set_refused(RefusedNodes::First);
+                    "first node refused by the state service"
                 }
                 2 => {
                     cell.partition_workers(ms);
-                    "loses its workers"
+                    "workers partitioned"
                 }
                 _ => {
-                    cell.refuse(RefusedControllers::Both);
-                    cell.partition_workers(max_ms * DEAD_FACTOR);
-                    cell.faulty_until = u64::MAX;
-                    cell.died_at = Some(now);
-                    "dies"
+                    cell.set_refused(RefusedNodes::Both);
+                    cell.partition_workers(max_ms * DEAD_CELL_FACTOR);
+                    cell.faulty_until_ms = u64::MAX;
+                    cell.died_at_ms = Some(now);
+                    "all nodes and workers lost for good"
                 }
             };
-            self.outcome.faults.push(format!("{now} ms: {} {what}, {ms} ms", cell_name(index)));
+            self.outcome.faults.push(format!("{now} ms: {}: {what}, {ms} ms", cell_name(index)));
         }
     }
 
     fn end_faults(&mut self) {
         let now = self.now_ms();
         for cell in &mut self.cells {
-            if cell.faulty_until != 0 && now >= cell.faulty_until {
-                cell.faulty_until = 0;
-                cell.refuse(RefusedControllers::None);
+            if cell.faulty_until_ms != 0 && now >= cell.faulty_until_ms {
+                cell.faulty_until_ms = 0;
+                cell.set_refused(RefusedNodes::None);
             }
         }
     }
@@ -234,7 +242,7 @@
     fn end(mut self) -> RaceOutcome {
         for cell in &self.cells {
             let fleet = lock(&cell.fleet);
-            let head_start = self.began.saturating_duration_since(fleet.started_at());
+            let head_start = self.started_at.saturating_duration_since(fleet.started_at());
             let head_start_ms = head_start.as_millis() as u64;
             let on_one_clock = |entry: &HistoryEntry| HistoryEntry {
                 at_ms: (entry.at_ms + CLOCK_OFFSET_MS).saturating_sub(head_start_ms),
@@ -244,7 +252,7 @@
             self.outcome.jobs.push(cell.jobs.clone());
         }
         self.outcome.ledger_writes = lock(&self.state).ledger_writes();
-        self.outcome.took_ms = self.now_ms();
+        self.outcome.duration_ms = self.now_ms();
         self.outcome
     }
 }
--- a/crates/latchtrack-emulator/src/race/observer.rs
+++ b/crates/latchtrack-emulator/src/race/observer.rs
@@ -1,5 +1,5 @@
-//! Observes the teams' stored ledgers: what is allotted, how long requests and guarantees wait, and
-//! when the allotments of dead cells are reclaimed.
+//! Samples the teams' stored ledgers: allotments, the latency of requests and guarantees, and the
+//! time until the allotments of dead cells are reclaimed.
 
 use std::collections::BTreeMap;
 
@@ -7,39 +7,39 @@
 
 use super::cell::{cell_name, Cell};
 use super::outcome::{AllotmentSample, RaceOutcome};
-use super::GUARANTEE;
+use super::GUARANTEE_CPUS;
 
-/// A team in a cell, by their indices.
+/// The indices of a team and a cell.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TeamInCell {
     team: usize,
     cell: usize,
 }
 
-/// A request that stands in a ledger.
+/// A cell's request in a ledger.
 #[derive(Clone, Copy)]
 struct OpenRequest {
     ticket: u64,
-    /// When it was first seen, in ms since the race began.
-    seen_at: u64,
+    /// When it was first seen, in ms since the start of the race.
+    first_seen_ms: u64,
     is_met: bool,
 }
 
-/// What is known of requests and guarantees between two samples.
+/// The state of requests and guarantees between two samples.
 #[derive(Default)]
 pub(super) struct LedgerObserver {
     requests: BTreeMap<TeamInCell, OpenRequest>,
-    /// Since when a cell lacks something of a team's guarantee.
+    /// Since when a cell has less of a team's guarantee than it wants, in ms since the start.
     unmet_since: BTreeMap<TeamInCell, u64>,
 }
 
-/// CPUs of a stored quantity.
+/// Returns the CPUs of a stored resource quantity.
 fn cpus(quantity: &Value) -> f64 {
     quantity["millicpus"].as_f64().unwrap_or(0.0) / 1_000.0
 }
 
 impl LedgerObserver {
-    /// Takes in a team's ledger as it is stored at a time, in ms since the race began.
+    /// Processes a sample of a team's ledger, taken at `now` ms since the start of the race.
     pub fn observe(
         &mut self,
         now: u64,
@@ -56,22 +56,22 @@
             let request = &entry(cell)["request"];
             let seen = request["ticket"].as_u64().map(|ticket| {
                 let is_met = cpus(&request["need"]) <= *held;
-                OpenRequest { ticket, seen_at: now, is_met }
+                OpenRequest { ticket, first_seen_ms: now, is_met }
             });
             self.observe_request(now, key, seen, cells, outcome);
             let want = cpus(&request["want"]);
-            let lacks = seen.is_some() && want <= GUARANTEE && *held < want;
+            let lacks = seen.is_some() && want <= GUARANTEE_CPUS && *held < want;
             self.observe_guarantee(now, key, lacks, cells, outcome);
-            let died_at = cells[cell].died_at.filter(|_| entry(cell).is_null());
-            if let Some(died_at) = died_at.filter(|_| team == 0) {
-                cells[cell].died_at = None;
-                outcome.reclaims_ms.push(now - died_at);
+            let died_at_ms = cells[cell].died_at_ms.filter(|_| entry(cell).is_null());
+            if let Some(died_at_ms) = died_at_ms.filter(|_| team == 0) {
+                cells[cell].died_at_ms = None;
+                outcome.reclaim_latencies_ms.push(now - died_at_ms);
             }
         }
         outcome.samples.push(AllotmentSample { at_ms: now, team, allotted });
     }
 
-    /// Takes in a cell's request as it stands now; None: it has none.
+    /// Processes the sample of a cell's request; `None` if there is none.
     fn observe_request(
         &mut self,
         now: u64,
@@ -81,14 +81,14 @@
         outcome: &mut RaceOutcome,
     ) {
         let mut record_grant = |request: OpenRequest| {
-            if !request.is_met && cells[key.cell].faulty_until == 0 {
-                outcome.grants_ms.push(now - request.seen_at);
+            if !request.is_met && cells[key.cell].faulty_until_ms == 0 {
+                outcome.grant_latencies_ms.push(now - request.first_seen_ms);
             }
         };
         let known = self.requests.remove(&key);
         let is_same = known.map(|known| known.ticket) == seen.map(|seen| seen.ticket);
         if let Some(gone) = known.filter(|_| !is_same) {
-            // Met and removed, or replaced by the next one, in one write.
+            // One write met the request and removed or replaced it.
             record_grant(gone);
         }
         let Some(seen) = seen else { return };
@@ -109,8 +109,8 @@
         cells: &[Cell],
         outcome: &mut RaceOutcome,
     ) {
-        // While any cell has a fault, what it holds has to be reclaimed first.
-        if !lacks || cells.iter().any(|cell| cell.faulty_until != 0) {
+        // Not counted during faults, when allotments of a faulty cell must be reclaimed first.
+        if !lacks || cells.iter().any(|cell| cell.faulty_until_ms != 0) {
             self.unmet_since.remove(&key);
             return;
         }
