--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use latchtrack_quota::constants::MILLI;
+use latchtrack_quota::constants::MILLI_PER_UNIT;
 use latchtrack_quota::LaunchLimit;
 
 use super::cycle_state::SchedulingCycle;
@@ -59,7 +59,7 @@
 
 /// What the cell may use of a limit that cells share; infinite of resources without a limit.
 fn limit_of_allotment(limit: LaunchLimit) -> Resources {
-    let decimal = |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI);
+    let decimal = |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI_PER_UNIT);
     Resources {
         cpus: decimal(limit.millicpus),
         gpus: decimal(limit.milligpus),
--- a/crates/latchtrack-quota/src/apportionment.rs
+++ b/crates/latchtrack-quota/src/apportionment.rs
@@ -20,7 +20,7 @@
     fn shortfall(&self) -> [MilliResources; TARGET_PARTS] {
         match self.request_number {
             Some(_) => self.target.shortfall(self.held),
-            None => [MilliResources::NONE; TARGET_PARTS],
+            None => [MilliResources::ZERO; TARGET_PARTS],
         }
     }
 }
@@ -81,7 +81,7 @@
     /// its target.
     pub(crate) fn must_yield(&self) -> bool {
         let shortfalls = self.others.iter().flat_map(ClaimStatus::shortfall);
-        !shortfalls.fold(MilliResources::NONE, MilliResources::plus).fits_in(self.unallotted)
+        !shortfalls.fold(MilliResources::ZERO, MilliResources::plus).fits_in(self.unallotted)
     }
 
     /// Whether any other cell asks for more.
@@ -112,7 +112,7 @@
         let mut order: Vec<usize> = (0..all.len()).collect();
         order.sort_by_key(|i| all[*i].request_number);
         let mut unallotted = self.unallotted;
-        let mut grants = vec![MilliResources::NONE; all.len()];
+        let mut grants = vec![MilliResources::ZERO; all.len()];
         for part in 0..TARGET_PARTS {
             for i in &order {
                 let granted = all[*i].shortfall()[part].min_each(unallotted);
@@ -129,8 +129,8 @@
         let mut requests = Vec::new();
         for (other, grant) in self.others.iter().zip(&grants[1..]) {
             let shortfalls = other.shortfall().into_iter();
-            let shortfall = shortfalls.fold(MilliResources::NONE, MilliResources::plus);
-            let is_covered = shortfall != MilliResources::NONE && shortfall == *grant;
+            let shortfall = shortfalls.fold(MilliResources::ZERO, MilliResources::plus);
+            let is_covered = shortfall != MilliResources::ZERO && shortfall == *grant;
             if let Some(number) = other.request_number.filter(|_| is_covered) {
                 requests.push(OpenRequest { cell: other.cell.clone(), number });
             }
--- a/crates/latchtrack-quota/src/constants.rs
+++ b/crates/latchtrack-quota/src/constants.rs
@@ -5,7 +5,7 @@
 /// Version of the stored ledger. A higher one may have another meaning, and is left alone.
 pub const LEDGER_VERSION: u32 = 1;
 /// Thousandths in a CPU or GPU.
-pub const MILLI: f64 = 1_000.0;
+pub const MILLI_PER_UNIT: f64 = 1_000.0;
 /// Thousandths by which a sum of decimal amounts may be off before it counts as the next whole one.
 pub const ROUNDING: f64 = 1e-3;
 /// ms added to the leases of a dead cell before its allotment is reclaimed: a lease may end 100 ms
--- a/crates/latchtrack-quota/src/decision.rs
+++ b/crates/latchtrack-quota/src/decision.rs
@@ -16,7 +16,7 @@
     team: &TeamState,
 ) -> DemandClaim {
     let want = team.want(&ledger.limit);
-    let asks = team.usage.waiting != MilliResources::NONE;
+    let asks = team.usage.waiting != MilliResources::ZERO;
     let (request_number, need) = match ledger.request_of(cell) {
         Some(request) => (request.number, request.need),
         None => (ledger.next_request_number, team.need(now, &ledger.limit)),
@@ -56,7 +56,7 @@
             return held.min_each(self.used.max_each(self.want));
         }
         let granted = self.apportionment.grantable();
-        if granted == MilliResources::NONE || self.apportionment.is_contended() {
+        if granted == MilliResources::ZERO || self.apportionment.is_contended() {
             return held.plus(granted);
         }
         // A little more, for which nobody asks, so that not each new job costs a write.
@@ -78,7 +78,7 @@
             // a write.
             return current.cloned();
         }
-        if team.usage.waiting == MilliResources::NONE {
+        if team.usage.waiting == MilliResources::ZERO {
             return None;
         }
         let grant = current.map(|request| team.track_grant(self.now, request, allotted));
--- a/crates/latchtrack-quota/src/ledger.rs
+++ b/crates/latchtrack-quota/src/ledger.rs
@@ -117,7 +117,7 @@
     pub fn allotted(&self) -> MilliResources {
         self.allotments
             .values()
-            .fold(MilliResources::NONE, |sum, allotment| sum.plus(allotment.amount))
+            .fold(MilliResources::ZERO, |sum, allotment| sum.plus(allotment.amount))
     }
 
     /// Whether more is allotted than the limit: it was lowered, or the ledger is wrong.
@@ -132,7 +132,7 @@
 
     /// What a cell holds.
     pub fn allotted_to(&self, cell: &str) -> MilliResources {
-        self.allotments.get(cell).map_or(MilliResources::NONE, |allotment| allotment.amount)
+        self.allotments.get(cell).map_or(MilliResources::ZERO, |allotment| allotment.amount)
     }
 
     /// The request of a cell, if it asks for more.
--- a/crates/latchtrack-quota/src/manager/ledger_changes.rs
+++ b/crates/latchtrack-quota/src/manager/ledger_changes.rs
@@ -137,7 +137,7 @@
         let current = ledger.request_of(&self.cell);
         let request = context.next_request(team, current, amount, &mut next.next_request_number);
         let has_allotment = ledger.allotments.contains_key(&self.cell);
-        if has_allotment || amount != MilliResources::NONE || request.is_some() {
+        if has_allotment || amount != MilliResources::ZERO || request.is_some() {
             next.set_allotment(&self.cell, self.term, amount, request);
         }
         if next == ledger {
--- a/crates/latchtrack-quota/src/manager/mod.rs
+++ b/crates/latchtrack-quota/src/manager/mod.rs
@@ -117,8 +117,8 @@
         let mut apportionments = BTreeMap::new();
         for (name, team) in &mut self.teams {
             let held = team.confirmed_allotment(cell);
-            team.launch_limit = MilliResources::NONE;
-            team.guarantee = MilliResources::NONE;
+            team.launch_limit = MilliResources::ZERO;
+            team.guarantee = MilliResources::ZERO;
             let LedgerState::Present(_, ledger) = &team.ledger_state else { continue };
             if !ledger.complete || ledger.is_overallotted() {
                 continue;
@@ -144,8 +144,8 @@
     };
     TeamSummary {
         team: name.to_string(),
-        trouble: team.problem().map(|problem| problem.status_text(name)),
-        differs: team.settings_differ(),
+        problem: team.problem().map(|problem| problem.status_text(name)),
+        settings_differ: team.settings_differ(),
         limit: team.limit(),
         guarantee,
         used: team.usage.used,
--- a/crates/latchtrack-quota/src/manager/write_outcomes.rs
+++ b/crates/latchtrack-quota/src/manager/write_outcomes.rs
@@ -25,7 +25,7 @@
                 if revision > team.ledger_state.revision() {
                     let before = match &team.ledger_state {
                         LedgerState::Present(_, ledger) => ledger.allotted_to(&self.cell),
-                        _ => MilliResources::NONE,
+                        _ => MilliResources::ZERO,
                     };
                     team.ledger_state = LedgerState::Present(revision, write.ledger.clone());
                     team.unconfirmed = None;
--- a/crates/latchtrack-quota/src/resources.rs
+++ b/crates/latchtrack-quota/src/resources.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::constants::{MILLI, ROUNDING};
+use crate::constants::{MILLI_PER_UNIT, ROUNDING};
 
 /// Thousandths of CPUs and GPUs. The name for serde is part of the text of its errors, which
 /// operators see.
@@ -25,7 +25,7 @@
 
 impl MilliResources {
     /// Nothing.
-    pub const NONE: MilliResources = MilliResources { millicpus: 0, milligpus: 0 };
+    pub const ZERO: MilliResources = MilliResources { millicpus: 0, milligpus: 0 };
 
     /// What covers these numbers of CPUs and GPUs: rounded up.
     pub fn covering(cpus: f64, gpus: f64) -> MilliResources {
@@ -61,31 +61,31 @@
 
     /// One of `parts` equal parts, rounded down.
     pub fn divided_by(self, parts: u64) -> MilliResources {
-        self.combine(MilliResources::NONE, |amount, _| amount / parts.max(1))
+        self.combine(MilliResources::ZERO, |amount, _| amount / parts.max(1))
     }
 
     /// Whether this is at most `available`, of each resource.
     pub fn fits_in(self, available: MilliResources) -> bool {
-        self.minus(available) == MilliResources::NONE
+        self.minus(available) == MilliResources::ZERO
     }
 
     /// CPUs as a decimal number.
     pub fn cpus(self) -> f64 {
-        self.millicpus as f64 / MILLI
+        self.millicpus as f64 / MILLI_PER_UNIT
     }
 
     /// GPUs as a decimal number.
     pub fn gpus(self) -> f64 {
-        self.milligpus as f64 / MILLI
+        self.milligpus as f64 / MILLI_PER_UNIT
     }
 }
 
 fn round_up(amount: f64) -> u64 {
-    (amount * MILLI - ROUNDING).ceil().max(0.0) as u64
+    (amount * MILLI_PER_UNIT - ROUNDING).ceil().max(0.0) as u64
 }
 
 fn round_down(amount: f64) -> u64 {
-    (amount * MILLI + ROUNDING).floor().max(0.0) as u64
+    (amount * MILLI_PER_UNIT + ROUNDING).floor().max(0.0) as u64
 }
 
 /// A limit of each resource. None is no limit, and that resource is not counted.
--- a/crates/latchtrack-quota/src/targets.rs
+++ b/crates/latchtrack-quota/src/targets.rs
@@ -69,7 +69,7 @@
     claims: &[DemandClaim],
 ) -> Vec<MilliResources> {
     let mut left = limit.counted(guarantee).min_each(limit.total());
-    let mut parts = vec![MilliResources::NONE; claims.len()];
+    let mut parts = vec![MilliResources::ZERO; claims.len()];
     for i in by_request_number(claims) {
         let want = limit.counted(claims[i].want);
         if want.fits_in(left) {
--- a/crates/latchtrack-quota/src/team.rs
+++ b/crates/latchtrack-quota/src/team.rs
@@ -58,9 +58,9 @@
     /// The team.
     pub team: String,
     /// Why its ledger can't be used, if so.
-    pub trouble: Option<String>,
+    pub problem: Option<String>,
     /// Whether the ledger, which counts, has another limit or guarantee than the settings.
-    pub differs: bool,
+    pub settings_differ: bool,
     /// The limit in force.
     pub limit: Limit,
     /// The guarantee in force.
--- a/crates/latchtrack-quota/src/team_state.rs
+++ b/crates/latchtrack-quota/src/team_state.rs
@@ -111,7 +111,7 @@
     /// What the cell holds whatever becomes of its open writes.
     pub(crate) fn confirmed_allotment(&self, cell: &str) -> MilliResources {
         let LedgerState::Present(revision, ledger) = &self.ledger_state else {
-            return MilliResources::NONE;
+            return MilliResources::ZERO;
         };
         let stored = ledger.allotted_to(cell);
         let without_in_flight = AllotmentCap::apply(&self.in_flight, *revision, stored);
@@ -137,7 +137,7 @@
         // More than the whole limit can never be granted: nothing is gathered for it.
         let is_impossible = !need.fits_in(limit.total());
         if is_impossible || self.no_need_until.is_some_and(|until| now < until) {
-            MilliResources::NONE
+            MilliResources::ZERO
         } else {
             need
         }
@@ -151,7 +151,7 @@
         request: &Request,
         allotted: MilliResources,
     ) -> GrantState {
-        if request.need == MilliResources::NONE || !request.need.fits_in(allotted) {
+        if request.need == MilliResources::ZERO || !request.need.fits_in(allotted) {
             self.grant = None;
             return GrantState::Active;
         }
--- a/crates/latchtrack-quota/tests/ledger.rs
+++ b/crates/latchtrack-quota/tests/ledger.rs
@@ -16,7 +16,7 @@
     let ledger = TeamLedger::parse(STORED).unwrap();
     assert_eq!(ledger.limit, Limit::of(40.0, 8.0));
     assert_eq!(ledger.allotted_to("east"), MilliResources { millicpus: 12_500, milligpus: 2_000 });
-    assert_eq!(ledger.allotted_to("north"), MilliResources::NONE);
+    assert_eq!(ledger.allotted_to("north"), MilliResources::ZERO);
     assert_eq!(ledger.unallotted(), MilliResources { millicpus: 27_500, milligpus: 6_000 });
     assert_eq!(serde_json::to_string(&ledger).unwrap(), STORED);
 }
--- a/crates/latchtrack-quota/tests/manager.rs
+++ b/crates/latchtrack-quota/tests/manager.rs
@@ -46,7 +46,7 @@
 #[test]
 fn a_stored_limit_counts_for_a_cell_whose_settings_have_none() {
     let mut manager = manager(&[("free", 0.0, 0.0)]);
-    let mut ledger = TeamLedger::new(Limit::of(8.0, 0.0), MilliResources::NONE);
+    let mut ledger = TeamLedger::new(Limit::of(8.0, 0.0), MilliResources::ZERO);
     ledger.complete = true;
     let mut snapshot = snapshot(9);
     snapshot.teams.insert("free".into(), StoredLedger { revision: 7, ledger: Ok(ledger) });
--- a/crates/latchtrack-quota/tests/model/world/manager_steps.rs
+++ b/crates/latchtrack-quota/tests/model/world/manager_steps.rs
@@ -68,7 +68,7 @@
             used: millicpus(used),
             waiting: millicpus(cell.waiting * TASK),
             next_start: millicpus(TASK),
-            started: MilliResources::NONE,
+            started: MilliResources::ZERO,
         };
         let usages = BTreeMap::from([(TEAM.to_string(), usage)]);
         let writes = cell.manager.as_mut()?.step(now, &usages);
--- a/crates/latchtrack-quota/tests/model/world/mod.rs
+++ b/crates/latchtrack-quota/tests/model/world/mod.rs
@@ -135,7 +135,7 @@
 }
 
 fn manager(cell: &str, term: u64) -> AllotmentManager {
-    let quota = TeamQuota { limit: limit(), guarantee: MilliResources::NONE };
+    let quota = TeamQuota { limit: limit(), guarantee: MilliResources::ZERO };
     manager_of(cell, term, &[(TEAM, quota)])
 }
 
@@ -159,7 +159,7 @@
     /// East holds the whole limit and uses half of it; both have work waiting.
     pub fn east_holds_the_limit(budget: Budget, removed: Option<Guard>) -> World {
         let mut world = World::with(budget, removed, [1, 0]);
-        let mut ledger = TeamLedger::new(limit(), MilliResources::NONE);
+        let mut ledger = TeamLedger::new(limit(), MilliResources::ZERO);
         ledger.complete = true;
         let allotment = Allotment { amount: millicpus(LIMIT), ..Allotment::default() };
         ledger.allotments.insert("east".into(), allotment);
@@ -174,7 +174,7 @@
     /// Nothing is allotted, and both have work waiting.
     pub fn nothing_is_allotted(budget: Budget, removed: Option<Guard>) -> World {
         let mut world = World::with(budget, removed, [0, 0]);
-        let mut ledger = TeamLedger::new(limit(), MilliResources::NONE);
+        let mut ledger = TeamLedger::new(limit(), MilliResources::ZERO);
         ledger.complete = true;
         world.ledger = Some((10, ledger));
         world
--- a/crates/latchtrack-quota/tests/targets.rs
+++ b/crates/latchtrack-quota/tests/targets.rs
@@ -54,7 +54,7 @@
     let limit = millicpu_limit(10);
     let both = MilliResources { millicpus: 4, milligpus: 9 };
     let claim = DemandClaim { request_number: Some(1), need: both, want: both };
-    assert_eq!(targets(&limit, MilliResources::NONE, &[claim])[0].total(), millicpus(4));
+    assert_eq!(targets(&limit, MilliResources::ZERO, &[claim])[0].total(), millicpus(4));
 }
 
 #[test]
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -116,7 +116,7 @@
     fn update_allotment_time(&self, write: &mut LedgerWrite) {
         let snapshot = self.keys.snapshot(0);
         let known = snapshot.teams.get(&write.team).and_then(|seen| seen.ledger.as_ref().ok());
-        let before = known.map_or(MilliResources::NONE, |ledger| ledger.allotted_to(&self.cell));
+        let before = known.map_or(MilliResources::ZERO, |ledger| ledger.allotted_to(&self.cell));
         if let Some(account) = write.ledger.allotments.get_mut(&self.cell) {
             if account.since_ms == 0 || account.amount != before {
                 account.since_ms = wall_ms();
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -133,8 +133,8 @@
         let cells = summary.cells.into_iter();
         TeamQuotaView {
             team: summary.team,
-            problem: summary.trouble,
-            differs_from_file: summary.differs,
+            problem: summary.problem,
+            differs_from_file: summary.settings_differ,
             limit: summary.limit.total().into(),
             guarantee: summary.guarantee.into(),
             used_here: summary.used.into(),
--- a/crates/latchtrack/tests/cells.rs
+++ b/crates/latchtrack/tests/cells.rs
@@ -52,7 +52,7 @@
             r#"{"cloud":"10.0.0.1:80","leader_lease_ms":3000,"worker_lease_ms":30000}}]"#
         )
     );
-    let ledger = TeamLedger::new(Limit::of(4.0, 0.0), MilliResources::NONE);
+    let ledger = TeamLedger::new(Limit::of(4.0, 0.0), MilliResources::ZERO);
     let dead = vec![DeadCell { cell: "west".into(), term_revision: 9 }];
     let write = LedgerWrite { team: "t".into(), expected_revision: 12, ledger, dead };
     let txn = ledger_transaction(5, &write).unwrap();
