--- a/crates/latchtrack-quota/src/decision.rs
+++ b/crates/latchtrack-quota/src/decision.rs
@@ -1,7 +1,9 @@
 //! What a cell claims, should hold and should ask for, in a ledger that is complete.
 
 use crate::apportionment::Apportionment;
-use crate::constants::{HEADROOM_PART, IDLE_RETURN_MS, REQUEST_REFRESH_MS, WANT_CHANGE_PART};
+use crate::constants::{
+    HEADROOM_DIVISOR, IDLE_RETURN_MS, MIN_REQUEST_UPDATE_INTERVAL_MS, WANT_CHANGE_DIVISOR,
+};
 use crate::ledger::{Request, TeamLedger};
 use crate::resources::MilliResources;
 use crate::targets::DemandClaim;
@@ -16,12 +18,12 @@
     team: &TeamState,
 ) -> DemandClaim {
     let want = team.want(&ledger.limit);
-    let asks = team.usage.waiting != MilliResources::ZERO;
+    let has_waiting = team.usage.waiting != MilliResources::ZERO;
     let (request_number, need) = match ledger.request_of(cell) {
         Some(request) => (request.number, request.need),
         None => (ledger.next_request_number, team.need(now, &ledger.limit)),
     };
-    DemandClaim { request_number: asks.then_some(request_number), need, want }
+    DemandClaim { request_number: has_waiting.then_some(request_number), need, want }
 }
 
 /// A complete ledger as one cell sees it at a moment.
@@ -42,7 +44,7 @@
         team: &mut TeamState,
         held: MilliResources,
     ) -> MilliResources {
-        let headroom = self.ledger.limit.total().divided_by(HEADROOM_PART);
+        let headroom = self.ledger.limit.total().divided_by(HEADROOM_DIVISOR);
         let is_idle = !held.fits_in(self.want.plus(headroom));
         team.idle_since = is_idle.then(|| team.idle_since.unwrap_or(self.now));
         if self.ledger.is_overallotted() {
@@ -82,27 +84,28 @@
             return None;
         }
         let grant = current.map(|request| team.track_grant(self.now, request, allotted));
-        let is_over = match grant {
+        let is_finished = match grant {
             // While every other need is met, nobody has to be let pass.
             Some(GrantState::Used) => self.apportionment.others_have_unmet_needs(),
             Some(GrantState::TimedOut) => true,
             Some(GrantState::Active) | None => false,
         };
         let need = team.need(self.now, &self.ledger.limit);
-        let Some(current) = current.filter(|_| !is_over) else {
-            return Some(renew_request(None, need, self.want, next_request_number));
+        let Some(current) = current.filter(|_| !is_finished) else {
+            return Some(make_request(None, need, self.want, next_request_number));
         };
-        let was_refreshed_lately =
-            team.refreshed.is_some_and(|at| self.now < at.saturating_add(REQUEST_REFRESH_MS));
-        if self.is_still_of_use(current, need) || was_refreshed_lately {
+        let was_adjusted_recently = team
+            .last_adjusted
+            .is_some_and(|at| self.now < at.saturating_add(MIN_REQUEST_UPDATE_INTERVAL_MS));
+        if self.is_up_to_date(current, need) || was_adjusted_recently {
             return Some(current.clone());
         }
-        Some(renew_request(Some(current), need, self.want, next_request_number))
+        Some(make_request(Some(current), need, self.want, next_request_number))
     }
 
     /// Whether a request has the right need, and a want that is near enough to the present one.
-    fn is_still_of_use(&self, current: &Request, need: MilliResources) -> bool {
-        let tolerated = self.ledger.limit.total().divided_by(WANT_CHANGE_PART);
+    fn is_up_to_date(&self, current: &Request, need: MilliResources) -> bool {
+        let tolerated = self.ledger.limit.total().divided_by(WANT_CHANGE_DIVISOR);
         let change = self.want.minus(current.want).max_each(current.want.minus(self.want));
         need == current.need && change.fits_in(tolerated)
     }
@@ -110,7 +113,7 @@
 
 /// A request with this need and want. It keeps the number of the current one unless it needs more
 /// than that.
-fn renew_request(
+fn make_request(
     current: Option<&Request>,
     need: MilliResources,
     want: MilliResources,
--- a/crates/latchtrack-quota/src/leaderless_cells.rs
+++ b/crates/latchtrack-quota/src/leaderless_cells.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::cells::{CellStatus, DeadCell};
-use crate::constants::{CLOCK_DRIFT, RECLAIM_MARGIN_MS};
+use crate::constants::{CLOCK_DRIFT_RATIO, RECLAIM_MARGIN_MS};
 use crate::Millis;
 
 /// A cell that had no leader in the last snapshot.
@@ -46,7 +46,7 @@
         let cell = self.cells.get(name)?;
         let record = statuses.get(name)?.record.as_ref()?;
         let leases_ms = record.leader_lease_ms.saturating_add(record.worker_lease_ms);
-        let drift_ms = (leases_ms as f64 * CLOCK_DRIFT).ceil() as Millis;
+        let drift_ms = (leases_ms as f64 * CLOCK_DRIFT_RATIO).ceil() as Millis;
         let wait_ms = leases_ms.saturating_add(drift_ms).saturating_add(RECLAIM_MARGIN_MS);
         (now >= cell.since.saturating_add(wait_ms))
             .then(|| DeadCell { cell: name.to_string(), term_revision: cell.term_revision })
--- a/crates/latchtrack-quota/src/manager/ledger_changes.rs
+++ b/crates/latchtrack-quota/src/manager/ledger_changes.rs
@@ -24,7 +24,7 @@
         apportionment: Option<Apportionment>,
     ) -> Option<LedgerWrite> {
         let team = self.teams.get(name)?;
-        if team.in_flight.is_some() || now < team.not_before {
+        if team.in_flight.is_some() || now < team.no_write_before {
             return None;
         }
         let (expected_revision, (ledger, dead)) = match &team.ledger_state {
@@ -143,7 +143,7 @@
         if next == ledger {
             return None;
         }
-        team.refreshed = Some(now);
+        team.last_adjusted = Some(now);
         Some(next)
     }
 }
--- a/crates/latchtrack-quota/src/manager/mod.rs
+++ b/crates/latchtrack-quota/src/manager/mod.rs
@@ -66,7 +66,7 @@
     pub fn launch_limit(&self, team: &str) -> Option<LaunchLimit> {
         let team = self.teams.get(team)?;
         if matches!(team.ledger_state, LedgerState::NotRead | LedgerState::Unusable(..)) {
-            return Some(LaunchLimit::NOTHING);
+            return Some(LaunchLimit::ZERO);
         }
         let limit = team.limit();
         limit.is_set().then(|| LaunchLimit::of(&limit, team.launch_limit))
--- a/crates/latchtrack-quota/src/manager/observation.rs
+++ b/crates/latchtrack-quota/src/manager/observation.rs
@@ -36,10 +36,10 @@
     fn note_problems(&mut self) {
         for (name, team) in &mut self.teams {
             let notice = problem_notice(name, team);
-            if notice.is_some() && notice != team.noted {
+            if notice.is_some() && notice != team.last_problem_notice {
                 self.notices.extend(notice.clone());
             }
-            team.noted = notice;
+            team.last_problem_notice = notice;
         }
     }
 }
@@ -55,5 +55,5 @@
 fn problem_notice(name: &str, team: &TeamState) -> Option<Notice> {
     let team_name = || name.to_string();
     let problem = team.problem().map(|problem| Notice::Problem { team: team_name(), problem });
-    problem.or_else(|| team.settings_differ().then(|| Notice::Differs { team: team_name() }))
+    problem.or_else(|| team.settings_differ().then(|| Notice::SettingsDiffer { team: team_name() }))
 }
--- a/crates/latchtrack-quota/src/manager/write_outcomes.rs
+++ b/crates/latchtrack-quota/src/manager/write_outcomes.rs
@@ -1,7 +1,7 @@
 //! Takes in how writes of ledgers ended.
 
 use super::AllotmentManager;
-use crate::constants::{RETRY_MS, WRITE_GAP_MS};
+use crate::constants::{MIN_WRITE_INTERVAL_MS, WRITE_RETRY_DELAY_MS};
 use crate::notices::Notice;
 use crate::resources::MilliResources;
 use crate::snapshot::{LedgerWrite, WriteOutcome};
@@ -20,7 +20,7 @@
         let sent = team.in_flight.take();
         match outcome {
             WriteOutcome::Stored(revision) => {
-                team.not_before = now.saturating_add(WRITE_GAP_MS);
+                team.no_write_before = now.saturating_add(MIN_WRITE_INTERVAL_MS);
                 // A snapshot may have shown a later ledger already.
                 if revision > team.ledger_state.revision() {
                     let before = match &team.ledger_state {
@@ -33,10 +33,10 @@
                 }
             }
             WriteOutcome::NotStored => {
-                team.not_before = now.saturating_add(RETRY_MS);
+                team.no_write_before = now.saturating_add(WRITE_RETRY_DELAY_MS);
             }
             WriteOutcome::Unknown => {
-                team.not_before = now.saturating_add(RETRY_MS);
+                team.no_write_before = now.saturating_add(WRITE_RETRY_DELAY_MS);
                 if let Some(sent) = sent {
                     let max =
                         AllotmentCap::apply(&team.unconfirmed, sent.expected_revision, sent.max);
--- a/crates/latchtrack-quota/src/notices.rs
+++ b/crates/latchtrack-quota/src/notices.rs
@@ -60,7 +60,7 @@
         problem: LedgerProblem,
     },
     /// The ledger's limit or guarantee is not that of the settings; the ledger's counts.
-    Differs {
+    SettingsDiffer {
         /// The team.
         team: String,
     },
@@ -93,7 +93,7 @@
             Notice::Problem { team, problem: LedgerProblem::Overallotted } => {
                 write!(f, "ledger allots more than its limit, launching nothing team={team}")
             }
-            Notice::Differs { team } => {
+            Notice::SettingsDiffer { team } => {
                 write!(f, "settings differ from the ledger, which counts team={team}")
             }
         }
--- a/crates/latchtrack-quota/src/resources.rs
+++ b/crates/latchtrack-quota/src/resources.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::constants::{MILLI_PER_UNIT, ROUNDING};
+use crate::constants::{MILLI_PER_UNIT, ROUNDING_TOLERANCE};
 
 /// Thousandths of CPUs and GPUs. The name for serde is part of the text of its errors, which
 /// operators see.
@@ -81,11 +81,11 @@
 }
 
 fn round_up(amount: f64) -> u64 {
-    (amount * MILLI_PER_UNIT - ROUNDING).ceil().max(0.0) as u64
+    (amount * MILLI_PER_UNIT - ROUNDING_TOLERANCE).ceil().max(0.0) as u64
 }
 
 fn round_down(amount: f64) -> u64 {
-    (amount * MILLI_PER_UNIT + ROUNDING).floor().max(0.0) as u64
+    (amount * MILLI_PER_UNIT + ROUNDING_TOLERANCE).floor().max(0.0) as u64
 }
 
 /// A limit of each resource. None is no limit, and that resource is not counted.
--- a/crates/latchtrack-quota/src/targets.rs
+++ b/crates/latchtrack-quota/src/targets.rs
@@ -6,7 +6,7 @@
 /// What a cell claims of a limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DemandClaim {
-    /// The number of its request; None if it asks for nothing more than it holds.
+    /// The number of its request; None if it asks for nothing extra than it holds.
     pub request_number: Option<u64>,
     /// The allotment with which its next task, slice or gang can start.
     pub need: MilliResources,
@@ -24,7 +24,7 @@
     pub guarantee: MilliResources,
     /// What its need takes beyond that.
     pub need: MilliResources,
-    /// Its even share of the rest.
+    /// Its even share of the remainder.
     pub share: MilliResources,
 }
 
@@ -49,16 +49,16 @@
 ///
 /// The limit goes first to claims that fit into the guarantee (those without a request before the
 /// others, and these by request number), then to the needs by request number, each whole or not at
-/// all, and the rest evenly to the wants (max-min fairness).
+/// all, and the remainder evenly to the wants (max-min fairness).
 pub fn targets(limit: &Limit, guarantee: MilliResources, claims: &[DemandClaim]) -> Vec<Target> {
     let mut targets: Vec<Target> = guarantee_parts(limit, guarantee, claims)
         .into_iter()
         .map(|guarantee| Target { guarantee, ..Target::default() })
         .collect();
     let in_guarantee = targets.iter().map(|target| target.guarantee);
-    let left = in_guarantee.fold(limit.total(), MilliResources::minus);
-    let left = assign_needs(limit, left, claims, &mut targets);
-    assign_shares(limit, left, claims, &mut targets);
+    let remaining = in_guarantee.fold(limit.total(), MilliResources::minus);
+    let remaining = assign_needs(limit, remaining, claims, &mut targets);
+    assign_shares(limit, remaining, claims, &mut targets);
     targets
 }
 
@@ -68,50 +68,50 @@
     guarantee: MilliResources,
     claims: &[DemandClaim],
 ) -> Vec<MilliResources> {
-    let mut left = limit.counted(guarantee).min_each(limit.total());
+    let mut remaining = limit.counted(guarantee).min_each(limit.total());
     let mut parts = vec![MilliResources::ZERO; claims.len()];
     for i in by_request_number(claims) {
         let want = limit.counted(claims[i].want);
-        if want.fits_in(left) {
+        if want.fits_in(remaining) {
             parts[i] = want;
-            left = left.minus(want);
+            remaining = remaining.minus(want);
         }
     }
     parts
 }
 
-/// Gives each need what its part of the guarantee does not cover, if all of that is left; returns
-/// what is left then.
+/// Gives each need what its part of the guarantee does not cover, if all of that is remaining; returns
+/// what is remaining then.
 fn assign_needs(
     limit: &Limit,
-    mut left: MilliResources,
+    mut remaining: MilliResources,
     claims: &[DemandClaim],
     targets: &mut [Target],
 ) -> MilliResources {
     let order = by_request_number(claims).into_iter();
     for i in order.filter(|i| claims[*i].request_number.is_some()) {
-        let lacking = limit.counted(claims[i].need).minus(targets[i].guarantee);
-        if lacking.fits_in(left) {
-            targets[i].need = lacking;
-            left = left.minus(lacking);
+        let missing = limit.counted(claims[i].need).minus(targets[i].guarantee);
+        if missing.fits_in(remaining) {
+            targets[i].need = missing;
+            remaining = remaining.minus(missing);
         }
     }
-    left
+    remaining
 }
 
-/// Divides what is left evenly over what the wants still lack.
+/// Divides what is remaining evenly over what the wants still lack.
 fn assign_shares(
     limit: &Limit,
-    left: MilliResources,
+    remaining: MilliResources,
     claims: &[DemandClaim],
     targets: &mut [Target],
 ) {
     let base: Vec<MilliResources> = targets.iter().map(Target::total).collect();
     let wants = claims.iter().map(|claim| limit.counted(claim.want));
-    let open: Vec<MilliResources> =
+    let unmet: Vec<MilliResources> =
         wants.zip(&base).map(|(want, base)| want.minus(*base)).collect();
-    let cpus = even_shares(left.millicpus, &base, &open, |resources| resources.millicpus);
-    let gpus = even_shares(left.milligpus, &base, &open, |resources| resources.milligpus);
+    let cpus = even_shares(remaining.millicpus, &base, &unmet, |resources| resources.millicpus);
+    let gpus = even_shares(remaining.milligpus, &base, &unmet, |resources| resources.milligpus);
     for (target, (millicpus, milligpus)) in targets.iter_mut().zip(cpus.into_iter().zip(gpus)) {
         target.share = MilliResources { millicpus, milligpus };
     }
@@ -125,42 +125,42 @@
     order
 }
 
-/// What of one resource is added to each base, at most `open`, so that the totals are as even as
+/// What of one resource is added to each base, at most `unmet`, so that the totals are as even as
 /// possible. What whole thousandths leave over goes to the first.
 fn even_shares(
-    left: u64,
+    remaining: u64,
     base: &[MilliResources],
-    open: &[MilliResources],
+    unmet: &[MilliResources],
     resource: impl Fn(&MilliResources) -> u64,
 ) -> Vec<u64> {
     let base: Vec<u64> = base.iter().map(&resource).collect();
-    let open: Vec<u64> = open.iter().map(&resource).collect();
+    let unmet: Vec<u64> = unmet.iter().map(&resource).collect();
     // What each is given if all are to be raised to `level`.
-    let raised_to = |level: u64| -> Vec<u64> {
-        let added = |(base, open): (&u64, &u64)| level.saturating_sub(*base).min(*open);
-        base.iter().zip(&open).map(added).collect()
+    let increases_to = |level: u64| -> Vec<u64> {
+        let added = |(base, unmet): (&u64, &u64)| level.saturating_sub(*base).min(*unmet);
+        base.iter().zip(&unmet).map(added).collect()
     };
-    let cost = |level: u64| raised_to(level).iter().fold(0u64, |sum, n| sum.saturating_add(*n));
-    let highest = base.iter().zip(&open).map(|(b, o)| b.saturating_add(*o)).max().unwrap_or(0);
-    if cost(highest) <= left {
-        return open;
+    let cost = |level: u64| increases_to(level).iter().fold(0u64, |sum, n| sum.saturating_add(*n));
+    let highest = base.iter().zip(&unmet).map(|(b, o)| b.saturating_add(*o)).max().unwrap_or(0);
+    if cost(highest) <= remaining {
+        return unmet;
     }
     // Binary search for the highest level that can be afforded.
     let (mut low, mut high) = (0, highest);
     while low + 1 < high {
-        let middle = low + (high - low) / 2;
-        if cost(middle) <= left {
-            low = middle;
+        let mid = low + (high - low) / 2;
+        if cost(mid) <= remaining {
+            low = mid;
         } else {
-            high = middle;
+            high = mid;
         }
     }
-    let mut shares = raised_to(low);
-    let mut rest = left - cost(low);
-    for (share, open) in shares.iter_mut().zip(&open) {
-        let more = u64::from(rest > 0 && *share < *open);
-        *share += more;
-        rest -= more;
+    let mut shares = increases_to(low);
+    let mut remainder = remaining - cost(low);
+    for (share, unmet) in shares.iter_mut().zip(&unmet) {
+        let extra = u64::from(remainder > 0 && *share < *unmet);
+        *share += extra;
+        remainder -= extra;
     }
     shares
 }
--- a/crates/latchtrack-quota/src/team.rs
+++ b/crates/latchtrack-quota/src/team.rs
@@ -41,7 +41,7 @@
 
 impl LaunchLimit {
     /// Nothing may be launched.
-    pub(crate) const NOTHING: LaunchLimit = LaunchLimit { millicpus: Some(0), milligpus: Some(0) };
+    pub(crate) const ZERO: LaunchLimit = LaunchLimit { millicpus: Some(0), milligpus: Some(0) };
 
     /// `amount` of the resources that have a limit.
     pub(crate) fn of(limit: &Limit, amount: MilliResources) -> LaunchLimit {
--- a/crates/latchtrack-quota/src/team_state.rs
+++ b/crates/latchtrack-quota/src/team_state.rs
@@ -91,15 +91,15 @@
     pub guarantee: MilliResources,
     pub idle_since: Option<Millis>,
     /// No write before this.
-    pub not_before: Millis,
+    pub no_write_before: Millis,
     /// When the ledger was last changed by this cell's decision.
-    pub refreshed: Option<Millis>,
+    pub last_adjusted: Option<Millis>,
     pub grant: Option<GrantedRequest>,
     /// After a grant has timed out the cell asks without a need until then.
     pub no_need_until: Option<Millis>,
     pub stale_requests: StaleRequests,
     /// The problem that was last told of.
-    pub noted: Option<Notice>,
+    pub last_problem_notice: Option<Notice>,
 }
 
 impl TeamState {
--- a/crates/latchtrack-quota/tests/ledger.rs
+++ b/crates/latchtrack-quota/tests/ledger.rs
@@ -12,7 +12,7 @@
 );
 
 #[test]
-fn a_ledger_is_read_and_stored_byte_for_byte() {
+fn a_ledger_round_trips_byte_for_byte() {
     let ledger = TeamLedger::parse(STORED).unwrap();
     assert_eq!(ledger.limit, Limit::of(40.0, 8.0));
     assert_eq!(ledger.allotted_to("east"), MilliResources { millicpus: 12_500, milligpus: 2_000 });
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn unusable_ledgers_are_refused_with_their_reason() {
+fn unusable_ledgers_are_rejected_with_a_reason() {
     let newer = STORED.replace(r#""version":1"#, r#""version":2"#);
     assert_eq!(TeamLedger::parse(&newer), Err(LedgerError::NewerVersion(2)));
     for text in ["", "null", "{}", "7", r#"{"version":1}"#, &STORED.replace("12500", "-1")] {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn amounts_are_rounded_so_that_the_limit_is_never_passed() {
+fn rounding_never_exceeds_the_limit() {
     assert_eq!(Limit::of(1.9999, 0.0).millicpus, Some(1_999));
     assert_eq!(Limit::of(0.0, 0.0), Limit::default());
     assert_eq!(MilliResources::covering(1.0001, 0.1 + 0.2).millicpus, 1_001);
--- a/crates/latchtrack-quota/tests/manager.rs
+++ b/crates/latchtrack-quota/tests/manager.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_team_without_a_limit_is_not_shared_once_its_ledger_is_seen_missing() {
+fn a_team_without_a_limit_and_a_ledger_is_unlimited() {
     let mut manager = manager(&[("free", 0.0, 4.0)]);
     let nothing = Some(LaunchLimit { millicpus: Some(0), milligpus: Some(0) });
     assert_eq!(manager.launch_limit("free"), nothing, "no snapshot yet");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_stored_limit_counts_for_a_cell_whose_settings_have_none() {
+fn a_stored_limit_applies_if_the_settings_have_none() {
     let mut manager = manager(&[("free", 0.0, 0.0)]);
     let mut ledger = TeamLedger::new(Limit::of(8.0, 0.0), MilliResources::ZERO);
     ledger.complete = true;
@@ -52,12 +52,12 @@
     snapshot.teams.insert("free".into(), StoredLedger { revision: 7, ledger: Ok(ledger) });
     manager.observe(0, snapshot);
     assert_eq!(manager.launch_limit("free").unwrap().millicpus, Some(0));
-    assert!(matches!(manager.take_notices()[..], [Notice::Differs { .. }]));
+    assert!(matches!(manager.take_notices()[..], [Notice::SettingsDiffer { .. }]));
     assert_eq!(manager.take_notices(), [], "once");
 }
 
 #[test]
-fn four_writes_are_in_flight_at_a_time_and_every_team_gets_its_turn() {
+fn writes_in_flight_are_limited_and_teams_take_turns() {
     let names: Vec<String> = (0..50).map(|i| format!("t{i:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let teams: Vec<(&str, f64, f64)> = names.iter().map(|name| (*name, 4.0, 0.0)).collect();
--- a/crates/latchtrack-quota/tests/model/world/events.rs
+++ b/crates/latchtrack-quota/tests/model/world/events.rs
@@ -6,55 +6,59 @@
 impl World {
     /// Some time passes, less than the leases.
     pub(super) fn pause(&self) -> Option<World> {
-        let mut next = self.after("a pause".into());
+        let mut next = self.after_action("a pause".into());
         next.budget.pauses = self.budget.pauses.checked_sub(1)?;
         next.now += PAUSE_MS;
         Some(next)
     }
 
     /// Work arrives in the east.
-    pub(super) fn arrive(&self) -> Option<World> {
-        let mut next = self.after("work arrives in east".into());
+    pub(super) fn add_work(&self) -> Option<World> {
+        let mut next = self.after_action("work arrives in east".into());
         next.budget.arrivals = self.budget.arrivals.checked_sub(1)?;
         next.cells[0].waiting += 2;
         Some(next)
     }
 
     /// A cell starts a task, if its launch limit allows.
-    pub(super) fn start(&self, i: usize) -> Option<World> {
+    pub(super) fn start_task(&self, i: usize) -> Option<World> {
         let cell = &self.cells[i];
-        let may_launch = cell.has_leader && (cell.known + 1) * TASK <= cell.launch_limit;
-        if cell.manager.is_none() || cell.waiting == 0 || !may_launch || cell.known != cell.running
+        let may_launch =
+            cell.has_leader && (cell.known_running + 1) * TASK_MILLICPUS <= cell.launch_limit;
+        if cell.manager.is_none()
+            || cell.waiting == 0
+            || !may_launch
+            || cell.known_running != cell.running
         {
             return None;
         }
-        let mut next = self.after(format!("{} starts a task", NAMES[i]));
+        let mut next = self.after_action(format!("{} starts a task", CELL_NAMES[i]));
         let cell = &mut next.cells[i];
         cell.waiting -= 1;
         cell.running += 1;
-        cell.known += 1;
+        cell.known_running += 1;
         Some(next)
     }
 
     /// A task ends, if its leader knows of it.
-    pub(super) fn end(&self, i: usize) -> Option<World> {
+    pub(super) fn end_task(&self, i: usize) -> Option<World> {
         let cell = &self.cells[i];
-        if cell.running == 0 || cell.known != cell.running || !cell.has_leader {
+        if cell.running == 0 || cell.known_running != cell.running || !cell.has_leader {
             return None;
         }
-        let mut next = self.after(format!("a task of {} ends", NAMES[i]));
+        let mut next = self.after_action(format!("a task of {} ends", CELL_NAMES[i]));
         next.cells[i].running -= 1;
-        next.cells[i].known -= 1;
+        next.cells[i].known_running -= 1;
         Some(next)
     }
 
     /// The leader of a cell dies, or its lease ends.
-    pub(super) fn crash(&self, i: usize) -> Option<World> {
-        if self.budget.crashes == 0 || !self.cells[i].has_leader {
+    pub(super) fn lose_leader(&self, i: usize) -> Option<World> {
+        if self.budget.leader_losses == 0 || !self.cells[i].has_leader {
             return None;
         }
-        let mut next = self.after(format!("{} loses its leader", NAMES[i]));
-        next.budget.crashes -= 1;
+        let mut next = self.after_action(format!("{} loses its leader", CELL_NAMES[i]));
+        next.budget.leader_losses -= 1;
         next.revision += 1;
         let cell = &mut next.cells[i];
         (cell.has_leader, cell.manager) = (false, None);
@@ -62,25 +66,27 @@
     }
 
     /// Another leader is elected, and does not know at first what runs.
-    pub(super) fn elect(&self, i: usize) -> Option<World> {
+    pub(super) fn elect_leader(&self, i: usize) -> Option<World> {
         if self.cells[i].has_leader {
             return None;
         }
-        let mut next = self.after(format!("{} has a new leader", NAMES[i]));
+        let mut next = self.after_action(format!("{} has a new leader", CELL_NAMES[i]));
         next.revision += 1;
         let term = next.revision;
         let cell = &mut next.cells[i];
-        (cell.has_leader, cell.term, cell.launch_limit, cell.known) = (true, term, 0, 0);
-        cell.manager = Some(manager(NAMES[i], term));
+        (cell.has_leader, cell.term, cell.launch_limit, cell.known_running) = (true, term, 0, 0);
+        cell.manager = Some(manager(CELL_NAMES[i], term));
         Some(next)
     }
 
     /// Leases expire: those of the workers of a cell without a leader. Leaders learn what runs.
     pub(super) fn wait(&self) -> Option<World> {
-        if self.budget.waits == 0 && self.cells.iter().all(|cell| cell.known == cell.running) {
+        if self.budget.waits == 0
+            && self.cells.iter().all(|cell| cell.known_running == cell.running)
+        {
             return None;
         }
-        let mut next = self.after("time passes".into());
+        let mut next = self.after_action("time passes".into());
         if self.budget.waits > 0 {
             next.budget.waits -= 1;
             next.now += WAIT_MS;
@@ -89,7 +95,7 @@
             }
         }
         for cell in next.cells.iter_mut().filter(|cell| cell.has_leader) {
-            cell.known = cell.running;
+            cell.known_running = cell.running;
         }
         Some(next)
     }
--- a/crates/latchtrack-quota/tests/model/world/manager_steps.rs
+++ b/crates/latchtrack-quota/tests/model/world/manager_steps.rs
@@ -7,12 +7,12 @@
         let mut snapshot = LedgerSnapshot { revision: self.revision, ..LedgerSnapshot::default() };
         if let Some((revision, ledger)) = &self.ledger {
             let mut ledger = ledger.clone();
-            ledger.complete |= self.removed == Some(Guard::Complete);
+            ledger.complete |= self.disabled_guard == Some(Guard::Complete);
             let stored = StoredLedger { revision: *revision, ledger: Ok(ledger) };
             snapshot.teams.insert(TEAM.into(), stored);
         }
-        let lease_ms = if self.removed == Some(Guard::Leases) { 0 } else { LEASE_MS };
-        for (name, cell) in NAMES.iter().zip(&self.cells) {
+        let lease_ms = if self.disabled_guard == Some(Guard::Leases) { 0 } else { LEASE_MS };
+        for (name, cell) in CELL_NAMES.iter().zip(&self.cells) {
             let record = CellRecord {
                 cloud: name.to_string(),
                 leader_lease_ms: lease_ms,
@@ -33,7 +33,7 @@
         if self.budget.snapshots == 0 {
             return None;
         }
-        let mut next = self.after(format!("{} reads a snapshot", NAMES[i]));
+        let mut next = self.after_action(format!("{} reads a snapshot", CELL_NAMES[i]));
         next.budget.snapshots -= 1;
         let (now, snapshot) = (next.now, next.snapshot());
         next.cells[i].manager.as_mut()?.observe(now, snapshot);
@@ -55,29 +55,31 @@
         if self.budget.steps == 0 {
             return None;
         }
-        let mut next = self.after(format!("{} steps", NAMES[i]));
+        let mut next = self.after_action(format!("{} steps", CELL_NAMES[i]));
         next.budget.steps -= 1;
         next.now += STEP_MS;
         let now = next.now;
-        let removed = next.removed;
+        let disabled = next.disabled_guard;
         let cell = &mut next.cells[i];
-        let is_known = cell.known == cell.running;
-        let used = if removed == Some(Guard::UsedIsKept) { 0 } else { cell.known * TASK };
+        let is_reconciled = cell.known_running == cell.running;
+        let used =
+            if disabled == Some(Guard::KeepUsed) { 0 } else { cell.known_running * TASK_MILLICPUS };
         let usage = LocalUsage {
-            is_reconciled: is_known || removed == Some(Guard::Reconciled),
+            is_reconciled: is_reconciled || disabled == Some(Guard::Reconciled),
             used: millicpus(used),
-            waiting: millicpus(cell.waiting * TASK),
-            next_start: millicpus(TASK),
+            waiting: millicpus(cell.waiting * TASK_MILLICPUS),
+            next_start: millicpus(TASK_MILLICPUS),
             started: MilliResources::ZERO,
         };
         let usages = BTreeMap::from([(TEAM.to_string(), usage)]);
         let writes = cell.manager.as_mut()?.step(now, &usages);
         let term = cell.term;
-        let sent = writes.into_iter().map(|write| Write { write, term, is_unanswered: false });
+        let sent =
+            writes.into_iter().map(|write| PendingWrite { write, term, is_response_lost: false });
         cell.writes.extend(sent);
         let launch_limit = next.cells[i].launch_limit;
         next.apply_launch_limit(i);
-        if removed == Some(Guard::LoweredBeforeSend) {
+        if disabled == Some(Guard::LoweredBeforeSend) {
             next.cells[i].launch_limit = launch_limit;
         }
         Some(next)
--- a/crates/latchtrack-quota/tests/model/world/mod.rs
+++ b/crates/latchtrack-quota/tests/model/world/mod.rs
@@ -15,8 +15,8 @@
 
 const TEAM: &str = "team";
 /// Thousandths that one task takes, and that the team may use.
-const TASK: u64 = 1_000;
-const LIMIT: u64 = 2_000;
+const TASK_MILLICPUS: u64 = 1_000;
+const LIMIT_MILLICPUS: u64 = 2_000;
 /// ms between two actions of a cell, and a wait beyond all leases and margins.
 const STEP_MS: Millis = 600;
 const LEASE_MS: Millis = 10_000;
@@ -29,14 +29,14 @@
 pub struct Budget {
     pub steps: u8,
     pub snapshots: u8,
-    pub crashes: u8,
+    pub leader_losses: u8,
     pub waits: u8,
     /// Times that some time passes, less than the leases.
     pub pauses: u8,
     /// Times that jobs arrive in the first cell.
     pub arrivals: u8,
     /// Writes that get no answer, and may be carried out later.
-    pub unanswered: u8,
+    pub lost_responses: u8,
 }
 
 /// A guard that a test may remove.
@@ -47,7 +47,7 @@
     /// A write without an answer may still be carried out.
     UnknownOutcome,
     /// What is used is not given back.
-    UsedIsKept,
+    KeepUsed,
     /// Launch limits are lowered before the write is sent.
     LoweredBeforeSend,
     /// Nothing is given back before the machines are reconciled.
@@ -63,11 +63,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Write {
+struct PendingWrite {
     write: LedgerWrite,
     term: u64,
     /// Its sender has got no answer, and waits for none.
-    is_unanswered: bool,
+    is_response_lost: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -80,14 +80,14 @@
     running: u64,
     waiting: u64,
     /// Running tasks of which its leader knows.
-    known: u64,
-    writes: Vec<Write>,
+    known_running: u64,
+    writes: Vec<PendingWrite>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     budget: Budget,
-    removed: Option<Guard>,
+    disabled_guard: Option<Guard>,
     now: Millis,
     revision: u64,
     ledger: Option<(u64, TeamLedger)>,
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug)]
 pub struct World {
     state: Rc<State>,
-    pub last: Rc<str>,
+    pub last_action: Rc<str>,
 }
 
 impl PartialEq for World {
@@ -128,10 +128,10 @@
     }
 }
 
-const NAMES: [&str; 2] = ["east", "west"];
+const CELL_NAMES: [&str; 2] = ["east", "west"];
 
 fn limit() -> Limit {
-    millicpu_limit(LIMIT)
+    millicpu_limit(LIMIT_MILLICPUS)
 }
 
 fn manager(cell: &str, term: u64) -> AllotmentManager {
@@ -140,30 +140,34 @@
 }
 
 impl World {
-    fn with(budget: Budget, removed: Option<Guard>, running: [u64; 2]) -> World {
+    fn new(budget: Budget, disabled_guard: Option<Guard>, running: [u64; 2]) -> World {
         let cell = |i: usize| Cell {
-            manager: Some(manager(NAMES[i], i as u64 + 1)),
+            manager: Some(manager(CELL_NAMES[i], i as u64 + 1)),
             launch_limit: 0,
             has_leader: true,
             term: i as u64 + 1,
             running: running[i],
             waiting: 2,
-            known: running[i],
+            known_running: running[i],
             writes: Vec::new(),
         };
         let cells = [cell(0), cell(1)];
-        let state = State { budget, removed, now: 1_000, revision: 10, ledger: None, cells };
-        World { state: Rc::new(state), last: "start".into() }
+        let state = State { budget, disabled_guard, now: 1_000, revision: 10, ledger: None, cells };
+        World { state: Rc::new(state), last_action: "start".into() }
     }
 
     /// East holds the whole limit and uses half of it; both have work waiting.
-    pub fn east_holds_the_limit(budget: Budget, removed: Option<Guard>) -> World {
-        let mut world = World::with(budget, removed, [1, 0]);
+    pub fn east_holds_the_limit(budget: Budget, disabled_guard: Option<Guard>) -> World {
+        let mut world = World::new(budget, disabled_guard, [1, 0]);
         let mut ledger = TeamLedger::new(limit(), MilliResources::ZERO);
         ledger.complete = true;
-        let allotment = Allotment { amount: millicpus(LIMIT), ..Allotment::default() };
+        let allotment = Allotment { amount: millicpus(LIMIT_MILLICPUS), ..Allotment::default() };
         ledger.allotments.insert("east".into(), allotment);
-        let request = Request { number: 0, need: millicpus(TASK), want: millicpus(LIMIT) };
+        let request = Request {
+            number: 0,
+            need: millicpus(TASK_MILLICPUS),
+            want: millicpus(LIMIT_MILLICPUS),
+        };
         let allotment = Allotment { request: Some(request), ..Allotment::default() };
         ledger.allotments.insert("west".into(), allotment);
         ledger.next_request_number = 1;
@@ -172,8 +176,8 @@
     }
 
     /// Nothing is allotted, and both have work waiting.
-    pub fn nothing_is_allotted(budget: Budget, removed: Option<Guard>) -> World {
-        let mut world = World::with(budget, removed, [0, 0]);
+    pub fn nothing_is_allotted(budget: Budget, disabled_guard: Option<Guard>) -> World {
+        let mut world = World::new(budget, disabled_guard, [0, 0]);
         let mut ledger = TeamLedger::new(limit(), MilliResources::ZERO);
         ledger.complete = true;
         world.ledger = Some((10, ledger));
@@ -181,11 +185,11 @@
     }
 
     /// East holds the whole limit and has nothing to do.
-    pub fn east_is_idle(budget: Budget, removed: Option<Guard>) -> World {
-        let mut world = World::east_holds_the_limit(budget, removed);
+    pub fn east_is_idle(budget: Budget, disabled_guard: Option<Guard>) -> World {
+        let mut world = World::east_holds_the_limit(budget, disabled_guard);
         world.cells[0].waiting = 0;
-        (world.cells[0].running, world.cells[0].known) = (0, 0);
-        let allotment = Allotment { amount: millicpus(LIMIT), ..Allotment::default() };
+        (world.cells[0].running, world.cells[0].known_running) = (0, 0);
+        let allotment = Allotment { amount: millicpus(LIMIT_MILLICPUS), ..Allotment::default() };
         let allotments = world.ledger.as_mut().map(|(_, ledger)| &mut ledger.allotments);
         if let Some(allotments) = allotments {
             *allotments = BTreeMap::from([("east".to_string(), allotment)]);
@@ -194,13 +198,13 @@
     }
 
     /// The ledger was lost while each cell ran a task.
-    pub fn ledger_lost(budget: Budget, removed: Option<Guard>) -> World {
-        World::with(budget, removed, [1, 1])
+    pub fn ledger_lost(budget: Budget, disabled_guard: Option<Guard>) -> World {
+        World::new(budget, disabled_guard, [1, 1])
     }
 
     /// Whether more runs than the limit allows.
     pub fn exceeds_limit(&self) -> bool {
-        self.cells.iter().map(|cell| cell.running * TASK).sum::<u64>() > LIMIT
+        self.cells.iter().map(|cell| cell.running * TASK_MILLICPUS).sum::<u64>() > LIMIT_MILLICPUS
     }
 
     /// All that may happen next.
@@ -212,22 +216,22 @@
         for i in 0..self.cells.len() {
             out.extend(self.read_snapshot(i));
             out.extend(self.step(i));
-            out.extend(self.start(i));
-            out.extend(self.end(i));
-            out.extend(self.crash(i));
-            out.extend(self.elect(i));
+            out.extend(self.start_task(i));
+            out.extend(self.end_task(i));
+            out.extend(self.lose_leader(i));
+            out.extend(self.elect_leader(i));
             for n in 0..self.cells[i].writes.len() {
-                out.push(self.carry_out(i, n));
-                out.extend(self.lose_answer(i, n));
+                out.push(self.execute_write(i, n));
+                out.extend(self.lose_response(i, n));
             }
         }
         out.extend(self.wait());
         out.extend(self.pause());
-        out.extend(self.arrive());
+        out.extend(self.add_work());
         out
     }
 
-    fn after(&self, what: String) -> World {
-        World { state: self.state.clone(), last: what.into() }
+    fn after_action(&self, action: String) -> World {
+        World { state: self.state.clone(), last_action: action.into() }
     }
 }
--- a/crates/latchtrack-quota/tests/model/world/writes.rs
+++ b/crates/latchtrack-quota/tests/model/world/writes.rs
@@ -4,8 +4,8 @@
 
 impl World {
     /// A write arrives at the state service.
-    pub(super) fn carry_out(&self, i: usize, n: usize) -> World {
-        let mut next = self.after(format!("a write of {} is carried out", NAMES[i]));
+    pub(super) fn execute_write(&self, i: usize, n: usize) -> World {
+        let mut next = self.after_action(format!("a write of {} is carried out", CELL_NAMES[i]));
         let write = next.cells[i].writes.remove(n);
         let is_stored = next.may_store(i, &write);
         if is_stored {
@@ -14,26 +14,31 @@
         }
         let outcome =
             if is_stored { WriteOutcome::Stored(next.revision) } else { WriteOutcome::NotStored };
-        if !write.is_unanswered {
-            next.answer(i, &write, outcome);
+        if !write.is_response_lost {
+            next.deliver_outcome(i, &write, outcome);
         }
         next
     }
 
-    pub(super) fn may_store(&self, i: usize, write: &Write) -> bool {
-        let removed = |guard: Guard| self.removed == Some(guard);
+    pub(super) fn may_store(&self, i: usize, write: &PendingWrite) -> bool {
+        let disabled = |guard: Guard| self.disabled_guard == Some(guard);
         let revision = self.ledger.as_ref().map_or(0, |(revision, _)| *revision);
         let is_fenced = self.cells[i].has_leader && self.cells[i].term == write.term;
         let are_dead = write.write.dead.iter().all(|dead| {
-            let cell = &self.cells[NAMES.iter().position(|name| *name == dead.cell).unwrap()];
+            let cell = &self.cells[CELL_NAMES.iter().position(|name| *name == dead.cell).unwrap()];
             !cell.has_leader && cell.term == dead.term_revision
         });
-        (revision == write.write.expected_revision || removed(Guard::Revision))
-            && (is_fenced || removed(Guard::Fence))
-            && (are_dead || removed(Guard::StillDead))
+        (revision == write.write.expected_revision || disabled(Guard::Revision))
+            && (is_fenced || disabled(Guard::Fence))
+            && (are_dead || disabled(Guard::StillDead))
     }
 
-    pub(super) fn answer(&mut self, i: usize, write: &Write, outcome: WriteOutcome) {
+    pub(super) fn deliver_outcome(
+        &mut self,
+        i: usize,
+        write: &PendingWrite,
+        outcome: WriteOutcome,
+    ) {
         let now = self.now;
         if self.cells[i].term != write.term {
             return;
@@ -45,19 +50,19 @@
     }
 
     /// A write gets no answer; it may be carried out later.
-    pub(super) fn lose_answer(&self, i: usize, n: usize) -> Option<World> {
-        if self.budget.unanswered == 0 || self.cells[i].writes[n].is_unanswered {
+    pub(super) fn lose_response(&self, i: usize, n: usize) -> Option<World> {
+        if self.budget.lost_responses == 0 || self.cells[i].writes[n].is_response_lost {
             return None;
         }
-        let mut next = self.after(format!("a write of {} gets no answer", NAMES[i]));
-        next.budget.unanswered -= 1;
-        next.cells[i].writes[n].is_unanswered = true;
+        let mut next = self.after_action(format!("a write of {} gets no answer", CELL_NAMES[i]));
+        next.budget.lost_responses -= 1;
+        next.cells[i].writes[n].is_response_lost = true;
         let write = next.cells[i].writes[n].clone();
-        let outcome = match next.removed {
+        let outcome = match next.disabled_guard {
             Some(Guard::UnknownOutcome) => WriteOutcome::NotStored,
             _ => WriteOutcome::Unknown,
         };
-        next.answer(i, &write, outcome);
+        next.deliver_outcome(i, &write, outcome);
         Some(next)
     }
 }
--- a/crates/latchtrack-quota/tests/targets.rs
+++ b/crates/latchtrack-quota/tests/targets.rs
@@ -5,7 +5,7 @@
 use common::{millicpu_limit, millicpus};
 use latchtrack_quota::{targets, DemandClaim, MilliResources};
 
-fn asks(request_number: u64, need: u64, want: u64) -> DemandClaim {
+fn requesting(request_number: u64, need: u64, want: u64) -> DemandClaim {
     DemandClaim {
         request_number: Some(request_number),
         need: millicpus(need),
@@ -13,7 +13,7 @@
     }
 }
 
-fn holds(want: u64) -> DemandClaim {
+fn holding(want: u64) -> DemandClaim {
     DemandClaim { want: millicpus(want), ..DemandClaim::default() }
 }
 
@@ -23,30 +23,42 @@
 }
 
 #[test]
-fn wants_that_fit_are_all_met() {
-    assert_eq!(totals(100, 0, &[holds(20), asks(1, 5, 70)]), [20, 70]);
+fn wants_within_the_limit_are_met_in_full() {
+    assert_eq!(totals(100, 0, &[holding(20), requesting(1, 5, 70)]), [20, 70]);
 }
 
 #[test]
-fn what_is_short_is_shared_evenly() {
-    assert_eq!(totals(100, 0, &[asks(1, 1, 100), asks(2, 1, 100), asks(3, 1, 10)]), [45, 45, 10]);
+fn a_scarce_limit_is_shared_evenly() {
+    assert_eq!(
+        totals(100, 0, &[requesting(1, 1, 100), requesting(2, 1, 100), requesting(3, 1, 10)]),
+        [45, 45, 10]
+    );
     // What whole thousandths leave over goes to the first.
-    assert_eq!(totals(100, 0, &[asks(1, 1, 99), asks(2, 1, 99), asks(3, 1, 99)]), [34, 33, 33]);
+    assert_eq!(
+        totals(100, 0, &[requesting(1, 1, 99), requesting(2, 1, 99), requesting(3, 1, 99)]),
+        [34, 33, 33]
+    );
 }
 
 #[test]
 fn a_request_within_the_guarantee_comes_before_needs_and_shares() {
-    assert_eq!(totals(100, 40, &[asks(1, 100, 100), asks(2, 1, 40)]), [60, 40]);
+    assert_eq!(totals(100, 40, &[requesting(1, 100, 100), requesting(2, 1, 40)]), [60, 40]);
     // Two that fit together, and a third that does not.
-    assert_eq!(totals(100, 40, &[asks(3, 1, 40), asks(1, 1, 20), asks(2, 1, 20)])[1..], [20, 20]);
+    assert_eq!(
+        totals(100, 40, &[requesting(3, 1, 40), requesting(1, 1, 20), requesting(2, 1, 20)])[1..],
+        [20, 20]
+    );
 }
 
 #[test]
-fn needs_are_met_by_request_number_whole_or_not_at_all() {
+fn needs_are_met_in_full_or_not_at_all_by_request_number() {
     // Two gangs as large as the limit: the older has all.
-    assert_eq!(totals(100, 0, &[asks(2, 100, 100), asks(1, 100, 100)]), [0, 100]);
+    assert_eq!(totals(100, 0, &[requesting(2, 100, 100), requesting(1, 100, 100)]), [0, 100]);
     // The second does not fit beside the first; the third does.
-    assert_eq!(totals(100, 0, &[asks(1, 60, 60), asks(2, 60, 60), asks(3, 30, 30)]), [60, 10, 30]);
+    assert_eq!(
+        totals(100, 0, &[requesting(1, 60, 60), requesting(2, 60, 60), requesting(3, 30, 30)]),
+        [60, 10, 30]
+    );
 }
 
 #[test]
@@ -58,7 +70,7 @@
 }
 
 #[test]
-fn targets_never_pass_the_limit() {
+fn targets_never_exceed_the_limit() {
     // A small generator of its own, so that the cases are the same everywhere.
     let mut state: u64 = 7;
     let mut random = |below: u64| {
@@ -70,8 +82,8 @@
         let limit = random(200);
         let claims: Vec<DemandClaim> = (0..1 + random(5))
             .map(|request_number| match random(3) {
-                0 => holds(random(150)),
-                _ => asks(request_number, random(150), random(250)),
+                0 => holding(random(150)),
+                _ => requesting(request_number, random(150), random(250)),
             })
             .collect();
         let totals = totals(limit, random(100), &claims);
