--- a/crates/latchtrack-quota/src/apportionment.rs
+++ b/crates/latchtrack-quota/src/apportionment.rs
@@ -1,11 +1,11 @@
-//! The apportionment of a ledger among its cells: each cell's claim, its target and what it lacks
-//! of that.
+//! The apportionment of a ledger among its cells: the claim, the target and the shortfall of each
+//! cell.
 
 use crate::ledger::TeamLedger;
 use crate::resources::MilliResources;
 use crate::targets::{targets, DemandClaim, Target, TARGET_PARTS};
 
-/// A cell's claim with its target and what it holds.
+/// A cell's claim with its target and its allotment.
 #[derive(Clone, Debug)]
 struct ClaimStatus {
     cell: String,
@@ -16,7 +16,7 @@
 }
 
 impl ClaimStatus {
-    /// What it lacks of each part of its target, if it asks for more.
+    /// Returns the shortfall in each part of the target; zero if the claim has no request.
     fn shortfall(&self) -> [MilliResources; TARGET_PARTS] {
         match self.request_number {
             Some(_) => self.target.shortfall(self.held),
@@ -25,15 +25,15 @@
     }
 }
 
-/// A request that stands in a ledger.
+/// A pending request in a ledger.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct OpenRequest {
     pub cell: String,
     pub number: u64,
 }
 
-/// The claims on a ledger as one cell sees them: its own as it is now, those of the others as
-/// stored.
+/// The claims on a ledger from the view of one cell: its own current claim, and those of the other
+/// cells as stored.
 #[derive(Clone, Debug)]
 pub(crate) struct Apportionment {
     own: ClaimStatus,
@@ -42,7 +42,7 @@
 }
 
 impl Apportionment {
-    /// Of a ledger, as `cell` sees it with its own claim.
+    /// Computes the apportionment of a ledger from the view of `cell`, whose claim is `own`.
     pub(crate) fn of(ledger: &TeamLedger, cell: &str, own: DemandClaim) -> Apportionment {
         let mut names = vec![cell.to_string()];
         let mut claims = vec![own];
@@ -72,41 +72,41 @@
         Apportionment { own, others, unallotted: ledger.unallotted() }
     }
 
-    /// The target of the cell itself.
+    /// Returns the target of the cell itself.
     pub(crate) fn target(&self) -> Target {
         self.own.target
     }
 
-    /// Whether other cells lack more than what is unallotted, so that this one must keep to
-    /// its target.
+    /// Whether the shortfalls of other cells exceed the unallotted resources, so that this cell
+    /// must keep to its target.
     pub(crate) fn must_yield(&self) -> bool {
         let shortfalls = self.others.iter().flat_map(ClaimStatus::shortfall);
         !shortfalls.fold(MilliResources::ZERO, MilliResources::plus).fits_in(self.unallotted)
     }
 
-    /// Whether any other cell asks for more.
+    /// Whether any other cell has a pending request.
     pub(crate) fn is_contended(&self) -> bool {
         self.others.iter().any(|other| other.request_number.is_some())
     }
 
-    /// Whether the need of any other cell is not covered by what it holds.
+    /// Whether the need of any other cell exceeds its allotment.
     pub(crate) fn others_have_unmet_needs(&self) -> bool {
         self.others.iter().any(|other| !other.need.fits_in(other.held))
     }
 
-    /// What the cell may take now of what is unallotted.
+    /// Returns the unallotted resources that the cell may add to its allotment now.
     pub(crate) fn grantable(&self) -> MilliResources {
         self.grants()[0]
     }
 
-    /// The cell itself first, then the others.
+    /// Returns the claim of the cell itself, followed by those of the others.
     fn all(&self) -> Vec<&ClaimStatus> {
         std::iter::once(&self.own).chain(&self.others).collect()
     }
 
-    /// How what is unallotted goes to the claims, in the order of [`Apportionment::all`]:
-    /// first to the first part of all targets, then to the second and so on, within a part by
-    /// request number.
+    /// Distributes the unallotted resources among the claims; the result is in the order of
+    /// [`Apportionment::all`]. Shortfalls in the first part of all targets are served before those
+    /// in the second, and so on; within a part, in the order of the request numbers.
     fn grants(&self) -> Vec<MilliResources> {
         let all = self.all();
         let mut order: Vec<usize> = (0..all.len()).collect();
@@ -123,7 +123,7 @@
         grants
     }
 
-    /// Requests of other cells that what is unallotted would cover.
+    /// Returns the requests of other cells whose shortfalls the unallotted resources cover.
     pub(crate) fn grantable_requests(&self) -> Vec<OpenRequest> {
         let grants = self.grants();
         let mut requests = Vec::new();
--- a/crates/latchtrack-quota/src/cells.rs
+++ b/crates/latchtrack-quota/src/cells.rs
@@ -1,39 +1,39 @@
-//! Cells as the state service shows them.
+//! Cells and their records as read from the state service.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 
-/// What a cell's leaders store of it, under a key whose revision is the fencing token of the last
-/// of them.
+/// Record of a cell, stored by its leaders. The revision of its key is the fencing token of the
+/// last leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CellRecord {
-    /// Its cloud. Another cloud under the same name means that two cells were given one name by
-    /// mistake.
+    /// Cloud of the cell. A different cloud under the same cell name means that two cells were
+    /// configured with the same name by mistake.
     pub cloud: String,
-    /// Duration of the leader's lease, ms.
+    /// Duration of the leader's lease in ms.
     pub leader_lease_ms: Millis,
-    /// Duration of the workers' lease, ms.
+    /// Duration of the workers' leases in ms.
     pub worker_lease_ms: Millis,
 }
 
-/// A cell at the time of a snapshot.
+/// Status of a cell in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CellStatus {
-    /// Whether a leader holds its lease.
+    /// Whether a leader holds the leader lease.
     pub has_leader: bool,
-    /// Revision of its record: the fencing token of its last leader.
+    /// Revision of the record, which is the fencing token of the last leader.
     pub term_revision: u64,
-    /// Its record; None if it can't be read.
+    /// The record, or `None` if it can't be parsed.
     pub record: Option<CellRecord>,
 }
 
-/// A cell whose allotment is reclaimed. A write that does so holds only if the cell is still
-/// without a leader and in the same term.
+/// A dead cell that a ledger write depends on: the write must be executed only if the cell still
+/// has no leader and is in the same term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct DeadCell {
-    /// Its name.
+    /// Name of the cell.
     pub cell: String,
-    /// Revision of its record.
+    /// Revision of its record at which it was found dead.
     pub term_revision: u64,
 }
--- a/crates/latchtrack-quota/src/constants.rs
+++ b/crates/latchtrack-quota/src/constants.rs
@@ -1,39 +1,44 @@
-//! The constants of the quota, each with its unit and its reason.
+//! Constants of the quota, with their units and rationale.
 
 use crate::Millis;
 
-/// Version of the stored ledger. A higher one may have another meaning, and is left alone.
+/// Version of the stored ledger format. A ledger with a higher version is neither used nor changed,
+/// because its meaning may differ.
 pub const LEDGER_VERSION: u32 = 1;
-/// Thousandths in a CPU or GPU.
+/// Number of thousandths in a CPU or GPU.
 pub const MILLI_PER_UNIT: f64 = 1_000.0;
-/// Thousandths by which a sum of decimal amounts may be off before it counts as the next whole one.
+/// Floating-point error, in thousandths of a CPU or GPU, that is ignored when rounding to whole
+/// thousandths.
 pub const ROUNDING_TOLERANCE: f64 = 1e-3;
-/// ms added to the leases of a dead cell before its allotment is reclaimed: a lease may end 100 ms
-/// late, and a watch and a response take their time.
+/// Time in ms after the leases of a dead cell have expired before its allotment is reclaimed. A
+/// lease may end 100 ms late, and watch events and responses are delayed.
 pub const RECLAIM_MARGIN_MS: Millis = 2_000;
-/// Part of the leases added for the drift of two steady clocks, 0.05% each.
+/// Fraction of the lease durations that is added to them for the drift between two monotonic
+/// clocks, 0.05% each.
 pub const CLOCK_DRIFT_RATIO: f64 = 0.001;
-/// ms that a request may stand though it could be granted; then any cell removes it.
+/// Time in ms for which a request may remain pending although it could be granted. After that, any
+/// cell may remove it.
 pub const REQUEST_STALE_MS: Millis = 5_000;
-/// ms that a cell whose need is covered has to start it before cells whose needs are not. Most
-/// machines have booted by then, and nobody waits for 90 s for what another cell holds without
-/// using it. Then the cell takes a new request number.
+/// Time in ms within which a cell must use a granted request, which ranks before unmet needs of
+/// other cells until then. After that, the cell needs a new request number. Most machines boot
+/// within this time, and no cell waits 90 s for an allotment that another holds but does not use.
 pub const GRANT_TIMEOUT_MS: Millis = 40_000;
-/// ms that an allotment lies idle before it is given back without being asked for: a cell with
-/// short breaks between jobs keeps what it has.
+/// Time in ms after which an idle allotment is returned even if no cell requests it. Short breaks
+/// between jobs don't cost a cell its allotment.
 pub const IDLE_RETURN_MS: Millis = 30_000;
-/// ms between two changes of a request that is still of use as it stands.
+/// Minimum time in ms between a cell's last change of a ledger and an update of the need or want of
+/// its request. A request that was used or timed out is replaced at once.
 pub const MIN_REQUEST_UPDATE_INTERVAL_MS: Millis = 2_000;
-/// Part of the limit by which a want must have changed to be worth a write of its own.
+/// A changed want alone causes a write only if the change exceeds the limit divided by this.
 pub const WANT_CHANGE_DIVISOR: u64 = 8;
-/// ms between two writes of one team's ledger by one cell, so that a contended ledger is not always
-/// changed before others have read it.
+/// Minimum time in ms between two writes of a team's ledger by the same cell, so that other cells
+/// can read a contended ledger before it changes again.
 pub const MIN_WRITE_INTERVAL_MS: Millis = 500;
-/// ms after a write that was not carried out, or whose outcome is unknown, until the next.
+/// Delay in ms before the next write after one that was not stored or whose outcome is unknown.
 pub const WRITE_RETRY_DELAY_MS: Millis = 100;
-/// Writes of a cell in flight at a time, whatever the number of teams: the leader's other writes
-/// wait behind them.
+/// Maximum number of ledger writes in flight per cell, for any number of teams. The leader's other
+/// writes queue behind them.
 pub const MAX_WRITES_IN_FLIGHT: usize = 4;
-/// Part of the limit that a cell takes beside what it can use while no other asks, so that not
-/// each new job costs a write.
+/// While no other cell has a pending request, a cell may hold headroom of the limit divided by this
+/// beyond its want, so that not every new job causes a write.
 pub const HEADROOM_DIVISOR: u64 = 16;
--- a/crates/latchtrack-quota/src/decision.rs
+++ b/crates/latchtrack-quota/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a cell claims, should hold and should ask for, in a ledger that is complete.
+//! Computes a cell's claim on a complete ledger, its next allotment and its next request.
 
 use crate::apportionment::Apportionment;
 use crate::constants::{
@@ -10,7 +10,8 @@
 use crate::team_state::{GrantState, TeamState};
 use crate::Millis;
 
-/// What this cell claims of a ledger now. While it has no request, its claim is the newest.
+/// Returns the cell's current claim on a ledger. If tasks wait but no request is pending, the claim
+/// gets the next request number, which ranks it last.
 pub(crate) fn own_claim(
     now: Millis,
     ledger: &TeamLedger,
@@ -26,19 +27,20 @@
     DemandClaim { request_number: has_waiting.then_some(request_number), need, want }
 }
 
-/// A complete ledger as one cell sees it at a moment.
+/// Inputs to a cell's decisions about a complete ledger.
 pub(crate) struct DecisionContext<'a> {
     pub now: Millis,
     pub ledger: &'a TeamLedger,
     pub apportionment: &'a Apportionment,
-    /// What the team uses in the cell, as far as it counts against the limit.
+    /// Resources that the team uses in the cell and that count against the limit.
     pub used: MilliResources,
-    /// What it could use.
+    /// Resources that the team could use in the cell, including those in use.
     pub want: MilliResources,
 }
 
 impl DecisionContext<'_> {
-    /// What the cell should hold, never less than it uses.
+    /// Returns the cell's next allotment, given the current one. It is lowered to no less than what
+    /// is in use.
     pub(crate) fn next_allotment(
         &self,
         team: &mut TeamState,
@@ -61,12 +63,12 @@
         if granted == MilliResources::ZERO || self.apportionment.is_contended() {
             return held.plus(granted);
         }
-        // A little more, for which nobody asks, so that not each new job costs a write.
+        // Nobody requests the headroom; with it, not every new job causes a write.
         held.plus(granted.plus(headroom).min_each(self.ledger.unallotted()))
     }
 
-    /// The request that the cell should have beside the allotment `allotted`, given the one that it
-    /// has.
+    /// Returns the cell's next request, given its current one and its next allotment `allotted`. A
+    /// new request takes its number from `next_request_number`.
     pub(crate) fn next_request(
         &self,
         team: &mut TeamState,
@@ -76,8 +78,8 @@
     ) -> Option<Request> {
         let is_covered = self.want.fits_in(allotted);
         if !self.apportionment.is_contended() && is_covered {
-            // Nobody else asks, so a request that stands harms nobody and its removal is not worth
-            // a write.
+            // With no competing request, a leftover request is harmless and its removal not worth a
+            // write.
             return current.cloned();
         }
         if team.usage.waiting == MilliResources::ZERO {
@@ -85,7 +87,7 @@
         }
         let grant = current.map(|request| team.track_grant(self.now, request, allotted));
         let is_finished = match grant {
-            // While every other need is met, nobody has to be let pass.
+            // A used request gives up its rank only if another cell has an unmet need.
             Some(GrantState::Used) => self.apportionment.others_have_unmet_needs(),
             Some(GrantState::TimedOut) => true,
             Some(GrantState::Active) | None => false,
@@ -103,7 +105,7 @@
         Some(make_request(Some(current), need, self.want, next_request_number))
     }
 
-    /// Whether a request has the right need, and a want that is near enough to the present one.
+    /// Whether the request has the current need, and a want close enough to the current one.
     fn is_up_to_date(&self, current: &Request, need: MilliResources) -> bool {
         let tolerated = self.ledger.limit.total().divided_by(WANT_CHANGE_DIVISOR);
         let change = self.want.minus(current.want).max_each(current.want.minus(self.want));
@@ -111,8 +113,8 @@
     }
 }
 
-/// A request with this need and want. It keeps the number of the current one unless it needs more
-/// than that.
+/// Creates a request. It keeps the number of `current` if its need is no greater, and otherwise
+/// gets the next number.
 fn make_request(
     current: Option<&Request>,
     need: MilliResources,
--- a/crates/latchtrack-quota/src/leaderless_cells.rs
+++ b/crates/latchtrack-quota/src/leaderless_cells.rs
@@ -1,4 +1,4 @@
-//! Which cells have no leader, since when, and which of them are surely dead.
+//! Tracks which cells have no leader and since when, and determines which of them are dead.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 use crate::constants::{CLOCK_DRIFT_RATIO, RECLAIM_MARGIN_MS};
 use crate::Millis;
 
-/// A cell that had no leader in the last snapshot.
+/// A cell without a leader in the last snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Leaderless {
     term_revision: u64,
-    /// First snapshot without a leader in this term, on our own clock.
+    /// Time of the first snapshot of this term without a leader, on the local clock.
     since: Millis,
 }
 
-/// The cells without a leader. Durations are measured by our own steady clock alone.
+/// The cells without a leader. Durations are measured only by the local monotonic clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LeaderlessCells {
     cells: BTreeMap<String, Leaderless>,
 }
 
 impl LeaderlessCells {
-    /// Takes in a snapshot. A cell that had a leader in between has another term, and its time
-    /// begins anew.
+    /// Applies a snapshot. If a cell had a leader between two snapshots, its term has changed and
+    /// its time without a leader starts over.
     pub(crate) fn observe(&mut self, now: Millis, statuses: &BTreeMap<String, CellStatus>) {
         let mut cells = BTreeMap::new();
         for (name, status) in statuses.iter().filter(|(_, status)| !status.has_leader) {
@@ -34,9 +34,9 @@
         self.cells = cells;
     }
 
-    /// The cell, if all that it ran has surely ended: the leases of its last leader and of its
-    /// workers have expired since it was first seen without a leader. None if its record can't be
-    /// read.
+    /// Returns the cell if none of its tasks can still be running: since it was first seen without
+    /// a leader, the leases of its last leader and of its workers have expired. Returns `None` if
+    /// its record can't be read.
     pub(crate) fn confirmed_dead(
         &self,
         now: Millis,
--- a/crates/latchtrack-quota/src/ledger.rs
+++ b/crates/latchtrack-quota/src/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of a team: its limit, its guarantee and the allotments of the cells. Its JSON is a
-//! published format, whose names are those of the first version.
+//! The ledger of a team: its limit, its guarantee and the allotments of the cells. Its JSON form is
+//! a published format; the serialized names are those of the first version.
 
 use std::collections::BTreeMap;
 
@@ -9,46 +9,46 @@
 use crate::constants::LEDGER_VERSION;
 use crate::resources::{Limit, MilliResources};
 
-/// Why a stored ledger can't be used.
+/// Error of parsing a stored ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum LedgerError {
-    /// It does not have the form of a ledger.
+    /// The JSON is invalid or does not match the format: the cause.
     #[error("is garbled: {0}")]
     Malformed(String),
-    /// A later version wrote it.
+    /// The ledger was written by a newer version: its format version.
     #[error("has version {0}, this one reads up to {LEDGER_VERSION}")]
     NewerVersion(u32),
 }
 
-/// A cell's request for more.
+/// A cell's request for a larger allotment.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Request {
-    /// Requests are granted in the order of their numbers.
+    /// Rank of the request; lower numbers are granted first.
     #[serde(rename = "ticket")]
     pub number: u64,
-    /// The allotment with which its next task, slice or gang can start.
+    /// Total allotment that the cell needs to start its next task, slice or gang.
     pub need: MilliResources,
-    /// All that the cell could use.
+    /// Total allotment that the cell could use.
     pub want: MilliResources,
 }
 
-/// What a cell holds of a team's limit. The name for serde is part of the text of its errors, which
+/// A cell's share of a team's limit. The serde name appears in the text of parse errors, which
 /// operators see.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename = "Account")]
 pub struct Allotment {
-    /// What the cell may use. It counts against the limit whether it is used or not.
+    /// Resources that the cell may use. They count against the limit whether in use or not.
     #[serde(rename = "allotted")]
     pub amount: MilliResources,
     /// Fencing token of the leader that last changed the amount.
     pub term: u64,
-    /// Time of day of that change, ms since the epoch; for operators only.
+    /// Unix time of that change in ms, for operators only.
     #[serde(default)]
     pub since_ms: u64,
-    /// What the cell asks for, if it asks for more.
+    /// Pending request of the cell.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<Request>,
-    /// Fields of later versions.
+    /// Fields of newer versions, preserved when the ledger is stored.
     #[serde(flatten)]
     pub extra: BTreeMap<String, Value>,
 }
@@ -56,29 +56,30 @@
 /// The stored ledger of a team.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TeamLedger {
-    /// Version of the format.
+    /// Version of the format, at most [`LEDGER_VERSION`].
     pub version: u32,
-    /// What all cells together may use.
+    /// Limit on the sum of the allotments of all cells.
     pub limit: Limit,
-    /// What the team is to get in any case.
+    /// Resources that are guaranteed to the team.
     #[serde(default)]
     pub guarantee: MilliResources,
-    /// The number of the next request.
+    /// Number that the next new request gets.
     #[serde(rename = "next_ticket", default)]
     pub next_request_number: u64,
-    /// Whether every cell has recorded what it uses. Until then no cell takes more.
+    /// Whether every cell that is not dead has recorded its usage. Until then, no allotment is
+    /// raised.
     #[serde(default)]
     pub complete: bool,
-    /// The allotments by cell. A cell without one holds nothing.
+    /// Allotments by cell name. A cell without an entry has no allotment.
     #[serde(rename = "cells", default)]
     pub allotments: BTreeMap<String, Allotment>,
-    /// Fields of later versions.
+    /// Fields of newer versions, preserved when the ledger is stored.
     #[serde(flatten)]
     pub extra: BTreeMap<String, Value>,
 }
 
 impl TeamLedger {
-    /// The ledger with which a team begins, or begins again after its ledger was lost.
+    /// Creates an incomplete ledger without allotments, for a new team or to replace a lost ledger.
     pub fn new(limit: Limit, guarantee: MilliResources) -> TeamLedger {
         TeamLedger {
             version: LEDGER_VERSION,
@@ -91,9 +92,9 @@
         }
     }
 
-    /// Reads a stored ledger.
+    /// Parses a stored ledger.
     pub fn parse(text: &str) -> Result<TeamLedger, LedgerError> {
-        // The version first: a later one may have another form.
+        // The version is checked first because a newer version may have a different format.
         #[derive(Deserialize)]
         struct Version {
             version: u32,
@@ -106,42 +107,42 @@
         serde_json::from_str(text).map_err(malformed)
     }
 
-    /// Has every cell record anew what it uses, before any takes more: needed when a resource gets
-    /// a limit that had none, since no allotment says what is used of it.
+    /// Discards all allotments, so that every cell records its usage again before any allotment is
+    /// raised. Required when a resource gets its first limit: the allotments don't cover its usage.
     pub fn restart_rebuild(&mut self) {
         self.allotments.clear();
         self.complete = false;
     }
 
-    /// What is allotted to all cells together.
+    /// Returns the sum of the allotments of all cells.
     pub fn allotted(&self) -> MilliResources {
         self.allotments
             .values()
             .fold(MilliResources::ZERO, |sum, allotment| sum.plus(allotment.amount))
     }
 
-    /// Whether more is allotted than the limit: it was lowered, or the ledger is wrong.
+    /// Whether the allotments exceed the limit: it was lowered, or the ledger is wrong.
     pub fn is_overallotted(&self) -> bool {
         !self.limit.counted(self.allotted()).fits_in(self.limit.total())
     }
 
-    /// What of the limit is allotted to no cell.
+    /// Returns the part of the limit that is not allotted; zero for a resource without a limit.
     pub fn unallotted(&self) -> MilliResources {
         self.limit.total().minus(self.limit.counted(self.allotted()))
     }
 
-    /// What a cell holds.
+    /// Returns the allotment of a cell, zero if it has none.
     pub fn allotted_to(&self, cell: &str) -> MilliResources {
         self.allotments.get(cell).map_or(MilliResources::ZERO, |allotment| allotment.amount)
     }
 
-    /// The request of a cell, if it asks for more.
+    /// Returns the pending request of a cell.
     pub fn request_of(&self, cell: &str) -> Option<&Request> {
         self.allotments.get(cell)?.request.as_ref()
     }
 
-    /// Sets what a cell holds and asks for. The term of its allotment changes with the amount
-    /// alone.
+    /// Sets the allotment and the request of a cell. The term of the allotment is updated only if
+    /// the amount changes.
     pub(crate) fn set_allotment(
         &mut self,
         cell: &str,
@@ -157,7 +158,7 @@
         allotment.request = request;
     }
 
-    /// Removes the requests of these cells.
+    /// Removes the pending requests of these cells; their allotments remain.
     pub(crate) fn remove_requests(&mut self, cells: &[String]) {
         for cell in cells {
             if let Some(allotment) = self.allotments.get_mut(cell) {
--- a/crates/latchtrack-quota/src/lib.rs
+++ b/crates/latchtrack-quota/src/lib.rs
@@ -1,10 +1,10 @@
-//! Limits and guarantees of teams that several cells share. A cell is a group of controllers with a
-//! leader, workers and a cloud account of its own. Each cell holds an allotment of a team's limit
-//! (escrow) and launches within it without asking anybody.
+//! Limits and guarantees of teams that are shared by several cells. A cell is a group of
+//! controllers with its own leader, workers and cloud account. Each cell holds an allotment of a
+//! team's limit (escrow) and launches tasks within it without coordinating with other cells.
 //!
-//! Pure and deterministic: no sockets, clocks, threads or random numbers. Time comes in as an
-//! argument. [`AllotmentManager`] decides for one cell; the caller reads and writes the state
-//! service. docs/quota.md says why no limit is passed.
+//! The crate is pure and deterministic: it uses no sockets, clocks, threads or random numbers, and
+//! receives the time as an argument. [`AllotmentManager`] decides for one cell; the caller reads
+//! and writes the state service. See docs/quota.md for why usage never exceeds a limit.
 
 #![deny(missing_docs)]
 
@@ -32,5 +32,5 @@
 pub use targets::{targets, DemandClaim, Target};
 pub use team::{LaunchLimit, LocalUsage, TeamQuota, TeamSummary};
 
-/// Milliseconds on the local steady clock.
+/// Milliseconds on the local monotonic clock.
 pub type Millis = u64;
--- a/crates/latchtrack-quota/src/manager/ledger_changes.rs
+++ b/crates/latchtrack-quota/src/manager/ledger_changes.rs
@@ -1,5 +1,5 @@
-//! Decides how a team's ledger is to change: create it, rebuild it, reclaim from dead cells, or
-//! adjust this cell's allotment and request.
+//! Decides the next change of a team's ledger: create it, rebuild it, reclaim allotments of dead
+//! cells, or adjust this cell's allotment and request.
 
 use super::AllotmentManager;
 use crate::apportionment::Apportionment;
@@ -11,12 +11,12 @@
 use crate::team_state::{AllotmentCap, LedgerState, TeamState};
 use crate::Millis;
 
-/// A new ledger, with the cells that must still be dead when it is written.
+/// A new ledger, and the cells that must still be dead when it is written.
 type LedgerChange = (TeamLedger, Vec<DeadCell>);
 
 impl AllotmentManager {
-    /// The next write of a team's ledger, if one is due. `apportionment` is that of the ledger as
-    /// it is known now, if it was made already.
+    /// Returns the next write of a team's ledger, if one is due. `apportionment` is that of the
+    /// known ledger, if already computed.
     pub(super) fn step_team(
         &mut self,
         now: Millis,
@@ -41,14 +41,15 @@
             }
         };
         let team = self.teams.get_mut(name)?;
-        // Lowered before it is sent, and until it is known to have failed.
+        // The launch limit is lowered before the write is sent, and stays so until it is known to
+        // have failed.
         let max = ledger.allotted_to(&self.cell);
         team.in_flight = Some(AllotmentCap { expected_revision, max });
         team.launch_limit = team.launch_limit.min_each(max);
         Some(LedgerWrite { team: name.to_string(), expected_revision, ledger, dead })
     }
 
-    /// A new ledger, with what this cell uses.
+    /// Creates a ledger in which this cell's usage is its allotment.
     fn create(&self, team: &TeamState) -> Option<TeamLedger> {
         if !team.settings.limit.is_set() {
             return None;
@@ -58,8 +59,8 @@
         Some(ledger)
     }
 
-    /// Makes what this cell uses its allotment in a ledger in which it has none; None, and no
-    /// change, while that is not known.
+    /// Records this cell's usage as its allotment in a ledger where it has none. Returns `None`
+    /// without a change while the usage is not reconciled.
     fn record_own_usage(&self, ledger: &mut TeamLedger, team: &TeamState) -> Option<()> {
         if !team.usage.is_reconciled {
             return None;
@@ -70,7 +71,7 @@
         Some(())
     }
 
-    /// Drops the allotments of dead cells. Dead cells that have none in it need not be named.
+    /// Drops the allotments of dead cells. Dead cells without an allotment are not listed.
     fn reclaim(&self, now: Millis, ledger: &TeamLedger) -> Option<LedgerChange> {
         let others = ledger.allotments.keys().filter(|cell| **cell != self.cell);
         let dead: Vec<DeadCell> = others
@@ -84,8 +85,8 @@
         Some((ledger, dead))
     }
 
-    /// Brings a ledger nearer to completeness: records this cell's usage, or declares the ledger
-    /// complete if every cell that is not dead has done so.
+    /// Takes the next step of rebuilding a ledger: records this cell's usage, or marks the ledger
+    /// as complete if every cell that is not dead has recorded its usage.
     fn advance_rebuild(
         &self,
         now: Millis,
@@ -105,8 +106,8 @@
         Some((ledger, dead))
     }
 
-    /// Changes this cell's allotment and request in a complete ledger, and removes stale requests
-    /// of others; None if there is nothing to change.
+    /// Adjusts this cell's allotment and request in a complete ledger, and removes stale requests
+    /// of other cells. Returns `None` if nothing changes.
     fn adjust(
         &mut self,
         now: Millis,
--- a/crates/latchtrack-quota/src/manager/mod.rs
+++ b/crates/latchtrack-quota/src/manager/mod.rs
@@ -1,5 +1,5 @@
-//! The allotment manager: keeps one cell's part of the teams' limits. It asks for allotment, takes
-//! it, gives it back and reclaims that of dead cells.
+//! The allotment manager: maintains one cell's allotments of the teams' limits. It requests, raises
+//! and returns them, and reclaims those of dead cells.
 
 mod ledger_changes;
 mod observation;
@@ -19,18 +19,18 @@
 use crate::team_state::{LedgerState, TeamState};
 use crate::Millis;
 
-/// What an allotment manager is made for.
+/// Settings of an allotment manager.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AllotmentManagerSettings {
-    /// The cell.
+    /// Name of the cell.
     pub cell: String,
-    /// Fencing token of the leader that it serves.
+    /// Fencing token of the leader on whose behalf it acts.
     pub term: u64,
-    /// The teams of the cell's settings.
+    /// Quotas by team name, according to the cell's settings.
     pub teams: BTreeMap<String, TeamQuota>,
 }
 
-/// The quota of one cell, for one term of its leader.
+/// Manages the allotments of one cell during one term of its leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AllotmentManager {
     cell: String,
@@ -40,13 +40,14 @@
     revision: u64,
     cells: BTreeMap<String, CellStatus>,
     leaderless: LeaderlessCells,
-    /// Index of the team that comes first in the next step, so that each has its turn.
+    /// Index of the team with which the next step starts, so that teams take turns.
     next_team: usize,
     notices: Vec<Notice>,
 }
 
 impl AllotmentManager {
-    /// For a new leader, which launches nothing of a team until it has read its ledger.
+    /// Creates the manager of a new leader, which launches no tasks of a team until it has read the
+    /// team's ledger.
     pub fn new(settings: AllotmentManagerSettings) -> AllotmentManager {
         let teams = settings.teams.into_iter();
         AllotmentManager {
@@ -61,8 +62,8 @@
         }
     }
 
-    /// What the cell may use of a team's limit now; None if the team has no limit, neither in the
-    /// settings nor in a ledger.
+    /// Returns the resources that the cell may currently use of a team's limit, or `None` if the
+    /// team is unknown, or has no limit in the settings or the ledger.
     pub fn launch_limit(&self, team: &str) -> Option<LaunchLimit> {
         let team = self.teams.get(team)?;
         if matches!(team.ledger_state, LedgerState::NotRead | LedgerState::Unusable(..)) {
@@ -72,14 +73,16 @@
         limit.is_set().then(|| LaunchLimit::of(&limit, team.launch_limit))
     }
 
-    /// The cell's part of a team's guarantee; None if the team has no limit and so is not shared.
+    /// Returns the cell's part of a team's guarantee, or `None` if the team is unknown, or has no
+    /// limit and so is not shared.
     pub fn guarantee(&self, team: &str) -> Option<MilliResources> {
         let team = self.teams.get(team)?;
         team.limit().is_set().then_some(team.guarantee)
     }
 
-    /// What is to be written, by what the teams use now. Launch limits are lowered before it
-    /// returns: the caller launches by the new ones from now on.
+    /// Returns the ledger writes that are due, given the teams' current usage by team name. Launch
+    /// limits are lowered before it returns, and the caller must apply them before it sends the
+    /// writes.
     pub fn step(&mut self, now: Millis, usages: &BTreeMap<String, LocalUsage>) -> Vec<LedgerWrite> {
         for (name, team) in &mut self.teams {
             team.usage = usages.get(name).copied().unwrap_or_default();
@@ -100,18 +103,18 @@
         writes
     }
 
-    /// The notices since the last call.
+    /// Returns and clears the notices since the last call.
     pub fn take_notices(&mut self) -> Vec<Notice> {
         std::mem::take(&mut self.notices)
     }
 
-    /// The teams, for an operator.
+    /// Returns the summaries of all teams, for operators.
     pub fn summary(&self) -> Vec<TeamSummary> {
         self.teams.iter().map(|(name, team)| summarize(name, team)).collect()
     }
 
-    /// Sets launch limits and parts of guarantees by what is known and used now. Returns the
-    /// apportionment of each ledger that is complete and not overallotted.
+    /// Recomputes launch limits and parts of guarantees from the known ledgers and the usage.
+    /// Returns the apportionment of each ledger that is complete and not overallotted.
     fn update_launch_limits(&mut self, now: Millis) -> BTreeMap<String, Apportionment> {
         let cell = &self.cell;
         let mut apportionments = BTreeMap::new();
--- a/crates/latchtrack-quota/src/manager/observation.rs
+++ b/crates/latchtrack-quota/src/manager/observation.rs
@@ -1,4 +1,4 @@
-//! Takes in snapshots of the state service.
+//! Applies snapshots of the state service.
 
 use super::AllotmentManager;
 use crate::notices::Notice;
@@ -7,8 +7,8 @@
 use crate::Millis;
 
 impl AllotmentManager {
-    /// Takes in a snapshot. One from before this term is left out, since an earlier leader of the
-    /// cell may have written after it; so is one that is older than the last.
+    /// Applies a snapshot. Snapshots from before this term are ignored, because an earlier leader
+    /// of the cell may have written later; so are those older than the last one.
     pub fn observe(&mut self, now: Millis, snapshot: LedgerSnapshot) {
         if snapshot.revision < self.revision.max(self.term) {
             return;
@@ -19,8 +19,8 @@
             if read.revision() >= team.ledger_state.revision() {
                 team.ledger_state = read;
             }
-            // Once the ledger has another revision, a write on the earlier one can't be carried out
-            // any more.
+            // Once the ledger's revision has changed, a write that expects the earlier one can't be
+            // executed any more.
             let revision = team.ledger_state.revision();
             if team.unconfirmed.is_some_and(|cap| cap.expected_revision != revision) {
                 team.unconfirmed = None;
@@ -32,7 +32,7 @@
         self.note_problems();
     }
 
-    /// Notes each problem of a ledger once, as long as it lasts.
+    /// Adds a notice for each new problem of a ledger; one that persists is not repeated.
     fn note_problems(&mut self) {
         for (name, team) in &mut self.teams {
             let notice = problem_notice(name, team);
--- a/crates/latchtrack-quota/src/manager/write_outcomes.rs
+++ b/crates/latchtrack-quota/src/manager/write_outcomes.rs
@@ -1,4 +1,4 @@
-//! Takes in how writes of ledgers ended.
+//! Handles the outcomes of ledger writes.
 
 use super::AllotmentManager;
 use crate::constants::{MIN_WRITE_INTERVAL_MS, WRITE_RETRY_DELAY_MS};
@@ -9,7 +9,7 @@
 use crate::Millis;
 
 impl AllotmentManager {
-    /// Takes in how a write ended.
+    /// Applies the outcome of a write returned by [`AllotmentManager::step`].
     pub fn handle_write_outcome(
         &mut self,
         now: Millis,
@@ -21,7 +21,7 @@
         match outcome {
             WriteOutcome::Stored(revision) => {
                 team.no_write_before = now.saturating_add(MIN_WRITE_INTERVAL_MS);
-                // A snapshot may have shown a later ledger already.
+                // A snapshot may already have contained a later ledger.
                 if revision > team.ledger_state.revision() {
                     let before = match &team.ledger_state {
                         LedgerState::Present(_, ledger) => ledger.allotted_to(&self.cell),
--- a/crates/latchtrack-quota/src/notices.rs
+++ b/crates/latchtrack-quota/src/notices.rs
@@ -1,23 +1,24 @@
-//! What an allotment manager has to tell: lines for the log, and problems for the status page.
+//! Log notices of an allotment manager, and the ledger problems that the status reports.
 
 use std::fmt;
 
 use crate::ledger::LedgerError;
 use crate::resources::MilliResources;
 
-/// Why nothing of a team may be launched beyond what its ledger covers.
+/// Problem with a team's ledger because of which none of the team's tasks are launched.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LedgerProblem {
-    /// The ledger can't be used; nothing of the team is launched.
+    /// The ledger can't be parsed: the cause.
     Unusable(LedgerError),
-    /// The ledger is missing; it is rebuilt from what the cells run.
+    /// The ledger is missing; it is rebuilt from the usage of the cells.
     Missing,
-    /// More is allotted than the limit.
+    /// The sum of the allotments exceeds the limit.
     Overallotted,
 }
 
 impl LedgerProblem {
-    /// As `latchtrack status` prints it. Operators may compare this text: it stays as it is.
+    /// Returns the text printed by `latchtrack status`. Operators' tools may match it, so it must
+    /// not change.
     pub fn status_text(&self, team: &str) -> String {
         match self {
             LedgerProblem::Unusable(error) => {
@@ -33,35 +34,38 @@
     }
 }
 
-/// Something for the log, once each.
+/// Notice to be logged once.
+///
+/// `Display` writes a constant message, followed by the values as `key=value`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Notice {
     /// The cell's allotment has changed.
     Allotted {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// The allotment before.
+        /// The previous allotment.
         from: MilliResources,
-        /// The allotment now.
+        /// The new allotment.
         to: MilliResources,
     },
-    /// Allotments of dead cells were reclaimed.
+    /// The allotments of dead cells were reclaimed.
     Reclaimed {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// The dead cells.
+        /// Names of the dead cells.
         cells: Vec<String>,
     },
-    /// A ledger keeps a team from being launched.
+    /// A problem with a ledger prevents launches of the team's tasks.
     Problem {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// What is wrong with its ledger.
+        /// The problem with its ledger.
         problem: LedgerProblem,
     },
-    /// The ledger's limit or guarantee is not that of the settings; the ledger's counts.
+    /// The limit or guarantee in the settings differs from that in the ledger, which takes
+    /// precedence.
     SettingsDiffer {
-        /// The team.
+        /// Name of the team.
         team: String,
     },
 }
@@ -85,16 +89,16 @@
                 )
             }
             Notice::Problem { team, problem: LedgerProblem::Unusable(error) } => {
-                write!(f, "ledger unusable, launching nothing team={team} error=\"{error}\"")
+                write!(f, "ledger unusable, launches suspended team={team} error=\"{error}\"")
             }
             Notice::Problem { team, problem: LedgerProblem::Missing } => {
                 write!(f, "ledger missing, rebuilding it from the usage of the cells team={team}")
             }
             Notice::Problem { team, problem: LedgerProblem::Overallotted } => {
-                write!(f, "ledger allots more than its limit, launching nothing team={team}")
+                write!(f, "allotments exceed the limit, launches suspended team={team}")
             }
             Notice::SettingsDiffer { team } => {
-                write!(f, "settings differ from the ledger, which counts team={team}")
+                write!(f, "settings differ from the ledger, which takes precedence team={team}")
             }
         }
     }
--- a/crates/latchtrack-quota/src/resources.rs
+++ b/crates/latchtrack-quota/src/resources.rs
@@ -1,20 +1,20 @@
-//! CPUs and GPUs in whole thousandths, so that sums over cells are exact.
+//! Amounts of CPUs and GPUs in whole thousandths, so that sums over cells are exact.
 
 use serde::{Deserialize, Serialize};
 
 use crate::constants::{MILLI_PER_UNIT, ROUNDING_TOLERANCE};
 
-/// Thousandths of CPUs and GPUs. The name for serde is part of the text of its errors, which
-/// operators see.
+/// Amounts of CPUs and GPUs in thousandths. The serde name appears in the text of parse errors,
+/// which operators see.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename = "Amounts", default)]
 pub struct MilliResources {
-    /// Thousandths of a CPU.
+    /// CPUs, in thousandths.
     #[serde(skip_serializing_if = "is_zero")]
     pub millicpus: u64,
-    /// Thousandths of a GPU.
+    /// GPUs, in thousandths.
     #[serde(skip_serializing_if = "is_zero")]
     pub milligpus: u64,
 }
@@ -24,10 +24,10 @@
 }
 
 impl MilliResources {
-    /// Nothing.
+    /// Zero of each resource.
     pub const ZERO: MilliResources = MilliResources { millicpus: 0, milligpus: 0 };
 
-    /// What covers these numbers of CPUs and GPUs: rounded up.
+    /// Converts numbers of CPUs and GPUs, rounding up. Negative numbers become zero.
     pub fn covering(cpus: f64, gpus: f64) -> MilliResources {
         MilliResources { millicpus: round_up(cpus), milligpus: round_up(gpus) }
     }
@@ -39,42 +39,42 @@
         }
     }
 
-    /// The sum of both.
+    /// Returns the sum of both amounts, saturating at `u64::MAX`.
     pub fn plus(self, other: MilliResources) -> MilliResources {
         self.combine(other, u64::saturating_add)
     }
 
-    /// What is left without `other`, never below 0.
+    /// Subtracts `other`, saturating at zero.
     pub fn minus(self, other: MilliResources) -> MilliResources {
         self.combine(other, u64::saturating_sub)
     }
 
-    /// The smaller of both, of each resource.
+    /// Returns the minimum of both amounts for each resource.
     pub fn min_each(self, other: MilliResources) -> MilliResources {
         self.combine(other, u64::min)
     }
 
-    /// The larger of both, of each resource.
+    /// Returns the maximum of both amounts for each resource.
     pub fn max_each(self, other: MilliResources) -> MilliResources {
         self.combine(other, u64::max)
     }
 
-    /// One of `parts` equal parts, rounded down.
+    /// Divides each resource by `parts`, rounding down. Zero parts count as one.
     pub fn divided_by(self, parts: u64) -> MilliResources {
         self.combine(MilliResources::ZERO, |amount, _| amount / parts.max(1))
     }
 
-    /// Whether this is at most `available`, of each resource.
+    /// Whether the amount of each resource is at most that in `available`.
     pub fn fits_in(self, available: MilliResources) -> bool {
         self.minus(available) == MilliResources::ZERO
     }
 
-    /// CPUs as a decimal number.
+    /// Returns the number of CPUs.
     pub fn cpus(self) -> f64 {
         self.millicpus as f64 / MILLI_PER_UNIT
     }
 
-    /// GPUs as a decimal number.
+    /// Returns the number of GPUs.
     pub fn gpus(self) -> f64 {
         self.milligpus as f64 / MILLI_PER_UNIT
     }
@@ -88,20 +88,20 @@
     (amount * MILLI_PER_UNIT + ROUNDING_TOLERANCE).floor().max(0.0) as u64
 }
 
-/// A limit of each resource. None is no limit, and that resource is not counted.
+/// Limits per resource. `None` means no limit; such a resource is not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limit {
-    /// Thousandths of a CPU.
+    /// Limit on CPUs, in thousandths.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub millicpus: Option<u64>,
-    /// Thousandths of a GPU.
+    /// Limit on GPUs, in thousandths.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub milligpus: Option<u64>,
 }
 
 impl Limit {
-    /// A limit as settings have it, in CPUs and GPUs, rounded down; 0 is none.
+    /// Converts a limit from the settings, in CPUs and GPUs, rounding down; 0 means no limit.
     pub fn of(cpus: f64, gpus: f64) -> Limit {
         let limit = |amount: f64| (amount > 0.0).then(|| round_down(amount));
         Limit { millicpus: limit(cpus), milligpus: limit(gpus) }
@@ -112,7 +112,7 @@
         self.millicpus.is_some() || self.milligpus.is_some()
     }
 
-    /// All that may be allotted; 0 of a resource without a limit.
+    /// Returns the total that may be allotted; zero for a resource without a limit.
     pub fn total(&self) -> MilliResources {
         MilliResources {
             millicpus: self.millicpus.unwrap_or(0),
@@ -120,7 +120,8 @@
         }
     }
 
-    /// What of `amount` counts against this limit: nothing of a resource without one.
+    /// Returns the part of `amount` that counts against this limit: zero for a resource without a
+    /// limit.
     pub fn counted(&self, amount: MilliResources) -> MilliResources {
         MilliResources {
             millicpus: if self.millicpus.is_some() { amount.millicpus } else { 0 },
--- a/crates/latchtrack-quota/src/stale_requests.rs
+++ b/crates/latchtrack-quota/src/stale_requests.rs
@@ -1,5 +1,5 @@
-//! Requests of other cells that could be granted and are not taken: their cells are gone, or can't
-//! act.
+//! Tracks requests of other cells that could be granted but remain pending, because their cells are
+//! gone or can't act.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 use crate::constants::REQUEST_STALE_MS;
 use crate::Millis;
 
-/// Since when requests of other cells could have been granted and were not.
+/// Grantable requests of other cells, with the time since when each could have been granted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct StaleRequests {
     since: BTreeMap<OpenRequest, Millis>,
 }
 
 impl StaleRequests {
-    /// Takes in the present claims, and names the cells whose requests have been stale for too
-    /// long.
+    /// Updates the tracked requests, and returns the cells whose requests have been grantable for
+    /// [`REQUEST_STALE_MS`] or longer.
     pub(crate) fn observe(&mut self, now: Millis, apportionment: &Apportionment) -> Vec<String> {
         let mut since = BTreeMap::new();
         for request in apportionment.grantable_requests() {
--- a/crates/latchtrack-quota/src/targets.rs
+++ b/crates/latchtrack-quota/src/targets.rs
@@ -1,40 +1,41 @@
-//! How a limit is to be divided among the claims of the cells. Every cell computes the same from
-//! the same claims.
+//! Divides a limit among the claims of the cells. The result is deterministic: every cell computes
+//! the same targets from the same claims.
 
 use crate::resources::{Limit, MilliResources};
 
-/// What a cell claims of a limit.
+/// A cell's claim on a limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DemandClaim {
-    /// The number of its request; None if it asks for nothing extra than it holds.
+    /// Number of the cell's request; `None` if it has no request.
     pub request_number: Option<u64>,
-    /// The allotment with which its next task, slice or gang can start.
+    /// Total allotment that the cell needs to start its next task, slice or gang.
     pub need: MilliResources,
-    /// All that it could use.
+    /// Total allotment that the cell could use.
     pub want: MilliResources,
 }
 
-/// Parts of a target.
+/// Number of parts of a target.
 pub(crate) const TARGET_PARTS: usize = 3;
 
-/// What a claim is to get, by the reason. Earlier reasons are served first.
+/// Target allotment of a claim, in parts. Earlier parts are served first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Target {
-    /// Its part of the guarantee.
+    /// Part of the team's guarantee.
     pub guarantee: MilliResources,
-    /// What its need takes beyond that.
+    /// Part of the need beyond the guarantee.
     pub need: MilliResources,
-    /// Its even share of the remainder.
+    /// Fair share of the remaining limit.
     pub share: MilliResources,
 }
 
 impl Target {
-    /// All of it.
+    /// Returns the sum of all parts.
     pub fn total(&self) -> MilliResources {
         self.guarantee.plus(self.need).plus(self.share)
     }
 
-    /// What of each part is not covered by what is held.
+    /// Returns the amount of each part that the allotment `held` does not cover. It covers earlier
+    /// parts first.
     pub(crate) fn shortfall(&self, held: MilliResources) -> [MilliResources; TARGET_PARTS] {
         let with_need = self.guarantee.plus(self.need);
         [
@@ -45,11 +46,11 @@
     }
 }
 
-/// The target of each claim. Together they never pass the limit.
+/// Computes the target of each claim. The sum of the targets never exceeds the limit.
 ///
-/// The limit goes first to claims that fit into the guarantee (those without a request before the
-/// others, and these by request number), then to the needs by request number, each whole or not at
-/// all, and the remainder evenly to the wants (max-min fairness).
+/// First, the guarantee is given to claims whose whole want fits into what remains of it: claims
+/// without a request first, the others by request number. Next, needs are met by request number,
+/// each in full or not at all. The rest is divided among the wants by max-min fairness.
 pub fn targets(limit: &Limit, guarantee: MilliResources, claims: &[DemandClaim]) -> Vec<Target> {
     let mut targets: Vec<Target> = guarantee_parts(limit, guarantee, claims)
         .into_iter()
@@ -62,7 +63,8 @@
     targets
 }
 
-/// What of the guarantee goes to each claim: all that it wants, to those that fit into it.
+/// Returns the part of the guarantee that each claim gets: its whole want if that fits into the
+/// remaining guarantee, otherwise zero.
 fn guarantee_parts(
     limit: &Limit,
     guarantee: MilliResources,
@@ -80,8 +82,8 @@
     parts
 }
 
-/// Gives each need what its part of the guarantee does not cover, if all of that is remaining; returns
-/// what is remaining then.
+/// Assigns to each need the amount that its part of the guarantee does not cover, if that fits into
+/// the remaining limit. Returns the limit that remains.
 fn assign_needs(
     limit: &Limit,
     mut remaining: MilliResources,
@@ -99,7 +101,7 @@
     remaining
 }
 
-/// Divides what is remaining evenly over what the wants still lack.
+/// Divides the remaining limit among the unmet parts of the wants.
 fn assign_shares(
     limit: &Limit,
     remaining: MilliResources,
@@ -117,16 +119,17 @@
     }
 }
 
-/// Indices of the claims in the order in which they are served: those without a request first, then
-/// by request number.
+/// Returns the indices of the claims in the order in which they are served: claims without a
+/// request first, then by request number.
 fn by_request_number(claims: &[DemandClaim]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by_key(|i| claims[*i].request_number);
     order
 }
 
-/// What of one resource is added to each base, at most `unmet`, so that the totals are as even as
-/// possible. What whole thousandths leave over goes to the first.
+/// Divides the remaining amount of one resource by max-min fairness: each claim gets at most its
+/// `unmet` on top of its `base`, and the totals are as even as possible. Thousandths that can't be
+/// divided evenly go to the first claims.
 fn even_shares(
     remaining: u64,
     base: &[MilliResources],
@@ -135,7 +138,7 @@
 ) -> Vec<u64> {
     let base: Vec<u64> = base.iter().map(&resource).collect();
     let unmet: Vec<u64> = unmet.iter().map(&resource).collect();
-    // What each is given if all are to be raised to `level`.
+    // The increase of each claim that raises its total to `level`.
     let increases_to = |level: u64| -> Vec<u64> {
         let added = |(base, unmet): (&u64, &u64)| level.saturating_sub(*base).min(*unmet);
         base.iter().zip(&unmet).map(added).collect()
@@ -145,7 +148,7 @@
     if cost(highest) <= remaining {
         return unmet;
     }
-    // Binary search for the highest level that can be afforded.
+    // Binary search for the highest level whose cost does not exceed the remaining amount.
     let (mut low, mut high) = (0, highest);
     while low + 1 < high {
         let mid = low + (high - low) / 2;
--- a/crates/latchtrack-quota/src/team.rs
+++ b/crates/latchtrack-quota/src/team.rs
@@ -1,49 +1,50 @@
-//! A team as the caller sees it: its settings, its usage in this cell, its launch limit and its
-//! summary.
+//! Interface types of a team: its settings, its usage in this cell, its launch limit and its
+//! summary for operators.
 
 use std::collections::BTreeMap;
 
 use crate::ledger::Allotment;
 use crate::resources::{Limit, MilliResources};
 
-/// A team's limit and guarantee as this cell's settings have them.
+/// A team's limit and guarantee according to the settings of this cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TeamQuota {
-    /// What all cells together may use.
+    /// Limit on the usage of all cells together.
     pub limit: Limit,
-    /// What the team is to get in any case.
+    /// Resources that are guaranteed to the team.
     pub guarantee: MilliResources,
 }
 
-/// What a team uses in this cell, and what it waits for here.
+/// A team's usage and pending demand in this cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LocalUsage {
-    /// Whether `used` covers all that may be on machines. If not, nothing is given back or taken.
+    /// Whether `used` covers all tasks that may be on machines. Until it does, the allotment is
+    /// neither raised nor returned.
     pub is_reconciled: bool,
-    /// All that may be on machines.
+    /// Resources of all tasks that may be on machines.
     pub used: MilliResources,
-    /// What its waiting tasks would use.
+    /// Resources that the waiting tasks would use.
     pub waiting: MilliResources,
-    /// What the next of them to start needs: a task, a slice or a gang.
+    /// Resources that the next start needs: those of a task, a slice or a gang.
     pub next_start: MilliResources,
-    /// All that was started in this term.
+    /// Total resources of all tasks started in this term, including those that have ended.
     pub started: MilliResources,
 }
 
-/// What a cell may use of a team's limit; None is no limit.
+/// Resources that a cell may use of a team's limit; `None` means no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LaunchLimit {
-    /// Thousandths of a CPU.
+    /// CPUs, in thousandths.
     pub millicpus: Option<u64>,
-    /// Thousandths of a GPU.
+    /// GPUs, in thousandths.
     pub milligpus: Option<u64>,
 }
 
 impl LaunchLimit {
-    /// Nothing may be launched.
+    /// No task may be launched.
     pub(crate) const ZERO: LaunchLimit = LaunchLimit { millicpus: Some(0), milligpus: Some(0) };
 
-    /// `amount` of the resources that have a limit.
+    /// Returns `amount` for each resource that has a limit, and no limit for the others.
     pub(crate) fn of(limit: &Limit, amount: MilliResources) -> LaunchLimit {
         LaunchLimit {
             millicpus: limit.millicpus.map(|_| amount.millicpus),
@@ -52,23 +53,24 @@
     }
 }
 
-/// A team's quota for an operator.
+/// Summary of a team's quota for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TeamSummary {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// Why its ledger can't be used, if so.
+    /// Problem with the ledger because of which no task of the team is launched, if any.
     pub problem: Option<String>,
-    /// Whether the ledger, which counts, has another limit or guarantee than the settings.
+    /// Whether the limit or guarantee in the ledger, which takes precedence, differs from the
+    /// settings.
     pub settings_differ: bool,
-    /// The limit in force.
+    /// Effective limit: that in the ledger, or that in the settings while there is no ledger.
     pub limit: Limit,
-    /// The guarantee in force.
+    /// Effective guarantee, chosen in the same way.
     pub guarantee: MilliResources,
-    /// What may be on this cell's machines.
+    /// Resources of the tasks that may be on machines of this cell.
     pub used: MilliResources,
-    /// What this cell may use at the moment.
+    /// Resources that this cell may currently use.
     pub launch_limit: MilliResources,
-    /// The allotments by cell.
+    /// Allotments by cell name.
     pub cells: BTreeMap<String, Allotment>,
 }
--- a/crates/latchtrack-quota/src/team_state.rs
+++ b/crates/latchtrack-quota/src/team_state.rs
@@ -1,5 +1,5 @@
-//! The state of a team in one cell: what is known of its ledger, which writes are open, and whether
-//! the cell's request is granted.
+//! The state of a team in one cell: the last known ledger, the writes in flight, and whether the
+//! cell's request is granted.
 
 use crate::constants::GRANT_TIMEOUT_MS;
 use crate::ledger::{LedgerError, Request, TeamLedger};
@@ -9,22 +9,22 @@
 use crate::team::{LocalUsage, TeamQuota};
 use crate::Millis;
 
-/// A team's ledger as this cell knows it, each state with the revision at which it was read.
+/// Last known state of a team's ledger, with its revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) enum LedgerState {
     /// Not read yet in this term.
     #[default]
     NotRead,
-    /// There was none at this revision.
+    /// There was no ledger at this revision of the state service.
     Missing(u64),
-    /// It can't be used.
+    /// The ledger can't be parsed.
     Unusable(u64, LedgerError),
-    /// It was this.
+    /// The ledger was parsed.
     Present(u64, TeamLedger),
 }
 
 impl LedgerState {
-    /// Revision of what is known; 0 before the first read.
+    /// Returns the revision of the known state, or 0 before the first read.
     pub(crate) fn revision(&self) -> u64 {
         match self {
             LedgerState::NotRead => 0,
@@ -34,8 +34,8 @@
     }
 }
 
-/// The most that the cell may count on while the ledger has this revision: a write on that revision
-/// which sets the cell's allotment to `max` may still be carried out.
+/// Upper bound on the allotment that the cell may rely on while the ledger has the expected
+/// revision, because a write that sets its allotment to `max` may still be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AllotmentCap {
     pub expected_revision: u64,
@@ -43,7 +43,7 @@
 }
 
 impl AllotmentCap {
-    /// What remains of `amount` under a cap while the ledger has `revision`.
+    /// Returns `amount`, lowered to the cap if the cap applies to `revision` of the ledger.
     pub(crate) fn apply(
         cap: &Option<AllotmentCap>,
         revision: u64,
@@ -56,7 +56,8 @@
     }
 }
 
-/// A request whose need the allotment covers: since when, and what the cell had started by then.
+/// A request whose need the allotment covers, with the time since when it does and what the cell
+/// had started by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct GrantedRequest {
     pub request_number: u64,
@@ -64,51 +65,52 @@
     pub started: MilliResources,
 }
 
-/// How far the cell has come with what its request was granted.
+/// State of the grant of the cell's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantState {
-    /// It is not granted yet, or not used yet.
+    /// The request is not granted yet, or its grant is not used yet.
     Active,
-    /// As much as was needed has been started.
+    /// The cell has started as much as the request needed.
     Used,
-    /// It was not used within [`GRANT_TIMEOUT_MS`].
+    /// The grant was not used within [`GRANT_TIMEOUT_MS`].
     TimedOut,
 }
 
-/// A team in this cell.
+/// State of a team in this cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct TeamState {
     pub settings: TeamQuota,
     pub ledger_state: LedgerState,
     pub usage: LocalUsage,
-    /// The write in flight.
+    /// Cap imposed by the write in flight, if any.
     pub in_flight: Option<AllotmentCap>,
-    /// Writes whose outcome is unknown, together.
+    /// Combined cap imposed by the writes whose outcome is unknown.
     pub unconfirmed: Option<AllotmentCap>,
-    /// What the cell may launch, used amounts included.
+    /// Limit on the resources of running tasks and new launches in the cell.
     pub launch_limit: MilliResources,
     /// The cell's part of the guarantee.
     pub guarantee: MilliResources,
+    /// Time since when the allotment has exceeded the want and the headroom.
     pub idle_since: Option<Millis>,
-    /// No write before this.
+    /// Time before which no write is sent.
     pub no_write_before: Millis,
-    /// When the ledger was last changed by this cell's decision.
+    /// When this cell last decided to change the complete ledger.
     pub last_adjusted: Option<Millis>,
     pub grant: Option<GrantedRequest>,
-    /// After a grant has timed out the cell asks without a need until then.
+    /// Time until which the cell claims no need because a grant has timed out.
     pub no_need_until: Option<Millis>,
     pub stale_requests: StaleRequests,
-    /// The problem that was last told of.
+    /// Notice of the current ledger problem, kept so that it is logged only once.
     pub last_problem_notice: Option<Notice>,
 }
 
 impl TeamState {
-    /// A team whose ledger was not read yet.
+    /// Creates the state of a team whose ledger has not been read yet.
     pub(crate) fn new(settings: TeamQuota) -> TeamState {
         TeamState { settings, ..TeamState::default() }
     }
 
-    /// What the cell holds whatever becomes of its open writes.
+    /// Returns the allotment that the cell holds regardless of the outcomes of its pending writes.
     pub(crate) fn confirmed_allotment(&self, cell: &str) -> MilliResources {
         let LedgerState::Present(revision, ledger) = &self.ledger_state else {
             return MilliResources::ZERO;
@@ -118,7 +120,8 @@
         AllotmentCap::apply(&self.unconfirmed, *revision, without_in_flight)
     }
 
-    /// The limit in force: that of the ledger, and of the settings while there is none.
+    /// Returns the effective limit: that in the ledger, or that in the settings while there is no
+    /// usable ledger.
     pub(crate) fn limit(&self) -> Limit {
         match &self.ledger_state {
             LedgerState::Present(_, ledger) => ledger.limit,
@@ -126,15 +129,15 @@
         }
     }
 
-    /// What the cell could use of the limit, waiting tasks included.
+    /// Returns the part of the limit that the cell could use for its running and waiting tasks.
     pub(crate) fn want(&self, limit: &Limit) -> MilliResources {
         limit.counted(self.usage.used.plus(self.usage.waiting)).min_each(limit.total())
     }
 
-    /// What the next start needs; nothing for a while after a grant that was not used.
+    /// Returns what the next start needs, or zero for a while after a grant has timed out.
     pub(crate) fn need(&self, now: Millis, limit: &Limit) -> MilliResources {
         let need = limit.counted(self.usage.next_start);
-        // More than the whole limit can never be granted: nothing is gathered for it.
+        // A need above the whole limit can never be granted, so no allotment is reserved for it.
         let is_impossible = !need.fits_in(limit.total());
         if is_impossible || self.no_need_until.is_some_and(|until| now < until) {
             MilliResources::ZERO
@@ -143,8 +146,9 @@
         }
     }
 
-    /// Follows what the cell does with its request under this allotment. A grant begins when the
-    /// need is covered, and lasts until as much was started or it times out.
+    /// Updates and returns the state of the request's grant under the given allotment. A grant
+    /// starts when the allotment covers the need, and ends when as much has been started or it
+    /// times out.
     pub(crate) fn track_grant(
         &mut self,
         now: Millis,
@@ -170,7 +174,7 @@
         GrantState::TimedOut
     }
 
-    /// Why nothing of the team may be launched, if its ledger is the reason.
+    /// Returns the problem with the ledger because of which no task of the team is launched.
     pub(crate) fn problem(&self) -> Option<LedgerProblem> {
         match &self.ledger_state {
             LedgerState::NotRead => None,
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Whether limit or guarantee of the settings are not those of the ledger.
+    /// Whether the limit or guarantee in the settings differs from that in the ledger.
     pub(crate) fn settings_differ(&self) -> bool {
         match &self.ledger_state {
             LedgerState::Present(_, ledger) => {
