--- a/crates/latchtrack-quota/src/manager/mod.rs
+++ b/crates/latchtrack-quota/src/manager/mod.rs
@@ -62,8 +62,9 @@
         }
     }
 
-    /// Returns the resources that the cell may currently use of a team's limit, or `None` if the
-    /// team is unknown, or has no limit in the settings or the ledger.
+    /// Returns the resources that the cell may currently use of a team's limit: zero until the
+    /// ledger is read, or if it can't be parsed. Returns `None` if the team is unknown or has no
+    /// limit.
     pub fn launch_limit(&self, team: &str) -> Option<LaunchLimit> {
         let team = self.teams.get(team)?;
         if matches!(team.ledger_state, LedgerState::NotRead | LedgerState::Unusable(..)) {
--- a/crates/latchtrack-quota/tests/ledger.rs
+++ b/crates/latchtrack-quota/tests/ledger.rs
@@ -1,8 +1,8 @@
-//! The stored value: a published format, byte for byte, and what is refused.
+//! The stored ledger format, which is published, and the rejection of invalid ledgers.
 
 use latchtrack_quota::{LedgerError, Limit, MilliResources, TeamLedger};
 
-/// As the first version with shared limits stores it.
+/// A ledger as stored by the first version with shared limits.
 const STORED: &str = concat!(
     r#"{"version":1,"limit":{"millicpus":40000,"milligpus":8000},"guarantee":{"millicpus":4000},"#,
     r#""next_ticket":8,"complete":true,"cells":{"#,
--- a/crates/latchtrack-quota/tests/manager.rs
+++ b/crates/latchtrack-quota/tests/manager.rs
@@ -1,5 +1,5 @@
-//! An allotment manager by itself: teams that are not shared, launch limits before the first
-//! snapshot, writes in flight.
+//! A single allotment manager: teams that are not shared, launch limits before the first snapshot,
+//! and the limit on writes in flight.
 
 mod common;
 
@@ -11,7 +11,7 @@
     StoredLedger, TeamLedger, TeamQuota, WriteOutcome,
 };
 
-/// A manager of one cell for teams with a limit and a guarantee in CPUs; term 5.
+/// Creates a manager in term 5 for teams given by name, limit and guarantee, both in CPUs.
 fn manager(teams: &[(&str, f64, f64)]) -> AllotmentManager {
     let quota = |limit: f64, guarantee: f64| TeamQuota {
         limit: Limit::of(limit, 0.0),
@@ -35,9 +35,9 @@
 fn a_team_without_a_limit_and_a_ledger_is_unlimited() {
     let mut manager = manager(&[("free", 0.0, 4.0)]);
     let nothing = Some(LaunchLimit { millicpus: Some(0), milligpus: Some(0) });
-    assert_eq!(manager.launch_limit("free"), nothing, "no snapshot yet");
+    assert_eq!(manager.launch_limit("free"), nothing, "before the first snapshot");
     manager.observe(0, snapshot(4));
-    assert_eq!(manager.launch_limit("free"), nothing, "a snapshot from before the term");
+    assert_eq!(manager.launch_limit("free"), nothing, "after a snapshot from before the term");
     manager.observe(0, snapshot(5));
     assert_eq!((manager.launch_limit("free"), manager.guarantee("free")), (None, None));
     assert_eq!(manager.step(0, &reconciled_usages(&["free"])), []);
@@ -53,7 +53,7 @@
     manager.observe(0, snapshot);
     assert_eq!(manager.launch_limit("free").unwrap().millicpus, Some(0));
     assert!(matches!(manager.take_notices()[..], [Notice::SettingsDiffer { .. }]));
-    assert_eq!(manager.take_notices(), [], "once");
+    assert_eq!(manager.take_notices(), [], "the notice is not repeated");
 }
 
 #[test]
--- a/crates/latchtrack-quota/tests/model/main.rs
+++ b/crates/latchtrack-quota/tests/model/main.rs
@@ -1,6 +1,7 @@
-//! Model check: all interleavings of two cells within bounds, by breadth-first search over the
-//! crate's own transition functions. A counter-example is the path to it. Each guard is removed
-//! once, from outside the crate, to show that the search would find what it prevents.
+//! Model check: a breadth-first search through all interleavings of two cells within a budget,
+//! using the crate's own transition functions. A failure prints the path to the violation. Each
+//! guard is also disabled once, from outside the crate, to show that the search detects its
+//! absence.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -9,12 +10,12 @@
 use pathfinding::prelude::{bfs, bfs_reach};
 use world::{Budget, Guard, World};
 
-/// States that a search must have seen to mean something.
+/// Number of states that a search must exceed to be meaningful.
 const MIN_STATES: usize = 2_000;
-/// States at which a search is taken to be too large to end: the budgets are to be lowered then.
+/// Number of states at which a search is aborted as too large; its budget must then be lowered.
 const MAX_STATES: usize = 400_000;
 
-/// The actions of the shortest way to an overshoot.
+/// Returns the actions of a shortest path to a state that exceeds the limit, if there is one.
 fn find_overshoot(start: World) -> Option<Vec<String>> {
     let path = bfs(&start, World::successors, World::exceeds_limit)?;
     Some(path.iter().map(|world| world.last_action.to_string()).collect())
@@ -24,7 +25,7 @@
     let mut states = 0;
     for world in bfs_reach(start.clone(), World::successors) {
         states += 1;
-        assert!(states < MAX_STATES, "{name}: not searched to the end");
+        assert!(states < MAX_STATES, "{name}: search space too large");
         if world.exceeds_limit() {
             panic!("{name}: {:#?}", find_overshoot(start));
         }
@@ -34,7 +35,7 @@
 }
 
 fn assert_overshoot_found(name: &str, start: World) {
-    assert!(find_overshoot(start).is_some(), "{name}: the search finds nothing");
+    assert!(find_overshoot(start).is_some(), "{name}: the search finds no violation");
 }
 
 const EMPTY_BUDGET: Budget = Budget {
@@ -47,82 +48,82 @@
     lost_responses: 0,
 };
 
-/// One cell holds all and the other asks: giving back and taking, with answers lost and writes
-/// late.
+/// One cell returns resources and the other raises its allotment, with a lost response and a
+/// delayed write.
 fn handover() -> Budget {
     Budget { steps: 3, snapshots: 3, lost_responses: 1, ..EMPTY_BUDGET }
 }
 
-/// Both cells take at the same time.
+/// Both cells raise their allotments concurrently.
 fn concurrent_growth() -> Budget {
     Budget { steps: 3, snapshots: 3, lost_responses: 1, ..EMPTY_BUDGET }
 }
 
-/// The holder's leader changes while it gives back.
+/// The leader of the cell that holds the allotment changes while the cell returns resources.
 fn failover() -> Budget {
     Budget { steps: 3, snapshots: 3, leader_losses: 1, ..EMPTY_BUDGET }
 }
 
-/// The holder dies and may come back at any time.
+/// The cell that holds the allotment loses its leader, and may get a new one at any time.
 fn cell_death() -> Budget {
     Budget { steps: 2, snapshots: 4, leader_losses: 1, waits: 1, ..EMPTY_BUDGET }
 }
 
-/// The same before the leases are over.
+/// Like [`cell_death`], but before the leases have expired.
 fn early_cell_death() -> Budget {
     Budget { steps: 2, snapshots: 4, leader_losses: 1, pauses: 1, ..EMPTY_BUDGET }
 }
 
-/// What lies idle is given back while work arrives.
+/// An idle allotment is returned while work arrives.
 fn idle_return() -> Budget {
     Budget { steps: 3, snapshots: 2, waits: 1, arrivals: 1, lost_responses: 1, ..EMPTY_BUDGET }
 }
 
-/// The same with a change of leader.
+/// Like [`idle_return`], with a change of leader.
 fn idle_failover() -> Budget {
     Budget { steps: 3, snapshots: 3, waits: 1, leader_losses: 1, arrivals: 1, ..EMPTY_BUDGET }
 }
 
 #[test]
 fn handing_over_an_allotment_stays_within_the_limit() {
-    assert_limit_holds("handing over", World::east_holds_the_limit(handover(), None));
+    assert_limit_holds("handover", World::east_holds_the_limit(handover(), None));
 }
 
 #[test]
 fn failing_over_during_a_handover_stays_within_the_limit() {
-    assert_limit_holds("change of leader", World::east_holds_the_limit(failover(), None));
+    assert_limit_holds("failover", World::east_holds_the_limit(failover(), None));
 }
 
 #[test]
-fn losing_a_cell_and_its_return_stay_within_the_limit() {
-    assert_limit_holds("death", World::east_holds_the_limit(cell_death(), None));
+fn losing_and_regaining_a_cell_stays_within_the_limit() {
+    assert_limit_holds("cell death", World::east_holds_the_limit(cell_death(), None));
 }
 
 #[test]
 fn losing_a_leader_briefly_stays_within_the_limit() {
-    assert_limit_holds("early death", World::east_holds_the_limit(early_cell_death(), None));
+    assert_limit_holds("early cell death", World::east_holds_the_limit(early_cell_death(), None));
 }
 
 #[test]
 fn growing_both_cells_concurrently_stays_within_the_limit() {
-    assert_limit_holds("taking", World::nothing_is_allotted(concurrent_growth(), None));
+    assert_limit_holds("concurrent growth", World::nothing_is_allotted(concurrent_growth(), None));
 }
 
 #[test]
 fn returning_an_idle_allotment_stays_within_the_limit() {
-    assert_limit_holds("idling", World::east_is_idle(idle_return(), None));
-    assert_limit_holds("idling leader", World::east_is_idle(idle_failover(), None));
+    assert_limit_holds("idle return", World::east_is_idle(idle_return(), None));
+    assert_limit_holds("idle failover", World::east_is_idle(idle_failover(), None));
 }
 
 #[test]
 fn rebuilding_a_lost_ledger_stays_within_the_limit() {
-    assert_limit_holds("lost value", World::ledger_lost(handover(), None));
+    assert_limit_holds("lost ledger", World::ledger_lost(handover(), None));
 }
 
 #[test]
 fn ignoring_the_expected_revision_is_detected() {
     assert_overshoot_found(
-        "revision",
+        "expected revision",
         World::nothing_is_allotted(concurrent_growth(), Some(Guard::Revision)),
     );
 }
@@ -130,20 +131,23 @@
 #[test]
 fn treating_an_unknown_outcome_as_not_stored_is_detected() {
     assert_overshoot_found(
-        "unknown",
+        "unknown outcome",
         World::east_is_idle(idle_return(), Some(Guard::UnknownOutcome)),
     );
 }
 
 #[test]
 fn returning_resources_in_use_is_detected() {
-    assert_overshoot_found("used", World::east_holds_the_limit(handover(), Some(Guard::KeepUsed)));
+    assert_overshoot_found(
+        "resources in use",
+        World::east_holds_the_limit(handover(), Some(Guard::KeepUsed)),
+    );
 }
 
 #[test]
 fn launching_by_an_outdated_launch_limit_is_detected() {
     assert_overshoot_found(
-        "lowered first",
+        "lowered before send",
         World::east_is_idle(idle_return(), Some(Guard::LoweredBeforeSend)),
     );
 }
@@ -151,14 +155,14 @@
 #[test]
 fn returning_resources_before_reconciliation_is_detected() {
     assert_overshoot_found(
-        "settled",
+        "reconciled",
         World::east_holds_the_limit(failover(), Some(Guard::Reconciled)),
     );
 }
 
 #[test]
 fn writing_without_fencing_is_detected() {
-    assert_overshoot_found("fence", World::east_is_idle(idle_failover(), Some(Guard::Fence)));
+    assert_overshoot_found("fencing", World::east_is_idle(idle_failover(), Some(Guard::Fence)));
 }
 
 #[test]
@@ -172,12 +176,15 @@
 #[test]
 fn reclaiming_from_a_cell_with_a_new_leader_is_detected() {
     assert_overshoot_found(
-        "dead still",
+        "still dead",
         World::east_holds_the_limit(cell_death(), Some(Guard::StillDead)),
     );
 }
 
 #[test]
 fn growing_before_the_ledger_is_complete_is_detected() {
-    assert_overshoot_found("complete", World::ledger_lost(handover(), Some(Guard::Complete)));
+    assert_overshoot_found(
+        "complete ledger",
+        World::ledger_lost(handover(), Some(Guard::Complete)),
+    );
 }
--- a/crates/latchtrack-quota/tests/model/world/events.rs
+++ b/crates/latchtrack-quota/tests/model/world/events.rs
@@ -1,10 +1,9 @@
-//! What happens to cells and their tasks: tasks start and end, leaders are lost and elected, time
-//! passes.
+//! Events of the model: tasks start and end, leaders are lost and elected, and time passes.
 
 use super::*;
 
 impl World {
-    /// Some time passes, less than the leases.
+    /// Lets less time pass than the leases last.
     pub(super) fn pause(&self) -> Option<World> {
         let mut next = self.after_action("a pause".into());
         next.budget.pauses = self.budget.pauses.checked_sub(1)?;
@@ -12,7 +11,7 @@
         Some(next)
     }
 
-    /// Work arrives in the east.
+    /// Adds waiting tasks to the first cell, east.
     pub(super) fn add_work(&self) -> Option<World> {
         let mut next = self.after_action("work arrives in east".into());
         next.budget.arrivals = self.budget.arrivals.checked_sub(1)?;
@@ -20,7 +19,7 @@
         Some(next)
     }
 
-    /// A cell starts a task, if its launch limit allows.
+    /// Starts a task, if the cell's launch limit allows it and its leader knows all running tasks.
     pub(super) fn start_task(&self, i: usize) -> Option<World> {
         let cell = &self.cells[i];
         let may_launch =
@@ -40,7 +39,7 @@
         Some(next)
     }
 
-    /// A task ends, if its leader knows of it.
+    /// Ends a task, if the cell's leader knows all running tasks.
     pub(super) fn end_task(&self, i: usize) -> Option<World> {
         let cell = &self.cells[i];
         if cell.running == 0 || cell.known_running != cell.running || !cell.has_leader {
@@ -52,7 +51,7 @@
         Some(next)
     }
 
-    /// The leader of a cell dies, or its lease ends.
+    /// Removes the leader of a cell, as if it crashed or its lease expired.
     pub(super) fn lose_leader(&self, i: usize) -> Option<World> {
         if self.budget.leader_losses == 0 || !self.cells[i].has_leader {
             return None;
@@ -65,7 +64,7 @@
         Some(next)
     }
 
-    /// Another leader is elected, and does not know at first what runs.
+    /// Elects a new leader, which initially does not know the running tasks.
     pub(super) fn elect_leader(&self, i: usize) -> Option<World> {
         if self.cells[i].has_leader {
             return None;
@@ -79,7 +78,8 @@
         Some(next)
     }
 
-    /// Leases expire: those of the workers of a cell without a leader. Leaders learn what runs.
+    /// Lets more time pass than the leases last, if the budget allows: tasks of cells without a
+    /// leader end. Leaders learn which tasks are running in any case.
     pub(super) fn wait(&self) -> Option<World> {
         if self.budget.waits == 0
             && self.cells.iter().all(|cell| cell.known_running == cell.running)
--- a/crates/latchtrack-quota/tests/model/world/manager_steps.rs
+++ b/crates/latchtrack-quota/tests/model/world/manager_steps.rs
@@ -1,4 +1,4 @@
-//! A cell reads the state service and lets its manager decide.
+//! Steps of a cell's manager: it applies a snapshot, or decides on writes.
 
 use super::*;
 
@@ -28,7 +28,7 @@
         snapshot
     }
 
-    /// A cell reads the state service.
+    /// Passes a snapshot of the state service to a cell's manager.
     pub(super) fn read_snapshot(&self, i: usize) -> Option<World> {
         if self.budget.snapshots == 0 {
             return None;
@@ -43,14 +43,14 @@
 
     pub(super) fn apply_launch_limit(&mut self, i: usize) {
         let cell = &mut self.cells[i];
-        // Log lines are no difference between states.
+        // States that differ only in pending notices are equivalent.
         cell.manager.as_mut().map(AllotmentManager::take_notices);
         let manager = cell.manager.as_ref();
         let limit = manager.and_then(|manager| manager.launch_limit(TEAM)?.millicpus);
         cell.launch_limit = limit.unwrap_or(0);
     }
 
-    /// A cell decides what to write.
+    /// Lets a cell's manager decide on its next writes and sends them.
     pub(super) fn step(&self, i: usize) -> Option<World> {
         if self.budget.steps == 0 {
             return None;
--- a/crates/latchtrack-quota/tests/model/world/mod.rs
+++ b/crates/latchtrack-quota/tests/model/world/mod.rs
@@ -1,4 +1,4 @@
-//! Two cells, a state service and running tasks, small enough to be searched.
+//! A model of two cells, a state service and running tasks, small enough for an exhaustive search.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -14,51 +14,54 @@
 mod writes;
 
 const TEAM: &str = "team";
-/// Thousandths that one task takes, and that the team may use.
+/// Size of a task, in thousandths of a CPU.
 const TASK_MILLICPUS: u64 = 1_000;
+/// Limit of the team, in thousandths of a CPU.
 const LIMIT_MILLICPUS: u64 = 2_000;
-/// ms between two actions of a cell, and a wait beyond all leases and margins.
+/// Time in ms that a step of a manager takes.
 const STEP_MS: Millis = 600;
+/// Duration in ms of the leader lease and of the worker leases.
 const LEASE_MS: Millis = 10_000;
+/// Duration of a wait in ms, longer than both leases and all margins.
 const WAIT_MS: Millis = 40_000;
-/// ms of a pause, beyond the margin alone.
+/// Duration of a pause in ms, longer than the reclaim margin but shorter than a lease.
 const PAUSE_MS: Millis = 5_000;
 
-/// How often each kind of event may still happen.
+/// How many events of each kind may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub steps: u8,
     pub snapshots: u8,
     pub leader_losses: u8,
     pub waits: u8,
-    /// Times that some time passes, less than the leases.
+    /// Passages of time that are shorter than the leases.
     pub pauses: u8,
-    /// Times that jobs arrive in the first cell.
+    /// Arrivals of work in the first cell.
     pub arrivals: u8,
-    /// Writes that get no answer, and may be carried out later.
+    /// Lost responses to writes, which may still be executed later.
     pub lost_responses: u8,
 }
 
-/// A guard that a test may remove.
+/// A safety condition that a test may disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Guard {
-    /// The ledger must have the revision that was read.
+    /// A write is stored only if the ledger has the expected revision.
     Revision,
-    /// A write without an answer may still be carried out.
+    /// A write whose response is lost counts as possibly stored.
     UnknownOutcome,
-    /// What is used is not given back.
+    /// Resources in use are not returned.
     KeepUsed,
-    /// Launch limits are lowered before the write is sent.
+    /// Launch limits are lowered before a write is sent.
     LoweredBeforeSend,
-    /// Nothing is given back before the machines are reconciled.
+    /// Nothing is returned before the machines are reconciled.
     Reconciled,
-    /// The writer must still lead its cell.
+    /// A write is stored only if the writer still leads its cell.
     Fence,
-    /// A dead cell's leases must have expired.
+    /// A cell counts as dead only after its leases have expired.
     Leases,
-    /// A dead cell must still be dead when its allotment is dropped.
+    /// A write that drops an allotment is stored only if that cell is still dead.
     StillDead,
-    /// All cells must have recorded their usage.
+    /// Allotments are raised only after all cells have recorded their usage.
     Complete,
 }
 
@@ -66,20 +69,20 @@
 struct PendingWrite {
     write: LedgerWrite,
     term: u64,
-    /// Its sender has got no answer, and waits for none.
+    /// Whether the response is lost, so that the sender never learns the actual outcome.
     is_response_lost: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Cell {
     manager: Option<AllotmentManager>,
-    /// The launch limit by which it launches.
+    /// Launch limit that the cell applies, in thousandths of a CPU.
     launch_limit: u64,
     has_leader: bool,
     term: u64,
     running: u64,
     waiting: u64,
-    /// Running tasks of which its leader knows.
+    /// Number of running tasks that the leader knows.
     known_running: u64,
     writes: Vec<PendingWrite>,
 }
@@ -94,7 +97,7 @@
     cells: [Cell; 2],
 }
 
-/// A state, and the action that led to it, which is no difference between states.
+/// A state and the action that led to it. The action is ignored when states are compared.
 #[derive(Clone, Debug)]
 pub struct World {
     state: Rc<State>,
@@ -156,7 +159,7 @@
         World { state: Rc::new(state), last_action: "start".into() }
     }
 
-    /// East holds the whole limit and uses half of it; both have work waiting.
+    /// East holds the whole limit and uses half of it. Work waits in both cells.
     pub fn east_holds_the_limit(budget: Budget, disabled_guard: Option<Guard>) -> World {
         let mut world = World::new(budget, disabled_guard, [1, 0]);
         let mut ledger = TeamLedger::new(limit(), MilliResources::ZERO);
@@ -175,7 +178,7 @@
         world
     }
 
-    /// Nothing is allotted, and both have work waiting.
+    /// Nothing is allotted, and work waits in both cells.
     pub fn nothing_is_allotted(budget: Budget, disabled_guard: Option<Guard>) -> World {
         let mut world = World::new(budget, disabled_guard, [0, 0]);
         let mut ledger = TeamLedger::new(limit(), MilliResources::ZERO);
@@ -184,7 +187,7 @@
         world
     }
 
-    /// East holds the whole limit and has nothing to do.
+    /// East holds the whole limit, but has neither running nor waiting tasks.
     pub fn east_is_idle(budget: Budget, disabled_guard: Option<Guard>) -> World {
         let mut world = World::east_holds_the_limit(budget, disabled_guard);
         world.cells[0].waiting = 0;
@@ -202,12 +205,12 @@
         World::new(budget, disabled_guard, [1, 1])
     }
 
-    /// Whether more runs than the limit allows.
+    /// Whether the running tasks exceed the limit.
     pub fn exceeds_limit(&self) -> bool {
         self.cells.iter().map(|cell| cell.running * TASK_MILLICPUS).sum::<u64>() > LIMIT_MILLICPUS
     }
 
-    /// All that may happen next.
+    /// Returns all possible next states; none after the limit was exceeded.
     pub fn successors(&self) -> Vec<World> {
         if self.exceeds_limit() {
             return Vec::new();
--- a/crates/latchtrack-quota/tests/model/world/writes.rs
+++ b/crates/latchtrack-quota/tests/model/world/writes.rs
@@ -1,11 +1,11 @@
-//! Writes on their way to the state service: carried out, refused, or without an answer.
+//! Writes in flight to the state service: they are stored or rejected, or lose their response.
 
 use super::*;
 
 impl World {
-    /// A write arrives at the state service.
+    /// Executes a write at the state service, which stores it only if its conditions hold.
     pub(super) fn execute_write(&self, i: usize, n: usize) -> World {
-        let mut next = self.after_action(format!("a write of {} is carried out", CELL_NAMES[i]));
+        let mut next = self.after_action(format!("a write of {} is executed", CELL_NAMES[i]));
         let write = next.cells[i].writes.remove(n);
         let is_stored = next.may_store(i, &write);
         if is_stored {
@@ -49,12 +49,13 @@
         }
     }
 
-    /// A write gets no answer; it may be carried out later.
+    /// Loses the response of a write, which may still be executed later.
     pub(super) fn lose_response(&self, i: usize, n: usize) -> Option<World> {
         if self.budget.lost_responses == 0 || self.cells[i].writes[n].is_response_lost {
             return None;
         }
-        let mut next = self.after_action(format!("a write of {} gets no answer", CELL_NAMES[i]));
+        let mut next =
+            self.after_action(format!("a write of {} loses its response", CELL_NAMES[i]));
         next.budget.lost_responses -= 1;
         next.cells[i].writes[n].is_response_lost = true;
         let write = next.cells[i].writes[n].clone();
--- a/crates/latchtrack-quota/tests/targets.rs
+++ b/crates/latchtrack-quota/tests/targets.rs
@@ -1,4 +1,4 @@
-//! How a limit is divided: first the guarantee, then the needs by request number, the rest evenly.
+//! Division of a limit: first the guarantee, then the needs by request number, then fair shares.
 
 mod common;
 
@@ -33,7 +33,7 @@
         totals(100, 0, &[requesting(1, 1, 100), requesting(2, 1, 100), requesting(3, 1, 10)]),
         [45, 45, 10]
     );
-    // What whole thousandths leave over goes to the first.
+    // Thousandths that can't be divided evenly go to the first claims.
     assert_eq!(
         totals(100, 0, &[requesting(1, 1, 99), requesting(2, 1, 99), requesting(3, 1, 99)]),
         [34, 33, 33]
@@ -43,7 +43,7 @@
 #[test]
 fn a_request_within_the_guarantee_comes_before_needs_and_shares() {
     assert_eq!(totals(100, 40, &[requesting(1, 100, 100), requesting(2, 1, 40)]), [60, 40]);
-    // Two that fit together, and a third that does not.
+    // Two claims fit into the guarantee together; the third does not fit beside them.
     assert_eq!(
         totals(100, 40, &[requesting(3, 1, 40), requesting(1, 1, 20), requesting(2, 1, 20)])[1..],
         [20, 20]
@@ -52,9 +52,9 @@
 
 #[test]
 fn needs_are_met_in_full_or_not_at_all_by_request_number() {
-    // Two gangs as large as the limit: the older has all.
+    // Of two gangs as large as the limit, the one with the lower request number gets all of it.
     assert_eq!(totals(100, 0, &[requesting(2, 100, 100), requesting(1, 100, 100)]), [0, 100]);
-    // The second does not fit beside the first; the third does.
+    // The second need does not fit beside the first, but the third does.
     assert_eq!(
         totals(100, 0, &[requesting(1, 60, 60), requesting(2, 60, 60), requesting(3, 30, 30)]),
         [60, 10, 30]
@@ -71,7 +71,7 @@
 
 #[test]
 fn targets_never_exceed_the_limit() {
-    // A small generator of its own, so that the cases are the same everywhere.
+    // A linear congruential generator, so that the cases are the same on every platform.
     let mut state: u64 = 7;
     let mut random = |below: u64| {
         state =
