--- a/crates/latchtrack-quota/src/constants.rs
+++ b/crates/latchtrack-quota/src/constants.rs
@@ -10,8 +10,8 @@
 /// Floating-point error, in thousandths of a CPU or GPU, that is ignored when rounding to whole
 /// thousandths.
 pub const ROUNDING_TOLERANCE: f64 = 1e-3;
-/// Time in ms after the leases of a dead cell have expired before its allotment is reclaimed. A
-/// lease may end 100 ms late, and watch events and responses are delayed.
+/// Delay in ms between the expiry of a dead cell's leases and the reclaim of its allotment. A lease
+/// may end 100 ms late, and watch events and responses are delayed.
 pub const RECLAIM_MARGIN_MS: Millis = 2_000;
 /// Fraction of the lease durations that is added to them for the drift between two monotonic
 /// clocks, 0.05% each.
--- a/crates/latchtrack-quota/src/targets.rs
+++ b/crates/latchtrack-quota/src/targets.rs
@@ -101,7 +101,7 @@
     remaining
 }
 
-/// Divides the remaining limit among the unmet parts of the wants.
+/// Divides the remaining limit among the unmet parts of the wants by max-min fairness.
 fn assign_shares(
     limit: &Limit,
     remaining: MilliResources,
@@ -144,7 +144,8 @@
         base.iter().zip(&unmet).map(added).collect()
     };
     let cost = |level: u64| increases_to(level).iter().fold(0u64, |sum, n| sum.saturating_add(*n));
-    let highest = base.iter().zip(&unmet).map(|(b, o)| b.saturating_add(*o)).max().unwrap_or(0);
+    let highest =
+        base.iter().zip(&unmet).map(|(base, unmet)| base.saturating_add(*unmet)).max().unwrap_or(0);
     if cost(highest) <= remaining {
         return unmet;
     }
--- a/crates/latchtrack-quota/src/team_state.rs
+++ b/crates/latchtrack-quota/src/team_state.rs
@@ -17,9 +17,9 @@
     NotRead,
     /// There was no ledger at this revision of the state service.
     Missing(u64),
-    /// The ledger can't be parsed.
+    /// The ledger at this revision can't be parsed.
     Unusable(u64, LedgerError),
-    /// The ledger was parsed.
+    /// The ledger at this revision.
     Present(u64, TeamLedger),
 }
 
@@ -56,12 +56,13 @@
     }
 }
 
-/// A request whose need the allotment covers, with the time since when it does and what the cell
-/// had started by then.
+/// A request whose need is covered by the cell's allotment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct GrantedRequest {
     pub request_number: u64,
+    /// Time since when the need is covered.
     pub since: Millis,
+    /// Value of [`LocalUsage::started`] at that time.
     pub started: MilliResources,
 }
 
@@ -94,7 +95,7 @@
     pub idle_since: Option<Millis>,
     /// Time before which no write is sent.
     pub no_write_before: Millis,
-    /// When this cell last decided to change the complete ledger.
+    /// When this cell last adjusted a complete ledger, whether or not the write was stored.
     pub last_adjusted: Option<Millis>,
     pub grant: Option<GrantedRequest>,
     /// Time until which the cell claims no need because a grant has timed out.
