--- a/crates/latchtrack-quota/src/apportionment.rs
+++ b/crates/latchtrack-quota/src/apportionment.rs
@@ -77,8 +77,8 @@
         self.own.target
     }
 
-    /// Whether the shortfalls of other cells exceed the unallotted resources, so that this cell
-    /// must keep to its target.
+    /// Whether the shortfalls of other cells exceed the unallotted resources. If so, this cell
+    /// returns what exceeds its target, except for resources in use, and launches only within it.
     pub(crate) fn must_yield(&self) -> bool {
         let shortfalls = self.others.iter().flat_map(ClaimStatus::shortfall);
         !shortfalls.fold(MilliResources::ZERO, MilliResources::plus).fits_in(self.unallotted)
--- a/crates/latchtrack-quota/src/cells.rs
+++ b/crates/latchtrack-quota/src/cells.rs
@@ -20,7 +20,7 @@
 /// Status of a cell in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CellStatus {
-    /// Whether a leader holds the leader lease.
+    /// Whether the cell's leader lease is held.
     pub has_leader: bool,
     /// Revision of the record, which is the fencing token of the last leader.
     pub term_revision: u64,
--- a/crates/latchtrack-quota/src/constants.rs
+++ b/crates/latchtrack-quota/src/constants.rs
@@ -19,9 +19,9 @@
 /// Time in ms for which a request may remain pending although it could be granted. After that, any
 /// cell may remove it.
 pub const REQUEST_STALE_MS: Millis = 5_000;
-/// Time in ms within which a cell must use a granted request, which ranks before unmet needs of
-/// other cells until then. After that, the cell needs a new request number. Most machines boot
-/// within this time, and no cell waits 90 s for an allotment that another holds but does not use.
+/// Time in ms that a cell has to use a granted request. Until then, the request ranks before unmet
+/// needs of other cells; after that, the cell needs a new request number. Most machines boot within
+/// this time, and no cell waits 90 s for an allotment that another holds but does not use.
 pub const GRANT_TIMEOUT_MS: Millis = 40_000;
 /// Time in ms after which an idle allotment is returned even if no cell requests it. Short breaks
 /// between jobs don't cost a cell its allotment.
--- a/crates/latchtrack-quota/tests/model/world/mod.rs
+++ b/crates/latchtrack-quota/tests/model/world/mod.rs
@@ -38,7 +38,7 @@
     pub pauses: u8,
     /// Arrivals of work in the first cell.
     pub arrivals: u8,
-    /// Lost responses to writes, which may still be executed later.
+    /// Responses that are lost; the write in question may still be executed later.
     pub lost_responses: u8,
 }
 
@@ -210,7 +210,7 @@
         self.cells.iter().map(|cell| cell.running * TASK_MILLICPUS).sum::<u64>() > LIMIT_MILLICPUS
     }
 
-    /// Returns all possible next states; none after the limit was exceeded.
+    /// Returns all possible next states; none if this state exceeds the limit.
     pub fn successors(&self) -> Vec<World> {
         if self.exceeds_limit() {
             return Vec::new();
