--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use latchtrack_quota::constants::MILLI;
+use latchtrack_quota::constants::MILLI_PER_UNIT;
 use latchtrack_quota::LaunchLimit;
 
 use super::cycle_state::SchedulingCycle;
@@ -60,7 +60,8 @@
 
 /// The limit on what this cell may use of a shared limit. Resources without a limit are infinite.
 fn allotted_limit(limit: LaunchLimit) -> Resources {
-    let from_milli = |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI);
+    let from_milli =
+        |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI_PER_UNIT);
     Resources {
         cpus: from_milli(limit.millicpus),
         gpus: from_milli(limit.milligpus),
--- a/crates/latchtrack-quota/src/manager/write_outcomes.rs
+++ b/crates/latchtrack-quota/src/manager/write_outcomes.rs
@@ -1,7 +1,7 @@
-//! Takes in how writes of ledgers ended.
+//! Handles the outcomes of ledger writes.
 
 use super::AllotmentManager;
-use crate::constants::{RETRY_MS, WRITE_GAP_MS};
+use crate::constants::{MIN_WRITE_INTERVAL_MS, WRITE_RETRY_DELAY_MS};
 use crate::notices::Notice;
 use crate::resources::MilliResources;
 use crate::snapshot::{LedgerWrite, WriteOutcome};
@@ -9,7 +9,7 @@
 use crate::Millis;
 
 impl AllotmentManager {
-    /// Takes in how a write ended.
+    /// Applies the outcome of a write returned by [`AllotmentManager::step`].
     pub fn handle_write_outcome(
         &mut self,
         now: Millis,
@@ -20,12 +20,12 @@
         let sent = team.in_flight.take();
         match outcome {
             WriteOutcome::Stored(revision) => {
-                team.not_before = now.saturating_add(WRITE_GAP_MS);
-                // A snapshot may have shown a later ledger already.
+                team.no_write_before = now.saturating_add(MIN_WRITE_INTERVAL_MS);
+                // A snapshot may already have contained a later ledger.
                 if revision > team.ledger_state.revision() {
                     let before = match &team.ledger_state {
                         LedgerState::Present(_, ledger) => ledger.allotted_to(&self.cell),
-                        _ => MilliResources::NONE,
+                        _ => MilliResources::ZERO,
                     };
                     team.ledger_state = LedgerState::Present(revision, write.ledger.clone());
                     team.unconfirmed = None;
@@ -33,10 +33,10 @@
                 }
             }
             WriteOutcome::NotStored => {
-                team.not_before = now.saturating_add(RETRY_MS);
+                team.no_write_before = now.saturating_add(WRITE_RETRY_DELAY_MS);
             }
             WriteOutcome::Unknown => {
-                team.not_before = now.saturating_add(RETRY_MS);
+                team.no_write_before = now.saturating_add(WRITE_RETRY_DELAY_MS);
                 if let Some(sent) = sent {
                     let max =
                         AllotmentCap::apply(&team.unconfirmed, sent.expected_revision, sent.max);
--- a/crates/latchtrack-quota/src/targets.rs
+++ b/crates/latchtrack-quota/src/targets.rs
@@ -1,40 +1,41 @@
-//! How a limit is to be divided among the claims of the cells. Every cell computes the same from
-//! the same claims.
+//! Divides a limit among the claims of the cells. The result is deterministic: every cell computes
+//! the same targets from the same claims.
 
 use crate::resources::{Limit, MilliResources};
 
-/// What a cell claims of a limit.
+/// A cell's claim on a limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DemandClaim {
-    /// The number of its request; None if it asks for nothing more than it holds.
+    /// Number of the cell's request; `None` if it has no request.
     pub request_number: Option<u64>,
-    /// The allotment with which its next task, slice or gang can start.
+    /// Total allotment that the cell needs to start its next task, slice or gang.
     pub need: MilliResources,
-    /// All that it could use.
+    /// Total allotment that the cell could use.
     pub want: MilliResources,
 }
 
-/// Parts of a target.
+/// Number of parts of a target.
 pub(crate) const TARGET_PARTS: usize = 3;
 
-/// What a claim is to get, by the reason. Earlier reasons are served first.
+/// Target allotment of a claim, in parts. Earlier parts are served first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Target {
-    /// Its part of the guarantee.
+    /// Part of the team's guarantee.
     pub guarantee: MilliResources,
-    /// What its need takes beyond that.
+    /// Part of the need beyond the guarantee.
     pub need: MilliResources,
-    /// Its even share of the rest.
+    /// Fair share of the remaining limit.
     pub share: MilliResources,
 }
 
 impl Target {
-    /// All of it.
+    /// Returns the sum of all parts.
     pub fn total(&self) -> MilliResources {
         self.guarantee.plus(self.need).plus(self.share)
     }
 
-    /// What of each part is not covered by what is held.
+    /// Returns the amount of each part that the allotment `held` does not cover. It covers earlier
+    /// parts first.
     pub(crate) fn shortfall(&self, held: MilliResources) -> [MilliResources; TARGET_PARTS] {
         let with_need = self.guarantee.plus(self.need);
         [
@@ -45,122 +46,125 @@
     }
 }
 
-/// The target of each claim. Together they never pass the limit.
+/// Computes the target of each claim. The sum of the targets never exceeds the limit.
 ///
-/// The limit goes first to claims that fit into the guarantee (those without a request before the
-/// others, and these by request number), then to the needs by request number, each whole or not at
-/// all, and the rest evenly to the wants (max-min fairness).
+/// First, the guarantee is given to claims whose whole want fits into what remains of it: claims
+/// without a request first, the others by request number. Next, needs are met by request number,
+/// each in full or not at all. The rest is divided among the wants by max-min fairness.
 pub fn targets(limit: &Limit, guarantee: MilliResources, claims: &[DemandClaim]) -> Vec<Target> {
     let mut targets: Vec<Target> = guarantee_parts(limit, guarantee, claims)
         .into_iter()
         .map(|guarantee| Target { guarantee, ..Target::default() })
         .collect();
     let in_guarantee = targets.iter().map(|target| target.guarantee);
-    let left = in_guarantee.fold(limit.total(), MilliResources::minus);
-    let left = assign_needs(limit, left, claims, &mut targets);
-    assign_shares(limit, left, claims, &mut targets);
+    let remaining = in_guarantee.fold(limit.total(), MilliResources::minus);
+    let remaining = assign_needs(limit, remaining, claims, &mut targets);
+    assign_shares(limit, remaining, claims, &mut targets);
     targets
 }
 
-/// What of the guarantee goes to each claim: all that it wants, to those that fit into it.
+/// Returns the part of the guarantee that each claim gets: its whole want if that fits into the
+/// remaining guarantee, otherwise zero.
 fn guarantee_parts(
     limit: &Limit,
     guarantee: MilliResources,
     claims: &[DemandClaim],
 ) -> Vec<MilliResources> {
-    let mut left = limit.counted(guarantee).min_each(limit.total());
-    let mut parts = vec![MilliResources::NONE; claims.len()];
+    let mut remaining = limit.counted(guarantee).min_each(limit.total());
+    let mut parts = vec![MilliResources::ZERO; claims.len()];
     for i in by_request_number(claims) {
         let want = limit.counted(claims[i].want);
-        if want.fits_in(left) {
+        if want.fits_in(remaining) {
             parts[i] = want;
-            left = left.minus(want);
+            remaining = remaining.minus(want);
         }
     }
     parts
 }
 
-/// Gives each need what its part of the guarantee does not cover, if all of that is left; returns
-/// what is left then.
+/// Assigns to each need the amount that its part of the guarantee does not cover, if that fits into
+/// the remaining limit. Returns the limit that remains.
 fn assign_needs(
     limit: &Limit,
-    mut left: MilliResources,
+    mut remaining: MilliResources,
     claims: &[DemandClaim],
     targets: &mut [Target],
 ) -> MilliResources {
     let order = by_request_number(claims).into_iter();
     for i in order.filter(|i| claims[*i].request_number.is_some()) {
-        let lacking = limit.counted(claims[i].need).minus(targets[i].guarantee);
-        if lacking.fits_in(left) {
-            targets[i].need = lacking;
-            left = left.minus(lacking);
+        let missing = limit.counted(claims[i].need).minus(targets[i].guarantee);
+        if missing.fits_in(remaining) {
+            targets[i].need = missing;
+            remaining = remaining.minus(missing);
         }
     }
-    left
+    remaining
 }
 
-/// Divides what is left evenly over what the wants still lack.
+/// Divides the remaining limit among the unmet parts of the wants by max-min fairness.
 fn assign_shares(
     limit: &Limit,
-    left: MilliResources,
+    remaining: MilliResources,
     claims: &[DemandClaim],
     targets: &mut [Target],
 ) {
     let base: Vec<MilliResources> = targets.iter().map(Target::total).collect();
     let wants = claims.iter().map(|claim| limit.counted(claim.want));
-    let open: Vec<MilliResources> =
+    let unmet: Vec<MilliResources> =
         wants.zip(&base).map(|(want, base)| want.minus(*base)).collect();
-    let cpus = even_shares(left.millicpus, &base, &open, |resources| resources.millicpus);
-    let gpus = even_shares(left.milligpus, &base, &open, |resources| resources.milligpus);
+    let cpus = even_shares(remaining.millicpus, &base, &unmet, |resources| resources.millicpus);
+    let gpus = even_shares(remaining.milligpus, &base, &unmet, |resources| resources.milligpus);
     for (target, (millicpus, milligpus)) in targets.iter_mut().zip(cpus.into_iter().zip(gpus)) {
         target.share = MilliResources { millicpus, milligpus };
     }
 }
 
-/// Indices of the claims in the order in which they are served: those without a request first, then
-/// by request number.
+/// Returns the indices of the claims in the order in which they are served: claims without a
+/// request first, then by request number.
 fn by_request_number(claims: &[DemandClaim]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by_key(|i| claims[*i].request_number);
     order
 }
 
-/// What of one resource is added to each base, at most `open`, so that the totals are as even as
-/// possible. What whole thousandths leave over goes to the first.
+/// Divides the remaining amount of one resource by max-min fairness: each claim gets at most its
+/// `unmet` on top of its `base`, and the totals are as even as possible. Thousandths that can't be
+/// divided evenly go to the first claims.
 fn even_shares(
-    left: u64,
+    remaining: u64,
     base: &[MilliResources],
-    open: &[MilliResources],
+    unmet: &[MilliResources],
     resource: impl Fn(&MilliResources) -> u64,
 ) -> Vec<u64> {
     let base: Vec<u64> = base.iter().map(&resource).collect();
-    let open: Vec<u64> = open.iter().map(&resource).collect();
-    // What each is given if all are to be raised to `level`.
-    let raised_to = |level: u64| -> Vec<u64> {
-        let added = |(base, open): (&u64, &u64)| level.saturating_sub(*base).min(*open);
-        base.iter().zip(&open).map(added).collect()
+    let unmet: Vec<u64> = unmet.iter().map(&resource).collect();
+    // The increase of each claim that raises its total to `level`.
+    let increases_to = |level: u64| -> Vec<u64> {
+        let added = |(base, unmet): (&u64, &u64)| level.saturating_sub(*base).min(*unmet);
+        base.iter().zip(&unmet).map(added).collect()
     };
-    let cost = |level: u64| raised_to(level).iter().fold(0u64, |sum, n| sum.saturating_add(*n));
-    let highest = base.iter().zip(&open).map(|(b, o)| b.saturating_add(*o)).max().unwrap_or(0);
-    if cost(highest) <= left {
-        return open;
+    let cost = |level: u64| increases_to(level).iter().fold(0u64, |sum, n| sum.saturating_add(*n));
+    let highest =
+        base.iter().zip(&unmet).map(|(base, unmet)| base.saturating_add(*unmet)).max().unwrap_or(0);
+    if cost(highest) <= remaining {
+        return unmet;
     }
-    // Binary search for the highest level that can be afforded.
+    // Binary search for the highest level whose cost does not exceed the remaining amount.
     let (mut low, mut high) = (0, highest);
     while low + 1 < high {
-        let middle = low + (high - low) / 2;
-        if cost(middle) <= left {
-            low = middle;
+        let mid = low + (high - low) / 2;
+        if cost(mid) <= remaining {
+            low = mid;
         } else {
-            high = middle;
+            high = mid;
         }
     }
-    let mut shares = raised_to(low);
-    let mut rest = left - cost(low);
-    for (share, open) in shares.iter_mut().zip(&open) {
-        let more = u64::from(rest > 0 && *share < *open);
-        *share += more;
-        rest -= more;
+    let mut shares = increases_to(low);
+    let mut remainder = remaining - cost(low);
+    for (share, unmet) in shares.iter_mut().zip(&unmet) {
+        let extra = u64::from(remainder > 0 && *share < *unmet);
+        *share += extra;
+        remainder -= extra;
     }
     shares
 }
--- a/crates/latchtrack-quota/tests/manager.rs
+++ b/crates/latchtrack-quota/tests/manager.rs
@@ -1,5 +1,5 @@
-//! An allotment manager by itself: teams that are not shared, launch limits before the first
-//! snapshot, writes in flight.
+//! A single allotment manager: teams that are not shared, launch limits before the first snapshot,
+//! and the limit on writes in flight.
 
 mod common;
 
@@ -11,7 +11,7 @@
     StoredLedger, TeamLedger, TeamQuota, WriteOutcome,
 };
 
-/// A manager of one cell for teams with a limit and a guarantee in CPUs; term 5.
+/// Creates a manager in term 5 for teams given by name, limit and guarantee, both in CPUs.
 fn manager(teams: &[(&str, f64, f64)]) -> AllotmentManager {
     let quota = |limit: f64, guarantee: f64| TeamQuota {
         limit: Limit::of(limit, 0.0),
@@ -32,32 +32,32 @@
 }
 
 #[test]
-fn a_team_without_a_limit_is_not_shared_once_its_ledger_is_seen_missing() {
+fn a_team_without_a_limit_and_a_ledger_is_unlimited() {
     let mut manager = manager(&[("free", 0.0, 4.0)]);
     let nothing = Some(LaunchLimit { millicpus: Some(0), milligpus: Some(0) });
-    assert_eq!(manager.launch_limit("free"), nothing, "no snapshot yet");
+    assert_eq!(manager.launch_limit("free"), nothing, "before the first snapshot");
     manager.observe(0, snapshot(4));
-    assert_eq!(manager.launch_limit("free"), nothing, "a snapshot from before the term");
+    assert_eq!(manager.launch_limit("free"), nothing, "after a snapshot from before the term");
     manager.observe(0, snapshot(5));
     assert_eq!((manager.launch_limit("free"), manager.guarantee("free")), (None, None));
     assert_eq!(manager.step(0, &reconciled_usages(&["free"])), []);
 }
 
 #[test]
-fn a_stored_limit_counts_for_a_cell_whose_settings_have_none() {
+fn a_stored_limit_applies_if_the_settings_have_none() {
     let mut manager = manager(&[("free", 0.0, 0.0)]);
-    let mut ledger = TeamLedger::new(Limit::of(8.0, 0.0), MilliResources::NONE);
+    let mut ledger = TeamLedger::new(Limit::of(8.0, 0.0), MilliResources::ZERO);
     ledger.complete = true;
     let mut snapshot = snapshot(9);
     snapshot.teams.insert("free".into(), StoredLedger { revision: 7, ledger: Ok(ledger) });
     manager.observe(0, snapshot);
     assert_eq!(manager.launch_limit("free").unwrap().millicpus, Some(0));
-    assert!(matches!(manager.take_notices()[..], [Notice::Differs { .. }]));
-    assert_eq!(manager.take_notices(), [], "once");
+    assert!(matches!(manager.take_notices()[..], [Notice::SettingsDiffer { .. }]));
+    assert_eq!(manager.take_notices(), [], "the notice is not repeated");
 }
 
 #[test]
-fn four_writes_are_in_flight_at_a_time_and_every_team_gets_its_turn() {
+fn writes_in_flight_are_limited_and_teams_take_turns() {
     let names: Vec<String> = (0..50).map(|i| format!("t{i:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let teams: Vec<(&str, f64, f64)> = names.iter().map(|name| (*name, 4.0, 0.0)).collect();
