--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -111,7 +111,7 @@
         if machine.failed_jobs.len() >= MACHINE_QUARANTINE_JOBS && !machine.to_terminate {
             machine.to_terminate = true;
             let machine = name.to_string();
-            self.effects.push(Effect::Log(LogEvent::MachineFailsJobs { machine }));
+            self.effects.push(Effect::Log(LogEvent::JobsFailedOnMachine { machine }));
         }
     }
 
--- a/crates/latchtrack-core/src/scheduler/log_events.rs
+++ b/crates/latchtrack-core/src/scheduler/log_events.rs
@@ -90,7 +90,7 @@
         machine: String,
     },
     /// Tasks of several jobs failed on a machine; it is terminated.
-    MachineFailsJobs {
+    JobsFailedOnMachine {
         /// Name of the machine.
         machine: String,
     },
@@ -204,7 +204,7 @@
             LogEvent::LaunchesIgnored { .. } => "machine ignores launches, terminating it",
             LogEvent::MachineNeverJoined { .. } => "machine never joined, terminating it",
             LogEvent::MachineSlow { .. } => "machine is slow, draining it",
-            LogEvent::MachineFailsJobs { .. } => {
+            LogEvent::JobsFailedOnMachine { .. } => {
                 "tasks of several jobs failed on machine, terminating it"
             }
             LogEvent::BootsLate { .. } => "machine boots are late",
@@ -252,7 +252,7 @@
             | LogEvent::LaunchesIgnored { machine }
             | LogEvent::MachineNeverJoined { machine }
             | LogEvent::MachineSlow { machine }
-            | LogEvent::MachineFailsJobs { machine } => write!(f, " machine={machine}"),
+            | LogEvent::JobsFailedOnMachine { machine } => write!(f, " machine={machine}"),
             LogEvent::BootsLate { machine_type, zone }
             | LogEvent::BootsRecovered { machine_type, zone } => {
                 write!(f, " machine_type={machine_type} zone={zone}")
--- a/crates/latchtrack-core/tests/faults.rs
+++ b/crates/latchtrack-core/tests/faults.rs
@@ -115,7 +115,7 @@
             effects.extend(scheduler.handle(now, Event::Heartbeat(heartbeat)));
         }
         for effect in &effects {
-            if let Effect::Log(LogEvent::MachineFailsJobs { machine }) = effect {
+            if let Effect::Log(LogEvent::JobsFailedOnMachine { machine }) = effect {
                 marked_faulty.push(machine.clone());
             }
         }
