--- a/crates/latchtrack-core/src/constants.rs
+++ b/crates/latchtrack-core/src/constants.rs
@@ -140,7 +140,7 @@
 pub const MIN_BOOT_SAMPLES: usize = 4;
 /// Minimum share of all machines that must be missing for boots to count as late. Once the other
 /// machines of a zone have been given up, the few that never booted are all that is left of it.
-pub const MIN_MISSING_SHARE: f64 = 0.03;
+pub const MIN_LATE_SHARE: f64 = 0.03;
 /// Number of machines of a type and zone with late boots that are provisioned at a time, to test
 /// whether boots work again.
 pub const BOOT_TRIAL_MACHINES: usize = 4;
@@ -165,7 +165,7 @@
 /// ten thousand names, half of a frame between nodes.
 pub const MAX_OVERDUE_BYTES: usize = 128 * 1024;
 /// Overhead in bytes of a name in a frame.
-pub const OVERDUE_NAME_BYTES: usize = 3;
+pub const OVERDUE_NAME_OVERHEAD_BYTES: usize = 3;
 /// ms for which a machine is probed before it is given up: two calls of 2.5 s. The default of
 /// `silence_s` adds this to the time until probing begins.
 pub const PROBING_TIMEOUT_MS: Millis = 6_000;
@@ -266,7 +266,7 @@
 /// from it. Nothing waits for such a write, and many removals are combined.
 pub const MACHINE_SET_WRITE_INTERVAL_MS: Millis = 5_000;
 /// Overhead in bytes of an entry of a stored value, beside its name: quotes, commas and flags.
-pub const ENTRY_BYTES: usize = 24;
+pub const ENTRY_OVERHEAD_BYTES: usize = 24;
 /// Share of the size limit up to which a stored value is filled.
 pub const VALUE_FILL_FACTOR: f64 = 0.9;
 /// Tasks per chunk of results as written by earlier versions and still read: one bit per task, 2
--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -222,7 +222,7 @@
     /// Whether it counts as lost if the cloud's list lacks it. A machine heard from in this term
     /// must have been silent for at least `ms`, an unreconciled one must have left a call
     /// unanswered.
-    pub fn presumed_lost(&self, now: Millis, ms: Millis) -> bool {
+    pub fn is_presumed_lost(&self, now: Millis, ms: Millis) -> bool {
         if self.is_unreconciled() {
             self.unanswered_calls > 0
         } else {
--- a/crates/latchtrack-core/src/placement/mod.rs
+++ b/crates/latchtrack-core/src/placement/mod.rs
@@ -8,5 +8,5 @@
 
 pub use capacity::{FreeCapacity, LoadInfo, Reservation, ReservedFor};
 pub use deferral::{deferred, TimedDemand};
-pub use offers::{allowed, offers, Offer};
+pub use offers::{is_allowed, offers, Offer};
 pub use scoring::{job_demand, score, ScoreWeights};
--- a/crates/latchtrack-core/src/placement/offers.rs
+++ b/crates/latchtrack-core/src/placement/offers.rs
@@ -4,7 +4,7 @@
 use crate::machine::MachineType;
 
 /// Whether a job allows spot or on-demand machines of this type and zone.
-pub fn allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
+pub fn is_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.zone.as_deref().is_none_or(|only| only == zone)
         && spec.types.as_ref().is_none_or(|types| types.iter().any(|name| name == machine_type))
@@ -36,7 +36,7 @@
         for MachineType { name, zones, .. } in &fitting {
             for index in 0..zones.len() {
                 let zone = &zones[(index + zone_rotation) % zones.len()];
-                if allowed(spec, name, zone, spot) {
+                if is_allowed(spec, name, zone, spot) {
                     offers.push(Offer { machine_type: name.clone(), zone: zone.clone(), spot });
                 }
             }
--- a/crates/latchtrack-core/src/rules.rs
+++ b/crates/latchtrack-core/src/rules.rs
@@ -3,7 +3,7 @@
 
 use crate::constants::AMOUNT_TOLERANCE;
 use crate::job::JobSpec;
-use crate::placement::allowed;
+use crate::placement::is_allowed;
 
 /// The rule `quota`: whether a team that uses `used` of a resource may use `more`. A limit of 0
 /// means no limit.
@@ -25,7 +25,7 @@
     spot: bool,
     zones: impl Iterator<Item = &'a str>,
 ) -> bool {
-    if !allowed(spec, machine_type, zone, spot) {
+    if !is_allowed(spec, machine_type, zone, spot) {
         return false;
     }
     if !spec.is_zone_constrained() {
--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -28,7 +28,7 @@
     /// Whether the reservation applies to the entry being checked. A gang reserve applies to all
     /// entries. Any other reservation applies from the first job of its class on; jobs ahead of
     /// that one may use the whole machine.
-    reservation_binds: bool,
+    reservation_applies: bool,
 }
 
 impl MachineView<'_> {
@@ -36,8 +36,8 @@
     fn available_to(&mut self, class: ClassId) -> &FreeCapacity {
         match &self.reserved {
             Some((reserved_for, capacity)) => {
-                self.reservation_binds |= *reserved_for == class;
-                if self.reservation_binds {
+                self.reservation_applies |= *reserved_for == class;
+                if self.reservation_applies {
                     capacity
                 } else {
                     self.free
@@ -178,9 +178,9 @@
             }
             Some(ReservedFor::Exclusive) | None => None,
         };
-        let reservation_binds =
+        let reservation_applies =
             reserved.as_ref().is_some_and(|(class, _)| self.reservations.has_gang_reserve(*class));
-        MachineView { free, reserved, reservation_binds }
+        MachineView { free, reserved, reservation_applies }
     }
 
     /// How many tasks of a job to place here: whole slices, or all that are wanted if they fit.
@@ -210,7 +210,7 @@
         let zones_matter = spec.spread || (spec.one_zone && !spec.gang);
         if job.backoff_until > now
             || zones_matter
-            || !placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+            || !placement::is_allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
             || self.avoids_machine(now, job, machine)
             || self.has_team_limit(spec)
             || (capacity.must_fetch(&spec.image)
@@ -229,7 +229,7 @@
         machine: &str,
         capacity: &FreeCapacity,
     ) -> bool {
-        placement::allowed(&job.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+        placement::is_allowed(&job.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
             && !self.avoids_machine(now, job, machine)
             && capacity.admissible_tasks(&job.spec.demand, job.equivalence_class) > 0
     }
--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -15,7 +15,7 @@
 use crate::constants::{
     BOOT_FAILED_FACTOR, BOOT_FAILED_FACTOR_WHILE_LATE, BOOT_GRACE_MS, BOOT_LATE_FACTOR,
     BOOT_SAMPLES, BOOT_SAMPLE_TTL_MS, BOOT_TRIAL_INTERVAL_MS, BOOT_TRIAL_MACHINES, DEFAULT_BOOT_S,
-    MAX_CYCLE_INTERVAL_MS, MAX_MACHINES_PER_PROVISION, MIN_BOOT_SAMPLES, MIN_MISSING_SHARE,
+    MAX_CYCLE_INTERVAL_MS, MAX_MACHINES_PER_PROVISION, MIN_BOOT_SAMPLES, MIN_LATE_SHARE,
 };
 use crate::machine::Machine;
 use crate::placement::Offer;
@@ -48,9 +48,9 @@
     /// Number of sampled machines: the most recent by name, at most `BOOT_SAMPLES`.
     sampled: usize,
     /// Number of sampled machines that are late.
-    sampled_missing: usize,
+    sampled_late: usize,
     /// Number of late machines, sampled or not.
-    missing: usize,
+    late: usize,
 }
 
 /// Status of a machine that has exceeded its boot time.
@@ -100,24 +100,24 @@
 }
 
 impl BootCounts {
-    fn add_up(&mut self) {
+    fn add_completed(&mut self) {
         if self.sampled < BOOT_SAMPLES {
             self.sampled += 1;
         }
     }
 
-    fn add_missing(&mut self) {
-        self.missing += 1;
+    fn add_late(&mut self) {
+        self.late += 1;
         if self.sampled < BOOT_SAMPLES {
             self.sampled += 1;
-            self.sampled_missing += 1;
+            self.sampled_late += 1;
         }
     }
 
-    /// Whether at least three quarters of the sampled boots and at least `min_missing` machines are
+    /// Whether at least three quarters of the sampled boots and at least `min_late` machines are
     /// late.
-    fn are_late(&self, min_missing: usize) -> bool {
-        self.missing >= min_missing && self.sampled_missing * 4 >= self.sampled * 3
+    fn are_late(&self, min_late: usize) -> bool {
+        self.late >= min_late && self.sampled_late * 4 >= self.sampled * 3
     }
 }
 
@@ -199,11 +199,11 @@
     fn update_late_pools(
         &mut self,
         counts: BTreeMap<MachinePool, BootCounts>,
-        min_missing: usize,
+        min_late: usize,
     ) -> LateChanges {
         let before = std::mem::take(&mut self.late);
         let mut late = Vec::new();
-        for (pool, _) in counts.into_iter().filter(|(_, counts)| counts.are_late(min_missing)) {
+        for (pool, _) in counts.into_iter().filter(|(_, counts)| counts.are_late(min_late)) {
             if !before.contains_key(&pool) {
                 late.push(pool.clone());
             }
@@ -244,7 +244,7 @@
 
     fn detect_late_boots(&mut self, now: Millis) {
         let counts = self.count_boots(now);
-        let share = (self.inventory.len() as f64 * MIN_MISSING_SHARE) as usize;
+        let share = (self.inventory.len() as f64 * MIN_LATE_SHARE) as usize;
         let changes = self.boot_tracker.update_late_pools(counts, MIN_BOOT_SAMPLES.max(share));
         for MachinePool { machine_type, zone } in changes.late {
             self.effects.push(Effect::Log(LogEvent::BootsLate { machine_type, zone }));
@@ -264,12 +264,12 @@
                 continue;
             }
             let limit_ms = self.boot_limit_ms(&machine.machine_type, BOOT_LATE_FACTOR);
-            let is_missing =
+            let is_late =
                 is_booting(machine) && now.saturating_sub(machine.provisioned_at) > limit_ms;
-            if is_missing {
-                counts.entry(MachinePool::of(machine)).or_default().add_missing();
+            if is_late {
+                counts.entry(MachinePool::of(machine)).or_default().add_late();
             } else if !is_joining(machine) {
-                counts.entry(MachinePool::of(machine)).or_default().add_up();
+                counts.entry(MachinePool::of(machine)).or_default().add_completed();
             }
         }
         counts
--- a/crates/latchtrack-core/src/scheduler/direct_calls.rs
+++ b/crates/latchtrack-core/src/scheduler/direct_calls.rs
@@ -55,11 +55,11 @@
     }
 
     fn probe_candidates(&self, now: Millis) -> Vec<ProbeCandidate> {
-        let probe_ms = self.policy.probe_ms();
+        let probe_after_ms = self.policy.probe_after_ms();
         let mut candidates: Vec<ProbeCandidate> = self
             .inventory
             .iter()
-            .filter(|machine| needs_probe(machine, now, probe_ms))
+            .filter(|machine| needs_probe(machine, now, probe_after_ms))
             .map(|machine| ProbeCandidate {
                 next_call_at: machine.next_call_at,
                 machine: machine.name.to_string(),
@@ -154,10 +154,11 @@
     }
 }
 
-fn needs_probe(machine: &Machine, now: Millis, probe_ms: Millis) -> bool {
+fn needs_probe(machine: &Machine, now: Millis, probe_after_ms: Millis) -> bool {
     let may_call = machine.open_call.is_none()
         && !machine.termination_sent
         && machine.addr.is_some()
         && now >= machine.next_call_at;
-    may_call && machine.heartbeat_age(now).is_some_and(|age| !machine.is_up() || age >= probe_ms)
+    may_call
+        && machine.heartbeat_age(now).is_some_and(|age| !machine.is_up() || age >= probe_after_ms)
 }
--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -159,7 +159,7 @@
             return TargetZone::Required(zone);
         }
         let is_allowed = |capacity: &FreeCapacity| {
-            placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+            placement::is_allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
         };
         let allowed = cycle.capacities().iter().filter(|capacity| is_allowed(capacity));
         zone_with_most_capacity(allowed, spec).map_or(TargetZone::Any, TargetZone::Preferred)
--- a/crates/latchtrack-core/src/scheduler/failure_detector.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_detector.rs
@@ -54,9 +54,9 @@
     ThisNode,
 }
 
-/// Zones that became unreachable (`lost`) or reachable (`recovered`) at a tick, sorted by name.
+/// Zones that became unreachable or reachable again at a tick, each list sorted by name.
 struct ZoneChanges {
-    lost: Vec<Arc<str>>,
+    became_unreachable: Vec<Arc<str>>,
     recovered: Vec<Arc<str>>,
 }
 
@@ -151,13 +151,13 @@
             .filter(|(zone, machines)| self.looks_unreachable(now, zone, *machines))
             .map(|(zone, _)| zone)
             .collect();
-        let lost = unreachable.difference(&self.unreachable_zones).cloned().collect();
+        let became_unreachable = unreachable.difference(&self.unreachable_zones).cloned().collect();
         let recovered: Vec<_> = self.unreachable_zones.difference(&unreachable).cloned().collect();
         for zone in &recovered {
             self.zones.entry(zone.clone()).or_default().reachable_since = now;
         }
         self.unreachable_zones = unreachable;
-        ZoneChanges { lost, recovered }
+        ZoneChanges { became_unreachable, recovered }
     }
 
     fn looks_unreachable(&self, now: Millis, zone: &str, machines: u32) -> bool {
@@ -171,14 +171,14 @@
     }
 
     /// Whether a zone heard in this term is reachable, which shows that this node is connected.
-    fn can_hear_any_zone(&self) -> bool {
+    fn has_reachable_zone(&self) -> bool {
         self.zones.iter().any(|(name, zone)| {
             zone.last_heartbeat_at.is_some() && !self.unreachable_zones.contains(name)
         })
     }
 
     /// Whether this node has been listening for at least `ms` and received only relayed heartbeats.
-    fn received_only_relayed_for(&self, now: Millis, ms: Millis) -> bool {
+    fn received_only_relayed_heartbeats_for(&self, now: Millis, ms: Millis) -> bool {
         self.relayed_since.is_some_and(|at| now >= at.max(self.listening_since).saturating_add(ms))
     }
 
@@ -189,15 +189,15 @@
         &self,
         now: Millis,
         machines: impl Iterator<Item = &'a Machine>,
-        overdue_after_ms: Millis,
+        silent_after_ms: Millis,
     ) -> SilenceCause {
         let silences: Vec<Millis> = machines
             .filter(|machine| !self.is_unreachable(&machine.zone))
             .filter_map(|machine| self.observed_silence(now, machine))
             .collect();
-        let overdue = silences.iter().filter(|silent_ms| **silent_ms >= overdue_after_ms).count();
+        let silent = silences.iter().filter(|silent_ms| **silent_ms >= silent_after_ms).count();
         if silences.len() >= MIN_MACHINES_FOR_OUTAGE
-            && overdue as f64 > silences.len() as f64 * MAX_SILENT_SHARE
+            && silent as f64 > silences.len() as f64 * MAX_SILENT_SHARE
         {
             SilenceCause::ThisNode
         } else {
@@ -227,7 +227,7 @@
         }
         let zones = machines.len();
         let changes = self.failure_detector.update_unreachable_zones(now, machines);
-        for zone in changes.lost {
+        for zone in changes.became_unreachable {
             self.effects.push(Effect::Log(LogEvent::ZoneUnreachable { zone }));
         }
         for zone in changes.recovered {
@@ -246,14 +246,20 @@
     /// Resigns if all heartbeats are relayed by other nodes. This node could launch tasks only in
     /// heartbeat responses, while another node can call the workers directly.
     fn resign_if_isolated(&mut self, now: Millis) {
-        if self.failure_detector.received_only_relayed_for(now, self.policy.probe_ms()) {
+        if self
+            .failure_detector
+            .received_only_relayed_heartbeats_for(now, self.policy.probe_after_ms())
+        {
             self.effects.push(Effect::Resign(ResignReason::HeartbeatsOnlyRelayed));
         }
     }
 
     fn terminate_silent_machines(&mut self, now: Millis) {
-        let cause =
-            self.failure_detector.silence_cause(now, self.inventory.iter(), self.policy.probe_ms());
+        let cause = self.failure_detector.silence_cause(
+            now,
+            self.inventory.iter(),
+            self.policy.probe_after_ms(),
+        );
         let mut timed_out: Vec<(String, Millis)> = Vec::new();
         for machine in self.inventory.iter().filter(|machine| !machine.to_terminate) {
             let Some(silent_ms) = self.failure_detector.observed_silence(now, machine) else {
@@ -279,25 +285,27 @@
         silent_ms: Millis,
         cause: SilenceCause,
     ) -> bool {
-        let past_lease = self.policy.worker_lease_expiry_ms();
+        let lease_expiry_ms = self.policy.worker_lease_expiry_ms();
         if !self.failure_detector.is_unreachable(&machine.zone) {
-            let timeout = if machine.is_up() {
+            let timeout_ms = if machine.is_up() {
                 self.policy.heartbeat_timeout_ms
             } else {
                 self.policy.reconcile_timeout_ms
             };
             // Silence counts against the machine only if it also left direct calls unanswered: a
             // slow node processes heartbeats late. Past its lease it has no tasks in any case.
-            let called = machine.unanswered_calls >= MIN_UNANSWERED_CALLS || machine.addr.is_none();
-            silent_ms >= timeout
-                && (called && cause == SilenceCause::Machines || silent_ms >= past_lease)
-        } else if machine.is_unreconciled() && self.failure_detector.can_hear_any_zone() {
+            let is_unresponsive =
+                machine.unanswered_calls >= MIN_UNANSWERED_CALLS || machine.addr.is_none();
+            silent_ms >= timeout_ms
+                && (is_unresponsive && cause == SilenceCause::Machines
+                    || silent_ms >= lease_expiry_ms)
+        } else if machine.is_unreconciled() && self.failure_detector.has_reachable_zone() {
             // This node hears other zones, so it is not at fault. All inherited jobs wait for this
             // machine, in other zones too.
             silent_ms >= self.policy.reconcile_timeout_ms
         } else {
             // Its tasks run until its lease expires, and it is useful again when the zone recovers.
-            silent_ms >= past_lease + UNREACHABLE_ZONE_GRACE_MS
+            silent_ms >= lease_expiry_ms + UNREACHABLE_ZONE_GRACE_MS
         }
     }
 
@@ -306,12 +314,12 @@
     /// agent epoch, so commands in flight are void. The machine is kept, as it may only be
     /// disconnected.
     fn expire_worker_leases(&mut self, now: Millis) {
-        let past_lease = self.policy.worker_lease_expiry_ms();
+        let lease_expiry_ms = self.policy.worker_lease_expiry_ms();
         let expired: Vec<String> = self
             .inventory
             .iter()
             .filter(|machine| !machine.runs.is_empty())
-            .filter(|machine| machine.heartbeat_older_than(now, past_lease))
+            .filter(|machine| machine.heartbeat_older_than(now, lease_expiry_ms))
             .map(|machine| machine.name.to_string())
             .collect();
         for name in expired {
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -61,7 +61,7 @@
                 if let Some(machine_type) = self.inventory.type_named(&machine.machine_type) {
                     total.add_multiple(&machine_type.resources(), 1);
                 }
-                if machine.heartbeat_older_than(now, self.policy.probe_ms()) {
+                if machine.heartbeat_older_than(now, self.policy.probe_after_ms()) {
                     continue;
                 }
             }
--- a/crates/latchtrack-core/src/scheduler/gangs.rs
+++ b/crates/latchtrack-core/src/scheduler/gangs.rs
@@ -170,11 +170,11 @@
     /// of their machines are responsive.
     pub(super) fn stop_gang(&mut self, now: Millis, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
-        let probe_ms = self.policy.probe_ms();
+        let probe_after_ms = self.policy.probe_after_ms();
         let is_responsive = |machine: &str| {
             self.inventory
                 .get(machine)
-                .is_some_and(|m| m.is_up() && !m.heartbeat_older_than(now, probe_ms))
+                .is_some_and(|m| m.is_up() && !m.heartbeat_older_than(now, probe_after_ms))
         };
         let all_responsive =
             job.placed.values().all(|assignment| is_responsive(&assignment.machine));
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -179,7 +179,7 @@
     fn new_moves(&self, now: Millis) -> NewMoves {
         let is_delay_over = now
             >= self.term_started_at.saturating_add(self.policy.balance.moves_delay_ms)
-            && self.failure_detector.has_listened_for(now, self.policy.probe_ms());
+            && self.failure_detector.has_listened_for(now, self.policy.probe_after_ms());
         let may_begin = is_delay_over
             && self.all_reconciled()
             && self.failure_detector.all_zones_reachable()
--- a/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
@@ -64,11 +64,13 @@
         let assignment = self.jobs.get(&id).and_then(|job| job.placed.get(&task_move.task));
         let Some(assignment) = assignment else { return StopResult::NotPossible };
         let key = (TaskId { job: id, index: task_move.task }, assignment.attempt);
-        let probe_ms = self.policy.probe_ms();
+        let probe_after_ms = self.policy.probe_after_ms();
         let Some(machine) = self.inventory.get_mut(&task_move.source) else {
             return StopResult::NotPossible;
         };
-        if *assignment.machine != *task_move.source || machine.heartbeat_older_than(now, probe_ms) {
+        if *assignment.machine != *task_move.source
+            || machine.heartbeat_older_than(now, probe_after_ms)
+        {
             return StopResult::NotPossible;
         }
         let Some(run) = machine.runs.get_mut(&key).filter(|run| is_movable(run)) else {
@@ -138,7 +140,7 @@
         }
         let source = self.inventory.get(&task_move.source);
         let is_lost = source.is_none_or(|machine| {
-            machine.to_terminate || machine.heartbeat_older_than(now, self.policy.probe_ms())
+            machine.to_terminate || machine.heartbeat_older_than(now, self.policy.probe_after_ms())
         });
         is_lost.then_some(MoveEvent::Failed(AbandonReason::SourceLost))
     }
--- a/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/planner_input.rs
@@ -69,8 +69,10 @@
             if tasks.len() != job.spec.tasks as usize {
                 continue;
             }
-            let on = tasks.first().map(|(_, index)| input.machines[*index].name.clone());
-            let Some(machine) = on.and_then(|name| self.inventory.get(&name)) else { continue };
+            let first_machine = tasks.first().map(|(_, index)| input.machines[*index].name.clone());
+            let Some(machine) = first_machine.and_then(|name| self.inventory.get(&name)) else {
+                continue;
+            };
             let since = self.latest_start(job).unwrap_or(now);
             let unit = MoveUnit { job: id.0, task: None };
             input.movables.push(self.movable(
@@ -132,7 +134,7 @@
 
     /// Whether the heartbeats of a machine are not overdue.
     pub(super) fn has_recent_heartbeat(&self, now: Millis, machine: &Machine) -> bool {
-        !machine.heartbeat_older_than(now, self.policy.overdue_ms())
+        !machine.heartbeat_older_than(now, self.policy.overdue_after_ms())
     }
 
     /// Returns a running task or gang as input for the planner. `tasks` has each task with the
--- a/crates/latchtrack-core/src/scheduler/machine_list.rs
+++ b/crates/latchtrack-core/src/scheduler/machine_list.rs
@@ -13,11 +13,11 @@
     /// Requests the cloud's list of machines when it is due. The interval is shorter while machines
     /// are silent, because one missing from the list is presumed lost before its timeout.
     pub(super) fn request_machine_list(&mut self, now: Millis) {
-        let probe_ms = self.policy.probe_ms();
+        let probe_after_ms = self.policy.probe_after_ms();
         let any_silent = self
             .inventory
             .iter()
-            .any(|machine| !machine.to_terminate && machine.presumed_lost(now, probe_ms));
+            .any(|machine| !machine.to_terminate && machine.is_presumed_lost(now, probe_after_ms));
         let interval_ms = if any_silent { LIST_INTERVAL_WHILE_SILENT_MS } else { LIST_INTERVAL_MS };
         if self.provisioning.start_list_if_due(now, interval_ms) {
             self.effects.push(Effect::ListMachines);
@@ -68,7 +68,7 @@
     /// terminating a machine that is already gone is harmless.
     fn detect_unlisted(&mut self, now: Millis, listed: &[ListedMachine]) {
         let names: HashSet<&str> = listed.iter().map(|machine| machine.name.as_str()).collect();
-        let probe_ms = self.policy.probe_ms();
+        let probe_after_ms = self.policy.probe_after_ms();
         let list_complete_ms = self.policy.list_complete_ms();
         for machine in self.inventory.iter_mut().filter(|machine| !machine.to_terminate) {
             // An inherited machine was up before this term, so it is almost certainly older than
@@ -76,7 +76,7 @@
             let must_be_listed = machine.is_unreconciled()
                 || now >= machine.provisioned_at.saturating_add(list_complete_ms);
             // A machine that is not up yet sends nothing that would show that it exists.
-            let is_silent = machine.presumed_lost(now, probe_ms)
+            let is_silent = machine.is_presumed_lost(now, probe_after_ms)
                 || (!machine.is_up() && !machine.is_unreconciled());
             if must_be_listed && is_silent && !names.contains(&*machine.name) {
                 machine.to_terminate = true;
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -221,7 +221,7 @@
                 self.on_writes_finished(now, writes, outcome)
             }
             Event::MachineTypes(types) => self.inventory.set_types(types),
-            Event::QuotaObserved(view) => self.on_quota_observed(now, view),
+            Event::QuotaObserved(snapshot) => self.on_quota_observed(now, snapshot),
             Event::LedgerWriteFinished { write, outcome } => {
                 self.on_ledger_write_finished(now, &write, outcome)
             }
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -8,7 +8,9 @@
 };
 use super::Scheduler;
 use crate::bitmap::{all_chunks, is_large_chunk, small_chunks};
-use crate::constants::{ENTRY_BYTES, MACHINE_SET_WRITE_INTERVAL_MS, RESULTS_WRITE_INTERVAL_MS};
+use crate::constants::{
+    ENTRY_OVERHEAD_BYTES, MACHINE_SET_WRITE_INTERVAL_MS, RESULTS_WRITE_INTERVAL_MS,
+};
 use crate::job::JobId;
 use crate::machine::Machine;
 use crate::record_shards::{RecordShards, ShardOutcome, Urgency};
@@ -16,7 +18,7 @@
 
 /// Returns how many bytes of a stored value a chunk of `chunk_bytes` takes, encoded in base64.
 fn result_entry_bytes(chunk_bytes: usize) -> usize {
-    chunk_bytes.div_ceil(3) * 4 + ENTRY_BYTES
+    chunk_bytes.div_ceil(3) * 4 + ENTRY_OVERHEAD_BYTES
 }
 
 /// Converts a machine to its stored form; an unknown address becomes empty.
@@ -34,7 +36,7 @@
     /// Returns how many bytes of a stored value this machine takes.
     pub fn bytes(&self) -> usize {
         let texts = [&self.name, &self.machine_type, &self.zone, &self.addr];
-        texts.iter().map(|text| text.len()).sum::<usize>() + ENTRY_BYTES
+        texts.iter().map(|text| text.len()).sum::<usize>() + ENTRY_OVERHEAD_BYTES
     }
 }
 
--- a/crates/latchtrack-core/src/scheduler/policy.rs
+++ b/crates/latchtrack-core/src/scheduler/policy.rs
@@ -97,12 +97,12 @@
     }
 
     /// Time in ms without a heartbeat after which a machine is reported to other nodes as overdue.
-    pub fn overdue_ms(&self) -> Millis {
+    pub fn overdue_after_ms(&self) -> Millis {
         self.max_heartbeat_gap_ms().saturating_add(OVERDUE_MARGIN_MS)
     }
 
     /// Time in ms without a heartbeat after which a machine is probed.
-    pub fn probe_ms(&self) -> Millis {
+    pub fn probe_after_ms(&self) -> Millis {
         self.max_heartbeat_gap_ms().saturating_add(PROBE_MARGIN_MS)
     }
 
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -238,7 +238,7 @@
         }
         let in_zone = zone.is_none_or(|zone| zone == &*capacity.zone);
         if in_zone
-            && placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+            && placement::is_allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
         {
             let fitting = capacity.fitting_tasks(&spec.demand).min(left);
             capacity.take(&spec.demand, fitting);
--- a/crates/latchtrack-core/src/scheduler/queue_order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue_order.rs
@@ -112,8 +112,8 @@
             // once.
             return (QueueTier::Deadline, job.submitted_at.saturating_add(within_ms));
         }
-        let dues = self.dues_ms(job);
-        if dues.is_empty() {
+        let due_times = self.due_times_ms(job);
+        if due_times.is_empty() {
             return if self.is_best_effort(&job.spec) {
                 // In order of submission: if all ran side by side, none would complete for a long
                 // time.
@@ -123,7 +123,7 @@
             };
         }
         let due_at = |ms: Millis| job.submitted_at.saturating_add(ms);
-        match dues.into_iter().map(due_at).filter(|due_at| *due_at > now).min() {
+        match due_times.into_iter().map(due_at).filter(|due_at| *due_at > now).min() {
             Some(due_at) if job.spec.deadline_s.is_some() => (QueueTier::Deadline, due_at),
             Some(due_at) => (QueueTier::Objective, due_at),
             None => (QueueTier::Deferred, waiting_cpu_ms(job) as Millis),
@@ -132,7 +132,7 @@
 
     /// When a job is due, in ms from its submission: its own deadline, and the completion
     /// objectives of its class.
-    fn dues_ms(&self, job: &Job) -> Vec<Millis> {
+    fn due_times_ms(&self, job: &Job) -> Vec<Millis> {
         let deadline_ms = job.spec.deadline_s.map(|s| (s * 1000.0) as Millis);
         let objectives = self.policy.completion_objectives.iter();
         objectives
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -16,7 +16,7 @@
 use crate::constants::GANG_RESERVE_TTL_MS;
 use crate::job::{ClassId, JobSpec, Resources};
 use crate::machine::fitting_tasks;
-use crate::placement::{allowed, FreeCapacity, Reservation, ReservedFor};
+use crate::placement::{is_allowed, FreeCapacity, Reservation, ReservedFor};
 use crate::rules;
 use crate::Millis;
 
@@ -108,7 +108,7 @@
     /// Whether a task of such a gang may run here, regardless of its size.
     fn may_use(&self, capacity: &FreeCapacity) -> bool {
         let in_zone = self.zone.as_ref().is_none_or(|zone| *zone == capacity.zone);
-        in_zone && allowed(&self.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+        in_zone && is_allowed(&self.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
     }
 
     /// Chooses the zone: keeps the current one while it has usable ready machines, otherwise takes
--- a/crates/latchtrack-core/src/scheduler/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/summary.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::Scheduler;
-use crate::constants::{MAX_OVERDUE_BYTES, OVERDUE_NAME_BYTES, UNRECONCILED_OVERDUE_MS};
+use crate::constants::{MAX_OVERDUE_BYTES, OVERDUE_NAME_OVERHEAD_BYTES, UNRECONCILED_OVERDUE_MS};
 use crate::job::JobId;
 use crate::machine::{Machine, TaskPhase};
 use crate::Millis;
@@ -117,7 +117,7 @@
             .filter(|machine| !machine.to_terminate && self.is_overdue(now, machine))
             .map(|machine| machine.name.to_string())
             .take_while(|name| {
-                bytes += name.len() + OVERDUE_NAME_BYTES;
+                bytes += name.len() + OVERDUE_NAME_OVERHEAD_BYTES;
                 bytes <= MAX_OVERDUE_BYTES
             })
             .collect()
@@ -125,7 +125,7 @@
 
     fn is_overdue(&self, now: Millis, machine: &Machine) -> bool {
         match machine.last_heartbeat_at {
-            Some(last_heartbeat_at) => now >= last_heartbeat_at + self.policy.overdue_ms(),
+            Some(last_heartbeat_at) => now >= last_heartbeat_at + self.policy.overdue_after_ms(),
             // It was called directly at the start of the term and should have answered by now.
             None => {
                 machine.is_unreconciled() && now >= self.term_started_at + UNRECONCILED_OVERDUE_MS
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -71,7 +71,12 @@
         let spec = &*job.spec;
         cycle.capacities().iter().enumerate().filter(move |(_, capacity)| {
             capacity.ready
-                && placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+                && placement::is_allowed(
+                    spec,
+                    &capacity.machine_type,
+                    &capacity.zone,
+                    capacity.spot,
+                )
                 && !capacity
                     .machine
                     .as_ref()
--- a/crates/latchtrack-core/src/scheduler/termination.rs
+++ b/crates/latchtrack-core/src/scheduler/termination.rs
@@ -81,10 +81,10 @@
     /// Marks idle, slow and soon preempted machines without tasks for termination, and requests the
     /// termination of all marked machines.
     pub(super) fn terminate_idle_machines(&mut self, now: Millis) {
-        let probe_ms = self.policy.probe_ms();
+        let probe_after_ms = self.policy.probe_after_ms();
         let mut terminated = Vec::new();
         for machine in self.inventory.iter_mut().filter(|machine| !machine.termination_sent) {
-            if is_idle_candidate(machine, now, probe_ms) {
+            if is_idle_candidate(machine, now, probe_after_ms) {
                 let since = *machine.idle_since.get_or_insert(now);
                 let name = &machine.name;
                 // Kept for future tasks, for example until the last machine of a gang is up.
@@ -94,10 +94,10 @@
                 let is_idle = now.saturating_sub(since) >= timeout_ms && !is_reserved;
                 machine.to_terminate = machine.preempt_at.is_some() || machine.is_slow() || is_idle;
             }
-            let is_heard = machine.is_up()
+            let is_responsive = machine.is_up()
                 && !machine.heartbeat_older_than(now, self.policy.heartbeat_timeout_ms);
             // A result that is not stored yet would be lost with its machine.
-            let must_wait = is_heard && has_unstored_result(machine, &self.jobs);
+            let must_wait = is_responsive && has_unstored_result(machine, &self.jobs);
             if machine.to_terminate && !must_wait {
                 machine.termination_sent = true;
                 terminated.push(machine.name.to_string());
@@ -111,10 +111,10 @@
 
 /// Whether a machine has no tasks and sends heartbeats. A silent machine does not count as idle: it
 /// may be running tasks while disconnected, and failure detection handles it.
-fn is_idle_candidate(machine: &Machine, now: Millis, probe_ms: Millis) -> bool {
+fn is_idle_candidate(machine: &Machine, now: Millis, probe_after_ms: Millis) -> bool {
     machine.is_up()
         && !machine.to_terminate
-        && !machine.heartbeat_older_than(now, probe_ms)
+        && !machine.heartbeat_older_than(now, probe_after_ms)
         && !machine.runs.values().any(TaskRun::is_live)
 }
 
