--- a/crates/latchtrack-core/src/placement/deferral.rs
+++ b/crates/latchtrack-core/src/placement/deferral.rs
@@ -17,7 +17,7 @@
 /// time. Whenever a job would be late, the largest one up to it is deferred (Moore-Hodgson
 /// algorithm, which minimizes the number of late jobs). `before_cpu_ms` is the work ahead of the
 /// queue, and `cpus` is the number of CPUs available; without any, nothing is deferred.
-pub fn deferred(queue: &[TimedDemand], before_cpu_ms: f64, cpus: f64) -> Vec<bool> {
+pub fn choose_deferred(queue: &[TimedDemand], before_cpu_ms: f64, cpus: f64) -> Vec<bool> {
     let mut is_deferred = vec![false; queue.len()];
     if cpus <= 0.0 {
         return is_deferred;
--- a/crates/latchtrack-core/src/placement/mod.rs
+++ b/crates/latchtrack-core/src/placement/mod.rs
@@ -7,6 +7,6 @@
 mod scoring;
 
 pub use capacity::{FreeCapacity, LoadInfo, Reservation, ReservedFor};
-pub use deferral::{deferred, TimedDemand};
+pub use deferral::{choose_deferred, TimedDemand};
 pub use offers::{is_allowed, offers, Offer};
 pub use scoring::{job_demand, score, ScoreWeights};
--- a/crates/latchtrack-core/src/scheduler/deferral.rs
+++ b/crates/latchtrack-core/src/scheduler/deferral.rs
@@ -3,7 +3,7 @@
 use super::queue_order::{QueueTier, RankedJob};
 use super::Scheduler;
 use crate::job::{Job, JobSpec, Resources};
-use crate::placement::{deferred, TimedDemand};
+use crate::placement::{choose_deferred, TimedDemand};
 use crate::Millis;
 
 /// Fraction of its estimated run time that a running task still has ahead of it, on average.
@@ -11,7 +11,7 @@
 
 impl Scheduler {
     /// Moves jobs to [`QueueTier::Deferred`] if not all jobs with objectives can be completed in
-    /// time. [`deferred`] chooses them.
+    /// time. [`choose_deferred`] chooses them.
     pub(super) fn defer_jobs(&self, now: Millis, ranked: &mut [RankedJob], total: &Resources) {
         let running: f64 = self
             .inventory
@@ -36,7 +36,7 @@
             })
             .collect();
         let demands: Vec<TimedDemand> = with_objectives.iter().map(|(_, demand)| *demand).collect();
-        let is_deferred = deferred(&demands, running + with_deadlines, total.cpus);
+        let is_deferred = choose_deferred(&demands, running + with_deadlines, total.cpus);
         for ((index, demand), is_deferred) in with_objectives.into_iter().zip(is_deferred) {
             if is_deferred {
                 let rank = &mut ranked[index].rank;
--- a/crates/latchtrack-core/tests/placement.rs
+++ b/crates/latchtrack-core/tests/placement.rs
@@ -23,10 +23,10 @@
 fn the_largest_job_is_deferred_when_not_all_can_be_on_time() {
     let job = |remaining_ms, cpu_ms| TimedDemand { remaining_ms, run_ms: 0.0, cpu_ms };
     let all = [job(10.0, 40.0), job(20.0, 300.0), job(25.0, 40.0), job(30.0, 40.0)];
-    assert_eq!(deferred(&all, 0.0, 100.0), [false; 4], "there is capacity for all");
-    assert_eq!(deferred(&all, 0.0, 10.0), [false, true, false, false]);
-    assert_eq!(deferred(&all, 60.0, 10.0), [false, true, false, false]);
-    assert_eq!(deferred(&all, 0.0, 0.0), [false; 4], "the capacity is unknown");
+    assert_eq!(choose_deferred(&all, 0.0, 100.0), [false; 4], "there is capacity for all");
+    assert_eq!(choose_deferred(&all, 0.0, 10.0), [false, true, false, false]);
+    assert_eq!(choose_deferred(&all, 60.0, 10.0), [false, true, false, false]);
+    assert_eq!(choose_deferred(&all, 0.0, 0.0), [false; 4], "the capacity is unknown");
 }
 
 #[test]
