--- a/crates/latchtrack-core/src/bitmap.rs
+++ b/crates/latchtrack-core/src/bitmap.rs
@@ -10,7 +10,8 @@
     FIRST_CHUNK_INDEX + index / CHUNK_TASKS
 }
 
-/// Returns every chunk in which results of a job may be stored, by this or an earlier version.
+/// Returns the indices of all chunks in which this or an earlier version may have stored results of
+/// a job.
 pub fn all_chunks() -> impl Iterator<Item = u32> {
     let small = FIRST_CHUNK_INDEX..FIRST_CHUNK_INDEX + MAX_TASKS.div_ceil(CHUNK_TASKS);
     (0..MAX_TASKS.div_ceil(LEGACY_CHUNK_TASKS)).chain(small)
@@ -45,7 +46,7 @@
         Some(ChunkSpan { first: number.checked_mul(tasks)?, tasks })
     }
 
-    /// The number of bytes of the bitmap that the span covers.
+    /// Returns the number of bytes of the bitmap that the span covers.
     fn bytes(&self) -> usize {
         (self.tasks / 8) as usize
     }
@@ -80,8 +81,7 @@
         index < self.len && self.bytes[(index / 8) as usize] & (1 << (index % 8)) != 0
     }
 
-    /// Adds task `index`. Returns whether it was added, which it is not if it was in the set
-    /// already or the job has no such task.
+    /// Adds task `index`. Returns false if it was in the set already or the job has no such task.
     pub fn set(&mut self, index: u32) -> bool {
         if index >= self.len || self.get(index) {
             return false;
--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct JobId(pub u64);
 
-/// The text is not a valid id of a job or task.
+/// Error for a text that is not a valid id of a job or task.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not an id of the form req-000412")]
 pub struct ParseIdError;
@@ -149,9 +149,9 @@
 /// The run times of a job's completed tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunTimes {
-    /// Their sum in ms.
+    /// The sum of the run times in ms.
     total_ms: Millis,
-    /// The number of run times in the sum.
+    /// The number of run times.
     count: u32,
 }
 
@@ -298,7 +298,7 @@
         taken
     }
 
-    /// Takes this task if it is waiting, and returns whether it was. The caller must then place it.
+    /// Takes task `index` if it is waiting. Returns whether it was; the caller must then place it.
     pub fn take_one(&mut self, index: u32) -> bool {
         if self.done.get(index) || self.placed.contains_key(&index) || index >= self.spec.tasks {
             return false;
--- a/crates/latchtrack-core/src/machine.rs
+++ b/crates/latchtrack-core/src/machine.rs
@@ -120,11 +120,11 @@
     pub provisioned_at: Millis,
     /// Whether the cloud's list shows it as running.
     pub listed_as_running: bool,
-    /// Whether it is in the stored machine set. Nothing is launched on it before.
+    /// Whether it is in the stored machine set. Nothing is launched on it until then.
     pub persisted: bool,
-    /// Whether it was in the stored machine set when this term began. Until it is seen to hold this
-    /// term's token, commands of an earlier leader may still arrive, so it may run tasks that this
-    /// term does not know.
+    /// Whether it was in the stored machine set when this term began. Until it reports this term's
+    /// token, commands of an earlier leader may still arrive, so it may run tasks that this term
+    /// does not know.
     pub inherited: bool,
     /// The number of the newest message received from it.
     pub latest_message: MessageNumber,
@@ -132,10 +132,10 @@
     /// Heartbeats with an older token prove nothing: they may be delayed copies from before this
     /// term, even from a machine that no longer exists.
     pub last_heartbeat_at: Option<Millis>,
-    /// The time since which heartbeats to this node are expected: the first sign of it in this
-    /// term, or the start of the term.
+    /// The time since which heartbeats are expected: that of its first message in this term, or the
+    /// start of the term if it is inherited.
     pub heartbeat_expected_since: Option<Millis>,
-    /// Consecutive direct calls without a response since it was last heard from.
+    /// The number of direct calls left unanswered since its last heartbeat or answer.
     pub unanswered_calls: u32,
     /// The time at which the cloud will preempt it, from its preemption notice.
     pub preempt_at: Option<Millis>,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Whether its worker has been heard from in this term.
+    /// Whether its worker has sent a heartbeat with this term's token.
     pub fn is_up(&self) -> bool {
         self.last_heartbeat_at.is_some()
     }
@@ -219,9 +219,8 @@
         self.last_heartbeat_at.is_some_and(|last_heartbeat_at| now >= last_heartbeat_at + ms)
     }
 
-    /// Whether it counts as lost if the cloud's list lacks it. A machine heard from in this term
-    /// must have been silent for at least `ms`, an unreconciled one must have left a call
-    /// unanswered.
+    /// Whether it counts as lost if the cloud's list lacks it. A machine that is up must have been
+    /// silent for at least `ms`, an unreconciled one must have left a call unanswered.
     pub fn is_presumed_lost(&self, now: Millis, ms: Millis) -> bool {
         if self.is_unreconciled() {
             self.unanswered_calls > 0
--- a/crates/latchtrack-core/src/placement/capacity.rs
+++ b/crates/latchtrack-core/src/placement/capacity.rs
@@ -26,7 +26,8 @@
     pub free: Resources,
     /// Whether it is up and accepts launches now. Otherwise its capacity is pending.
     pub ready: bool,
-    /// Set if it is reserved for jobs that have waited too long, or for future gangs.
+    /// The reservation, if the machine is reserved for jobs that have waited too long or for future
+    /// gangs.
     pub reservation: Option<Reservation>,
     /// Its load, if load balancing is enabled.
     pub balance: Option<LoadInfo>,
--- a/crates/latchtrack-core/src/placement/deferral.rs
+++ b/crates/latchtrack-core/src/placement/deferral.rs
@@ -14,9 +14,10 @@
 }
 
 /// Returns which jobs of a queue, given in its order, are deferred because not all can finish in
-/// time. Whenever a job would be late, the largest one up to it is deferred (Moore-Hodgson
-/// algorithm, which minimizes the number of late jobs). `before_cpu_ms` is the work ahead of the
-/// queue, and `cpus` is the number of CPUs available; without any, nothing is deferred.
+/// time. Whenever a job would be late, the largest of the jobs up to and including it is deferred
+/// (Moore-Hodgson algorithm, which minimizes the number of late jobs). `before_cpu_ms` is the work
+/// ahead of the queue in CPU-ms, and `cpus` is the number of CPUs available; without any, nothing
+/// is deferred.
 pub fn choose_deferred(queue: &[TimedDemand], before_cpu_ms: f64, cpus: f64) -> Vec<bool> {
     let mut is_deferred = vec![false; queue.len()];
     if cpus <= 0.0 {
--- a/crates/latchtrack-core/src/placement/scoring.rs
+++ b/crates/latchtrack-core/src/placement/scoring.rs
@@ -30,15 +30,15 @@
     }
 }
 
-/// Eq. 8: free capacity as a weighted share of all that is up. Applied to the demand of a task, it
-/// is also Eq. 9 for one task.
+/// Returns the score of Eq. 8: free capacity as a weighted share of the capacity of all machines
+/// that are up. For the demand of a task, this is Eq. 9 for one task.
 pub fn score(amount: &Resources, total: &Resources, weights: &ScoreWeights) -> f64 {
     weighted_share(amount.cpus, total.cpus, weights.alpha)
         + weighted_share(amount.memory_gb, total.memory_gb, weights.beta)
         + weighted_share(amount.gpus, total.gpus, weights.gamma)
 }
 
-/// Eq. 9: the demand of a job, which is the weighted share of one task times the number of tasks.
+/// Returns the demand of a job by Eq. 9: the weighted share of one task times the number of tasks.
 pub fn job_demand(task: &Resources, tasks: u32, total: &Resources, weights: &ScoreWeights) -> f64 {
     score(task, total, weights) * f64::from(tasks)
 }
--- a/crates/latchtrack-core/src/record_shards.rs
+++ b/crates/latchtrack-core/src/record_shards.rs
@@ -13,7 +13,7 @@
 /// How soon a changed value is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// When the write interval since its last write has passed: nothing waits for it.
+    /// Once the write interval has passed since the last write of the value.
     #[default]
     Deferred,
     /// Immediately.
@@ -43,7 +43,7 @@
     Unknown,
 }
 
-/// How a stored value is handled that the state service rejected when it was written alone.
+/// What is done with a stored value that the state service rejected in a batch of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectedShard {
     /// Its entries are split among smaller values.
@@ -228,7 +228,7 @@
                 .min_by_key(|(_, urgency)| std::cmp::Reverse(**urgency))
                 .map(|(name, _)| name.clone())?;
             self.dirty.remove(&name);
-            // It was written under a higher size limit.
+            // The value was written under a higher size limit.
             let is_too_large =
                 |shard: &Shard<K>| shard.bytes > self.max_bytes && shard.entries.len() > 1;
             if self.shards.get(&name).is_some_and(is_too_large) {
--- a/crates/latchtrack-core/src/task_run.rs
+++ b/crates/latchtrack-core/src/task_run.rs
@@ -31,7 +31,7 @@
 /// The phase that a machine reports for a task run, or `Assigned` before its first report.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TaskPhase {
-    /// Assigned to a machine that has not been seen to start it.
+    /// Assigned to a machine that has not reported the run yet.
     Assigned,
     /// Fetching its image.
     Fetching,
@@ -43,7 +43,7 @@
     Checkpointing,
     /// A phase that is unknown to this version. The run is on the machine and takes capacity.
     Unrecognised,
-    /// Over, for this cause.
+    /// Ended with this cause.
     Ended(ExitCause),
 }
 
@@ -82,7 +82,7 @@
     /// the same agent epoch and this term's token, so the attempt must not be forgotten in this
     /// agent epoch.
     pub launch_outcome_unknown: bool,
-    /// The time at which it was first seen to run.
+    /// The time at which its machine first reported it as running.
     pub running_since: Option<Millis>,
 }
 
