--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -9,9 +9,9 @@
 
 /// The queue entry that gets capacity of a machine next.
 struct BackfillChoice {
-    /// Index into the queue and number of tasks; None if no entry fits.
+    /// Index into the queue and number of tasks; `None` if no entry fits.
     entry: Option<(usize, u32)>,
-    /// Entries skipped because they have nothing left to place.
+    /// Number of entries skipped because they have nothing left to place.
     closed: usize,
     /// Set if the search stopped at a gang that lacks capacity: this machine is then left for the
     /// gang.
@@ -32,7 +32,7 @@
 }
 
 impl MachineView<'_> {
-    /// The capacity that the next entry, whose job is of this class, may use.
+    /// Returns the capacity that the next entry, whose job is of this class, may use.
     fn available_to(&mut self, class: ClassId) -> &FreeCapacity {
         match &self.reserved {
             Some((reserved_for, capacity)) => {
@@ -49,8 +49,8 @@
 }
 
 impl Scheduler {
-    /// Fills the capacity that a machine's own heartbeat has freed as a cycle would do now. Jobs
-    /// whose placement depends on more than this machine wait for the next cycle.
+    /// Places tasks on the free capacity of a machine as a cycle would do now. Jobs whose placement
+    /// depends on more than this machine wait for the next cycle.
     pub(super) fn backfill(&mut self, now: Millis, machine: &str) {
         if self.queue.entries().is_empty() {
             return;
@@ -128,8 +128,8 @@
         }
     }
 
-    /// The entry that gets capacity of a machine next: the first that fits, or one of the next few
-    /// whose image the machine holds. The lookahead ends at a job with a start objective.
+    /// Returns the entry that gets capacity of a machine next: the first that fits, or one of the
+    /// next few whose image the machine holds. The lookahead ends at a job with a start objective.
     fn next_for_machine(
         &self,
         now: Millis,
@@ -169,7 +169,8 @@
         BackfillChoice { entry: first, closed, held_for_gang: false }
     }
 
-    /// The machine's capacity as the queue's entries may use it. A gang reserve binds all jobs.
+    /// Returns the machine's capacity as the queue's entries may use it. A gang reserve applies to
+    /// all entries.
     fn view_of_machine<'a>(&self, machine: &str, free: &'a FreeCapacity) -> MachineView<'a> {
         let reservation = self.reservations.on_machine(machine);
         let reserved = match reservation.map(|reservation| reservation.reserved_for) {
@@ -183,7 +184,8 @@
         MachineView { free, reserved, reservation_applies }
     }
 
-    /// How many tasks of a job to place here: whole slices, or all that are wanted if they fit.
+    /// Returns how many tasks of a job to place here: whole slices, or all that are wanted if they
+    /// fit.
     fn whole_slices(
         &self,
         now: Millis,
@@ -202,7 +204,7 @@
         }
     }
 
-    /// How many tasks of a job fit on this machine. Returns 0 if the answer depends on more than
+    /// Returns how many tasks of a job fit on this machine; 0 if the answer depends on more than
     /// this machine, such as the zones of other tasks or a team limit.
     fn tasks_fitting(&self, now: Millis, job: &Job, machine: &str, capacity: &FreeCapacity) -> u32 {
         let spec = &job.spec;
--- a/crates/latchtrack-core/src/scheduler/best_effort.rs
+++ b/crates/latchtrack-core/src/scheduler/best_effort.rs
@@ -8,17 +8,17 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// Whether a job uses only capacity that would otherwise be idle. That is so if it has the
-    /// lowest priority, no deadline, and its class has no objective.
+    /// Whether a job uses only capacity that would otherwise be idle: it has the lowest priority
+    /// and no deadline, and its class has no objective.
     pub(super) fn is_best_effort(&self, spec: &JobSpec) -> bool {
         spec.priority == Priority::Low
             && spec.deadline_s.is_none()
             && !self.policy.classes_with_objectives.contains(&spec.class)
     }
 
-    /// Best-effort jobs that have waited long enough to go before deferred ones, with the number of
-    /// tasks each may place: oldest first, within [`BEST_EFFORT_SHARE`] of the cluster. Without
-    /// this, a lasting overload would starve them completely.
+    /// Returns the best-effort jobs that go before deferred ones, with the number of tasks that
+    /// each may place: those submitted at least [`STARVATION_MS`] ago, oldest first, within
+    /// [`BEST_EFFORT_SHARE`] of the CPUs. A lasting overload would otherwise starve them.
     pub(super) fn best_effort_due(&self, now: Millis, total: &Resources) -> HashMap<JobId, u32> {
         let mut remaining_cpus = total.cpus * BEST_EFFORT_SHARE;
         let mut due: Vec<&Job> = Vec::new();
--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -45,7 +45,7 @@
 /// Counts of the machines of a pool whose boots have completed or are late.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootCounts {
-    /// Number of sampled machines: the most recent by name, at most `BOOT_SAMPLES`.
+    /// Number of sampled machines: the most recent by name, at most [`BOOT_SAMPLES`].
     sampled: usize,
     /// Number of sampled machines that are late.
     sampled_late: usize,
@@ -58,7 +58,7 @@
 enum BootStatus {
     /// It may still come up.
     Overdue,
-    /// It is so late that it is presumed never to come up.
+    /// It is so late that it is not expected to come up any more.
     Failed,
 }
 
@@ -155,7 +155,7 @@
 
     /// Whether a machine that has not come up may be terminated now, after `terminated` others of
     /// its pool in the same step. In a late pool, machines that may still come up are terminated a
-    /// few per trial interval.
+    /// few per trial interval, which starts over with each termination.
     fn allow_termination(
         &mut self,
         now: Millis,
@@ -255,8 +255,8 @@
     }
 
     /// Counts the machines of each pool that are up and those that are late, newest first: names
-    /// are in order of creation. A new leader may see only a few old stragglers boot; these do not
-    /// make a pool late if newer machines have come up.
+    /// are in order of creation. A few old machines that are still booting do not make a pool late
+    /// if newer ones have come up.
     fn count_boots(&self, now: Millis) -> BTreeMap<MachinePool, BootCounts> {
         let mut counts: BTreeMap<MachinePool, BootCounts> = BTreeMap::new();
         for machine in self.inventory.iter().rev() {
@@ -276,7 +276,7 @@
     }
 
     /// Terminates machines that are unlikely to come up. In a late pool, only a few are terminated
-    /// at a time until they are older than `BOOT_FAILED_FACTOR_WHILE_LATE` boot times.
+    /// at a time until they are older than [`BOOT_FAILED_FACTOR_WHILE_LATE`] boot times.
     fn terminate_never_joined(&mut self, now: Millis) {
         let mut never_joined: Vec<(Millis, String)> = self
             .inventory
--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -1,6 +1,6 @@
-//! This cell's share of limits and guarantees that cells have in common. The teams' usage is passed
-//! to the quota allotments, whose launch limits restrict placement. docs/quota.md explains why no
-//! limit is ever exceeded.
+//! This cell's share of the limits and guarantees that several cells share. The teams' usage is
+//! passed to the quota allotments, whose launch limits restrict placement. docs/quota.md explains
+//! why no limit is ever exceeded.
 
 use std::collections::BTreeMap;
 
@@ -16,11 +16,11 @@
 use crate::job::{Job, JobSpec, Resources};
 use crate::Millis;
 
-/// What teams use and wait for, for quota shared between cells. Counts nothing if teams are not
-/// shared.
+/// What teams use and wait for, as needed for quota that cells share. Counts nothing if the teams
+/// are not shared.
 #[derive(Clone, Debug)]
 pub(super) struct QuotaAccounting {
-    /// The cell's allotments; None if the teams are not shared with other cells.
+    /// The cell's allotments; `None` if the teams are not shared with other cells.
     allotments: Option<AllotmentManager>,
     /// Demand of the first starving job of each team in the current cycle.
     next_start_by_team: BTreeMap<String, MilliResources>,
@@ -43,18 +43,19 @@
         self.allotments.is_some()
     }
 
-    /// What a team may use in this cell, if it has a shared limit.
+    /// Returns what a team may use in this cell, if it has a shared limit.
     pub fn launch_limit(&self, team: &str) -> Option<LaunchLimit> {
         self.allotments.as_ref()?.launch_limit(team)
     }
 
-    /// This cell's part of a team's guarantee, if cells share the team.
+    /// Returns this cell's part of a team's guarantee, if cells share the team.
     pub fn guarantee(&self, team: &str) -> Option<Resources> {
         let part = self.allotments.as_ref()?.guarantee(team)?;
         Some(Resources { cpus: part.cpus(), gpus: part.gpus(), memory_gb: 0.0 })
     }
 
-    /// Starts a scheduling cycle, which determines again what is next to start.
+    /// Starts a scheduling cycle, which records anew the demand of the first starving job of each
+    /// team.
     pub fn start_cycle(&mut self) {
         self.next_start_by_team.clear();
     }
@@ -80,7 +81,7 @@
     }
 }
 
-/// The quota allotments of a new leader, if cells share the teams.
+/// Creates the quota allotments of a new leader, if cells share the teams.
 fn new_allotment_manager(policy: &Policy, term: u64) -> Option<AllotmentManager> {
     let cell = policy.quota_cell.clone()?;
     let quota = |team: &Team| TeamQuota {
@@ -91,14 +92,14 @@
     Some(AllotmentManager::new(AllotmentManagerSettings { cell, term, teams }))
 }
 
-/// Resources of `tasks` tasks of a job, without memory.
+/// Returns the resources of `tasks` tasks of a job, without memory.
 fn demand_of(spec: &JobSpec, tasks: u32) -> MilliResources {
     let mut usage = Resources::default();
     usage.add_multiple(&spec.demand, tasks);
     MilliResources::covering(usage.cpus, usage.gpus)
 }
 
-/// Resources that a job needs to start its next task; all of its tasks for a gang.
+/// Returns the resources that a job needs to start its next task; all of its tasks for a gang.
 fn next_start_demand(job: &Job) -> MilliResources {
     let tasks = if job.spec.gang { job.spec.tasks } else { 1 };
     demand_of(&job.spec, tasks)
@@ -109,7 +110,7 @@
     pub(super) fn on_quota_observed(&mut self, now: Millis, snapshot: LedgerSnapshot) {
         let Some(allotments) = self.quota.allotments.as_mut() else { return };
         allotments.observe(now, snapshot);
-        // Step at once, before other cells change the ledgers again.
+        // Act on the snapshot at once, before other cells change the ledgers again.
         self.step_cell_quota(now);
     }
 
@@ -138,7 +139,7 @@
         self.log_quota_notices();
     }
 
-    /// Status of the shared teams, for operators; None if the teams are not shared.
+    /// Returns the status of the shared teams, for operators; `None` if the teams are not shared.
     pub fn quota_summary(&self) -> Option<Vec<TeamSummary>> {
         self.quota.allotments.as_ref().map(AllotmentManager::summary)
     }
@@ -151,7 +152,7 @@
         self.effects.extend(notices.into_iter().map(|notice| Effect::Log(LogEvent::Quota(notice))));
     }
 
-    /// What each team uses and waits for in this cell.
+    /// Returns what each team uses and waits for in this cell.
     fn local_usage(&self, now: Millis) -> BTreeMap<String, LocalUsage> {
         let mut usage_by_team = self.usage_of_live_runs();
         let mut oldest: BTreeMap<&str, &Job> = BTreeMap::new();
@@ -179,7 +180,7 @@
         usage_by_team
     }
 
-    /// What each team uses in this cell, without its waiting tasks.
+    /// Returns what each team uses in this cell, without its waiting tasks.
     fn usage_of_live_runs(&self) -> BTreeMap<String, LocalUsage> {
         let used = self.usage_of_all_teams();
         let is_reconciled = self.all_reconciled() && !used.has_unknown_runs();
--- a/crates/latchtrack-core/src/scheduler/cycle.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle.rs
@@ -11,7 +11,7 @@
 /// Decides when the next scheduling cycle is due.
 #[derive(Clone, Debug)]
 pub(super) struct CycleTimer {
-    /// When the last cycle started; None before the first one.
+    /// The time at which the last cycle started; `None` before the first one.
     last_at: Option<Millis>,
     /// Cycles started in this term.
     count: u64,
@@ -31,7 +31,7 @@
         self.requested = true;
     }
 
-    /// Cycles started in this term.
+    /// Returns the number of cycles started in this term.
     pub fn count(&self) -> u64 {
         self.count
     }
@@ -58,7 +58,8 @@
         self.cycle_timer.is_due(now)
     }
 
-    /// Runs a scheduling cycle over the whole queue, and keeps what it leaves for backfill.
+    /// Runs a scheduling cycle over the whole queue, and keeps the entries with waiting tasks for
+    /// backfill.
     pub(super) fn run_cycle(&mut self, now: Millis) {
         // Moved tasks start on the targets reserved for them, without going through the queue.
         self.advance_moves(now);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// How many tasks of a job must start together.
+    /// Returns how many tasks of a job must start together.
     pub(super) fn slice_size(&self, spec: &JobSpec) -> u32 {
         if spec.gang {
             return spec.tasks;
--- a/crates/latchtrack-core/src/scheduler/cycle_state.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle_state.rs
@@ -13,7 +13,7 @@
     capacities: Vec<FreeCapacity>,
     /// Total resources of all machines that are up.
     total: Resources,
-    /// Indexed by [`ClassId`].
+    /// The search results of each equivalence class, indexed by [`ClassId`].
     searches: Vec<ClassSearch>,
     /// Usage by team; empty if no team has a limit.
     used: UsageByTeam,
@@ -33,17 +33,18 @@
         SchedulingCycle { capacities, total, searches, expected: used.clone(), used }
     }
 
-    /// Ready and pending capacities. An index into them stays valid for the whole cycle.
+    /// Returns the ready and pending capacities. An index into them stays valid for the whole
+    /// cycle.
     pub fn capacities(&self) -> &[FreeCapacity] {
         &self.capacities
     }
 
-    /// Total resources of all machines that are up, whether free or in use.
+    /// Returns the total resources of all machines that are up, whether free or in use.
     pub fn total(&self) -> &Resources {
         &self.total
     }
 
-    /// The capacities of machines that are not ready for tasks yet.
+    /// Returns the capacities of machines that are not ready for tasks yet.
     pub fn pending_mut(&mut self) -> impl Iterator<Item = &mut FreeCapacity> {
         self.capacities.iter_mut().filter(|capacity| !capacity.ready)
     }
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Subtracts the demand of `tasks` tasks from a capacity. Returns its machine, or None if the
+    /// Subtracts the demand of `tasks` tasks from a capacity. Returns its machine, or `None` if the
     /// machine has only been requested.
     pub fn take(&mut self, index: usize, demand: &Resources, tasks: u32) -> Option<Arc<str>> {
         let capacity = &mut self.capacities[index];
@@ -70,30 +71,30 @@
         self.capacities[index].reservation = Some(reservation);
     }
 
-    /// The reservations made in this cycle, by machine. Machines that have only been requested are
-    /// left out.
+    /// Returns the reservations made in this cycle, by machine. Machines that have only been
+    /// requested are left out.
     pub fn into_reservations(self) -> impl Iterator<Item = (Arc<str>, Reservation)> {
         self.capacities
             .into_iter()
             .filter_map(|capacity| Some((capacity.machine?, capacity.reservation?)))
     }
 
-    /// The search results of an equivalence class.
+    /// Returns the search results of an equivalence class.
     pub fn search(&self, class: ClassId) -> &ClassSearch {
         &self.searches[class.0]
     }
 
-    /// The search results of an equivalence class, for updates.
+    /// Returns a mutable reference to the search results of an equivalence class.
     pub fn search_mut(&mut self, class: ClassId) -> &mut ClassSearch {
         &mut self.searches[class.0]
     }
 
-    /// Usage by team, including the tasks placed in this cycle.
+    /// Returns the usage by team, including the tasks placed in this cycle.
     pub fn used(&self) -> &UsageByTeam {
         &self.used
     }
 
-    /// Usage by team once the tasks counted on pending machines run too.
+    /// Returns the usage by team once the tasks counted on pending machines run too.
     pub fn expected(&self) -> &UsageByTeam {
         &self.expected
     }
@@ -137,9 +138,9 @@
     /// No ready machine has capacity left for the class, even where it is reserved for other
     /// classes.
     reserved_exhausted: bool,
-    /// No pending machine has capacity.
+    /// No pending machine has capacity left for the class.
     pending_exhausted: bool,
-    /// No machine can be provisioned.
+    /// No machine can be provisioned for the class.
     offers_exhausted: bool,
     /// Capacity was reserved for the waiting jobs of the class.
     has_reservation: bool,
@@ -158,7 +159,7 @@
         self.tasks_behind = self.tasks_behind.saturating_sub(tasks);
     }
 
-    /// Waiting tasks of the class's jobs further back in the queue.
+    /// Returns the number of waiting tasks of the class's jobs further back in the queue.
     pub fn tasks_behind(&self) -> u32 {
         self.tasks_behind
     }
--- a/crates/latchtrack-core/src/scheduler/deferral.rs
+++ b/crates/latchtrack-core/src/scheduler/deferral.rs
@@ -55,12 +55,12 @@
     }
 }
 
-/// CPU-ms of `tasks` tasks of a job, by its owner's estimate.
+/// Returns the CPU-ms of `tasks` tasks of a job, as estimated by its user.
 fn cpu_ms(spec: &JobSpec, tasks: f64) -> f64 {
     spec.demand.cpus * tasks * spec.estimate_s * 1000.0
 }
 
-/// CPU-ms of all waiting tasks of a job, by its owner's estimate.
+/// Returns the CPU-ms of all waiting tasks of a job, as estimated by its user.
 pub(super) fn waiting_cpu_ms(job: &Job) -> f64 {
     cpu_ms(&job.spec, f64::from(job.waiting()))
 }
--- a/crates/latchtrack-core/src/scheduler/direct_calls.rs
+++ b/crates/latchtrack-core/src/scheduler/direct_calls.rs
@@ -17,7 +17,8 @@
 /// a heartbeat within that time.
 const CALL_BACKOFF_MS: Millis = 1_000;
 
-/// A machine to be probed. The ordering puts the machines called longest ago first.
+/// A machine to be probed. Candidates are ordered by the time from which they may be called, the
+/// earliest first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ProbeCandidate {
     next_call_at: Millis,
--- a/crates/latchtrack-core/src/scheduler/dispatcher.rs
+++ b/crates/latchtrack-core/src/scheduler/dispatcher.rs
@@ -97,7 +97,7 @@
 enum StopResend {
     /// Every time; in a heartbeat response this costs nothing.
     Always,
-    /// Only after `STOP_RETRY_MS`.
+    /// Only after [`STOP_RETRY_MS`].
     AfterInterval,
 }
 
--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -21,7 +21,8 @@
     /// Only this zone, since tasks of the job already run there.
     Required(Arc<str>),
     /// This zone, or any other if nothing can be provisioned here. The job must be in a single
-    /// zone; machines added across several zones might leave room for a slice in none of them.
+    /// zone; machines added across several zones might not have capacity for a whole slice in any
+    /// of them.
     Preferred(Arc<str>),
 }
 
@@ -40,15 +41,15 @@
     class: ClassId,
     /// Number of tasks that still lack capacity.
     remaining: u32,
-    /// How long the job has found no capacity.
+    /// The time for which the job has found no capacity.
     unschedulable_ms: Millis,
-    /// Where to look for capacity.
+    /// The zone in which to look for capacity.
     zone: TargetZone,
 }
 
 impl Scheduler {
-    /// Whether a job must respect reservations for other classes; not once it has waited for
-    /// [`RESERVATION_IGNORED_AFTER_MS`].
+    /// Returns whether a job must respect reservations for other classes. It need not once it has
+    /// found no capacity for [`RESERVATION_IGNORED_AFTER_MS`].
     pub(super) fn reservation_access(&self, now: Millis, job: &Job) -> ReservationAccess {
         let ignores = job
             .unschedulable_since
@@ -60,7 +61,7 @@
         }
     }
 
-    /// How many tasks a job may place on a free capacity, given its size and reservation.
+    /// Returns how many tasks a job may place on a free capacity, given its size and reservation.
     pub(super) fn tasks_admitted(&self, now: Millis, job: &Job, capacity: &FreeCapacity) -> u32 {
         let reserved_for_class = capacity
             .reservation
@@ -130,8 +131,9 @@
         }
     }
 
-    /// Updates since when a job has found no capacity. Returns for how many ms, or None if no task
-    /// is left over or the job is quarantined: nothing is provisioned or reserved for such a job.
+    /// Updates the time since which a job has found no capacity. Returns how many ms ago that was,
+    /// or `None` if nothing is to be provisioned or reserved for the job, because no task remains
+    /// or it is quarantined.
     fn update_unschedulable_since(
         &mut self,
         now: Millis,
@@ -181,9 +183,9 @@
         }
     }
 
-    /// Records for the job's class that no ready machine was found. Not if the search was limited
-    /// by the zones of the job's own tasks, or by machines on which they failed: other jobs of the
-    /// class may still find one.
+    /// Records for the job's class that no ready machine was found, unless zone constraints or
+    /// machines on which the job failed limited the search: other jobs of the class may still find
+    /// one then.
     fn note_ready_exhausted(
         &self,
         shortage: &Shortage,
--- a/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
+++ b/crates/latchtrack-core/src/scheduler/equivalence_classes.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// The classes seen in this term. None is ever removed, so class ids stay valid.
+/// The classes seen in this term. No class is ever removed, so class ids stay valid.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EquivalenceClasses(HashMap<ClassKey, ClassId>);
 
@@ -41,7 +41,7 @@
         *self.0.entry(ClassKey::of(spec)).or_insert(next)
     }
 
-    /// Empty search results for a new scheduling cycle, indexed by class.
+    /// Creates empty search results for a new scheduling cycle, indexed by class.
     pub fn new_searches(&self) -> Vec<ClassSearch> {
         vec![ClassSearch::default(); self.0.len()]
     }
--- a/crates/latchtrack-core/src/scheduler/failure_attribution.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_attribution.rs
@@ -19,8 +19,8 @@
 use crate::machine::TaskPhase;
 use crate::Millis;
 
-/// Maximum number of backoff doublings. The backoff reaches its maximum earlier; more doublings
-/// would overflow.
+/// Maximum number of backoff doublings, which keeps the shift from overflowing. The backoff reaches
+/// [`MAX_FAILURE_BACKOFF_MS`] after fewer.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 impl Scheduler {
@@ -126,7 +126,7 @@
 
     /// Whether a job avoids this machine because it recently failed there. This expires, since the
     /// job may fit on no other machines and their fault may have passed. A quarantined job avoids
-    /// unproven machines too, and accepts any machine `PROVEN_MACHINE_WAIT_MS` after its backoff.
+    /// unproven machines too, and accepts any machine [`PROVEN_MACHINE_WAIT_MS`] after its backoff.
     pub(super) fn avoids_machine(&self, now: Millis, job: &Job, machine: &str) -> bool {
         let failed = job
             .failed_on
--- a/crates/latchtrack-core/src/scheduler/failure_detector.rs
+++ b/crates/latchtrack-core/src/scheduler/failure_detector.rs
@@ -26,22 +26,22 @@
     zones: BTreeMap<Arc<str>, ZoneReachability>,
     /// Zones found unreachable at the last tick.
     unreachable_zones: BTreeSet<Arc<str>>,
-    /// Since when all heartbeats have been relayed by other nodes; `None` if the last one or an
-    /// answer to a call came directly.
+    /// The time since which all heartbeats have been relayed by other nodes; `None` if the last one
+    /// or an answer to a call came directly.
     relayed_since: Option<Millis>,
     last_tick_at: Millis,
-    /// Since when this node has been running without a suspension or stall.
+    /// The time since which this node has run without a suspension or stall.
     listening_since: Millis,
 }
 
 /// Reachability of a zone.
 #[derive(Clone, Debug, Default)]
 struct ZoneReachability {
-    /// When one of its machines last reported this term's token.
+    /// The time at which one of its machines last sent a heartbeat with this term's token.
     last_heartbeat_at: Option<Millis>,
-    /// Unanswered direct calls into the zone since then.
+    /// The number of unanswered direct calls into the zone since its last heartbeat.
     unanswered_calls: u32,
-    /// When it last became reachable again; 0 if it was never unreachable.
+    /// The time at which it last became reachable again; 0 if it was never unreachable.
     reachable_since: Millis,
 }
 
@@ -128,10 +128,10 @@
         self.unreachable_zones.is_empty()
     }
 
-    /// Returns for how long, in ms, a machine has been silent while this node was listening and the
-    /// machine's zone was reachable. Time before the zone recovered does not count, because after a
-    /// network partition the machines are heard one after another. `None` if the machine is not
-    /// expected to send heartbeats yet.
+    /// Returns for how long, in ms, a machine has been silent while this node could receive
+    /// heartbeats and the machine's zone was reachable. Time before the zone recovered does not
+    /// count, because after a network partition the heartbeats of its machines arrive one after
+    /// another. `None` if the machine is not expected to send heartbeats yet.
     pub fn observed_silence(&self, now: Millis, machine: &Machine) -> Option<Millis> {
         let reachable_since = self.zones.get(&machine.zone).map_or(0, |zone| zone.reachable_since);
         let since = self.listening_since.max(reachable_since);
@@ -170,21 +170,23 @@
             && now >= since + ZONE_UNREACHABLE_AFTER_MS
     }
 
-    /// Whether a zone heard in this term is reachable, which shows that this node is connected.
+    /// Whether a zone that has sent heartbeats in this term is reachable, which shows that this
+    /// node is connected.
     fn has_reachable_zone(&self) -> bool {
         self.zones.iter().any(|(name, zone)| {
             zone.last_heartbeat_at.is_some() && !self.unreachable_zones.contains(name)
         })
     }
 
-    /// Whether this node has been listening for at least `ms` and received only relayed heartbeats.
+    /// Whether this node has run without a gap for at least `ms` and received only relayed
+    /// heartbeats in that time.
     fn received_only_relayed_heartbeats_for(&self, now: Millis, ms: Millis) -> bool {
         self.relayed_since.is_some_and(|at| now >= at.max(self.listening_since).saturating_add(ms))
     }
 
-    /// Returns the presumed cause of silent machines: this node, if a large share of the machines
-    /// in reachable zones is overdue. When a node loses its connection, its machines become silent
-    /// within one heartbeat interval, so every machine that is overdue counts.
+    /// Returns the presumed cause of silent machines: this node, if more than [`MAX_SILENT_SHARE`]
+    /// of the machines in reachable zones have been silent for `silent_after_ms`. When a node loses
+    /// its connection, all machines become silent within one heartbeat interval.
     fn silence_cause<'a>(
         &self,
         now: Millis,
@@ -233,8 +235,8 @@
         for zone in changes.recovered {
             self.effects.push(Effect::Log(LogEvent::ZoneReachable { zone }));
         }
-        // Resign only if some machine was heard in this term. Otherwise each new leader would
-        // resign in turn, and none would ever reconcile the machines.
+        // Resign only if some machine has sent a heartbeat in this term. Otherwise each new leader
+        // would resign in turn, and none would ever reconcile the machines.
         if zones > 0
             && self.failure_detector.unreachable_zones.len() == zones
             && self.inventory.iter().any(Machine::is_up)
@@ -300,8 +302,8 @@
                 && (is_unresponsive && cause == SilenceCause::Machines
                     || silent_ms >= lease_expiry_ms)
         } else if machine.is_unreconciled() && self.failure_detector.has_reachable_zone() {
-            // This node hears other zones, so it is not at fault. All inherited jobs wait for this
-            // machine, in other zones too.
+            // This node receives heartbeats from another zone, so it is not at fault. All inherited
+            // jobs wait for this machine, in other zones too.
             silent_ms >= self.policy.reconcile_timeout_ms
         } else {
             // Its tasks run until its lease expires, and it is useful again when the zone recovers.
--- a/crates/latchtrack-core/src/scheduler/fair_share.rs
+++ b/crates/latchtrack-core/src/scheduler/fair_share.rs
@@ -14,9 +14,9 @@
 /// What a team uses and waits for, as dominant shares of the cluster.
 #[derive(Clone, Copy, Debug, Default)]
 struct TeamShares {
-    /// Share of its live tasks.
+    /// The share that its live tasks use.
     running: f64,
-    /// Share of the waiting tasks that may be placed now.
+    /// The share that its waiting tasks need, counting those that may be placed now.
     waiting: f64,
 }
 
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The fair shares of the hot teams: those whose work arrives faster than their share can
-    /// complete it.
+    /// Returns the fair shares of the hot teams: those whose work arrives faster than their share
+    /// can complete it.
     fn hot_shares(
         &mut self,
         now: Millis,
@@ -73,7 +73,7 @@
         hot
     }
 
-    /// What each team uses, and what its queued jobs wait for.
+    /// Returns what each team uses, and what its queued jobs wait for.
     fn team_shares(&self, ranked: &[RankedJob], total: &Resources) -> BTreeMap<String, TeamShares> {
         let mut used: BTreeMap<String, TeamShares> = BTreeMap::new();
         let runs = self.inventory.runs();
@@ -87,12 +87,13 @@
     }
 }
 
-/// The dominant share of the cluster that one task uses.
+/// Returns the dominant share of the cluster that one task uses.
 fn task_share(spec: &JobSpec, total: &Resources) -> f64 {
     spec.demand.dominant_share(total)
 }
 
-/// The dominant share of the cluster that the tasks of a job need that may be placed now.
+/// Returns the dominant share of the cluster that a job's waiting tasks need, counting those that
+/// may be placed now.
 fn waiting_share(job: &Job, total: &Resources) -> f64 {
     task_share(&job.spec, total) * f64::from(job.schedulable_tasks())
 }
--- a/crates/latchtrack-core/src/scheduler/free_capacity.rs
+++ b/crates/latchtrack-core/src/scheduler/free_capacity.rs
@@ -8,8 +8,8 @@
 use crate::Millis;
 
 impl Scheduler {
-    /// The free capacity of a machine, minus what moves have reserved on it. None if no task may be
-    /// placed there, or its type or usage is unknown.
+    /// Returns the free capacity of a machine, minus what moves have reserved on it. `None` if no
+    /// task may be placed there, or its type or usage is unknown.
     pub(super) fn free_capacity_of(&self, now: Millis, machine: &Machine) -> Option<FreeCapacity> {
         if !self.takes_tasks(now, machine) {
             return None;
@@ -50,8 +50,9 @@
         !self.failure_detector.is_unreachable(&machine.zone) && !self.is_boot_late(now, machine)
     }
 
-    /// The free capacities of all machines, up or pending, and the total resources of those that
-    /// are up. A machine with an overdue heartbeat gets no more tasks but counts in the total.
+    /// Returns the free capacities of all machines, up or pending, and the total resources of those
+    /// that are up. A machine that is silent for so long that it is probed gets no tasks but counts
+    /// in the total.
     pub(super) fn free_capacities(&self, now: Millis) -> (Vec<FreeCapacity>, Resources) {
         let mut capacities = Vec::with_capacity(self.inventory.len());
         let mut total = Resources::default();
--- a/crates/latchtrack-core/src/scheduler/gangs.rs
+++ b/crates/latchtrack-core/src/scheduler/gangs.rs
@@ -3,8 +3,8 @@
 //! All tasks of a gang are placed in one scheduling cycle, with one attempt number. Only the
 //! heartbeats of its machines decide how the attempt proceeds. It is over once any task has left
 //! its machine without a result: the other tasks are told to stop, and keep their assignments until
-//! they have surely ended. Only then does the next attempt start. A new leader keeps an attempt
-//! whose tasks are all present, and ends any other.
+//! they are known to have ended. Only then does the next attempt start. A new leader keeps an
+//! attempt whose tasks are all present, and ends any other.
 
 use std::sync::Arc;
 
@@ -37,8 +37,8 @@
 }
 
 impl FetchesOnEnd {
-    /// The choice after `run` has ended. Fetches continue if the run ended because the gang was not
-    /// complete in time.
+    /// Returns the choice after `run` has ended. Fetches continue if the run ended because the gang
+    /// was not complete in time.
     pub fn after(run: &TaskRun) -> Self {
         if run.phase == TaskPhase::Ended(ExitCause::GangIncomplete) {
             FetchesOnEnd::Continue
@@ -72,7 +72,7 @@
 }
 
 impl Scheduler {
-    /// The state of a gang's current attempt, as reported by its machines.
+    /// Returns the state of a gang's current attempt, as reported by its machines.
     pub fn attempt_state(&self, job: &Job) -> AttemptState {
         if job.placed.is_empty() {
             return AttemptState::Ended;
@@ -87,12 +87,13 @@
         }
     }
 
-    /// Number of open gangs. Versions without gang support would run their tasks one by one.
+    /// Returns the number of open gangs. Versions without gang support would run their tasks one by
+    /// one.
     pub fn open_gangs(&self) -> usize {
         self.jobs.values().filter(|job| job.spec.gang).count()
     }
 
-    /// The runs of a job's tasks on the machines to which they are assigned.
+    /// Returns the runs of a job's tasks on the machines to which they are assigned.
     fn placed_runs<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a TaskRun> + 'a {
         job.placed.iter().filter_map(|(index, assignment)| {
             let task = TaskId { job: job.spec.id, index: *index };
@@ -193,7 +194,7 @@
     }
 }
 
-/// The tasks of a gang that are assigned to machines, by index.
+/// Returns the tasks of a gang that are assigned to machines, by index.
 fn assigned_tasks(job: &Job) -> Vec<GangTask> {
     job.placed
         .iter()
@@ -205,7 +206,7 @@
         .collect()
 }
 
-/// What to do with a run of an attempt that is over.
+/// Returns what to do with a run of an attempt that is over.
 fn end_action(run: &TaskRun, fetches: FetchesOnEnd) -> EndAction {
     let stops_immediately = run.stop.is_some_and(|stop| stop.grace_s == 0.0);
     match run.phase {
--- a/crates/latchtrack-core/src/scheduler/guarantees.rs
+++ b/crates/latchtrack-core/src/scheduler/guarantees.rs
@@ -8,8 +8,8 @@
 use crate::job::{Job, JobId, Resources};
 
 impl Scheduler {
-    /// A team's guarantee in this cell: the cell's part of it if cells share the team. Memory is
-    /// never guaranteed.
+    /// Returns a team's guarantee in this cell: the cell's part of it if cells share the team.
+    /// Memory is never guaranteed.
     pub(super) fn guarantee_of(&self, team: &Team) -> Resources {
         self.quota.guarantee(&team.name).unwrap_or(Resources {
             cpus: team.cpus,
@@ -18,7 +18,8 @@
         })
     }
 
-    /// The jobs that fit into their team's guarantee, together with all earlier jobs of the team.
+    /// Returns the jobs that fit into their team's guarantee, together with all earlier jobs of the
+    /// team.
     pub(super) fn guaranteed_jobs(&self) -> HashSet<JobId> {
         let mut guaranteed = HashSet::new();
         for team in &self.policy.teams {
--- a/crates/latchtrack-core/src/scheduler/inventory.rs
+++ b/crates/latchtrack-core/src/scheduler/inventory.rs
@@ -16,7 +16,7 @@
     types: Vec<MachineType>,
     /// Names of machines whose termination the cloud has confirmed.
     terminated: BTreeSet<String>,
-    /// The same names in order of termination, oldest first.
+    /// The names in `terminated` in order of termination, oldest first.
     terminated_order: VecDeque<String>,
 }
 
@@ -97,8 +97,8 @@
         self.terminated.contains(name)
     }
 
-    /// Records the name of a terminated machine. Beyond `MAX_TERMINATED_NAMES`, the oldest name is
-    /// dropped.
+    /// Records the name of a terminated machine. Beyond [`MAX_TERMINATED_NAMES`], the oldest name
+    /// is dropped.
     pub fn remember_terminated(&mut self, name: String) {
         if !self.terminated.insert(name.clone()) {
             return;
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -1,9 +1,9 @@
 //! Load balancing: passes the loads of the cluster to `latchtrack-balance` and carries out the
 //! moves that it proposes.
 //!
-//! A move stops and launches its tasks with the same commands and checks as any other task. All
-//! that it holds is the capacity reserved on its targets. If anything prevents it, it is abandoned,
-//! and its tasks go through the queue like others.
+//! A move stops and launches its tasks with the same commands and checks as any other task. In
+//! addition, it reserves capacity on its targets. If anything prevents it, it is abandoned, and its
+//! tasks go through the queue like others.
 
 mod move_execution;
 mod placement_cost;
@@ -27,8 +27,8 @@
 use crate::machine::Machine;
 use crate::Millis;
 
-/// The properties of machines that a job can ask for. Machines with equal ones form a pool, and
-/// share a bound on their load.
+/// The properties of machines that a job can ask for. Machines with equal properties form a pool
+/// and share a bound on their load.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PoolKey {
     machine_type: Arc<str>,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Classifies how much a team with this share of the cluster, in CPUs, has recently asked for.
+    /// Classifies the recent arrivals of a team by its share of the cluster, in CPUs.
     pub(super) fn classify_arrivals(
         &mut self,
         now: Millis,
@@ -106,12 +106,12 @@
         self.balancer.handle_event(now, unit, event)
     }
 
-    /// Whether the loads are due to be observed again. If so, the interval starts over.
+    /// Whether the loads are due to be observed again. If so, restarts the interval.
     fn begin_observation(&mut self, now: Millis) -> bool {
         begin_interval(&mut self.observed_at, now, BALANCE_INTERVAL_MS)
     }
 
-    /// Whether the summary is due to be logged again. If so, the interval starts over.
+    /// Whether the summary is due to be logged again. If so, restarts the interval.
     fn begin_summary_log(&mut self, now: Millis) -> bool {
         begin_interval(&mut self.summary_logged_at, now, BALANCE_LOG_INTERVAL_MS)
     }
@@ -173,9 +173,9 @@
         }
     }
 
-    /// Allows new moves if all machines are reconciled and all zones reachable, and waiting jobs
-    /// don't ask for much of the cluster. Until some time after a failover, or after a pause of
-    /// this node, none are allowed.
+    /// Returns whether new moves may begin: all machines must be reconciled and all zones
+    /// reachable, the cluster must not be overloaded, and some time must have passed since the
+    /// failover and since this node was last suspended.
     fn new_moves(&self, now: Millis) -> NewMoves {
         let is_delay_over = now
             >= self.term_started_at.saturating_add(self.policy.balance.moves_delay_ms)
@@ -191,8 +191,9 @@
         }
     }
 
-    /// Whether jobs without capacity for some time ask for a large share of the cluster. A move
-    /// takes capacity twice while its task saves, and waiting jobs make better use of it.
+    /// Whether jobs that have lacked capacity for some time demand more than [`OVERLOAD_SHARE`] of
+    /// the CPUs that are up. A move takes capacity twice while its task saves a checkpoint, and
+    /// waiting jobs make better use of it.
     fn is_overloaded(&self, now: Millis) -> bool {
         let is_unschedulable = |job: &&Job| {
             job.unschedulable_since
--- a/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
@@ -37,8 +37,8 @@
         self.load_balancing.moves()
     }
 
-    /// Requests the tasks of a move to save and stop. The capacity on its targets is already
-    /// reserved.
+    /// Requests that the tasks of a move save their progress and stop. The capacity on its targets
+    /// is already reserved.
     pub(super) fn begin_move(&mut self, now: Millis, new_move: &Move) {
         let job = JobId(new_move.unit.job);
         let stop = match new_move.unit.task {
--- a/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/placement_cost.rs
@@ -1,5 +1,5 @@
-//! The cost of placing a job on a machine, which weighs locality against balance: fetching the
-//! image on one that lacks it, and the load of one that is crowded.
+//! The cost of placing a job on a machine, which weighs locality against balance: the time to fetch
+//! the image if the machine lacks it, and the load of the machine.
 
 use std::collections::BTreeMap;
 
--- a/crates/latchtrack-core/src/scheduler/log_events.rs
+++ b/crates/latchtrack-core/src/scheduler/log_events.rs
@@ -51,7 +51,7 @@
         /// How long it has been silent, in ms.
         silent_ms: Millis,
     },
-    /// No node can have answered a machine within its worker lease; its tasks are requeued.
+    /// A machine sent no heartbeat until its worker lease expired; its tasks are requeued.
     WorkerLeaseExpired {
         /// Name of the machine.
         machine: String,
@@ -203,7 +203,7 @@
             }
             LogEvent::LaunchesIgnored { .. } => "machine ignores launches, terminating it",
             LogEvent::MachineNeverJoined { .. } => "machine never joined, terminating it",
-            LogEvent::MachineSlow { .. } => "machine is slow, draining it",
+            LogEvent::MachineSlow { .. } => "machine is slow, terminating it once it is empty",
             LogEvent::JobsFailedOnMachine { .. } => {
                 "tasks of several jobs failed on machine, terminating it"
             }
@@ -326,7 +326,7 @@
 pub enum ResignReason {
     /// A worker holds a higher fencing token, so another node has become leader.
     HigherToken,
-    /// No zone is reachable any more, although some machine was heard in this term.
+    /// No zone is reachable any more, although some machine has sent a heartbeat in this term.
     NoZoneReachable,
     /// All heartbeats are relayed by other nodes, which can also call the workers directly.
     HeartbeatsOnlyRelayed,
--- a/crates/latchtrack-core/src/scheduler/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -48,7 +48,7 @@
     pub leaderless_since: u64,
 }
 
-/// One stored value of the machine set, which is split into several.
+/// One of the stored values that together hold the machine set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredMachineSet {
     /// Name of the value under the prefix of the machine set.
--- a/crates/latchtrack-core/src/scheduler/objectives.rs
+++ b/crates/latchtrack-core/src/scheduler/objectives.rs
@@ -1,4 +1,4 @@
-//! Start objectives. A job with one may wait for a machine that holds its image.
+//! Start objectives: a job that has one may wait for a machine that holds its image.
 
 use std::collections::HashSet;
 
@@ -12,7 +12,7 @@
 pub(super) struct ImageLocality {
     /// Names of images that at least one machine holds.
     cached: HashSet<String>,
-    /// When `cached` was last refreshed; None before the first time.
+    /// The time at which `cached` was last refreshed; `None` before the first time.
     updated_at: Option<Millis>,
 }
 
@@ -31,7 +31,7 @@
             machines_up.flat_map(|machine| machine.images.names().map(str::to_string)).collect();
     }
 
-    /// The start objective of a job's class, in ms from submission, if it has one.
+    /// Returns the start objective of a job's class, in ms from submission, if it has one.
     pub(super) fn start_objective_ms(&self, spec: &JobSpec) -> Option<Millis> {
         let mut objectives = self.policy.start_objectives.iter();
         let objective = objectives.find(|objective| objective.class == spec.class)?;
@@ -52,8 +52,7 @@
             && (spec.image_gb / gb_per_s * 1000.0) > (start_by - now) as f64
     }
 
-    /// Like [`Self::waits_for_image`] for all machine types: true if the slowest of them would miss
-    /// the objective.
+    /// Whether [`Self::waits_for_image`] holds for any of the machine types.
     pub(super) fn waits_for_image_anywhere(&self, now: Millis, job: &Job) -> bool {
         self.inventory.types().iter().any(|t| self.waits_for_image(now, job, &t.name))
     }
--- a/crates/latchtrack-core/src/scheduler/persistence.rs
+++ b/crates/latchtrack-core/src/scheduler/persistence.rs
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Whether no unreadable value of the machine set is left that may list unknown machines.
+    /// Whether the stored machine set is known completely: no value of it is unreadable.
     pub fn is_machine_set_known(&self) -> bool {
         self.unreadable_machine_sets.is_empty()
     }
@@ -127,7 +127,7 @@
         !dropped.is_empty()
     }
 
-    /// Schedules an urgent write of a machine, since tasks cannot be launched on it before.
+    /// Schedules an urgent write of a machine, since no task is launched on it before it is stored.
     pub fn put_machine(&mut self, machine: &Machine) {
         let bytes = stored_machine(machine).bytes();
         self.machine_sets.put(machine.name.to_string(), bytes, Urgency::Urgent);
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Returns the outcome for one value of results, as `of_machine_set` does.
+    /// Returns the outcome for one value of results, as [`Self::of_machine_set`] does.
     fn of_results(&self, name: &str) -> ShardOutcome {
         let is_late = |names: &[String]| names.iter().any(|late| late == name);
         match self {
--- a/crates/latchtrack-core/src/scheduler/policy.rs
+++ b/crates/latchtrack-core/src/scheduler/policy.rs
@@ -24,9 +24,11 @@
     pub on_demand_idle_timeout_ms: Millis,
     /// How long a job must find no capacity before machines are reserved for it.
     pub reserve_after_ms: Millis,
-    /// How long a job must find no capacity before a spot machine is provisioned for it.
+    /// How long a job must find no capacity before a spot machine is provisioned for it, or an
+    /// on-demand machine if it does not allow spot.
     pub spot_provision_delay_ms: Millis,
-    /// How long a job must find no capacity before an on-demand machine is provisioned for it.
+    /// How long a job that allows spot must find no capacity before an on-demand machine is
+    /// provisioned for it.
     pub on_demand_provision_delay_ms: Millis,
     /// Time without a heartbeat after which a machine is given up.
     pub heartbeat_timeout_ms: Millis,
@@ -52,7 +54,7 @@
     pub start_objectives: Vec<StartObjective>,
     /// Load balancing settings.
     pub balance: BalancePolicy,
-    /// This cell's name if it shares the teams with other cells, else None.
+    /// This cell's name if it shares the teams with other cells, else `None`.
     pub quota_cell: Option<String>,
 }
 
@@ -91,32 +93,35 @@
 }
 
 impl Policy {
-    /// Maximum time in ms between two heartbeats of a healthy worker.
+    /// Returns the maximum time in ms between two heartbeats of a healthy worker.
     pub(super) fn max_heartbeat_gap_ms(&self) -> Millis {
         max_heartbeat_gap_ms(self.heartbeat_interval_ms)
     }
 
-    /// Time in ms without a heartbeat after which a machine is reported to other nodes as overdue.
+    /// Returns the time in ms without a heartbeat after which a machine is reported to other nodes
+    /// as overdue.
     pub fn overdue_after_ms(&self) -> Millis {
         self.max_heartbeat_gap_ms().saturating_add(OVERDUE_MARGIN_MS)
     }
 
-    /// Time in ms without a heartbeat after which a machine is probed.
+    /// Returns the time in ms without a heartbeat after which a machine is probed.
     pub fn probe_after_ms(&self) -> Millis {
         self.max_heartbeat_gap_ms().saturating_add(PROBE_MARGIN_MS)
     }
 
-    /// Time in ms without an answered heartbeat after which a worker has surely killed its tasks.
+    /// Returns the time in ms without an answered heartbeat after which a worker has surely killed
+    /// its tasks.
     pub fn worker_lease_expiry_ms(&self) -> Millis {
         self.worker_lease_ms.saturating_add(WORKER_LEASE_MARGIN_MS)
     }
 
-    /// Age in ms from which a machine is in every list of the cloud, even a late one.
+    /// Returns the age in ms from which a machine is in every list of the cloud, even a late one.
     pub(super) fn list_complete_ms(&self) -> Millis {
         self.list_lag_ms.saturating_mul(2).saturating_add(LIST_MARGIN_MS)
     }
 
-    /// Default of [`Policy::heartbeat_timeout_ms`]: the longest healthy gap plus time to probe.
+    /// Returns the default of [`Policy::heartbeat_timeout_ms`]: the longest healthy gap plus time
+    /// to probe.
     pub fn default_heartbeat_timeout_ms(heartbeat_interval_ms: Millis) -> Millis {
         max_heartbeat_gap_ms(heartbeat_interval_ms)
             .saturating_add(PROBE_MARGIN_MS + PROBING_TIMEOUT_MS)
--- a/crates/latchtrack-core/src/scheduler/provisioning.rs
+++ b/crates/latchtrack-core/src/scheduler/provisioning.rs
@@ -24,7 +24,7 @@
     last_request_number: u64,
     /// Rotates the order of zones, so that machines are distributed over them.
     zone_rotation: usize,
-    /// When the cloud's list of machines was last requested.
+    /// The time at which the cloud's list of machines was last requested.
     listed_at: Option<Millis>,
 }
 
@@ -65,7 +65,7 @@
         id
     }
 
-    /// Records that the offer had no machines; it is not requested for `OFFER_EXHAUSTED_MS`.
+    /// Records that the offer had no machines; it is not requested for [`OFFER_EXHAUSTED_MS`].
     fn mark_exhausted(&mut self, now: Millis, offer: Offer) {
         self.exhausted.insert(offer, now + OFFER_EXHAUSTED_MS);
     }
--- a/crates/latchtrack-core/src/scheduler/queue.rs
+++ b/crates/latchtrack-core/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of jobs with waiting tasks. A scheduling cycle leaves it for backfill.
+//! The queue of jobs with waiting tasks, as the last scheduling cycle leaves it for backfill.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -22,7 +22,7 @@
 /// The jobs that still have waiting tasks after the last scheduling cycle.
 #[derive(Clone, Debug, Default)]
 pub(super) struct JobQueue {
-    /// In the order of the last cycle.
+    /// The open entries, in the order of the last cycle.
     entries: Vec<QueueEntry>,
     /// Jobs that take precedence over `entries`, in order of submission.
     starving: Vec<JobId>,
@@ -31,7 +31,7 @@
 }
 
 impl JobQueue {
-    /// Starts a cycle, which determines again which gangs lack capacity.
+    /// Starts a cycle, which records anew which gangs lack capacity.
     pub fn start_cycle(&mut self) {
         self.gangs_lacking_capacity.clear();
     }
@@ -48,7 +48,7 @@
         self.entries.retain(|entry| entry.is_open(jobs));
     }
 
-    /// The entries, in the order of the last cycle.
+    /// Returns the entries, in the order of the last cycle.
     pub fn entries(&self) -> &[QueueEntry] {
         &self.entries
     }
--- a/crates/latchtrack-core/src/scheduler/queue_order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue_order.rs
@@ -36,28 +36,29 @@
 /// The position of a job in the queue. Compared field by field; the smallest rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct QueueRank {
-    /// The job does not fit into its team's guarantee.
+    /// Whether the job does not fit into its team's guarantee.
     pub beyond_guarantee: bool,
-    /// The job's team is hot and beyond its fair share.
+    /// Whether the job's team is hot and the job is beyond its fair share.
     pub beyond_share: bool,
-    /// Compared in the order of the variants.
+    /// The tier of the job; jobs of earlier tiers go first.
     pub tier: QueueTier,
-    /// Due time (earliest deadline first), or the key that orders the jobs of the tier instead.
+    /// The due time, earliest first, or the value that orders jobs in a tier without due times.
     pub due: Millis,
-    /// Demand of the waiting tasks by Eq. 9 of the paper, negated so that the largest goes first.
+    /// The demand of the waiting tasks by Eq. 9 of the paper, negated so that the largest goes
+    /// first.
     pub negated_demand: f64,
 }
 
-/// A job with its rank. Ties are broken by the smaller id.
+/// A job with its rank. The smallest rank goes first, in a tie the smaller id.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct RankedJob {
-    /// Compared before the id.
+    /// The position of the job; ties are broken by the id.
     pub rank: QueueRank,
     pub id: JobId,
 }
 
 impl Scheduler {
-    /// The jobs with waiting tasks that may be placed now, in scheduling order.
+    /// Returns the jobs with waiting tasks that may be placed now, in scheduling order.
     pub(super) fn order_queue(&mut self, now: Millis, cycle: &SchedulingCycle) -> Vec<QueueEntry> {
         let total = cycle.total();
         let best_effort_tasks = self.best_effort_due(now, total);
@@ -103,9 +104,9 @@
         job.inherited || self.has_team_limit(&job.spec)
     }
 
-    /// The tier of a job and its due time on the local clock, which is the earliest of its deadline
-    /// and objectives that can still be met. The caller handles quarantined jobs and overdue
-    /// best-effort jobs.
+    /// Returns the tier of a job and its due time on the local clock, which is the earliest of its
+    /// deadline and objectives that can still be met. The caller handles quarantined jobs and
+    /// overdue best-effort jobs.
     fn tier_and_due(&self, now: Millis, job: &Job) -> (QueueTier, Millis) {
         if let Some(within_ms) = self.start_objective_ms(&job.spec).filter(|_| job.spec.gang) {
             // The due time is that of the start, for which a gang needs all of its capacity at
@@ -130,7 +131,7 @@
         }
     }
 
-    /// When a job is due, in ms from its submission: its own deadline, and the completion
+    /// Returns when a job is due, in ms from its submission: its own deadline, and the completion
     /// objectives of its class.
     fn due_times_ms(&self, job: &Job) -> Vec<Millis> {
         let deadline_ms = job.spec.deadline_s.map(|s| (s * 1000.0) as Millis);
--- a/crates/latchtrack-core/src/scheduler/reservations.rs
+++ b/crates/latchtrack-core/src/scheduler/reservations.rs
@@ -1,10 +1,10 @@
-//! Reserved capacity: for waiting jobs, against those behind them in the queue, and for future
-//! gangs.
+//! Reserved capacity: for waiting jobs, so that jobs behind them in the queue do not take it, and
+//! for future gangs.
 //!
 //! A gang needs all of its capacity at once, on machines that it may use. Busy machines free their
 //! capacity task by task, and new ones take time to boot. Therefore, while gangs with a start
 //! objective keep arriving in an equivalence class, capacity for the largest of them is reserved on
-//! machines that are up, against jobs of all other classes.
+//! machines that are up, and jobs of other classes can't use it.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, HashMap};
@@ -40,7 +40,7 @@
         self.by_machine.contains_key(machine)
     }
 
-    /// The reservation on a machine, if it has one.
+    /// Returns the reservation on a machine, if it has one.
     pub fn on_machine(&self, machine: &str) -> Option<Reservation> {
         self.by_machine.get(machine).copied()
     }
@@ -105,7 +105,7 @@
 }
 
 impl GangReserve {
-    /// Whether a task of such a gang may run here, regardless of its size.
+    /// Whether a task of a gang of the class may run here, regardless of its size.
     fn may_use(&self, capacity: &FreeCapacity) -> bool {
         let in_zone = self.zone.as_ref().is_none_or(|zone| *zone == capacity.zone);
         in_zone && is_allowed(&self.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
@@ -139,8 +139,8 @@
             .map(|(index, capacity)| TasksAt { index, tasks: capacity.fitting_tasks(demand) })
             .filter(|at| at.tasks > 0)
             .collect();
-        // Prefer machines that hold the image, then those with the most room, to reserve few
-        // machines.
+        // Prefer machines that hold the image, then those on which the most tasks fit, to reserve
+        // few machines.
         let lacks_image =
             |index: usize| !cycle.capacities()[index].images.contains(&self.spec.image);
         free.sort_by_key(|at| (lacks_image(at.index), Reverse(at.tasks)));
@@ -236,8 +236,8 @@
         self.queue.note_gang_lacks_capacity(spec.id);
     }
 
-    /// The zone in which most tasks of a gang fit now. If none fits anywhere, the zone with the
-    /// most machines that it may use.
+    /// Returns the zone in which most tasks of a gang fit now. If none fits anywhere, the zone with
+    /// the most machines that it may use.
     fn choose_gang_zone(
         &self,
         now: Millis,
@@ -251,15 +251,15 @@
         })
     }
 
-    /// How many tasks of a job the machine could hold if it were empty.
+    /// Returns how many tasks of a job the machine could hold if it were empty.
     fn tasks_when_empty(&self, spec: &JobSpec, capacity: &FreeCapacity) -> u32 {
         let machine_type = self.inventory.type_named(&capacity.machine_type);
         machine_type.map_or(0, |machine_type| machine_type.fitting_tasks(&spec.demand))
     }
 
-    /// The part of a machine that `tasks` tasks of a job, the most it holds, leave unused and that
-    /// other jobs may therefore use. Tasks already there that fit into this part are subtracted;
-    /// larger ones have to end anyway before a task of the job can start.
+    /// Returns the part of a machine that other jobs may use, since `tasks` tasks of a job, the
+    /// most that it can hold, leave it unused. Tasks already there that fit into this part are
+    /// subtracted; larger ones have to end anyway before a task of the job can start.
     fn unusable_remainder(&self, spec: &JobSpec, tasks: u32, capacity: &FreeCapacity) -> Resources {
         let Some(machine_type) = self.inventory.type_named(&capacity.machine_type) else {
             return Resources::default();
@@ -308,7 +308,8 @@
         self.reservations.gang_reserves = reserves;
     }
 
-    /// Number of tasks of a reserve that its machines could not hold even if they were empty.
+    /// Returns the number of tasks of a reserve that its machines could not hold even if they were
+    /// empty.
     fn tasks_beyond_total_capacity(&self, reserve: &GangReserve, cycle: &SchedulingCycle) -> u32 {
         let usable = cycle.capacities().iter().filter(|capacity| reserve.may_use(capacity));
         let tasks: u64 =
@@ -340,7 +341,7 @@
     remaining
 }
 
-/// The most frequent zone; in a tie, the last by name.
+/// Returns the most frequent zone; in a tie, the last by name.
 fn most_frequent_zone(zones: Vec<Arc<str>>) -> Option<Arc<str>> {
     let mut entries: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     for zone in zones {
--- a/crates/latchtrack-core/src/scheduler/summary.rs
+++ b/crates/latchtrack-core/src/scheduler/summary.rs
@@ -13,11 +13,11 @@
 pub struct SchedulerSummary {
     /// Machines that have sent a heartbeat in this term.
     pub up: usize,
-    /// Machines that have not, including unreconciled ones.
+    /// Machines that have not sent a heartbeat in this term, including unreconciled ones.
     pub booting: usize,
     /// Machines whose boots are late; part of `booting`.
     pub late: usize,
-    /// Machines of earlier leaders not heard in this term; part of `booting`.
+    /// Machines of earlier leaders that have not sent a heartbeat in this term; part of `booting`.
     pub unreconciled: usize,
     /// Quarantined jobs, whose tasks are tried one at a time.
     pub quarantined: usize,
@@ -109,7 +109,7 @@
     }
 
     /// Returns the names of machines with overdue heartbeats, whose workers may be able to reach
-    /// another node. The total size is limited to `MAX_OVERDUE_BYTES`.
+    /// another node. The total size is limited to [`MAX_OVERDUE_BYTES`].
     pub fn overdue_machines(&self, now: Millis) -> Vec<String> {
         let mut bytes = 0;
         self.inventory
@@ -126,7 +126,7 @@
     fn is_overdue(&self, now: Millis, machine: &Machine) -> bool {
         match machine.last_heartbeat_at {
             Some(last_heartbeat_at) => now >= last_heartbeat_at + self.policy.overdue_after_ms(),
-            // It was called directly at the start of the term and should have answered by now.
+            // The machine was probed at the start of the term and should have answered by now.
             None => {
                 machine.is_unreconciled() && now >= self.term_started_at + UNRECONCILED_OVERDUE_MS
             }
--- a/crates/latchtrack-core/src/scheduler/task_placement.rs
+++ b/crates/latchtrack-core/src/scheduler/task_placement.rs
@@ -51,7 +51,7 @@
     cost: f64,
     /// CPUs of the whole machine, so that small machine types go first.
     total_cpus: f64,
-    /// Spot machines go first.
+    /// Whether it is an on-demand machine: spot machines go first.
     is_on_demand: bool,
     /// Score by Eq. 8 of the paper: the machine with the least free resources goes first.
     score: f64,
@@ -60,8 +60,8 @@
 }
 
 impl Scheduler {
-    /// The ready capacities that a job may use, regardless of its size, with their indices in the
-    /// cycle.
+    /// Returns the ready capacities that a job may use, regardless of its size, with their indices
+    /// in the cycle.
     pub(super) fn usable_capacities<'a>(
         &'a self,
         now: Millis,
@@ -113,8 +113,8 @@
         placed
     }
 
-    /// The zones of a job's assigned tasks, one entry per task. Empty if they don't restrict where
-    /// other tasks may start.
+    /// Returns the zones of a job's assigned tasks, one entry per task. Empty if they don't
+    /// restrict where other tasks may start.
     pub(super) fn zones_in_use(&self, job: &Job) -> Vec<Arc<str>> {
         if !job.spec.is_zone_constrained() {
             return Vec::new();
@@ -126,8 +126,8 @@
             .collect()
     }
 
-    /// Indices of the capacities that can take at least one task of the job, best first. Limited to
-    /// `wanted` candidates unless zones restrict the choice.
+    /// Returns the indices of the capacities that can take at least one task of the job, best
+    /// first. Limited to `wanted` candidates unless zones restrict the choice.
     fn rank_candidates(
         &self,
         now: Millis,
@@ -160,8 +160,8 @@
         candidates.into_iter().map(|candidate| candidate.index).collect()
     }
 
-    /// How many tasks each candidate takes, in the given order, up to `wanted` in total. A job that
-    /// must be spread gets at most its share in each zone.
+    /// Returns how many tasks each candidate takes, in the given order, up to `wanted` in total. A
+    /// job that must be spread gets at most its share in each zone.
     fn choose_counts(
         &self,
         now: Millis,
@@ -260,7 +260,7 @@
     }
 }
 
-/// A run for which nothing has been sent to its machine yet.
+/// Creates a run for which nothing has been sent to its machine yet.
 fn assigned_run(task: TaskId, attempt: u64, spec: &Arc<JobSpec>) -> TaskRun {
     TaskRun {
         task,
@@ -275,7 +275,7 @@
     }
 }
 
-/// The zone in which most tasks of a job fit; None if none fits anywhere.
+/// Returns the zone in which most tasks of a job fit; `None` if none fits anywhere.
 pub(super) fn zone_with_most_capacity<'a>(
     capacities: impl Iterator<Item = &'a FreeCapacity>,
     spec: &JobSpec,
--- a/crates/latchtrack-core/src/scheduler/task_runs.rs
+++ b/crates/latchtrack-core/src/scheduler/task_runs.rs
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Releases a run that is known to be off its machine without a result, and requeues its task.
+    /// Releases a run that is known to have left its machine without a result, and requeues its
+    /// task.
     pub(super) fn release_run(&mut self, now: Millis, machine: &str, run: &TaskRun) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         let index = run.task.index;
--- a/crates/latchtrack-core/src/scheduler/team_limits.rs
+++ b/crates/latchtrack-core/src/scheduler/team_limits.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageByTeam {
     teams: BTreeMap<String, Resources>,
-    /// Set if some live run has an unknown size and team.
+    /// Whether some live run has an unknown size and team.
     unknown_runs: bool,
 }
 
@@ -41,13 +41,13 @@
         self.unknown_runs
     }
 
-    /// Known usage of a team.
+    /// Returns the known usage of a team.
     pub fn of(&self, team: &str) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 }
 
-/// The configured limit of a team, if it has one. Resources without a limit are infinite.
+/// Returns the configured limit of a team, if it has one. Resources without a limit are infinite.
 fn configured_limit(team: &Team) -> Option<Resources> {
     let limit = |max: f64| if max > 0.0 { max } else { f64::INFINITY };
     let has_limit = team.cpus_max > 0.0 || team.gpus_max > 0.0;
@@ -58,7 +58,8 @@
     })
 }
 
-/// The limit on what this cell may use of a shared limit. Resources without a limit are infinite.
+/// Returns the limit on what this cell may use of a shared limit. Resources without a limit are
+/// infinite.
 fn allotted_limit(limit: LaunchLimit) -> Resources {
     let from_milli = |milli: Option<u64>| milli.map_or(f64::INFINITY, |n| n as f64 / MILLI);
     Resources {
@@ -69,8 +70,8 @@
 }
 
 impl Scheduler {
-    /// The current limit of a team: its allotment if cells share the teams, else the configured
-    /// one.
+    /// Returns the current limit of a team: its allotment if cells share the teams, else the
+    /// configured one.
     fn limit_of(&self, team: &Team) -> Option<Resources> {
         if !self.quota.is_shared() {
             return configured_limit(team);
@@ -91,7 +92,7 @@
         self.policy.teams.iter().any(|team| self.limit_of(team).is_some())
     }
 
-    /// Usage by team if any team has a limit; otherwise empty.
+    /// Returns the usage by team if any team has a limit; otherwise empty.
     pub(super) fn limited_usage(&self) -> UsageByTeam {
         if self.any_limit() {
             self.usage_of_all_teams()
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Usage by team, whether or not the teams have limits.
+    /// Returns the usage by team, whether or not the teams have limits.
     pub(super) fn usage_of_all_teams(&self) -> UsageByTeam {
         let mut used = UsageByTeam::default();
         for run in self.inventory.runs().filter(|run| run.is_live()) {
@@ -112,7 +113,8 @@
         used
     }
 
-    /// How many tasks of a job its team's limit allows besides `used`; 0 if the team is unknown.
+    /// Returns how many tasks of a job its team's limit allows besides `used`; 0 if the team is
+    /// unknown.
     pub(super) fn tasks_allowed_besides(&self, spec: &JobSpec, used: Resources) -> u32 {
         let Some(team) = self.team_of(spec) else { return 0 };
         let Some(limit) = self.limit_of(team) else { return u32::MAX };
@@ -120,8 +122,8 @@
         fitting_tasks(&spec.demand, cpus, gpus, f64::INFINITY)
     }
 
-    /// How many tasks of a job its team's limit allows besides the usage of all teams; 0 while runs
-    /// of unknown size may count against the limit.
+    /// Returns how many tasks of a job its team's limit allows besides the usage of all teams; 0
+    /// while runs of unknown size may count against the limit.
     pub(super) fn tasks_within_limit(&self, spec: &JobSpec, used: &UsageByTeam) -> u32 {
         if self.has_team_limit(spec) && used.has_unknown_runs() {
             return 0;
