--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -212,8 +212,8 @@
     pub unschedulable_since: Option<Millis>,
     /// Run times of completed tasks that were observed from their start in this term.
     pub run_times: RunTimes,
-    /// The time since which the tasks of a gang's last attempt are being ended; `None` if no task
-    /// has left the attempt.
+    /// The time since which a gang's last attempt has been ending; `None` if no task has left the
+    /// attempt.
     pub attempt_ended_at: Option<Millis>,
 }
 
--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -13,8 +13,7 @@
     entry: Option<(usize, u32)>,
     /// Number of entries skipped because they have nothing left to place.
     closed: usize,
-    /// Set if the search stopped at a gang that lacks capacity: this machine is then left for the
-    /// gang.
+    /// Whether the search stopped at a gang that lacks capacity, which may then use the machine.
     held_for_gang: bool,
 }
 
--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -35,7 +35,8 @@
     took_ms: Millis,
 }
 
-/// When machines of a late pool were last provisioned and terminated as trials.
+/// The times at which machines of a late pool were last provisioned as a trial, and last
+/// terminated.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootTrials {
     provisioned_at: Millis,
--- a/crates/latchtrack-core/src/scheduler/cycle.rs
+++ b/crates/latchtrack-core/src/scheduler/cycle.rs
@@ -15,7 +15,7 @@
     last_at: Option<Millis>,
     /// Cycles started in this term.
     count: u64,
-    /// Set if something has changed since the last cycle started.
+    /// Whether something has changed since the last cycle started.
     requested: bool,
 }
 
--- a/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/mod.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Classifies the recent arrivals of a team by its share of the cluster, in CPUs.
+    /// Classifies the recent arrivals of a team whose share of the cluster is `share_cpus` CPUs.
     pub(super) fn classify_arrivals(
         &mut self,
         now: Millis,
--- a/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
+++ b/crates/latchtrack-core/src/scheduler/load_balancing/move_execution.rs
@@ -32,7 +32,7 @@
 }
 
 impl Scheduler {
-    /// Returns the moves in progress, for checks in tests.
+    /// Returns the moves in progress, for tests.
     pub fn moves(&self) -> &[Move] {
         self.load_balancing.moves()
     }
--- a/crates/latchtrack-core/src/scheduler/log_events.rs
+++ b/crates/latchtrack-core/src/scheduler/log_events.rs
@@ -171,7 +171,8 @@
         /// How it ended.
         stage: MoveStage,
     },
-    /// The load of machines of a type cannot be computed from these amounts.
+    /// The load of a machine can't be computed, because the resources of its type or those in use
+    /// are invalid.
     InvalidLoad {
         /// Name of the machine type.
         machine_type: String,
--- a/crates/latchtrack-core/src/scheduler/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -264,7 +264,7 @@
     Provision {
         /// Id of the request, which the cloud executes at most once.
         request_id: String,
-        /// The machine type and zone to provision, and whether as spot machines.
+        /// The machine type and zone to provision, and whether the machines are spot.
         offer: Offer,
         /// Number of machines.
         number: u32,
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -167,7 +167,7 @@
             && !self.inventory.iter().any(Machine::is_unreconciled)
     }
 
-    /// Returns all known machines by name; used by checks.
+    /// Returns all known machines by name, for tests.
     pub fn machines(&self) -> &BTreeMap<String, Machine> {
         self.inventory.by_name()
     }
@@ -182,12 +182,12 @@
         self.failure_detector.unreachable_zones().map(|zone| zone.to_string()).collect()
     }
 
-    /// Returns the number of scheduling cycles run in this term; used by checks.
+    /// Returns the number of scheduling cycles run in this term, for tests.
     pub fn cycles(&self) -> u64 {
         self.cycle_timer.count()
     }
 
-    /// Returns the unfinished jobs by id; used by checks.
+    /// Returns the unfinished jobs by id.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
--- a/crates/latchtrack-core/src/scheduler/queue_order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue_order.rs
@@ -1,5 +1,6 @@
-//! The order of the queue. Jobs within their team's guarantee come first, jobs beyond their team's
-//! fair share last; within each of these groups, jobs are ordered by tier, due time and demand.
+//! The order of the queue. Jobs within their team's guarantee go before all others, and in both
+//! groups jobs beyond their team's fair share go last. Otherwise jobs are ordered by tier, due time
+//! and demand.
 
 use std::cmp::Ordering;
 
