--- a/crates/latchtrack-core/src/constants.rs
+++ b/crates/latchtrack-core/src/constants.rs
@@ -49,8 +49,8 @@
 /// ms without capacity after which machines are reserved for a job, so that smaller jobs stop
 /// taking the capacity that becomes free.
 pub const RESERVE_AFTER_MS: Millis = 2_000;
-/// ms without capacity after which a job may use machines reserved for other classes, though not
-/// exclusive reservations: no capacity may be withheld from a job that has waited 90 s.
+/// ms without capacity after which a job may use machines reserved for other classes, but not those
+/// reserved exclusively: no capacity may be withheld from a job that has waited 90 s.
 pub const RESERVATION_IGNORED_AFTER_MS: Millis = 60_000;
 /// ms after submission at which a job that has never started counts as starving, and gets one slice
 /// before all other jobs. However large a job is and however often it is deferred, it must start
--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -255,9 +255,9 @@
         }
     }
 
-    /// Counts the machines of each pool that are up and those that are late, newest first: names
-    /// are in order of creation. A few old machines that are still booting do not make a pool late
-    /// if newer ones have come up.
+    /// Counts the machines of each pool that are up and those that are late. Only the newest are
+    /// sampled (names are in order of creation), so that a few old machines that are still booting
+    /// do not make a pool late if newer ones have come up.
     fn count_boots(&self, now: Millis) -> BTreeMap<MachinePool, BootCounts> {
         let mut counts: BTreeMap<MachinePool, BootCounts> = BTreeMap::new();
         for machine in self.inventory.iter().rev() {
--- a/crates/latchtrack-core/src/scheduler/cell_quota.rs
+++ b/crates/latchtrack-core/src/scheduler/cell_quota.rs
@@ -54,8 +54,8 @@
         Some(Resources { cpus: part.cpus(), gpus: part.gpus(), memory_gb: 0.0 })
     }
 
-    /// Starts a scheduling cycle, which records anew the demand of the first starving job of each
-    /// team.
+    /// Starts a scheduling cycle: clears the demand of starving jobs, which the cycle records
+    /// again.
     pub fn start_cycle(&mut self) {
         self.next_start_by_team.clear();
     }
--- a/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
+++ b/crates/latchtrack-core/src/scheduler/entry_scheduling.rs
@@ -183,9 +183,9 @@
         }
     }
 
-    /// Records for the job's class that no ready machine was found, unless zone constraints or
-    /// machines on which the job failed limited the search: other jobs of the class may still find
-    /// one then.
+    /// Records for the job's class that no ready machine was found. Does nothing if the job's zone
+    /// constraints or the machines on which it failed limited the search, since other jobs of the
+    /// class may still find one.
     fn note_ready_exhausted(
         &self,
         shortage: &Shortage,
--- a/crates/latchtrack-core/src/scheduler/queue.rs
+++ b/crates/latchtrack-core/src/scheduler/queue.rs
@@ -31,7 +31,7 @@
 }
 
 impl JobQueue {
-    /// Starts a cycle, which records anew which gangs lack capacity.
+    /// Starts a cycle: clears the gangs that lack capacity, which the cycle records again.
     pub fn start_cycle(&mut self) {
         self.gangs_lacking_capacity.clear();
     }
