--- a/crates/latchtrack-core/src/scheduler/boot_tracking.rs
+++ b/crates/latchtrack-core/src/scheduler/boot_tracking.rs
@@ -15,7 +15,7 @@
 use crate::constants::{
     BOOT_FAILED_FACTOR, BOOT_FAILED_FACTOR_WHILE_LATE, BOOT_GRACE_MS, BOOT_LATE_FACTOR,
     BOOT_SAMPLES, BOOT_SAMPLE_TTL_MS, BOOT_TRIAL_INTERVAL_MS, BOOT_TRIAL_MACHINES, DEFAULT_BOOT_S,
-    MAX_CYCLE_INTERVAL_MS, MAX_MACHINES_PER_PROVISION, MIN_BOOT_SAMPLES, MIN_MISSING_SHARE,
+    MAX_CYCLE_INTERVAL_MS, MAX_MACHINES_PER_PROVISION, MIN_BOOT_SAMPLES, MIN_LATE_SHARE,
 };
 use crate::machine::Machine;
 use crate::placement::Offer;
@@ -35,7 +35,8 @@
     took_ms: Millis,
 }
 
-/// When machines of a late pool were last provisioned and terminated as trials.
+/// The times at which machines of a late pool were last provisioned as a trial, and last
+/// terminated.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootTrials {
     provisioned_at: Millis,
@@ -45,12 +46,12 @@
 /// Counts of the machines of a pool whose boots have completed or are late.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootCounts {
-    /// Number of sampled machines: the most recent by name, at most `BOOT_SAMPLES`.
+    /// Number of sampled machines: the most recent by name, at most [`BOOT_SAMPLES`].
     sampled: usize,
     /// Number of sampled machines that are late.
-    sampled_missing: usize,
+    sampled_late: usize,
     /// Number of late machines, sampled or not.
-    missing: usize,
+    late: usize,
 }
 
 /// Status of a machine that has exceeded its boot time.
@@ -58,7 +59,7 @@
 enum BootStatus {
     /// It may still come up.
     Overdue,
-    /// It is so late that it is presumed never to come up.
+    /// It is so late that it is not expected to come up any more.
     Failed,
 }
 
@@ -100,24 +101,24 @@
 }
 
 impl BootCounts {
-    fn add_up(&mut self) {
+    fn add_completed(&mut self) {
         if self.sampled < BOOT_SAMPLES {
             self.sampled += 1;
         }
     }
 
-    fn add_missing(&mut self) {
-        self.missing += 1;
+    fn add_late(&mut self) {
+        self.late += 1;
         if self.sampled < BOOT_SAMPLES {
             self.sampled += 1;
-            self.sampled_missing += 1;
+            self.sampled_late += 1;
         }
     }
 
-    /// Whether at least three quarters of the sampled boots and at least `min_missing` machines are
+    /// Whether at least three quarters of the sampled boots and at least `min_late` machines are
     /// late.
-    fn are_late(&self, min_missing: usize) -> bool {
-        self.missing >= min_missing && self.sampled_missing * 4 >= self.sampled * 3
+    fn are_late(&self, min_late: usize) -> bool {
+        self.late >= min_late && self.sampled_late * 4 >= self.sampled * 3
     }
 }
 
@@ -155,7 +156,7 @@
 
     /// Whether a machine that has not come up may be terminated now, after `terminated` others of
     /// its pool in the same step. In a late pool, machines that may still come up are terminated a
-    /// few per trial interval.
+    /// few per trial interval, which starts over with each termination.
     fn allow_termination(
         &mut self,
         now: Millis,
@@ -199,11 +200,11 @@
     fn update_late_pools(
         &mut self,
         counts: BTreeMap<MachinePool, BootCounts>,
-        min_missing: usize,
+        min_late: usize,
     ) -> LateChanges {
         let before = std::mem::take(&mut self.late);
         let mut late = Vec::new();
-        for (pool, _) in counts.into_iter().filter(|(_, counts)| counts.are_late(min_missing)) {
+        for (pool, _) in counts.into_iter().filter(|(_, counts)| counts.are_late(min_late)) {
             if !before.contains_key(&pool) {
                 late.push(pool.clone());
             }
@@ -244,7 +245,7 @@
 
     fn detect_late_boots(&mut self, now: Millis) {
         let counts = self.count_boots(now);
-        let share = (self.inventory.len() as f64 * MIN_MISSING_SHARE) as usize;
+        let share = (self.inventory.len() as f64 * MIN_LATE_SHARE) as usize;
         let changes = self.boot_tracker.update_late_pools(counts, MIN_BOOT_SAMPLES.max(share));
         for MachinePool { machine_type, zone } in changes.late {
             self.effects.push(Effect::Log(LogEvent::BootsLate { machine_type, zone }));
@@ -254,9 +255,9 @@
         }
     }
 
-    /// Counts the machines of each pool that are up and those that are late, newest first: names
-    /// are in order of creation. A new leader may see only a few old stragglers boot; these do not
-    /// make a pool late if newer machines have come up.
+    /// Counts the machines of each pool that are up and those that are late. Only the newest are
+    /// sampled (names are in order of creation), so that a few old machines that are still booting
+    /// do not make a pool late if newer ones have come up.
     fn count_boots(&self, now: Millis) -> BTreeMap<MachinePool, BootCounts> {
         let mut counts: BTreeMap<MachinePool, BootCounts> = BTreeMap::new();
         for machine in self.inventory.iter().rev() {
@@ -264,19 +265,19 @@
                 continue;
             }
             let limit_ms = self.boot_limit_ms(&machine.machine_type, BOOT_LATE_FACTOR);
-            let is_missing =
+            let is_late =
                 is_booting(machine) && now.saturating_sub(machine.provisioned_at) > limit_ms;
-            if is_missing {
-                counts.entry(MachinePool::of(machine)).or_default().add_missing();
+            if is_late {
+                counts.entry(MachinePool::of(machine)).or_default().add_late();
             } else if !is_joining(machine) {
-                counts.entry(MachinePool::of(machine)).or_default().add_up();
+                counts.entry(MachinePool::of(machine)).or_default().add_completed();
             }
         }
         counts
     }
 
     /// Terminates machines that are unlikely to come up. In a late pool, only a few are terminated
-    /// at a time until they are older than `BOOT_FAILED_FACTOR_WHILE_LATE` boot times.
+    /// at a time until they are older than [`BOOT_FAILED_FACTOR_WHILE_LATE`] boot times.
     fn terminate_never_joined(&mut self, now: Millis) {
         let mut never_joined: Vec<(Millis, String)> = self
             .inventory
--- a/crates/latchtrack-core/src/scheduler/deferral.rs
+++ b/crates/latchtrack-core/src/scheduler/deferral.rs
@@ -3,7 +3,7 @@
 use super::queue_order::{QueueTier, RankedJob};
 use super::Scheduler;
 use crate::job::{Job, JobSpec, Resources};
-use crate::placement::{deferred, TimedDemand};
+use crate::placement::{choose_deferred, TimedDemand};
 use crate::Millis;
 
 /// Fraction of its estimated run time that a running task still has ahead of it, on average.
@@ -11,7 +11,7 @@
 
 impl Scheduler {
     /// Moves jobs to [`QueueTier::Deferred`] if not all jobs with objectives can be completed in
-    /// time. [`deferred`] chooses them.
+    /// time. [`choose_deferred`] chooses them.
     pub(super) fn defer_jobs(&self, now: Millis, ranked: &mut [RankedJob], total: &Resources) {
         let running: f64 = self
             .inventory
@@ -36,7 +36,7 @@
             })
             .collect();
         let demands: Vec<TimedDemand> = with_objectives.iter().map(|(_, demand)| *demand).collect();
-        let is_deferred = deferred(&demands, running + with_deadlines, total.cpus);
+        let is_deferred = choose_deferred(&demands, running + with_deadlines, total.cpus);
         for ((index, demand), is_deferred) in with_objectives.into_iter().zip(is_deferred) {
             if is_deferred {
                 let rank = &mut ranked[index].rank;
@@ -55,12 +55,12 @@
     }
 }
 
-/// CPU-ms of `tasks` tasks of a job, by its owner's estimate.
+/// Returns the CPU-ms of `tasks` tasks of a job, as estimated by its user.
 fn cpu_ms(spec: &JobSpec, tasks: f64) -> f64 {
     spec.demand.cpus * tasks * spec.estimate_s * 1000.0
 }
 
-/// CPU-ms of all waiting tasks of a job, by its owner's estimate.
+/// Returns the CPU-ms of all waiting tasks of a job, as estimated by its user.
 pub(super) fn waiting_cpu_ms(job: &Job) -> f64 {
     cpu_ms(&job.spec, f64::from(job.waiting()))
 }
--- a/crates/latchtrack-core/src/scheduler/mod.rs
+++ b/crates/latchtrack-core/src/scheduler/mod.rs
@@ -167,7 +167,7 @@
             && !self.inventory.iter().any(Machine::is_unreconciled)
     }
 
-    /// Returns all known machines by name; used by checks.
+    /// Returns all known machines by name, for tests.
     pub fn machines(&self) -> &BTreeMap<String, Machine> {
         self.inventory.by_name()
     }
@@ -182,12 +182,12 @@
         self.failure_detector.unreachable_zones().map(|zone| zone.to_string()).collect()
     }
 
-    /// Returns the number of scheduling cycles run in this term; used by checks.
+    /// Returns the number of scheduling cycles run in this term, for tests.
     pub fn cycles(&self) -> u64 {
         self.cycle_timer.count()
     }
 
-    /// Returns the unfinished jobs by id; used by checks.
+    /// Returns the unfinished jobs by id.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
@@ -221,7 +221,7 @@
                 self.on_writes_finished(now, writes, outcome)
             }
             Event::MachineTypes(types) => self.inventory.set_types(types),
-            Event::QuotaObserved(view) => self.on_quota_observed(now, view),
+            Event::QuotaObserved(snapshot) => self.on_quota_observed(now, snapshot),
             Event::LedgerWriteFinished { write, outcome } => {
                 self.on_ledger_write_finished(now, &write, outcome)
             }
