--- a/crates/latchtrack-emulator/tests/spread.rs
+++ b/crates/latchtrack-emulator/tests/spread.rs
@@ -17,7 +17,7 @@
             min_run_s: 2.0,
             task_cooldown_s: 5.0,
             machine_gap_s: 0.5,
-            delay_after_failover_s: 1.0,
+            moves_delay_s: 1.0,
             ..BalanceTuning::default()
         },
         demand: 0.4,
--- a/crates/latchtrack/src/actors/election/campaign.rs
+++ b/crates/latchtrack/src/actors/election/campaign.rs
@@ -73,7 +73,7 @@
         Ok(_) | Err(_) => {
             // If the revocation fails, the unused lease expires.
             let _ =
-                request(store, RequestClass::Progress, StoreRequest::RevokeLease { lease }).await;
+                request(store, RequestClass::Background, StoreRequest::RevokeLease { lease }).await;
             CampaignOutcome::Lost
         }
     }
--- a/crates/latchtrack/src/actors/messages/store.rs
+++ b/crates/latchtrack/src/actors/messages/store.rs
@@ -19,7 +19,7 @@
     /// Reads of any kind.
     Read = 2,
     /// Writes that can wait, as of the leader's records and of quota ledgers.
-    Progress = 3,
+    Background = 3,
 }
 
 impl RequestClass {
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -145,7 +145,7 @@
                 return Err(StoreError::NotExecuted(NotExecutedReason::UnstorableLedger));
             };
             let request = StoreRequest::Txn(txn);
-            store::request(&store, RequestClass::Progress, request, LEDGER_WRITE_WAIT_MS).await
+            store::request(&store, RequestClass::Background, request, LEDGER_WRITE_WAIT_MS).await
         };
         ctx.spawn(request.into_actor(self).map(move |result, act, ctx| {
             let outcome = write_outcome(result);
--- a/crates/latchtrack/src/actors/scheduler_driver/writes.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/writes.rs
@@ -45,7 +45,7 @@
                 return Err(StoreError::NotExecuted(NotExecutedReason::UnserializableRecord));
             };
             let request = StoreRequest::Txn(txn);
-            store::request(&store, RequestClass::Progress, request, RECORD_WRITE_WAIT_MS).await
+            store::request(&store, RequestClass::Background, request, RECORD_WRITE_WAIT_MS).await
         };
         ctx.spawn(request.into_actor(self).map(move |result, act, ctx| {
             let after = act.write_state.finish();
@@ -151,7 +151,7 @@
         let store = self.store.clone();
         let request = async move {
             let request = StoreRequest::Txn(txn);
-            store::request(&store, RequestClass::Progress, request, RECORD_WRITE_WAIT_MS).await
+            store::request(&store, RequestClass::Background, request, RECORD_WRITE_WAIT_MS).await
         };
         ctx.spawn(request.into_actor(self).map(move |result, act, _| {
             // A failed write is retried after the next read of the machine types.
--- a/crates/latchtrack/src/settings/check.rs
+++ b/crates/latchtrack/src/settings/check.rs
@@ -132,7 +132,7 @@
             ("balance.min_run_s", tuning.balance.min_run_s),
             ("balance.task_cooldown_s", tuning.balance.task_cooldown_s),
             ("balance.machine_gap_s", tuning.balance.machine_gap_s),
-            ("balance.calm_s", tuning.balance.delay_after_failover_s),
+            ("balance.calm_s", tuning.balance.moves_delay_s),
         ] {
             check_range(name, value, 0.0, c::MAX_SETTING_S)?;
         }
--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -70,7 +70,7 @@
     pub machine_gap_s: f64,
     /// Time after a failover during which no moves are started, in s.
     #[serde(rename = "calm_s")]
-    pub delay_after_failover_s: f64,
+    pub moves_delay_s: f64,
 }
 
 impl Default for BalanceTuning {
@@ -85,7 +85,7 @@
             min_run_s: s(balance::MIN_RUN_MS),
             task_cooldown_s: s(balance::TASK_COOLDOWN_MS),
             machine_gap_s: s(balance::MACHINE_GAP_MS),
-            delay_after_failover_s: s(core::MOVES_DELAY_AFTER_FAILOVER_MS),
+            moves_delay_s: s(core::MOVES_DELAY_AFTER_FAILOVER_MS),
         }
     }
 }
@@ -108,7 +108,7 @@
             teams: self.teams,
             moves: self.moves,
             limits,
-            moves_delay_ms: ms(self.delay_after_failover_s),
+            moves_delay_ms: ms(self.moves_delay_s),
         }
     }
 }
