--- a/crates/latchtrack/src/actors/job_cache/mod.rs
+++ b/crates/latchtrack/src/actors/job_cache/mod.rs
@@ -15,7 +15,7 @@
     OpenJobsSnapshot, SetCacheRole, StoreUnavailable, UpdateTaskCounts,
 };
 use super::messages::scheduler::{CacheUpdated, JobChange};
-use super::messages::store::SetStoreShare;
+use super::messages::store::SetStoreRole;
 use super::messages::NodeRole;
 use super::store::reads::{read_since, TimedRead};
 use super::store::{Store, StoreError};
@@ -205,7 +205,7 @@
     type Result = ();
     fn handle(&mut self, msg: SetCacheRole, ctx: &mut Self::Context) {
         self.role = msg.0;
-        self.store.do_send(SetStoreShare(msg.0));
+        self.store.do_send(SetStoreRole(msg.0));
         self.schedule_refresh(ctx);
     }
 }
--- a/crates/latchtrack/src/actors/messages/store.rs
+++ b/crates/latchtrack/src/actors/messages/store.rs
@@ -132,4 +132,4 @@
 /// Sets the role of this node, which determines its share of the limits.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct SetStoreShare(pub NodeRole);
+pub struct SetStoreRole(pub NodeRole);
--- a/crates/latchtrack/src/actors/peers/mod.rs
+++ b/crates/latchtrack/src/actors/peers/mod.rs
@@ -35,14 +35,14 @@
     node: String,
     frames: mpsc::Sender<Frame>,
     /// When its health was last received, in ms of the steady clock; 0 if never.
-    heard_at: u64,
+    health_received_at: u64,
     /// Whether the state service served the node at that time.
     is_served: bool,
 }
 
 impl PeerConnection {
     fn has_recent_health(&self, now: u64) -> bool {
-        now < self.heard_at + PEER_HEALTH_MAX_AGE_MS
+        now < self.health_received_at + PEER_HEALTH_MAX_AGE_MS
     }
 }
 
@@ -96,7 +96,7 @@
                 ForwardTarget::Node(node) => *node == connection.node,
                 ForwardTarget::AnyServed => connection.is_served,
             })
-            .max_by_key(|connection| connection.heard_at)
+            .max_by_key(|connection| connection.health_received_at)
     }
 
     /// Applies the task counts and the overdue machines that a leader has sent.
@@ -124,7 +124,12 @@
         for (index, (node, addr)) in self.others.iter().enumerate() {
             let (frames, queued) = mpsc::channel(PEER_QUEUE_CAPACITY);
             let node = node.clone();
-            self.connections.push(PeerConnection { node, frames, heard_at: 0, is_served: false });
+            self.connections.push(PeerConnection {
+                node,
+                frames,
+                health_received_at: 0,
+                is_served: false,
+            });
             let received = ctx.address().recipient();
             actix_rt::spawn(maintain_connection(index, *addr, queued, received));
         }
@@ -167,7 +172,9 @@
     type Result = bool;
     fn handle(&mut self, _: HasConnectedPeers, _: &mut Self::Context) -> bool {
         let now = now_ms();
-        self.connections.iter().any(|peer| peer.heard_at > 0 && peer.has_recent_health(now))
+        self.connections
+            .iter()
+            .any(|peer| peer.health_received_at > 0 && peer.has_recent_health(now))
     }
 }
 
@@ -202,7 +209,7 @@
             Frame::Health { store } => {
                 let FrameSource::OwnConnection(index) = msg.source else { return };
                 if let Some(connection) = self.connections.get_mut(index) {
-                    connection.heard_at = now_ms();
+                    connection.health_received_at = now_ms();
                     connection.is_served = store;
                 }
             }
--- a/crates/latchtrack/src/actors/store/client.rs
+++ b/crates/latchtrack/src/actors/store/client.rs
@@ -12,7 +12,7 @@
 use super::http::HttpClient;
 use super::pacing::{TokenBucket, WriteLimits, WriteShare};
 use crate::actors::messages::store::{
-    PacedRequest, RequestClass, SetStoreShare, StoreAnswer, StoreRequest,
+    PacedRequest, RequestClass, SetStoreRole, StoreAnswer, StoreRequest,
 };
 use crate::actors::messages::NodeRole;
 use crate::clock::now_ms;
@@ -161,7 +161,7 @@
         let call = self.http.send(&queued.request.request);
         ctx.spawn(call.into_actor(self).map(move |result, act, ctx| {
             act.open_calls -= 1;
-            let result = result.map(|reply| act.http.localize(reply));
+            let result = result.map(|reply| act.http.with_local_keys(reply));
             // Bursts of other nodes can exceed the limit. The request was not executed, so it is
             // sent again if its deadline permits.
             let is_over_limit = matches!(&result, Err(e) if *e == OVER_LIMIT);
@@ -211,10 +211,10 @@
     }
 }
 
-impl Handler<SetStoreShare> for Store {
+impl Handler<SetStoreRole> for Store {
     type Result = ();
 
-    fn handle(&mut self, msg: SetStoreShare, _: &mut Self::Context) {
+    fn handle(&mut self, msg: SetStoreRole, _: &mut Self::Context) {
         // Of n + 1 shares for n nodes, the leader has two and each follower one.
         let shares = match msg.0 {
             NodeRole::Leader => 2.0,
@@ -222,7 +222,7 @@
         };
         let share = USABLE_LIMIT_FRACTION / (self.nodes + 1.0) * shares;
         self.requests.set_rate(self.requests_per_s * share, self.requests_per_s * share);
-        self.write_share.set_part(share, now_ms());
+        self.write_share.set_share(share, now_ms());
         self.writes.set_rate(self.write_share.base_rate(), self.write_share.burst());
     }
 }
--- a/crates/latchtrack/src/actors/store/http.rs
+++ b/crates/latchtrack/src/actors/store/http.rs
@@ -36,11 +36,11 @@
     }
 
     /// Converts the full keys of a reply to local keys.
-    pub(super) fn localize(&self, reply: Reply) -> Reply {
+    pub(super) fn with_local_keys(&self, reply: Reply) -> Reply {
         self.namespace.with_local_keys(reply)
     }
 
-    /// Sends a request. Its reply contains full keys; see [`HttpClient::localize`].
+    /// Sends a request. Its reply contains full keys; see [`HttpClient::with_local_keys`].
     pub(super) fn send(&self, request: &StoreRequest) -> PendingReply {
         let base = &self.base;
         let timeout = request.timeout();
--- a/crates/latchtrack/src/actors/store/pacing.rs
+++ b/crates/latchtrack/src/actors/store/pacing.rs
@@ -68,7 +68,7 @@
     pub lower: f64,
 }
 
-/// The write rate of a node. Its base rate is its part of the limit. While writes have to wait, the
+/// The write rate of a node. Its base rate is its share of the limit. While writes have to wait, the
 /// rate grows, to use what other nodes leave; otherwise it shrinks. A refused write resets it to
 /// the base rate. Exceeding the limit is harmless: the service refuses only the excess, and lease
 /// requests don't count as writes.
@@ -81,8 +81,8 @@
     limits: WriteLimits,
     /// The limit assumed to apply, in writes per second.
     limit: f64,
-    /// This node's part of the limit, as a fraction.
-    part: f64,
+    /// Fraction of the limit that is allocated to this node.
+    share: f64,
     /// Ratio of the current rate to the base rate, at least 1.
     multiplier: f64,
     /// Whether a write had to wait since the last adjustment.
@@ -98,12 +98,12 @@
 }
 
 impl WriteShare {
-    /// Creates a share of `part` of the limits, as a fraction.
-    pub fn new(limits: WriteLimits, part: f64, now: u64) -> Self {
+    /// Creates the write rate of a node that is allocated the fraction `share` of the limits.
+    pub fn new(limits: WriteLimits, share: f64, now: u64) -> Self {
         WriteShare {
             limits,
             limit: limits.current,
-            part,
+            share,
             multiplier: 1.0,
             has_waited: false,
             was_refused: false,
@@ -113,10 +113,10 @@
         }
     }
 
-    /// Changes the part and resets the rate. The part of the leader is larger.
-    pub fn set_part(&mut self, part: f64, now: u64) {
+    /// Changes the share, which is larger for the leader, and resets the rate to the base rate.
+    pub fn set_share(&mut self, share: f64, now: u64) {
         let limit = self.limit;
-        *self = WriteShare { limit, ..WriteShare::new(self.limits, part, now) };
+        *self = WriteShare { limit, ..WriteShare::new(self.limits, share, now) };
     }
 
     /// Records that a write had to wait for the budget.
@@ -129,16 +129,16 @@
         self.was_refused = true;
     }
 
-    /// Returns the rate of the node's own part alone, in writes per second.
+    /// Returns the rate that the node's share alone allows, in writes per second.
     pub fn base_rate(&self) -> f64 {
-        self.limit * self.part
+        self.limit * self.share
     }
 
     /// Returns the number of writes that may be sent at once after a pause: those of all nodes in
     /// half a second, or of this node in a second if that is more. The service allows bursts of one
     /// second, and all nodes rarely burst together.
     pub fn burst(&self) -> f64 {
-        self.limit * self.part.max(USABLE_LIMIT_FRACTION * BURST_FRACTION)
+        self.limit * self.share.max(USABLE_LIMIT_FRACTION * BURST_FRACTION)
     }
 
     /// Returns the current rate in writes per second, after any adjustment that is due.
@@ -152,7 +152,7 @@
 
     /// Adjusts the rate by the waits and refusals since the last adjustment.
     fn adjust(&mut self, now: u64) {
-        let max_multiplier = (USABLE_LIMIT_FRACTION / self.part).max(1.0);
+        let max_multiplier = (USABLE_LIMIT_FRACTION / self.share).max(1.0);
         if self.was_refused {
             self.unexplained_refusals =
                 if self.multiplier > 1.0 { 0 } else { self.unexplained_refusals + 1 };
--- a/crates/latchtrack/src/http/users.rs
+++ b/crates/latchtrack/src/http/users.rs
@@ -36,13 +36,13 @@
 /// `GET /ready`: responds with 200 if this node can handle requests, otherwise with 503.
 pub async fn ready(app: web::Data<AppState>) -> HttpResponse {
     let is_loaded = app.cache.send(IsLoaded).await.unwrap_or(false);
-    let is_admitting = app.admission.send(IsReady).await.unwrap_or(false);
+    let accepts_submissions = app.admission.send(IsReady).await.unwrap_or(false);
     // A node that can neither reach the state service nor forward requests to a peer reports that
     // it is not ready. If no node can reach it, all stay ready while they are connected.
-    let is_useful = is_served(&app).await
+    let can_handle_requests = is_served(&app).await
         || app.peers.send(HasConnectedPeers).await.unwrap_or(false)
         || app.deployment == Deployment::SingleNode;
-    if is_loaded && is_admitting && is_useful {
+    if is_loaded && accepts_submissions && can_handle_requests {
         HttpResponse::Ok().finish()
     } else {
         unavailable("starting")
--- a/crates/latchtrack/src/node.rs
+++ b/crates/latchtrack/src/node.rs
@@ -50,25 +50,25 @@
 /// Runs a node until the process ends.
 pub async fn run(settings: Settings) -> Result<(), StartError> {
     check_cell(&settings).await?;
-    let users = TcpListener::bind(settings.platform.bind).await?;
-    let peers = TcpListener::bind(settings.platform.peer_bind).await?;
-    serve(settings, users, peers).await;
+    let http_listener = TcpListener::bind(settings.platform.bind).await?;
+    let peer_listener = TcpListener::bind(settings.platform.peer_bind).await?;
+    serve(settings, http_listener, peer_listener).await;
     Ok(())
 }
 
 /// Runs a node on sockets that are already bound, until the process ends.
-pub async fn serve(settings: Settings, users: TcpListener, peers: TcpListener) {
+pub async fn serve(settings: Settings, http_listener: TcpListener, peer_listener: TcpListener) {
     tracing::info!(node = settings.platform.node_name, "node serving");
-    let app = start_actors(&settings, peers);
-    server::serve(users, app, settings.max_connections()).await;
+    let app = start_actors(&settings, peer_listener);
+    server::serve(http_listener, app, settings.max_connections()).await;
 }
 
 /// Starts the actors and connects them.
-fn start_actors(settings: &Settings, peers: TcpListener) -> AppState {
+fn start_actors(settings: &Settings, peer_listener: TcpListener) -> AppState {
     let store = Store::new(settings).start();
     let cache = JobCache::new(store.clone()).start();
     let cloud = Cloud::new(store.clone(), settings).start();
-    let peers = Peers::new(settings, peers, cache.clone()).start();
+    let peers = Peers::new(settings, peer_listener, cache.clone()).start();
     let admission = Admission::new(store.clone(), cache.clone(), settings).start();
     let scheduler =
         SchedulerDriver::new(store.clone(), cache.clone(), cloud.clone(), peers.clone(), settings)
--- a/crates/latchtrack/src/status.rs
+++ b/crates/latchtrack/src/status.rs
@@ -59,9 +59,9 @@
 /// Queries all nodes and, if none of them is the leader, the state service and the workers.
 pub async fn query(settings: &Settings) -> Status {
     let nodes = query_nodes(settings).await;
-    let is_led = nodes.values().flatten().any(|node| node.cluster.is_some());
+    let has_leader = nodes.values().flatten().any(|node| node.cluster.is_some());
     let (mut without_leader, mut store_error) = (None, None);
-    if !is_led {
+    if !has_leader {
         match query_store_and_workers(settings).await {
             Ok(status) => without_leader = Some(status),
             Err(error) => store_error = Some(format!("state service: {error}")),
