--- a/crates/latchtrack/src/actors/admission/cancel.rs
+++ b/crates/latchtrack/src/actors/admission/cancel.rs
@@ -12,8 +12,8 @@
 use crate::wire::records::{job_key, Record};
 use crate::wire::store::{Change, Condition, Txn};
 
-/// Marks the record of an open job as cancelled by a compare-and-swap on its revision. Retries up
-/// to [`CANCEL_ATTEMPTS`] times if the record changes concurrently.
+/// Marks the record of an open job as cancelled by a compare-and-swap on its revision. Makes up to
+/// [`CANCEL_ATTEMPTS`] attempts if the record changes concurrently.
 pub(super) async fn cancel_job(
     store: &Addr<Store>,
     cache: &Addr<JobCache>,
--- a/crates/latchtrack/src/actors/admission/feasibility.rs
+++ b/crates/latchtrack/src/actors/admission/feasibility.rs
@@ -38,7 +38,7 @@
         });
     }
     let zones: HashSet<&str> = offers.iter().map(|offer| offer.zone.as_str()).collect();
-    // A spread gang runs all at once with at most half of its tasks in one zone.
+    // All tasks of a spread gang run at the same time, at most half of them in one zone.
     if spec.gang && spec.spread && spec.tasks > 1 && (spec.one_zone || zones.len() < 2) {
         return Err(InfeasibleJob::SpreadGangInOneZone);
     }
--- a/crates/latchtrack/src/actors/admission/mod.rs
+++ b/crates/latchtrack/src/actors/admission/mod.rs
@@ -38,7 +38,7 @@
     id: JobId,
     record: Record,
     value: Box<RawValue>,
-    /// When the submission is rejected if still queued, in ms of the steady clock.
+    /// Time at which the submission is rejected if it is still queued, in ms of the steady clock.
     deadline: u64,
     answer: oneshot::Sender<SubmitOutcome>,
 }
--- a/crates/latchtrack/src/actors/cloud/budget.rs
+++ b/crates/latchtrack/src/actors/cloud/budget.rs
@@ -1,7 +1,7 @@
 //! Rate limit for calls to the cloud.
 //!
-//! This is not a [`crate::actors::store::pacing::TokenBucket`]: it starts below its capacity,
-//! requires a whole token for each call, and rounds the wait down.
+//! Unlike [`crate::actors::store::pacing::TokenBucket`], it starts below its capacity, requires a
+//! whole token for each call, and rounds the wait down.
 
 use crate::constants::CLOUD_BURST_S;
 
@@ -37,7 +37,7 @@
         self.tokens -= 1.0;
     }
 
-    /// Returns the ms until the next call may be sent.
+    /// Returns the time until the next call may be sent, in ms.
     pub(super) fn wait_ms(&self) -> u64 {
         ((1.0 - self.tokens) / self.rate_per_s * 1000.0) as u64 + 1
     }
--- a/crates/latchtrack/src/actors/cloud/mod.rs
+++ b/crates/latchtrack/src/actors/cloud/mod.rs
@@ -107,7 +107,7 @@
                 let event = Event::TerminateFinished { names, outcome: TerminateOutcome::Failed };
                 self.report(token, event, CLOUD_RETRY_MS, ctx);
             }
-            // The scheduler requests the list again without being told.
+            // These need no report: the scheduler requests the list again anyway.
             CloudRequest::ReadMachineTypes
             | CloudRequest::ListMachines { .. }
             | CloudRequest::ListNextPage { .. } => {}
@@ -245,8 +245,8 @@
         }));
     }
 
-    /// Queues machines to terminate. They join a queued request of the same term if it stays
-    /// within [`TERMINATE_BATCH`].
+    /// Queues the termination of machines. They are added to a queued request of the same term if
+    /// that does not make it exceed [`TERMINATE_BATCH`].
     fn queue_terminate(&mut self, token: u64, mut names: Vec<String>) {
         let waiting = self.queue.iter_mut().find_map(|request| match request {
             CloudRequest::Terminate { token: other, names: queued }
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Queues a list request in place of those already queued: one list serves them all.
+    /// Queues a list request in place of those already queued: one list answers them all.
     fn queue_list(&mut self, token: u64) {
         self.queue.retain(|request| {
             !matches!(
--- a/crates/latchtrack/src/actors/election/campaign.rs
+++ b/crates/latchtrack/src/actors/election/campaign.rs
@@ -11,12 +11,12 @@
 use crate::wire::records::{LeaderRecord, LEADER_KEY};
 use crate::wire::store::{Change, Condition, Txn};
 
-/// The node that campaigns, and for what.
+/// The node that campaigns, and the lease and cell that it campaigns for.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     /// Name of this node.
     pub(super) node: String,
-    /// Random number that distinguishes the runs of this node.
+    /// Random number that distinguishes this run of the node from its other runs.
     pub(super) run: u64,
     /// Duration of the lease in ms.
     pub(super) ttl_ms: u64,
@@ -28,19 +28,19 @@
 pub(super) enum CampaignOutcome {
     /// This node leads.
     Won(HeldTerm),
-    /// The key already exists, or the state service refused the transaction.
+    /// The key already exists, or the transaction was refused or not executed.
     Lost,
-    /// The key may have been created under this lease, or may be created later.
+    /// The leader key may have been created, or may be created later.
     Unknown {
-        /// The lease.
+        /// Id of the lease that the key is attached to if it is created.
         lease: u64,
     },
-    /// The leader key was not written.
+    /// The campaign ended before it tried to create the leader key.
     Failed,
 }
 
-/// Acquires a lease, then creates the leader key under it if the key is absent. The records of the
-/// cell are written in the same transaction.
+/// Acquires a lease, then creates the leader key, attached to the lease, if the key is absent. The
+/// records of the cell are written in the same transaction.
 pub(super) async fn run_campaign(store: &Addr<Store>, candidate: Candidate) -> CampaignOutcome {
     let cell_condition = match &candidate.cell {
         Some(cell) => match cell.stored_revision(store).await {
--- a/crates/latchtrack/src/actors/election/cell.rs
+++ b/crates/latchtrack/src/actors/election/cell.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CellError {
     /// The request to the state service failed.
-    #[error("the state service: {0}")]
+    #[error("state service: {0}")]
     Store(#[from] StoreError),
     /// The stored record can't be parsed. It is never overwritten.
     #[error("the stored record can't be parsed and is not overwritten")]
--- a/crates/latchtrack/src/actors/election/lease.rs
+++ b/crates/latchtrack/src/actors/election/lease.rs
@@ -7,7 +7,7 @@
 pub(super) struct HeldTerm {
     /// Fencing token: the revision of the leader key.
     pub(super) token: u64,
-    /// The lease that the leader key is attached to.
+    /// Id of the lease that the leader key is attached to.
     pub(super) lease: u64,
     /// Time until which the lease is certain to be valid, in ms of the steady clock.
     pub(super) valid_until: u64,
--- a/crates/latchtrack/src/actors/election/mod.rs
+++ b/crates/latchtrack/src/actors/election/mod.rs
@@ -36,7 +36,7 @@
     /// The leader key as last observed. `None` until the job cache has loaded; `Some(None)` if the
     /// key does not exist.
     observed_key: Option<Option<LeaderKey>>,
-    /// The lease of a campaign whose outcome is unknown.
+    /// Id of the lease of a campaign whose outcome is unknown.
     undecided_lease: Option<u64>,
     term: Option<HeldTerm>,
     /// Whether a campaign, a request or a retry delay is in progress.
@@ -48,8 +48,8 @@
 }
 
 impl Election {
-    /// Creates the election of a node that does not lead. `cell` is the cell to lead, if several
-    /// cells share teams.
+    /// Creates the actor of a node that does not lead. `cell` is the cell to lead, if several cells
+    /// share teams.
     pub fn new(
         store: Addr<Store>,
         cache: Addr<JobCache>,
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Handles a key that names this node although it holds no term: from an earlier run or from a
-    /// campaign whose outcome is unknown.
+    /// Handles a key that names this node although this node holds no term: the key was written by
+    /// an earlier run, or by a campaign whose outcome is unknown.
     fn resolve_own_key(&mut self, key: &LeaderKey, ctx: &mut Context<Self>) {
         let lease = key.record.lease;
         if key.record.run != self.candidate.run {
@@ -166,7 +166,7 @@
                     act.retry_after(ELECTION_RETRY_MS, ctx);
                 }
                 CampaignOutcome::Unknown { lease } => {
-                    // The outcome is not guessed: if the key was created, the cache will show it.
+                    // If the key was created, the job cache will observe it.
                     act.undecided_lease = Some(lease);
                     act.retry_after(ELECTION_RETRY_MS, ctx);
                 }
@@ -236,7 +236,7 @@
                     act.renew_after(act.candidate.ttl_ms / RENEWALS_PER_LEASE, ctx);
                 }
                 Err(StoreError::NotFound) => act.end_term(&TermEndReason::LeaseExpired, ctx),
-                // The term is only suspended: if a later renewal succeeds, the key still exists.
+                // The term does not end yet: if a later renewal succeeds, the key still exists.
                 Err(error) => {
                     tracing::debug!(token, %error, "lease renewal failed");
                     act.renew_after(ELECTION_RETRY_MS, ctx);
@@ -250,8 +250,8 @@
         tracing::info!(token = term.token, %reason, "leadership lost");
         self.publish_leadership();
         self.cache.do_send(SetCacheRole(NodeRole::Follower));
-        // Revoking the lease deletes the key. This node does not campaign until the cache shows
-        // the deletion.
+        // Revoking the lease deletes the key. This node does not campaign until the job cache
+        // observes the deletion.
         self.revoke_lease(term.lease, ctx);
     }
 }
--- a/crates/latchtrack/src/actors/job_cache/mod.rs
+++ b/crates/latchtrack/src/actors/job_cache/mod.rs
@@ -1,5 +1,6 @@
 //! The node's cache of the job records and the leader key. Queries for jobs in a final state are
-//! answered from the cache. All others wait for a refresh from the state service, which they share.
+//! answered from the cache. The others wait for a refresh from the state service; one refresh
+//! answers all that wait for it.
 
 mod records;
 
@@ -27,7 +28,7 @@
 };
 use crate::wire::records::LIVE_PREFIX;
 
-/// Receives whether the awaited refresh succeeded in time.
+/// Channel that reports whether the awaited refresh succeeded in time.
 type Waiter = oneshot::Sender<bool>;
 
 /// The actor that owns the cache and refreshes it.
@@ -35,7 +36,7 @@
     store: Addr<Store>,
     listeners: Option<ConnectJobCache>,
     records: JobRecords,
-    /// The revision up to which the records are known. `None`: the next refresh reads all records.
+    /// Revision up to which the records are known. If `None`, the next refresh reads all records.
     revision: Option<u64>,
     role: NodeRole,
     is_refreshing: bool,
--- a/crates/latchtrack/src/actors/job_cache/records.rs
+++ b/crates/latchtrack/src/actors/job_cache/records.rs
@@ -88,7 +88,8 @@
                     has_leader |= item.key == LEADER_KEY;
                     changes.extend(self.put(&item.key, item.value.get(), item.revision));
                 }
-                // The missed changes may include a leader; without the key, none leads now.
+                // A node may have led for a time since the last read, so the revision of this read
+                // is the earliest one since which no node is known to lead.
                 self.leaderless_since = (!has_leader).then_some(revision);
                 if !has_leader && self.leader_revision < revision {
                     self.leader = None;
@@ -132,7 +133,7 @@
         match Record::parse(id, value) {
             Ok(record) => self.apply_record(id, record, revision),
             Err(error) => {
-                // Queries for it must fail, not return `unknown`: the job was accepted.
+                // Queries for this job must fail rather than report it as unknown: it was accepted.
                 if self.unparsable.insert(id) {
                     tracing::error!(job = %id, %error, "job record can't be parsed");
                 }
--- a/crates/latchtrack/src/actors/messages/admission.rs
+++ b/crates/latchtrack/src/actors/messages/admission.rs
@@ -13,7 +13,7 @@
 pub enum SubmitOutcome {
     /// The job is stored.
     Created,
-    /// A job with this id exists; a refreshed job cache has its state.
+    /// A job with this id exists; its state is known once the job cache has been refreshed.
     Exists,
     /// The job can never run on this cluster.
     Infeasible(InfeasibleJob),
@@ -43,7 +43,7 @@
     /// The tasks of a gang run at the same time and together exceed the limit of the team.
     #[error("the gang needs more than the limit of team {0}")]
     GangAboveTeamLimit(String),
-    /// A spread gang may have at most half of its tasks in one zone, but only one is allowed.
+    /// A spread gang may have at most half of its tasks in one zone, but only one zone is allowed.
     #[error("the gang is to be apart and is bound to one zone")]
     SpreadGangInOneZone,
 }
@@ -85,7 +85,7 @@
     Done,
     /// No job with this id exists.
     Unknown,
-    /// Not possible for now; the client may retry.
+    /// Not cancelled for now; the client may retry.
     Busy,
 }
 
--- a/crates/latchtrack/src/actors/messages/cloud.rs
+++ b/crates/latchtrack/src/actors/messages/cloud.rs
@@ -27,7 +27,7 @@
     Terminate {
         /// Fencing token of the term.
         token: u64,
-        /// Names of the machines.
+        /// Names of the machines to terminate.
         names: Vec<String>,
     },
     /// Lists all machines.
@@ -42,7 +42,7 @@
         /// The machines of the previous pages.
         listed: Vec<ListedMachine>,
     },
-    /// Reads the machine types and prices, on every node.
+    /// Reads the machine types and prices, also on nodes that do not lead.
     ReadMachineTypes,
 }
 
--- a/crates/latchtrack/src/actors/messages/election.rs
+++ b/crates/latchtrack/src/actors/messages/election.rs
@@ -7,7 +7,7 @@
 /// The leader key with its value and revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaderKey {
-    /// The node that holds the key.
+    /// Value of the key, which names the leader.
     pub record: LeaderRecord,
     /// Revision of the key, which is the fencing token of its term.
     pub revision: u64,
@@ -22,7 +22,7 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Resign {
-    /// Reason for the log.
+    /// Reason to log.
     pub reason: String,
 }
 
--- a/crates/latchtrack/src/actors/messages/job_cache.rs
+++ b/crates/latchtrack/src/actors/messages/job_cache.rs
@@ -46,7 +46,7 @@
 #[derive(Message)]
 #[rtype(result = "Result<Option<JobView>, StoreUnavailable>")]
 pub struct LookUpJob {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
     /// Whether to wait for a refresh.
     pub freshness: Freshness,
@@ -56,7 +56,7 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ApplyRecord {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
     /// The record as written.
     pub record: Record,
@@ -67,7 +67,7 @@
 /// Numbers of done and running tasks of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
     /// Number of done tasks.
     pub done: u32,
@@ -80,7 +80,7 @@
 #[rtype(result = "()")]
 pub struct UpdateTaskCounts(pub Vec<TaskCounts>);
 
-/// The jobs from which a new term starts.
+/// The open jobs that a new leader reads at the start of its term.
 pub struct OpenJobsSnapshot {
     /// All open jobs.
     pub jobs: Vec<OpenJob>,
--- a/crates/latchtrack/src/actors/messages/peers.rs
+++ b/crates/latchtrack/src/actors/messages/peers.rs
@@ -8,7 +8,7 @@
 use super::scheduler::OverdueMachines;
 use crate::wire::peers::{Answer, Frame, PeerRequest};
 
-/// Sends a frame to every other node. Nodes that are not reachable miss it.
+/// Sends a frame to every other node. It is lost for nodes that are unreachable.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct BroadcastFrame(pub Frame);
@@ -29,7 +29,7 @@
 pub struct ForwardRequest {
     /// The node that should answer.
     pub target: ForwardTarget,
-    /// The request.
+    /// The request to forward.
     pub request: PeerRequest,
 }
 
@@ -48,6 +48,6 @@
 pub struct ServePeers {
     /// Answers the forwarded requests.
     pub handler: ForwardedRequestHandler,
-    /// Receives the machines whose heartbeats the leader is missing.
+    /// Receives the machines whose heartbeats are overdue at the leader.
     pub scheduler: Recipient<OverdueMachines>,
 }
--- a/crates/latchtrack/src/actors/messages/scheduler.rs
+++ b/crates/latchtrack/src/actors/messages/scheduler.rs
@@ -39,7 +39,7 @@
 pub struct CacheUpdated {
     /// When the read was sent, in ms of the steady clock; 0 for a record that this node wrote.
     pub observed_at: u64,
-    /// The changes of jobs.
+    /// The job records that have changed.
     pub changes: Vec<JobChange>,
     /// Name of the leader, if any.
     pub leader: Option<String>,
@@ -60,7 +60,7 @@
 pub struct HeartbeatReceived {
     /// The heartbeat as parsed from the request.
     pub heartbeat: Heartbeat,
-    /// How it reached this node.
+    /// How the heartbeat reached this node.
     pub route: HeartbeatRoute,
 }
 
@@ -94,7 +94,7 @@
 pub struct SchedulerEvent {
     /// Fencing token of the term that the event belongs to.
     pub token: u64,
-    /// The event.
+    /// The event to handle.
     pub event: Event,
 }
 
--- a/crates/latchtrack/src/actors/messages/store.rs
+++ b/crates/latchtrack/src/actors/messages/store.rs
@@ -18,7 +18,7 @@
     Admission = 1,
     /// Reads of any kind.
     Read = 2,
-    /// Writes that can wait, as of the leader's records and of quota ledgers.
+    /// Writes that are not urgent, such as those of the leader's records and of quota ledgers.
     Background = 3,
 }
 
@@ -46,12 +46,12 @@
     },
     /// Renews a lease for its original duration.
     RenewLease {
-        /// The lease.
+        /// Id of the lease.
         lease: u64,
     },
     /// Revokes a lease, which deletes the keys attached to it.
     RevokeLease {
-        /// The lease.
+        /// Id of the lease.
         lease: u64,
     },
     /// Reads the changes under a prefix after a revision.
--- a/crates/latchtrack/src/actors/peers/connection.rs
+++ b/crates/latchtrack/src/actors/peers/connection.rs
@@ -31,7 +31,7 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct FrameReceived {
-    /// The connection on which it was received.
+    /// The connection on which the frame was received.
     pub(super) source: FrameSource,
     /// The decoded frame.
     pub(super) frame: Frame,
@@ -52,7 +52,7 @@
     Framed::new(stream, codec)
 }
 
-/// Sends a frame, for at most [`CONNECT_TIMEOUT`].
+/// Sends a frame. The connection counts as broken if this takes longer than [`CONNECT_TIMEOUT`].
 async fn send_frame(stream: &mut FrameStream, frame: &Frame) -> ConnectionState {
     let Ok(bytes) = encode(frame) else {
         tracing::error!("peer frame can't be encoded");
@@ -119,7 +119,7 @@
 }
 
 /// Serves a connection opened by another node. Requests are handled concurrently, up to the
-/// capacity of the response queue; more are dropped, and time out at their sender.
+/// capacity of the response queue; any further ones are dropped and time out at their sender.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     received: Recipient<FrameReceived>,
--- a/crates/latchtrack/src/actors/peers/mod.rs
+++ b/crates/latchtrack/src/actors/peers/mod.rs
@@ -1,6 +1,6 @@
 //! Communication between the nodes: the leader's task counts for display, whether the state service
-//! serves each node, and requests forwarded to the leader or to a node that it serves. A request is
-//! forwarded only once.
+//! serves each node, and forwarded requests. A request is forwarded only once, to the leader or to
+//! a node that the state service serves.
 
 mod connection;
 
@@ -34,9 +34,9 @@
 struct PeerConnection {
     node: String,
     frames: mpsc::Sender<Frame>,
-    /// When its health was last received, in ms of the steady clock; 0 if never.
+    /// When the other node's health was last received, in ms of the steady clock; 0 if never.
     health_received_at: u64,
-    /// Whether the state service served the node at that time.
+    /// Whether the state service served the other node when it last reported its health.
     is_served: bool,
 }
 
--- a/crates/latchtrack/src/actors/quota.rs
+++ b/crates/latchtrack/src/actors/quota.rs
@@ -30,7 +30,7 @@
     /// Fencing token of the term, if this node leads.
     term: Option<u64>,
     keys: SharedKeys,
-    /// The revision up to which the keys are known. `None`: the next refresh reads all keys.
+    /// Revision up to which the keys are known. If `None`, the next refresh reads all keys.
     revision: Option<u64>,
     /// When all keys were last read, in ms of the steady clock.
     full_read_at: u64,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Records the wall-clock time if the write changes this cell's allotment, for operators.
+    /// Sets the wall-clock time of the change, for operators, if this cell's allotment changes.
     fn update_allotment_time(&self, write: &mut LedgerWrite) {
         let snapshot = self.keys.snapshot(0);
         let known = snapshot.teams.get(&write.team).and_then(|seen| seen.ledger.as_ref().ok());
--- a/crates/latchtrack/src/actors/scheduler_driver/state_read.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/state_read.rs
@@ -2,7 +2,7 @@
 
 use crate::actors::messages::scheduler::JobChange;
 
-/// Whether the stored state is being read, and the changes to apply after it.
+/// Whether the stored state is being read, and the changes to apply after the read.
 pub(super) enum StateRead {
     /// No read is in progress.
     Idle,
--- a/crates/latchtrack/src/actors/scheduler_driver/term.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/term.rs
@@ -2,7 +2,7 @@
 
 use crate::actors::messages::scheduler::LeaderTerm;
 
-/// The current term, and how recent the view of the jobs is.
+/// The current term, and how recent the job cache is.
 pub(super) struct TermState {
     /// Duration of the leader's lease in ms.
     lease_ms: u64,
@@ -37,8 +37,8 @@
         self.cache_current_at = self.cache_current_at.max(sent_at);
     }
 
-    /// Returns whether the lease is valid by the local clock and the view of the jobs is not older
-    /// than the duration of a lease, so that cancellations are seen in time.
+    /// Returns whether the lease is valid by the local clock and the job cache was current within
+    /// the duration of a lease, so that cancellations are seen in time.
     pub(super) fn is_valid(&self, now: u64) -> bool {
         self.current.is_some_and(|term| now < term.valid_until)
             && now < self.cache_current_at + self.lease_ms
--- a/crates/latchtrack/src/actors/scheduler_driver/write_state.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/write_state.rs
@@ -1,6 +1,6 @@
 //! Progress of the writes of scheduler records.
 
-/// State of the record writes. One write is in flight at a time, with all changes before it.
+/// State of the record writes, of which at most one is in flight at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteState {
     /// No write is in flight.
@@ -9,7 +9,8 @@
     InFlight,
     /// A write is in flight, and the scheduler has more to write.
     InFlightMoreWaiting,
-    /// A write has failed. The scheduler is notified after a delay, and then requests the next.
+    /// A write has failed. The scheduler is notified after a delay, and then requests the next
+    /// write.
     Backoff,
 }
 
--- a/crates/latchtrack/src/actors/scheduler_driver/writes.rs
+++ b/crates/latchtrack/src/actors/scheduler_driver/writes.rs
@@ -56,8 +56,8 @@
         }));
     }
 
-    /// Converts the response to a write. Notifies the job cache of jobs that are done, and the
-    /// election if the leader key has changed.
+    /// Converts the result of a write to its outcome. Notifies the job cache of jobs that are done,
+    /// and the election if the leader key has changed.
     fn batch_outcome(
         &self,
         token: u64,
--- a/crates/latchtrack/src/actors/store/error.rs
+++ b/crates/latchtrack/src/actors/store/error.rs
@@ -44,7 +44,7 @@
     #[error("requested revision too old")]
     TooOld,
     /// The service rejected the request as invalid: because of a bug in this program, or because
-    /// its lease has ended.
+    /// the lease that the request names has ended.
     #[error("refused: {0}")]
     Refused(String),
 }
--- a/crates/latchtrack/src/actors/store/http.rs
+++ b/crates/latchtrack/src/actors/store/http.rs
@@ -128,7 +128,7 @@
     Ok(read_response(client.post(url).timeout(timeout).send_json(body)).await?)
 }
 
-/// Converts the status of a response.
+/// Converts the status of a response to an error, unless it is a success.
 fn check_status(status: StatusCode, body: &[u8]) -> Result<(), StoreError> {
     match status.as_u16() {
         200..=299 => Ok(()),
--- a/crates/latchtrack/src/actors/store/mod.rs
+++ b/crates/latchtrack/src/actors/store/mod.rs
@@ -1,6 +1,6 @@
 //! The client of the state service. [`client`] queues the requests of this node and sends them at
 //! the rates of [`pacing`], `http` performs the calls, and [`reads`] reads all items under a prefix
-//! and the changes since.
+//! or the changes since a revision.
 
 pub mod client;
 pub mod error;
--- a/crates/latchtrack/src/actors/store/pacing.rs
+++ b/crates/latchtrack/src/actors/store/pacing.rs
@@ -38,8 +38,8 @@
         self.refilled_at = now;
     }
 
-    /// Returns the ms until `n` tokens may be taken, or `None` if they may be taken now. More than
-    /// the capacity may be taken when the bucket is full.
+    /// Returns the time until `n` tokens may be taken, in ms, or `None` if they may be taken now.
+    /// More than the capacity may be taken when the bucket is full.
     pub fn wait_ms(&self, n: f64) -> Option<u64> {
         let needed = n.min(self.capacity);
         if self.tokens + ROUNDING_TOLERANCE >= needed {
@@ -68,14 +68,14 @@
     pub lower: f64,
 }
 
-/// The write rate of a node. Its base rate is its share of the limit. While writes have to wait, the
-/// rate grows, to use what other nodes leave; otherwise it shrinks. A refused write resets it to
-/// the base rate. Exceeding the limit is harmless: the service refuses only the excess, and lease
-/// requests don't count as writes.
+/// The write rate of a node. Its base rate is its share of the limit. While writes have to wait,
+/// the rate grows, to use what other nodes leave; otherwise it shrinks. A refused write resets it
+/// to the base rate. Exceeding the limit is harmless: the service refuses only the excess, and
+/// lease requests don't count as writes.
 ///
 /// The service may lower its limit without notice. Consecutive refusals at the base rate can't be
-/// explained by bursts, so the lower limit applies from then on. It applies for good, since nothing
-/// indicates that the limit was raised again.
+/// explained by bursts, so the lower limit is assumed from then on. The assumption is final, since
+/// nothing indicates that the service has raised its limit again.
 #[derive(Debug)]
 pub struct WriteShare {
     limits: WriteLimits,
--- a/crates/latchtrack/src/actors/store/reads.rs
+++ b/crates/latchtrack/src/actors/store/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of all items under a prefix, and of the changes since.
+//! Reads of all items under a prefix, and of the changes since a revision.
 
 use actix::Addr;
 
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -48,10 +48,11 @@
     }
 }
 
-/// Builds the transaction of a batch. Returns `None` if a record can't be serialized.
+/// Builds the transaction of a batch of record writes. Returns `None` if a record can't be
+/// serialized.
 ///
-/// Its conditions are the revisions of the leader key, of the records of done jobs, which a
-/// cancellation changes, and of record shards, which a delayed write of this leader changes.
+/// The transaction fails if the leader key has changed, if one of the done jobs was cancelled, or if
+/// a delayed write of this leader has changed one of the record shards.
 pub fn record_transaction(token: u64, writes: &[RecordWrite]) -> Option<Txn> {
     let mut conditions = vec![Condition { key: LEADER_KEY.into(), revision: token }];
     let mut changes = Vec::new();
