--- a/crates/latchtrack/src/settings/check.rs
+++ b/crates/latchtrack/src/settings/check.rs
@@ -8,16 +8,16 @@
 /// Error in the settings; a single line that names the file or the key.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A file can't be read: path and cause.
+    /// A file can't be read. Contains its path and the cause.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// The platform's file can't be parsed: path and cause.
+    /// The platform's file can't be parsed. Contains its path and the cause.
     #[error("{0}: {1}")]
     Json(String, serde_json::Error),
-    /// The operators' file can't be parsed: path and cause.
+    /// The operators' file can't be parsed. Contains its path and the cause.
     #[error("{0}: {1}")]
     Yaml(String, serde_yaml_ng::Error),
-    /// A setting has an invalid value: its key and the reason.
+    /// A setting has an invalid value. Contains its key and the reason.
     #[error("{0}: {1}")]
     Invalid(&'static str, String),
 }
--- a/crates/latchtrack/src/settings/mod.rs
+++ b/crates/latchtrack/src/settings/mod.rs
@@ -172,7 +172,7 @@
         (self.platform.params.limits.max_sockets as f64 * c::CLIENT_SOCKET_FRACTION) as usize
     }
 
-    /// The values derived from the settings.
+    /// Returns the derived values for `latchtrack check`.
     pub fn derived(&self) -> Derived {
         Derived {
             connections: self.max_connections(),
--- a/crates/latchtrack/src/settings/platform.rs
+++ b/crates/latchtrack/src/settings/platform.rs
@@ -33,7 +33,7 @@
 pub struct Peer {
     /// Name of the node.
     pub node_name: String,
-    /// Address on which it accepts connections from other nodes.
+    /// Address on which the node accepts connections from other nodes.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
@@ -90,7 +90,7 @@
 /// A service-level objective. Objectives of unknown kinds are ignored.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Objective {
-    /// `wait`, `finished` or `deadline`.
+    /// Kind of the objective: `wait`, `finished` or `deadline`.
     pub kind: String,
     /// Workload class that the objective applies to.
     #[serde(default)]
@@ -98,7 +98,7 @@
     /// Time in s within which tasks must start (`wait`) or jobs must complete (`finished`).
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Multiple of its estimated duration within which a job must complete (`deadline`).
+    /// Multiple of its own deadline within which a job must complete (`deadline`).
     #[serde(default)]
     pub times: Option<f64>,
 }
@@ -145,9 +145,9 @@
 /// Limits of the state service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StateParams {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Changes per second.
+    /// Maximum number of changes per second.
     pub write_rps: f64,
     /// Maximum size of a value, in KiB.
     pub value_kb: f64,
@@ -162,9 +162,9 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct NextStateParams {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: Option<f64>,
-    /// Changes per second.
+    /// Maximum number of changes per second.
     pub write_rps: Option<f64>,
     /// Maximum size of a value, in KiB.
     pub value_kb: Option<f64>,
@@ -206,7 +206,7 @@
 /// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct CloudParams {
-    /// Calls per second.
+    /// Maximum number of calls per second.
     pub rps: f64,
     /// Time by which the machine list may lag behind the actual state, in s.
     pub list_lag_s: f64,
--- a/crates/latchtrack/src/settings/quota.rs
+++ b/crates/latchtrack/src/settings/quota.rs
@@ -19,8 +19,8 @@
     pub cells: Vec<String>,
 }
 
-/// Whether a name can be part of a key in the state service: not empty, at most `max_bytes` long
-/// and free of slashes, whitespace and control characters.
+/// Returns whether a name can be part of a key in the state service: not empty, at most `max_bytes`
+/// long and free of slashes, whitespace and control characters.
 fn is_key_part(name: &str, max_bytes: usize) -> bool {
     !name.is_empty()
         && name.len() <= max_bytes
--- a/crates/latchtrack/src/wire/cloud.rs
+++ b/crates/latchtrack/src/wire/cloud.rs
@@ -4,8 +4,8 @@
 use latchtrack_core::scheduler::ListedMachine;
 use serde::{Deserialize, Serialize};
 
-/// Error text of a 503 response that means that no such machines are available at the moment. With
-/// any other text, the request was not executed.
+/// Error text of a 503 response if no machines as requested are available at the moment. With any
+/// other text, the request was not executed.
 pub const NO_CAPACITY: &str = "no capacity";
 
 /// Response with the machine types and prices.
@@ -65,10 +65,10 @@
     /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: &'a str,
-    /// Zone to provision them in.
+    /// Zone in which to provision the machines.
     #[serde(rename = "yard")]
     pub zone: &'a str,
-    /// Whether the cloud may preempt them.
+    /// Whether to provision spot machines, which the cloud may preempt.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Number of machines.
--- a/crates/latchtrack/src/wire/peers.rs
+++ b/crates/latchtrack/src/wire/peers.rs
@@ -28,14 +28,14 @@
     Request {
         /// Identifies the request on its connection.
         id: u64,
-        /// The request.
+        /// The request to answer.
         request: PeerRequest,
     },
     /// The answer to a forwarded request.
     Answer {
-        /// Id of the request.
+        /// Id of the answered request.
         id: u64,
-        /// The answer.
+        /// The HTTP answer.
         answer: Answer,
     },
 }
--- a/crates/latchtrack/src/wire/quota.rs
+++ b/crates/latchtrack/src/wire/quota.rs
@@ -48,8 +48,8 @@
     ])
 }
 
-/// The transaction that writes a ledger. It is conditional on the writer's leader key, on the
-/// revision of the ledger that it replaces, and on the keys of the cells assumed to be dead.
+/// The transaction that writes a ledger. It requires that the writer still leads, that the ledger
+/// still has the revision that is replaced, and that no node has led one of the dead cells since.
 pub fn ledger_transaction(token: u64, write: &LedgerWrite) -> serde_json::Result<Txn> {
     let key = team_key(&write.team);
     let mut conditions = vec![
--- a/crates/latchtrack/src/wire/records/mod.rs
+++ b/crates/latchtrack/src/wire/records/mod.rs
@@ -51,9 +51,9 @@
 pub struct LeaderRecord {
     /// Name of the leader.
     pub node: String,
-    /// Distinguishes the runs of a node.
+    /// Random number that distinguishes this run of the node from its other runs.
     pub run: u64,
-    /// Lease that the key is attached to. A restarted node uses it to end the lease of its
+    /// Id of the lease that the key is attached to. A restarted node revokes the lease of its
     /// previous run.
     pub lease: u64,
 }
--- a/crates/latchtrack/src/wire/records/results.rs
+++ b/crates/latchtrack/src/wire/records/results.rs
@@ -19,7 +19,7 @@
     serde_json::value::to_raw_value(&map)
 }
 
-/// Parses a value of results; `None` if it is malformed. `key` is the part of the key after
+/// Parses a record shard of results; `None` if it is malformed. `key` is the part of the key after
 /// [`super::RESULTS_PREFIX`]. In the legacy form the value is the bytes of a single chunk, and the
 /// key contains its job and number.
 pub fn parse_results(key: &str, json: &str) -> Option<ResultChunks> {
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -32,7 +32,7 @@
     pub machines_booting: usize,
     /// Number of booting machines that should be up by now.
     pub machines_late: usize,
-    /// Number of unreconciled machines, which this leader has taken over but not yet heard from.
+    /// Number of unreconciled machines: taken over by this leader, but without a heartbeat yet.
     #[serde(rename = "machines_unsettled")]
     pub machines_unreconciled: usize,
     /// Machine types and zones where most boots are late.
@@ -54,7 +54,7 @@
     pub tasks_waiting: u64,
     /// CPUs of the machines that are up.
     pub cpus: f64,
-    /// CPUs of the tasks that are running on them.
+    /// CPUs of the running tasks.
     pub cpus_running: f64,
     /// Load balance of the cluster; absent if load balancing is off, and in versions before 0.3.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -112,7 +112,7 @@
     /// Total amounts that the cell requests, if a request is pending.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub wants: Option<AmountsView>,
-    /// Number of the request; requests are served in this order.
+    /// Number of the request; requests are served in the order of their numbers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ticket: Option<u64>,
 }
@@ -149,9 +149,9 @@
 pub struct BalanceView {
     /// Ratio of the highest load to the mean, in the machine pool where it is largest.
     pub spread: f64,
-    /// Highest load in that pool, as a fraction of a machine.
+    /// Highest load in the pool of `spread`, as a fraction of a machine.
     pub greatest_load: f64,
-    /// Mean load in that pool, as a fraction of a machine.
+    /// Mean load in the pool of `spread`, as a fraction of a machine.
     pub mean_load: f64,
     /// Number of machines above the load bound that have movable tasks.
     pub machines_over_bound: usize,
@@ -163,9 +163,9 @@
     pub recent_moves: Vec<String>,
     /// Number of moves started in this term.
     pub moves_begun: u64,
-    /// Number of these that were completed: the task runs on the target machine.
+    /// Number of moves completed in this term: the task runs on the target machine.
     pub moves_settled: u64,
-    /// Number of these that were abandoned.
+    /// Number of moves abandoned in this term.
     pub moves_abandoned: u64,
 }
 
--- a/crates/latchtrack/src/wire/store.rs
+++ b/crates/latchtrack/src/wire/store.rs
@@ -6,7 +6,7 @@
 /// A condition of a transaction: the key has this revision. Revision 0 stands for a missing key.
 #[derive(Serialize, Clone, Debug)]
 pub struct Condition {
-    /// The key.
+    /// Key that the condition applies to.
     #[serde(rename = "k")]
     pub key: String,
     /// Expected revision of the key.
@@ -20,19 +20,19 @@
 pub enum Change {
     /// Writes a value.
     Put {
-        /// The key.
+        /// Key to write.
         #[serde(rename = "put")]
         key: String,
-        /// The value.
+        /// Value to write.
         #[serde(rename = "data")]
         value: Box<RawValue>,
-        /// Lease that the key is attached to, if any: the key is deleted when the lease ends.
+        /// Id of the lease to attach the key to, if any: the key is deleted when the lease ends.
         #[serde(rename = "charter", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// Key to delete.
         #[serde(rename = "drop")]
         key: String,
     },
@@ -80,10 +80,10 @@
 /// A key with its value and revision.
 #[derive(Deserialize, Debug)]
 pub struct Item {
-    /// The key.
+    /// Key of the item.
     #[serde(rename = "k")]
     pub key: String,
-    /// The value.
+    /// Value of the key.
     #[serde(rename = "data")]
     pub value: Box<RawValue>,
     /// Revision of the key's last change.
@@ -144,7 +144,7 @@
     Put(Item),
     /// The key was deleted.
     Delete {
-        /// The key.
+        /// The deleted key.
         key: String,
         /// Revision of the change.
         revision: u64,
--- a/crates/latchtrack/src/wire/users.rs
+++ b/crates/latchtrack/src/wire/users.rs
@@ -16,21 +16,21 @@
     /// The body is valid JSON, but not an object.
     #[error("the body is not an object")]
     NotObject,
-    /// A required field is missing or null: the name of the field.
+    /// A required field is missing or null. Contains the name of the field.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A field is invalid: the name of the field and the reason.
+    /// A field is invalid. Contains the name of the field and the reason.
     #[error("{0} is invalid: {1}")]
     Invalid(&'static str, &'static str),
-    /// The record exceeds the maximum size of a value: its size and the maximum, in bytes.
+    /// The record exceeds the maximum size of a value. Contains its size and the maximum, in bytes.
     #[error("the job is too large for its record: {0} of {1} bytes")]
     TooLarge(usize, usize),
 }
 
 use SubmissionError::{Invalid, Missing};
 
-/// Parses the body and the job id only. Whether the job is known is determined before the other
-/// fields are parsed.
+/// Parses only the JSON object and the job id, because the job is looked up before the other fields
+/// are parsed.
 pub fn parse_id(body: &[u8]) -> Result<(JobId, Map<String, Value>), SubmissionError> {
     let value: Value = serde_json::from_slice(body).map_err(|_| SubmissionError::NotJson)?;
     let Value::Object(map) = value else { return Err(SubmissionError::NotObject) };
--- a/crates/latchtrack/src/wire/workers.rs
+++ b/crates/latchtrack/src/wire/workers.rs
@@ -9,10 +9,10 @@
     /// The body is not valid JSON, or a field is missing or of the wrong type.
     #[error("not a report: {0}")]
     Json(#[from] serde_json::Error),
-    /// A task id can't be parsed: the id and the reason.
+    /// A task id can't be parsed. Contains the id and the reason.
     #[error("task {0}: {1}")]
     Task(String, &'static str),
-    /// A number is out of range: the name of its field.
+    /// A number is out of range. Contains the name of its field.
     #[error("{0} is out of range")]
     Range(&'static str),
 }
@@ -153,7 +153,7 @@
     /// Fencing token of the leader's term.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Agent epoch that the commands apply to; a worker in another epoch refuses them.
+    /// Agent epoch that the commands apply to; a worker with another epoch refuses them.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
     /// Commands to execute in order.
