--- a/crates/latchtrack/src/clock.rs
+++ b/crates/latchtrack/src/clock.rs
@@ -9,8 +9,8 @@
 /// up to ten days before the start, and lets 0 stand for "never".
 const START_MS: u64 = 10 * 24 * 3_600 * 1_000;
 
-/// Current time of the steady clock in ms. It starts at ten days with the process and never goes
-/// back.
+/// Current time of the steady clock, in ms. The clock is monotonic, and starts at ten days when the
+/// process starts.
 pub fn now_ms() -> u64 {
     START_MS + START.get_or_init(Instant::now).elapsed().as_millis() as u64
 }
--- a/crates/latchtrack/src/constants.rs
+++ b/crates/latchtrack/src/constants.rs
@@ -1,5 +1,5 @@
-//! Constants of everything outside the scheduling core, each with its unit and rationale. Most of
-//! them are defaults of the operators' settings.
+//! Constants of everything outside the scheduling core, each with its unit and rationale. Most
+//! defaults of the operators' settings are in `latchtrack_core::constants`.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
 /// Largest fraction that the leader's lease may take of the cancellation time left after the worker
 /// lease.
 pub const MAX_CANCEL_TIME_FRACTION: f64 = 0.9;
-/// A worker's lease may last longer by this factor on the local clock because of clock drift.
+/// Factor by which a worker's lease may last longer on the local clock because of clock drift.
 pub const CLOCK_DRIFT_FACTOR: f64 = 1.001;
 /// Time that a worker may take to kill its tasks when its lease expires, in s.
 pub const TASK_KILL_S: f64 = 0.5;
@@ -92,14 +92,16 @@
 /// Fraction of the service's rate limits that is used, because this node's clock and the service's
 /// may disagree about the length of a second.
 pub const USABLE_LIMIT_FRACTION: f64 = 0.9;
-/// Interval between two adjustments of the write rate that a node takes beyond its share, in ms.
+/// Interval between two adjustments of a node's write rate, in ms.
 pub const WRITE_SHARE_INTERVAL_MS: u64 = 1_000;
-/// Growth factor of that rate per adjustment: it doubles within three seconds.
+/// Factor by which a node's write rate grows per adjustment while writes have to wait: the rate
+/// doubles within three seconds.
 pub const WRITE_SHARE_GROWTH: f64 = 1.3;
-/// Time after a refusal during which that rate does not grow, in ms: all nodes need their share.
+/// Time after a refused write during which a node's write rate does not grow, in ms, so that all
+/// nodes get their shares.
 pub const WRITE_SHARE_HOLD_MS: u64 = 8_000;
-/// Number of consecutive adjustments that find a refusal although the node kept to its share, until
-/// the limit counts as lowered. A single one may be caused by a burst of another node.
+/// Number of consecutive adjustments with a refused write, although the node kept to its share,
+/// after which the limit counts as lowered. A single one may be due to a burst of another node.
 pub const UNEXPLAINED_REFUSALS: u32 = 2;
 /// Largest burst of one node after a pause, as a fraction of the writes of all nodes in a second.
 pub const BURST_FRACTION: f64 = 0.5;
@@ -120,7 +122,7 @@
 pub const ADMISSION_QUEUE_CAPACITY: usize = 400;
 /// Time that a submission may wait on a node before it is answered with 503, in ms.
 pub const ADMISSION_WAIT_MS: u64 = 3_000;
-/// Number of attempts to write a cancellation that conflicts with concurrent changes of the record.
+/// Maximum number of attempts to write a cancellation while the record changes concurrently.
 pub const CANCEL_ATTEMPTS: usize = 5;
 
 // The scheduler driver, workers and the cloud.
@@ -162,26 +164,26 @@
 
 /// Interval at which the leader sends task counts to the other nodes, in ms.
 pub const PROGRESS_INTERVAL_MS: u64 = 1_000;
-/// Maximum number of jobs in one such message; followers show the others as pending. At up to 19
-/// bytes per job they fill less than half of a frame; the other half is for the names of overdue
-/// machines.
+/// Maximum number of jobs in one message of task counts; followers show the others as pending. At
+/// up to 19 bytes per job they fill less than half of a frame; the other half is for the names of
+/// overdue machines.
 pub const MAX_PROGRESS_JOBS: usize = 6_000;
 /// Interval at which another node is asked whether the state service serves it, in ms.
 pub const PEER_HEALTH_INTERVAL_MS: u64 = 1_000;
-/// Age at which the answer to that question expires, in ms.
+/// Age at which the health reported by another node expires, in ms.
 pub const PEER_HEALTH_MAX_AGE_MS: u64 = 3_500;
 /// Timeout of a request forwarded to another node. Users wait 2 s for a query.
 pub const FORWARD_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time for which heartbeats are forwarded for a worker that came back after it was redirected to
 /// the leader, in ms. After that it is redirected again.
 pub const FORWARD_HEARTBEATS_MS: u64 = 20_000;
-/// Number of redirected workers remembered before old entries are dropped, at about 80 bytes each.
+/// Number of redirected workers recorded before old entries are dropped, at about 80 bytes each.
 /// After a change of leader, this covers several times the largest fleet in use.
 pub const MAX_REDIRECTED_MACHINES: usize = 16_384;
 /// Maximum size of a frame between nodes, in bytes.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 /// Maximum number of frames queued for a node, and of its requests handled concurrently; any
-/// further ones are refused. A zone that can't reach the leader forwards some hundred heartbeats a
+/// further ones are dropped. A zone that can't reach the leader forwards some hundred heartbeats a
 /// second.
 pub const PEER_QUEUE_CAPACITY: usize = 256;
 
@@ -208,7 +210,7 @@
 /// Maximum number of excess connections that are being refused at a time. Further ones stay in the
 /// accept queue until one of these is closed.
 pub const MAX_OPEN_REFUSALS: usize = 32;
-/// Timeout for sending the refusal on such a connection.
+/// Timeout for refusing an excess connection, from reading its request to sending the response.
 pub const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which a refused connection is still read after the refusal was sent. Closing it with
 /// unread data would reset it and could discard the response.
@@ -223,7 +225,7 @@
 pub const RETRY_AFTER_S: u64 = 1;
 /// Time for which this node keeps an idle connection to a service or worker.
 pub const CLIENT_KEEP_ALIVE: Duration = Duration::from_secs(30);
-/// Maximum lifetime of such a connection.
+/// Maximum lifetime of a connection of this node to a service or worker.
 pub const CLIENT_CONNECTION_LIFETIME: Duration = Duration::from_secs(3_600);
 /// Maximum length of a name in a submission, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
@@ -238,7 +240,8 @@
 pub const CELLS_PREFIX: &str = "cells/";
 /// Maximum length of a cell name, in bytes: the service accepts keys of 200 bytes.
 pub const MAX_CELL_NAME_BYTES: usize = 64;
-/// Maximum length of the name of a team that cells share, in bytes, for the same reason.
+/// Maximum length of the name of a team that cells share, in bytes: the service accepts keys of 200
+/// bytes.
 pub const MAX_TEAM_NAME_BYTES: usize = 150;
 /// Number of changes in a campaign where cells share teams: the leader key and the cell's two keys.
 pub const CAMPAIGN_CHANGES: usize = 3;
--- a/crates/latchtrack/src/http/users.rs
+++ b/crates/latchtrack/src/http/users.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether the state service serves this node.
+/// Returns whether the state service serves this node.
 pub(super) async fn is_served(app: &AppState) -> bool {
     app.cache.send(IsServed).await.unwrap_or(false)
 }
@@ -60,7 +60,8 @@
         if let Some(answer) = forward(app, ForwardTarget::AnyServed, request.clone()).await {
             return answer;
         }
-        // No served node answered, so this node responds as far as it can.
+        // No node that the state service serves has answered, so this node responds as far as it
+        // can.
     }
     answer_locally(app, request).await
 }
--- a/crates/latchtrack/src/limit.rs
+++ b/crates/latchtrack/src/limit.rs
@@ -52,13 +52,13 @@
     /// A request to the state service failed.
     #[error("state service: {0}")]
     Store(#[from] StoreError),
-    /// There is no ledger of the team: the name of the team.
+    /// The team has no ledger. Contains the name of the team.
     #[error("there is no ledger of team {0}")]
     UnknownTeam(String),
-    /// A ledger can't be parsed: the name of the team and the cause.
+    /// The ledger can't be parsed. Contains the name of the team and the cause.
     #[error("the ledger of team {0} {1}; it was not changed")]
     Unusable(String, LedgerError),
-    /// An option has an invalid value: the name of the option and the value.
+    /// An option has an invalid value. Contains the name of the option and the value.
     #[error("--{0} is {1}, must be finite and not negative")]
     InvalidNumber(&'static str, f64),
     /// The guarantee would exceed the limit.
@@ -93,8 +93,8 @@
     }
 
     /// Applies the change to a ledger. Allotments are kept, and cells release what exceeds the
-    /// limit. A first limit on a resource discards them, since they don't cover its use yet; cells
-    /// then enter what they use.
+    /// limit. The first limit on a resource discards the allotments, which don't cover the use of
+    /// that resource yet; cells then enter what they use.
     pub fn apply(&self, ledger: &mut TeamLedger) -> Result<(), LimitError> {
         self.check()?;
         let before = ledger.limit;
--- a/crates/latchtrack/src/net.rs
+++ b/crates/latchtrack/src/net.rs
@@ -16,7 +16,7 @@
     /// No connection was established, so nothing was sent. An abandoned connection attempt never
     /// completes later.
     NotSent,
-    /// The request was, or may have been, sent, so it may be executed at any time.
+    /// The request may have been sent, so it may have been executed or may be executed later.
     OutcomeUnknown,
 }
 
--- a/crates/latchtrack/src/node.rs
+++ b/crates/latchtrack/src/node.rs
@@ -31,12 +31,12 @@
     Cell {
         /// Name of the cell.
         cell: String,
-        /// Cause.
+        /// Why the node can't lead the cell.
         source: CellError,
     },
 }
 
-/// Rejects a cell name that is in use by controllers of another cloud. If the state service is
+/// Rejects a cell name that is in use by a deployment with another cloud. If the state service is
 /// unavailable, this is left to the same check before each campaign.
 async fn check_cell(settings: &Settings) -> Result<(), StartError> {
     let Some(cell) = Cell::from_settings(settings) else { return Ok(()) };
--- a/crates/latchtrack/src/status.rs
+++ b/crates/latchtrack/src/status.rs
@@ -21,7 +21,7 @@
 use crate::wire::store::Item;
 use crate::wire::workers::parse_heartbeat;
 
-/// The collected status.
+/// The state of the cluster, as printed by the command.
 #[derive(Serialize, Debug)]
 pub struct Status {
     /// Views by node name; `None` if the node did not answer.
@@ -41,7 +41,7 @@
     }
 }
 
-/// Status from the state service and the workers.
+/// The state of a cluster without a leader, from the state service and the workers.
 #[derive(Serialize, Debug, Default)]
 pub struct LeaderlessStatus {
     /// Value of the leader key, if it exists.
@@ -50,7 +50,7 @@
     pub jobs_open: usize,
     /// Number of machines in the stored machine set.
     pub machines: usize,
-    /// Number of these machines whose worker did not answer.
+    /// Number of machines whose worker did not answer.
     pub silent: usize,
     /// Number of running tasks by job.
     pub running: BTreeMap<String, usize>,
