--- a/crates/latchtrack/src/actors/job_cache/records.rs
+++ b/crates/latchtrack/src/actors/job_cache/records.rs
@@ -88,8 +88,8 @@
                     has_leader |= item.key == LEADER_KEY;
                     changes.extend(self.put(&item.key, item.value.get(), item.revision));
                 }
-                // A node may have led for a time since the last read, so the revision of this read
-                // is the earliest one since which no node is known to lead.
+                // A node may have led for a while since the last read. Only from this revision on
+                // is it certain that no node leads.
                 self.leaderless_since = (!has_leader).then_some(revision);
                 if !has_leader && self.leader_revision < revision {
                     self.leader = None;
--- a/crates/latchtrack/src/actors/messages/job_cache.rs
+++ b/crates/latchtrack/src/actors/messages/job_cache.rs
@@ -84,7 +84,7 @@
 pub struct OpenJobsSnapshot {
     /// All open jobs.
     pub jobs: Vec<OpenJob>,
-    /// Revision at which the previous leader's key was deleted, if known; no node led since.
+    /// Revision since which no node has led until this term, if known.
     pub leaderless_since: Option<u64>,
 }
 
--- a/crates/latchtrack/src/actors/stored.rs
+++ b/crates/latchtrack/src/actors/stored.rs
@@ -21,7 +21,7 @@
 pub struct StoredState {
     /// The open jobs.
     pub jobs: Vec<OpenJob>,
-    /// Revision at which the previous leader's key was deleted, if known.
+    /// Revision since which no node has led until this term, if known.
     pub leaderless_since: Option<u64>,
     /// The machine sets stored by earlier leaders.
     pub machine_sets: Vec<StoredMachineSet>,
@@ -51,8 +51,8 @@
 /// Builds the transaction of a batch of record writes. Returns `None` if a record can't be
 /// serialized.
 ///
-/// The transaction fails if the leader key has changed, if one of the done jobs was cancelled, or if
-/// a delayed write of this leader has changed one of the record shards.
+/// The transaction fails if the leader key has changed, if one of the done jobs was cancelled, or
+/// if a delayed write of this leader has changed one of the record shards.
 pub fn record_transaction(token: u64, writes: &[RecordWrite]) -> Option<Txn> {
     let mut conditions = vec![Condition { key: LEADER_KEY.into(), revision: token }];
     let mut changes = Vec::new();
--- a/crates/latchtrack/src/constants.rs
+++ b/crates/latchtrack/src/constants.rs
@@ -109,7 +109,7 @@
 pub const OVER_LIMIT_RETRY_MS: u64 = 100;
 /// Maximum size of the values in one transaction, in bytes (the service accepts 64 KiB).
 pub const MAX_TXN_BYTES: usize = 48 * 1024;
-/// Number of bytes of the body of a refusal that are logged.
+/// Maximum number of bytes that are logged of the response to a refused request.
 pub const MAX_LOGGED_REFUSAL_BYTES: usize = 200;
 /// Maximum size of a response body that is read, in bytes. A list page has up to 512 KiB; the
 /// response to a watch is unbounded.
@@ -129,8 +129,8 @@
 
 /// Interval between two ticks of the scheduler, in ms.
 pub const TICK_MS: u64 = 200;
-/// Delay before the scheduler is told that an action was not executed for lack of a valid lease, in
-/// ms.
+/// Delay before the scheduler is notified that an action was not executed for lack of a valid
+/// lease, in ms.
 pub const NOT_EXECUTED_DELAY_MS: u64 = 500;
 /// Maximum number of concurrent direct calls to workers, whatever the socket limit allows, because
 /// each one holds buffers.
@@ -182,9 +182,9 @@
 pub const MAX_REDIRECTED_MACHINES: usize = 16_384;
 /// Maximum size of a frame between nodes, in bytes.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// Maximum number of frames queued for a node, and of its requests handled concurrently; any
-/// further ones are dropped. A zone that can't reach the leader forwards some hundred heartbeats a
-/// second.
+/// Maximum number of frames queued for another node, and of requests from it that are handled
+/// concurrently; any further ones are dropped. A zone that can't reach the leader forwards some
+/// hundred heartbeats a second.
 pub const PEER_QUEUE_CAPACITY: usize = 256;
 
 // `latchtrack status`.
--- a/crates/latchtrack/src/http/users.rs
+++ b/crates/latchtrack/src/http/users.rs
@@ -14,8 +14,8 @@
 use crate::wire::records::Record;
 use crate::wire::users::{parse_id, parse_job, JobAnswer, JobState, SubmissionError};
 
-/// `POST /api/jobs`: submits a job. Responds with 201 if it is new, and with 200 and its state if
-/// its id is known.
+/// `POST /api/jobs`: submits a job. Responds with 201 if the job is new, and with 200 and its
+/// state if its id is known.
 pub async fn submit(app: web::Data<AppState>, payload: web::Payload) -> HttpResponse {
     match read_body(payload).await {
         Ok(bytes) => answer(&app, PeerRequest::Submit(bytes)).await,
@@ -37,8 +37,8 @@
 pub async fn ready(app: web::Data<AppState>) -> HttpResponse {
     let is_loaded = app.cache.send(IsLoaded).await.unwrap_or(false);
     let accepts_submissions = app.admission.send(IsReady).await.unwrap_or(false);
-    // A node that can neither reach the state service nor forward requests to a peer reports that
-    // it is not ready. If no node can reach it, all stay ready while they are connected.
+    // A node that can neither reach the state service nor forward requests to a peer is not ready.
+    // If no node can reach the state service, all stay ready while they are connected.
     let can_handle_requests = is_served(&app).await
         || app.peers.send(HasConnectedPeers).await.unwrap_or(false)
         || app.deployment == Deployment::SingleNode;
--- a/crates/latchtrack/src/settings/platform.rs
+++ b/crates/latchtrack/src/settings/platform.rs
@@ -137,7 +137,7 @@
     #[serde(default)]
     pub gang_wait_s: Option<f64>,
     /// Time in s within which the tasks of a gang notice the loss of one of them. A stop must reach
-    /// all of them within this time.
+    /// all tasks of a gang within this time.
     #[serde(default)]
     pub gang_peer_s: Option<f64>,
 }
--- a/crates/latchtrack/src/wire/cloud.rs
+++ b/crates/latchtrack/src/wire/cloud.rs
@@ -4,8 +4,8 @@
 use latchtrack_core::scheduler::ListedMachine;
 use serde::{Deserialize, Serialize};
 
-/// Error text of a 503 response if no machines as requested are available at the moment. With any
-/// other text, the request was not executed.
+/// Error text of a 503 response that means that the cloud has none of the requested machines at the
+/// moment. With any other text, the request was not executed.
 pub const NO_CAPACITY: &str = "no capacity";
 
 /// Response with the machine types and prices.
--- a/crates/latchtrack/src/wire/quota.rs
+++ b/crates/latchtrack/src/wire/quota.rs
@@ -49,7 +49,7 @@
 }
 
 /// The transaction that writes a ledger. It requires that the writer still leads, that the ledger
-/// still has the revision that is replaced, and that no node has led one of the dead cells since.
+/// still has the expected revision, and that no node has led one of the dead cells since.
 pub fn ledger_transaction(token: u64, write: &LedgerWrite) -> serde_json::Result<Txn> {
     let key = team_key(&write.team);
     let mut conditions = vec![
