--- a/crates/latchtrack/src/settings/tuning.rs
+++ b/crates/latchtrack/src/settings/tuning.rs
@@ -40,7 +40,7 @@
     #[serde(rename = "settle_s")]
     pub reconcile_timeout_s: f64,
     /// Duration of the leader's lease, in s. The default is 3, or less if the worker lease leaves
-    /// less of `cancel_s`.
+    /// too little of `cancel_s` for that.
     pub leader_lease_s: Option<f64>,
     /// Load balancing, which is off by default.
     pub balance: BalanceTuning,
--- a/crates/latchtrack/src/wire/status.rs
+++ b/crates/latchtrack/src/wire/status.rs
@@ -14,7 +14,7 @@
     /// Name of the leader, as far as this node knows.
     pub leader: Option<String>,
     /// The cluster, present only on the leader. The serialized name is that of the first version,
-    /// because nodes of different versions exchange it during an upgrade.
+    /// because nodes of different versions exchange this view during an upgrade.
     #[serde(rename = "picture", skip_serializing_if = "Option::is_none")]
     pub cluster: Option<ClusterView>,
 }
