--- a/crates/latchtrack-core/src/job.rs
+++ b/crates/latchtrack-core/src/job.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct JobId(pub u64);
 
-/// The text is not a valid id of a job or task.
+/// Error for a text that is not a valid id of a job or task.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not an id of the form req-000412")]
 pub struct ParseIdError;
@@ -149,9 +149,9 @@
 /// The run times of a job's completed tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunTimes {
-    /// Their sum in ms.
+    /// The sum of the run times in ms.
     total_ms: Millis,
-    /// The number of run times in the sum.
+    /// The number of run times.
     count: u32,
 }
 
@@ -212,8 +212,8 @@
     pub unschedulable_since: Option<Millis>,
     /// Run times of completed tasks that were observed from their start in this term.
     pub run_times: RunTimes,
-    /// The time since which the tasks of a gang's last attempt are being ended; `None` if no task
-    /// has left the attempt.
+    /// The time since which a gang's last attempt has been ending; `None` if no task has left the
+    /// attempt.
     pub attempt_ended_at: Option<Millis>,
 }
 
@@ -298,7 +298,7 @@
         taken
     }
 
-    /// Takes this task if it is waiting, and returns whether it was. The caller must then place it.
+    /// Takes task `index` if it is waiting. Returns whether it was; the caller must then place it.
     pub fn take_one(&mut self, index: u32) -> bool {
         if self.done.get(index) || self.placed.contains_key(&index) || index >= self.spec.tasks {
             return false;
--- a/crates/latchtrack-core/src/scheduler/backfill.rs
+++ b/crates/latchtrack-core/src/scheduler/backfill.rs
@@ -9,12 +9,11 @@
 
 /// The queue entry that gets capacity of a machine next.
 struct BackfillChoice {
-    /// Index into the queue and number of tasks; None if no entry fits.
+    /// Index into the queue and number of tasks; `None` if no entry fits.
     entry: Option<(usize, u32)>,
-    /// Entries skipped because they have nothing left to place.
+    /// Number of entries skipped because they have nothing left to place.
     closed: usize,
-    /// Set if the search stopped at a gang that lacks capacity: this machine is then left for the
-    /// gang.
+    /// Whether the search stopped at a gang that lacks capacity, which may then use the machine.
     held_for_gang: bool,
 }
 
@@ -28,16 +27,16 @@
     /// Whether the reservation applies to the entry being checked. A gang reserve applies to all
     /// entries. Any other reservation applies from the first job of its class on; jobs ahead of
     /// that one may use the whole machine.
-    reservation_binds: bool,
+    reservation_applies: bool,
 }
 
 impl MachineView<'_> {
-    /// The capacity that the next entry, whose job is of this class, may use.
+    /// Returns the capacity that the next entry, whose job is of this class, may use.
     fn available_to(&mut self, class: ClassId) -> &FreeCapacity {
         match &self.reserved {
             Some((reserved_for, capacity)) => {
-                self.reservation_binds |= *reserved_for == class;
-                if self.reservation_binds {
+                self.reservation_applies |= *reserved_for == class;
+                if self.reservation_applies {
                     capacity
                 } else {
                     self.free
@@ -49,8 +48,8 @@
 }
 
 impl Scheduler {
-    /// Fills the capacity that a machine's own heartbeat has freed as a cycle would do now. Jobs
-    /// whose placement depends on more than this machine wait for the next cycle.
+    /// Places tasks on the free capacity of a machine as a cycle would do now. Jobs whose placement
+    /// depends on more than this machine wait for the next cycle.
     pub(super) fn backfill(&mut self, now: Millis, machine: &str) {
         if self.queue.entries().is_empty() {
             return;
@@ -128,8 +127,8 @@
         }
     }
 
-    /// The entry that gets capacity of a machine next: the first that fits, or one of the next few
-    /// whose image the machine holds. The lookahead ends at a job with a start objective.
+    /// Returns the entry that gets capacity of a machine next: the first that fits, or one of the
+    /// next few whose image the machine holds. The lookahead ends at a job with a start objective.
     fn next_for_machine(
         &self,
         now: Millis,
@@ -169,7 +168,8 @@
         BackfillChoice { entry: first, closed, held_for_gang: false }
     }
 
-    /// The machine's capacity as the queue's entries may use it. A gang reserve binds all jobs.
+    /// Returns the machine's capacity as the queue's entries may use it. A gang reserve applies to
+    /// all entries.
     fn view_of_machine<'a>(&self, machine: &str, free: &'a FreeCapacity) -> MachineView<'a> {
         let reservation = self.reservations.on_machine(machine);
         let reserved = match reservation.map(|reservation| reservation.reserved_for) {
@@ -178,12 +178,13 @@
             }
             Some(ReservedFor::Exclusive) | None => None,
         };
-        let reservation_binds =
+        let reservation_applies =
             reserved.as_ref().is_some_and(|(class, _)| self.reservations.has_gang_reserve(*class));
-        MachineView { free, reserved, reservation_binds }
+        MachineView { free, reserved, reservation_applies }
     }
 
-    /// How many tasks of a job to place here: whole slices, or all that are wanted if they fit.
+    /// Returns how many tasks of a job to place here: whole slices, or all that are wanted if they
+    /// fit.
     fn whole_slices(
         &self,
         now: Millis,
@@ -202,7 +203,7 @@
         }
     }
 
-    /// How many tasks of a job fit on this machine. Returns 0 if the answer depends on more than
+    /// Returns how many tasks of a job fit on this machine; 0 if the answer depends on more than
     /// this machine, such as the zones of other tasks or a team limit.
     fn tasks_fitting(&self, now: Millis, job: &Job, machine: &str, capacity: &FreeCapacity) -> u32 {
         let spec = &job.spec;
@@ -210,7 +211,7 @@
         let zones_matter = spec.spread || (spec.one_zone && !spec.gang);
         if job.backoff_until > now
             || zones_matter
-            || !placement::allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+            || !placement::is_allowed(spec, &capacity.machine_type, &capacity.zone, capacity.spot)
             || self.avoids_machine(now, job, machine)
             || self.has_team_limit(spec)
             || (capacity.must_fetch(&spec.image)
@@ -229,7 +230,7 @@
         machine: &str,
         capacity: &FreeCapacity,
     ) -> bool {
-        placement::allowed(&job.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
+        placement::is_allowed(&job.spec, &capacity.machine_type, &capacity.zone, capacity.spot)
             && !self.avoids_machine(now, job, machine)
             && capacity.admissible_tasks(&job.spec.demand, job.equivalence_class) > 0
     }
--- a/crates/latchtrack-core/src/scheduler/log_events.rs
+++ b/crates/latchtrack-core/src/scheduler/log_events.rs
@@ -51,7 +51,7 @@
         /// How long it has been silent, in ms.
         silent_ms: Millis,
     },
-    /// No node can have answered a machine within its worker lease; its tasks are requeued.
+    /// A machine sent no heartbeat until its worker lease expired; its tasks are requeued.
     WorkerLeaseExpired {
         /// Name of the machine.
         machine: String,
@@ -90,7 +90,7 @@
         machine: String,
     },
     /// Tasks of several jobs failed on a machine; it is terminated.
-    MachineFailsJobs {
+    JobsFailedOnMachine {
         /// Name of the machine.
         machine: String,
     },
@@ -171,7 +171,8 @@
         /// How it ended.
         stage: MoveStage,
     },
-    /// The load of machines of a type cannot be computed from these amounts.
+    /// The load of a machine can't be computed, because the resources of its type or those in use
+    /// are invalid.
     InvalidLoad {
         /// Name of the machine type.
         machine_type: String,
@@ -203,8 +204,8 @@
             }
             LogEvent::LaunchesIgnored { .. } => "machine ignores launches, terminating it",
             LogEvent::MachineNeverJoined { .. } => "machine never joined, terminating it",
-            LogEvent::MachineSlow { .. } => "machine is slow, draining it",
-            LogEvent::MachineFailsJobs { .. } => {
+            LogEvent::MachineSlow { .. } => "machine is slow, terminating it once it is empty",
+            LogEvent::JobsFailedOnMachine { .. } => {
                 "tasks of several jobs failed on machine, terminating it"
             }
             LogEvent::BootsLate { .. } => "machine boots are late",
@@ -252,7 +253,7 @@
             | LogEvent::LaunchesIgnored { machine }
             | LogEvent::MachineNeverJoined { machine }
             | LogEvent::MachineSlow { machine }
-            | LogEvent::MachineFailsJobs { machine } => write!(f, " machine={machine}"),
+            | LogEvent::JobsFailedOnMachine { machine } => write!(f, " machine={machine}"),
             LogEvent::BootsLate { machine_type, zone }
             | LogEvent::BootsRecovered { machine_type, zone } => {
                 write!(f, " machine_type={machine_type} zone={zone}")
@@ -326,7 +327,7 @@
 pub enum ResignReason {
     /// A worker holds a higher fencing token, so another node has become leader.
     HigherToken,
-    /// No zone is reachable any more, although some machine was heard in this term.
+    /// No zone is reachable any more, although some machine has sent a heartbeat in this term.
     NoZoneReachable,
     /// All heartbeats are relayed by other nodes, which can also call the workers directly.
     HeartbeatsOnlyRelayed,
--- a/crates/latchtrack-core/src/scheduler/messages.rs
+++ b/crates/latchtrack-core/src/scheduler/messages.rs
@@ -48,7 +48,7 @@
     pub leaderless_since: u64,
 }
 
-/// One stored value of the machine set, which is split into several.
+/// One of the stored values that together hold the machine set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredMachineSet {
     /// Name of the value under the prefix of the machine set.
@@ -264,7 +264,7 @@
     Provision {
         /// Id of the request, which the cloud executes at most once.
         request_id: String,
-        /// The machine type and zone to provision, and whether as spot machines.
+        /// The machine type and zone to provision, and whether the machines are spot.
         offer: Offer,
         /// Number of machines.
         number: u32,
--- a/crates/latchtrack-core/src/scheduler/queue_order.rs
+++ b/crates/latchtrack-core/src/scheduler/queue_order.rs
@@ -1,5 +1,6 @@
-//! The order of the queue. Jobs within their team's guarantee come first, jobs beyond their team's
-//! fair share last; within each of these groups, jobs are ordered by tier, due time and demand.
+//! The order of the queue. Jobs within their team's guarantee go before all others, and in both
+//! groups jobs beyond their team's fair share go last. Otherwise jobs are ordered by tier, due time
+//! and demand.
 
 use std::cmp::Ordering;
 
@@ -36,28 +37,29 @@
 /// The position of a job in the queue. Compared field by field; the smallest rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct QueueRank {
-    /// The job does not fit into its team's guarantee.
+    /// Whether the job does not fit into its team's guarantee.
     pub beyond_guarantee: bool,
-    /// The job's team is hot and beyond its fair share.
+    /// Whether the job's team is hot and the job is beyond its fair share.
     pub beyond_share: bool,
-    /// Compared in the order of the variants.
+    /// The tier of the job; jobs of earlier tiers go first.
     pub tier: QueueTier,
-    /// Due time (earliest deadline first), or the key that orders the jobs of the tier instead.
+    /// The due time, earliest first, or the value that orders jobs in a tier without due times.
     pub due: Millis,
-    /// Demand of the waiting tasks by Eq. 9 of the paper, negated so that the largest goes first.
+    /// The demand of the waiting tasks by Eq. 9 of the paper, negated so that the largest goes
+    /// first.
     pub negated_demand: f64,
 }
 
-/// A job with its rank. Ties are broken by the smaller id.
+/// A job with its rank. The smallest rank goes first, in a tie the smaller id.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct RankedJob {
-    /// Compared before the id.
+    /// The position of the job; ties are broken by the id.
     pub rank: QueueRank,
     pub id: JobId,
 }
 
 impl Scheduler {
-    /// The jobs with waiting tasks that may be placed now, in scheduling order.
+    /// Returns the jobs with waiting tasks that may be placed now, in scheduling order.
     pub(super) fn order_queue(&mut self, now: Millis, cycle: &SchedulingCycle) -> Vec<QueueEntry> {
         let total = cycle.total();
         let best_effort_tasks = self.best_effort_due(now, total);
@@ -103,17 +105,17 @@
         job.inherited || self.has_team_limit(&job.spec)
     }
 
-    /// The tier of a job and its due time on the local clock, which is the earliest of its deadline
-    /// and objectives that can still be met. The caller handles quarantined jobs and overdue
-    /// best-effort jobs.
+    /// Returns the tier of a job and its due time on the local clock, which is the earliest of its
+    /// deadline and objectives that can still be met. The caller handles quarantined jobs and
+    /// overdue best-effort jobs.
     fn tier_and_due(&self, now: Millis, job: &Job) -> (QueueTier, Millis) {
         if let Some(within_ms) = self.start_objective_ms(&job.spec).filter(|_| job.spec.gang) {
             // The due time is that of the start, for which a gang needs all of its capacity at
             // once.
             return (QueueTier::Deadline, job.submitted_at.saturating_add(within_ms));
         }
-        let dues = self.dues_ms(job);
-        if dues.is_empty() {
+        let due_times = self.due_times_ms(job);
+        if due_times.is_empty() {
             return if self.is_best_effort(&job.spec) {
                 // In order of submission: if all ran side by side, none would complete for a long
                 // time.
@@ -123,16 +125,16 @@
             };
         }
         let due_at = |ms: Millis| job.submitted_at.saturating_add(ms);
-        match dues.into_iter().map(due_at).filter(|due_at| *due_at > now).min() {
+        match due_times.into_iter().map(due_at).filter(|due_at| *due_at > now).min() {
             Some(due_at) if job.spec.deadline_s.is_some() => (QueueTier::Deadline, due_at),
             Some(due_at) => (QueueTier::Objective, due_at),
             None => (QueueTier::Deferred, waiting_cpu_ms(job) as Millis),
         }
     }
 
-    /// When a job is due, in ms from its submission: its own deadline, and the completion
+    /// Returns when a job is due, in ms from its submission: its own deadline, and the completion
     /// objectives of its class.
-    fn dues_ms(&self, job: &Job) -> Vec<Millis> {
+    fn due_times_ms(&self, job: &Job) -> Vec<Millis> {
         let deadline_ms = job.spec.deadline_s.map(|s| (s * 1000.0) as Millis);
         let objectives = self.policy.completion_objectives.iter();
         objectives
--- a/crates/latchtrack/src/actors/job_cache/mod.rs
+++ b/crates/latchtrack/src/actors/job_cache/mod.rs
@@ -1,5 +1,6 @@
 //! The node's cache of the job records and the leader key. Queries for jobs in a final state are
-//! answered from the cache. All others wait for a refresh from the state service, which they share.
+//! answered from the cache. The others wait for a refresh from the state service; one refresh
+//! answers all that wait for it.
 
 mod records;
 
@@ -15,7 +16,7 @@
     OpenJobsSnapshot, SetCacheRole, StoreUnavailable, UpdateTaskCounts,
 };
 use super::messages::scheduler::{CacheUpdated, JobChange};
-use super::messages::store::SetStoreShare;
+use super::messages::store::SetStoreRole;
 use super::messages::NodeRole;
 use super::store::reads::{read_since, TimedRead};
 use super::store::{Store, StoreError};
@@ -27,7 +28,7 @@
 };
 use crate::wire::records::LIVE_PREFIX;
 
-/// Receives whether the awaited refresh succeeded in time.
+/// Channel that reports whether the awaited refresh succeeded in time.
 type Waiter = oneshot::Sender<bool>;
 
 /// The actor that owns the cache and refreshes it.
@@ -35,7 +36,7 @@
     store: Addr<Store>,
     listeners: Option<ConnectJobCache>,
     records: JobRecords,
-    /// The revision up to which the records are known. `None`: the next refresh reads all records.
+    /// Revision up to which the records are known. If `None`, the next refresh reads all records.
     revision: Option<u64>,
     role: NodeRole,
     is_refreshing: bool,
@@ -205,7 +206,7 @@
     type Result = ();
     fn handle(&mut self, msg: SetCacheRole, ctx: &mut Self::Context) {
         self.role = msg.0;
-        self.store.do_send(SetStoreShare(msg.0));
+        self.store.do_send(SetStoreRole(msg.0));
         self.schedule_refresh(ctx);
     }
 }
--- a/crates/latchtrack/src/actors/messages/store.rs
+++ b/crates/latchtrack/src/actors/messages/store.rs
@@ -18,8 +18,8 @@
     Admission = 1,
     /// Reads of any kind.
     Read = 2,
-    /// Writes that can wait, as of the leader's records and of quota ledgers.
-    Progress = 3,
+    /// Writes that are not urgent, such as those of the leader's records and of quota ledgers.
+    Background = 3,
 }
 
 impl RequestClass {
@@ -46,12 +46,12 @@
     },
     /// Renews a lease for its original duration.
     RenewLease {
-        /// The lease.
+        /// Id of the lease.
         lease: u64,
     },
     /// Revokes a lease, which deletes the keys attached to it.
     RevokeLease {
-        /// The lease.
+        /// Id of the lease.
         lease: u64,
     },
     /// Reads the changes under a prefix after a revision.
@@ -132,4 +132,4 @@
 /// Sets the role of this node, which determines its share of the limits.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct SetStoreShare(pub NodeRole);
+pub struct SetStoreRole(pub NodeRole);
